--- a/Makefile
+++ b/Makefile
@@ -46,14 +46,14 @@
 
 # The model checks with millions of states: the exchange of copies, the leases of budgets, the permits of releases, the closed times.
 model:
-	cargo test --locked --release -p wharfplank-replica --test catch_up -- --ignored --nocapture
+	cargo test --locked --release -p wharfplank-shared-state --test catch_up -- --ignored --nocapture
 	cargo test --locked --release -p wharfplank-budget -- --ignored --nocapture
-	cargo test --locked --release -p wharfplank-release --test permits -- --ignored --nocapture
-	cargo test --locked --release -p wharfplank-missing --test model -- --ignored --nocapture
+	cargo test --locked --release -p wharfplank-rollout --test permits -- --ignored --nocapture
+	cargo test --locked --release -p wharfplank-negative-cache --test model -- --ignored --nocapture
 
 # 200 seeded runs of each hard case of a release, 200 clean ones and 200 bad ones, in virtual time.
 releases:
-	cargo test --locked --release -p wharfplank-release --test release -- --ignored --nocapture
+	cargo test --locked --release -p wharfplank-rollout --test release -- --ignored --nocapture
 
 # 20 seeded runs by processes of each hard case of a release; takes an hour. See tests/release_rig.rs for its variables.
 rig-releases:
@@ -61,11 +61,11 @@
 
 # Known-missing keys in virtual time: 200 seeded runs of each hard case, and what the facts are worth and cost.
 missing:
-	cargo test --locked --release -p wharfplank-missing --test hard --test worth -- --ignored --nocapture --test-threads 1
+	cargo test --locked --release -p wharfplank-negative-cache --test hard --test worth -- --ignored --nocapture --test-threads 1
 
 # How soon a fleet of 300 and 3,000 holds a slow member degraded, in virtual time, and what that costs.
 health:
-	cargo test --locked --release -p wharfplank-replica --test health -- --ignored --nocapture
+	cargo test --locked --release -p wharfplank-shared-state --test health -- --ignored --nocapture
 
 # Processes that share budgets, eight hard cases by three seeds: what was in force, spent and held, from all logs. BUDGET_CASE,
 # BUDGET_RUNS, BUDGET_SEED, BUDGET_PROXIES and BUDGET_BESIDE choose others.
--- a/crates/membership/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`Desk`]: the list that is believed, the doubts about the newest answer, and the next call.
 //!
 //! ```
-//! use wharfplank_membership::{Ask, Desk, Pace};
+//! use wharfplank_discovery::{Ask, Desk, Pace};
 //! use wharfplank_protocol::catalog::{parse, Catalog};
 //!
 //! let mut desk = Desk::new(Pace::new(1_000_000), &Catalog::default(), 0);
--- a/crates/failover/tests/fleet.rs
+++ b/crates/failover/tests/fleet.rs
@@ -5,8 +5,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use wharfplank_failover::{decode, encode, Alone, Standing, Terms, Zones, TOPIC};
-use wharfplank_peers::net::{Net, Wire};
-use wharfplank_peers::{Micros, Terms as PeerTerms};
+use wharfplank_gossip::net::{Net, Wire};
+use wharfplank_gossip::{Micros, Terms as PeerTerms};
 
 const MS: Micros = 1_000;
 const STEP: Micros = 10 * MS;
--- a/crates/fleetrig/src/proxies.rs
+++ b/crates/fleet-harness/src/proxies.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{channel, Receiver};
 use wharfplank_lab::fleet::CLASSES;
-use wharfplank_replica::{named, Replica, Terms};
+use wharfplank_shared_state::{named, Replica, Terms};
 
 /// What a proxy's log said that the rig must know at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/fleetrig/src/releases/agents.rs
+++ b/crates/fleet-harness/src/releases/agents.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use wharfplank_lab::fleet::Hand;
 use wharfplank_lab::stand::{now, Stand};
-use wharfplank_release::{Call, Status, What as Asked};
+use wharfplank_rollout::{Call, Status, What as Asked};
 
 /// A member takes nothing new for so long before its process ends, so that proxies have heard of the drain.
 const DRAIN: Duration = Duration::from_millis(400);
--- a/crates/fleetrig/src/run/faults.rs
+++ b/crates/fleet-harness/src/run/faults.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use wharfplank_health::{Summary, Voice};
-use wharfplank_replica::sync::Message;
-use wharfplank_replica::{frame, named, Entry, Key, Value};
+use wharfplank_shared_state::sync::Message;
+use wharfplank_shared_state::{frame, named, Entry, Key, Value};
 
 /// How often a liar says it again.
 const LIE_EVERY: Duration = Duration::from_millis(250);
--- a/crates/peers/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`net`]: many proxies' `Peers` on a network in virtual time with faults, for tests and models.
 //!
 //! ```
-//! use wharfplank_peers::{Peer, Peers, Terms};
+//! use wharfplank_gossip::{Peer, Peers, Terms};
 //!
 //! let a = Peer::new("127.0.0.1:7001".parse().unwrap(), "a", 1);
 //! let b = Peer::new("127.0.0.1:7002".parse().unwrap(), "b", 1);
--- a/crates/peers/tests/swarm.rs
+++ b/crates/gossip/tests/swarm.rs
@@ -1,8 +1,8 @@
 //! Many proxies' membership on a network in virtual time with faults: rounds and datagrams are counted, never the
 //! machine's time.
 
-use wharfplank_peers::net::{Net, Wire};
-use wharfplank_peers::{Micros, Terms};
+use wharfplank_gossip::net::{Net, Wire};
+use wharfplank_gossip::{Micros, Terms};
 
 const MS: Micros = 1_000;
 const STEP: Micros = 10 * MS;
--- a/crates/health/tests/calm.rs
+++ b/crates/health/tests/calm.rs
@@ -1,5 +1,5 @@
 //! Calm and lossy runs in which nothing may be named, and how soon a slow member is named together and alone, over an
-//! ideal wire. The traffic of the replicated state is measured in `crates/replica/tests/health.rs`.
+//! ideal wire. The traffic of the replicated state is measured in `crates/shared-state/tests/health.rs`.
 
 mod common;
 use common::{Fleet, SECOND};
--- a/crates/missing/src/lib.rs
+++ b/crates/negative-cache/src/lib.rs
@@ -22,7 +22,7 @@
 //! [`Terms::apart`] at any time. See `docs/design/missing.md`.
 //!
 //! ```
-//! use wharfplank_missing::{Asked, Hasher, Missing, Need, Terms, Verdict};
+//! use wharfplank_negative_cache::{Asked, Hasher, Missing, Need, Terms, Verdict};
 //!
 //! let hasher = Hasher::new([7; 16]);
 //! let mut missing = Missing::new(Terms::default(), 1, 0);
--- a/crates/missing/tests/hard.rs
+++ b/crates/negative-cache/tests/hard.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use rand::Rng;
-use wharfplank_missing::{Micros, Terms};
+use wharfplank_negative_cache::{Micros, Terms};
 use world::{Plan, World, SECOND};
 
 type Case = (&'static str, fn(Plan) -> Plan, fn(&mut World));
--- a/crates/missing/tests/laws.rs
+++ b/crates/negative-cache/tests/laws.rs
@@ -2,7 +2,7 @@
 //! costing look-ups only.
 
 use proptest::prelude::*;
-use wharfplank_missing::{Closed, Fact, Facts, Key, Mark, Micros, Seal, Terms};
+use wharfplank_negative_cache::{Closed, Fact, Facts, Key, Mark, Micros, Seal, Terms};
 
 const NOW: Micros = 20_000_000;
 const BANKS: u32 = 2;
--- a/crates/missing/tests/model.rs
+++ b/crates/negative-cache/tests/model.rs
@@ -7,7 +7,7 @@
 
 use state::{terms, Act, Bounds, Flying, Proxy, State, KEY, STEP};
 use stateright::{Checker, Model, Property};
-use wharfplank_missing::{Bank, Leave, Micros, Seal, Writes};
+use wharfplank_negative_cache::{Bank, Leave, Micros, Seal, Writes};
 
 impl Model for Bounds {
     type State = State;
--- a/crates/missing/tests/model/state.rs
+++ b/crates/negative-cache/tests/model/state.rs
@@ -1,6 +1,6 @@
 //! What the model checker's states hold.
 
-use wharfplank_missing::{Ask, Bank, Closed, Grant, Leave, Mark, Micros, Seal, Terms, Ticket, Writes};
+use wharfplank_negative_cache::{Ask, Bank, Closed, Grant, Leave, Mark, Micros, Seal, Terms, Ticket, Writes};
 
 pub const KEY: Mark = Mark(1);
 /// Time goes in steps of half a slot.
--- a/crates/missing/tests/node.rs
+++ b/crates/negative-cache/tests/node.rs
@@ -4,7 +4,7 @@
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
-use wharfplank_missing::*;
+use wharfplank_negative_cache::*;
 
 const STEP: Micros = 10_000;
 const SECOND: Micros = 1_000_000;
--- a/crates/missing/tests/world/mod.rs
+++ b/crates/negative-cache/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use model::{History, Zipf};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
-use wharfplank_missing::*;
+use wharfplank_negative_cache::*;
 
 pub const STEP: Micros = 10_000;
 pub const SECOND: Micros = 1_000_000;
--- a/crates/missing/tests/world/model.rs
+++ b/crates/negative-cache/tests/world/model.rs
@@ -2,7 +2,7 @@
 
 use rand::{rngs::SmallRng, Rng};
 use std::collections::BTreeMap;
-use wharfplank_missing::Micros;
+use wharfplank_negative_cache::Micros;
 
 /// Every commit of one group, stamped by its primary's clock.
 pub struct History {
--- a/crates/missing/tests/worth.rs
+++ b/crates/negative-cache/tests/worth.rs
@@ -5,7 +5,7 @@
 
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::time::Instant;
-use wharfplank_missing::*;
+use wharfplank_negative_cache::*;
 use world::{Plan, Sum, World, SECOND};
 
 fn played(proxies: usize, together: bool, writes: f64, span: i64) -> Sum {
--- a/crates/standby/src/lib.rs
+++ b/crates/pool-policy/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`Opening`]: which member a proxy that has just started connects to first.
 //!
 //! ```
-//! use wharfplank_standby::Demand;
+//! use wharfplank_pool_policy::Demand;
 //!
 //! let mut demand = Demand::default();
 //! assert_eq!(demand.spares(0), 0);
--- a/crates/program/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -37,7 +37,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_admin::{Cordons, Succession};
-use wharfplank_membership::{Age, Doubt, News};
+use wharfplank_discovery::{Age, Doubt, News};
+use wharfplank_pool_policy::Opening;
 use wharfplank_protocol::catalog::{Catalog, Health, Host};
 use wharfplank_protocol::client;
 use wharfplank_protocol::comment::ID_MOST;
@@ -47,7 +48,6 @@
     self as routing, Action, AttemptNo, ClassId, Ending, Entry, GroupId, HostId, Listed, Micros, Outcome,
     Probed, Request, RequestId, Role, Router, SessionKey,
 };
-use wharfplank_standby::Opening;
 use wharfplank_transport::admin::Asking;
 use wharfplank_transport::client::Lane;
 use wharfplank_transport::clients::Clients;
--- a/crates/program/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -14,7 +14,7 @@
     pub(super) class: ClassId,
     pub(super) group: GroupId,
     /// The key that it asks for or touches, where that matters.
-    pub(super) touch: Option<wharfplank_missing::Asked>,
+    pub(super) touch: Option<wharfplank_negative_cache::Asked>,
     pub(super) arrived: Micros,
     /// How its attempts ended, and where, where the log counts: at most `max_attempts`.
     pub(super) endings: Vec<(HostId, Ending)>,
--- a/crates/program/src/budgets.rs
+++ b/crates/proxy/src/budgets.rs
@@ -7,8 +7,8 @@
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::rc::Rc;
 use wharfplank_budget::{Bank, Budget, Holder, Kind, Parts, Seat, Terms};
-use wharfplank_replica::named;
 use wharfplank_settings::Budgets as Settings;
+use wharfplank_shared_state::named;
 use wharfplank_transport::budgets::{Budgets, Figure, Said, Setup, RING};
 use wharfplank_transport::{duty, Now};
 
--- a/crates/program/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -11,9 +11,9 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use wharfplank_failover::{Alone, Terms as FailoverTerms, Zones};
-use wharfplank_peers::{Peer, Peers, Terms as PeerTerms};
-use wharfplank_replica::{snapshot, Replica, Terms as ReplicaTerms};
+use wharfplank_gossip::{Peer, Peers, Terms as PeerTerms};
 use wharfplank_settings::{AloneChoice, Peers as PeerSettings, Replica as ReplicaSettings};
+use wharfplank_shared_state::{snapshot, Replica, Terms as ReplicaTerms};
 use wharfplank_transport::fleet::{self, Judge, Parts, Side, Witness};
 use wharfplank_transport::Event;
 
--- a/crates/program/src/journal.rs
+++ b/crates/proxy/src/journal.rs
@@ -8,8 +8,8 @@
 use wharfplank_protocol::catalog::{Health, Host};
 use wharfplank_records::recorder::Terms;
 use wharfplank_records::{record, store::Limits, Outcome, Record, Recorder, Seen};
-use wharfplank_release::status::name;
-use wharfplank_release::Said;
+use wharfplank_rollout::status::name;
+use wharfplank_rollout::Said;
 use wharfplank_routing::{ClassId, GroupId, HostId, Micros, Reason, View};
 use wharfplank_settings::Records;
 
--- a/crates/program/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_admin::{Figures, Holds};
-use wharfplank_membership::{Desk, Pace, Shared};
+use wharfplank_discovery::{Desk, Pace, Shared};
 use wharfplank_protocol::catalog;
 use wharfplank_settings::Settings;
 use wharfplank_transport::admin::{Admin, PLACES};
--- a/crates/program/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -15,7 +15,7 @@
 use tracing_subscriber::fmt::format::{FormatEvent, FormatFields, Writer};
 use tracing_subscriber::fmt::FmtContext;
 use tracing_subscriber::registry::LookupSpan;
-use wharfplank_membership::Doubt;
+use wharfplank_discovery::Doubt;
 use wharfplank_settings::{Format, Level};
 use wharfplank_transport::Ended;
 
--- a/crates/program/src/log/fleet.rs
+++ b/crates/proxy/src/log/fleet.rs
@@ -3,7 +3,7 @@
 use crate::fleet::{FAILED, REFUSED, SERVED};
 use tracing::{error, info, warn};
 use wharfplank_failover::Standing;
-use wharfplank_peers::Change;
+use wharfplank_gossip::Change;
 use wharfplank_transport::fleet::Said;
 
 /// Notes where the fleet's talk listens, and where the others send to.
--- a/crates/program/src/log/release.rs
+++ b/crates/proxy/src/log/release.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tracing::{info, warn};
-use wharfplank_release::status::{course, name};
-use wharfplank_release::{Action, Course, Id, Said, Step};
+use wharfplank_rollout::status::{course, name};
+use wharfplank_rollout::{Action, Course, Id, Said, Step};
 use wharfplank_transport::release::Told;
 
 /// Notes where datagrams of releases are taken.
--- a/crates/program/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -8,12 +8,12 @@
 use std::collections::HashMap;
 use std::net::UdpSocket;
 use std::rc::Rc;
-use wharfplank_missing::{Asked, Hasher, Node, Terms, Ticket};
+use wharfplank_negative_cache::{Asked, Hasher, Node, Terms, Ticket};
 use wharfplank_protocol::catalog::Host;
 use wharfplank_protocol::client::{Answer, Verdict};
-use wharfplank_replica::named;
 use wharfplank_routing::{ClassId, Consistency, Ending, GroupId, HostId, Micros, RequestId};
 use wharfplank_settings::Missing as MissingSettings;
+use wharfplank_shared_state::named;
 use wharfplank_transport::{missing, Now, Statement};
 
 /// What a class's requests are to this.
@@ -127,7 +127,7 @@
         asked: &Asked,
         after_ms: Option<i64>,
     ) -> Option<Vec<u8>> {
-        use wharfplank_missing::Need;
+        use wharfplank_negative_cache::Need;
         let Kind::Read(consistency) = self.kind(class) else { return None };
         let need = match consistency {
             Consistency::Any => Need::Any,
--- a/crates/program/src/release.rs
+++ b/crates/proxy/src/release.rs
@@ -10,10 +10,10 @@
 use std::path::PathBuf;
 use wharfplank_admin::Cordons;
 use wharfplank_protocol::catalog::{Health, Host};
-use wharfplank_release::{Allowance, Desk, Identity, Kind, Look, Place, Roster, Said, Terms, Trial, View};
-use wharfplank_replica::named;
+use wharfplank_rollout::{Allowance, Desk, Identity, Kind, Look, Place, Roster, Said, Terms, Trial, View};
 use wharfplank_routing::{self as routing, ClassId, Ending, HostId, Micros};
 use wharfplank_settings::{Release as ReleaseSettings, Undo};
+use wharfplank_shared_state::named;
 use wharfplank_transport::duty::{Inbox, Outbox};
 use wharfplank_transport::release::{self, Parts};
 
--- a/crates/program/src/talk.rs
+++ b/crates/proxy/src/talk.rs
@@ -7,8 +7,8 @@
 use wharfplank_health::Outcome;
 use wharfplank_protocol::catalog::Host;
 use wharfplank_protocol::pipeline::Answer;
-use wharfplank_replica::{named, Doubt, News};
 use wharfplank_routing::{Class, ClassId, Effect, Ending, HostId, Micros, RequestId, Told};
+use wharfplank_shared_state::{named, Doubt, News};
 use wharfplank_transport::fleet::{Seen, Witness, GAP, WAKING};
 
 /// What the fleet knows a member by, on all proxies alike.
--- a/crates/release/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -17,7 +17,7 @@
 //! - [`Evidence`], [`Sums`]: whether the released answer worse than the others, by a sequential test.
 //!
 //! ```
-//! use wharfplank_release::{Allowance, Ask, Bank, Kind, Ledger, Place, PlanId, Roster, Sight, Terms};
+//! use wharfplank_rollout::{Allowance, Ask, Bank, Kind, Ledger, Place, PlanId, Roster, Sight, Terms};
 //!
 //! let places = (0..3).map(|id| Place { id, group: 0, zone: id as u32, kind: Kind::Member }).collect();
 //! let roster = Roster::new(places, Allowance { group: 1, zone: 1, fleet: 1, banks: 1 });
--- a/crates/release/tests/desk.rs
+++ b/crates/rollout/tests/desk.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
-use wharfplank_release::{
+use wharfplank_rollout::{
     Action, Allowance, Call, Course, Desk, Identity, Kind, Ledger, Look, Micros, Place, Roster, Said, Status,
     Terms, View, What,
 };
--- a/crates/release/tests/laws.rs
+++ b/crates/rollout/tests/laws.rs
@@ -1,7 +1,7 @@
 //! Copies of a release that differ merge to one, in whatever order and however often they meet.
 
 use proptest::prelude::*;
-use wharfplank_release::{Course, Plan, PlanId, Reason, Step, Tally, Trial};
+use wharfplank_rollout::{Course, Plan, PlanId, Reason, Step, Tally, Trial};
 
 #[derive(Clone, Debug)]
 enum Deed {
--- a/crates/release/tests/permits/main.rs
+++ b/crates/rollout/tests/permits/main.rs
@@ -6,7 +6,7 @@
 
 use state::{bank, roster, Driver, Flying, Member, State, DRIVERS, MEMBERS, PLAN};
 use stateright::{Checker, Model, Property};
-use wharfplank_release::{Ask, Id, Ledger, Micros, Order, Return, Sight};
+use wharfplank_rollout::{Ask, Id, Ledger, Micros, Order, Return, Sight};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Act {
--- a/crates/release/tests/permits/state.rs
+++ b/crates/rollout/tests/permits/state.rs
@@ -1,7 +1,7 @@
 //! The state of the model: the real bank, drivers that keep its rules, members, and what is on the way.
 
 use std::collections::{BTreeMap, BTreeSet};
-use wharfplank_release::{
+use wharfplank_rollout::{
     Allowance, Answer, Ask, Bank, Id, Kind, Launch, Ledger, Micros, Order, Permit, Place, PlanId, Return,
     Roster, Sight, Terms,
 };
--- a/crates/release/tests/release/cases.rs
+++ b/crates/rollout/tests/release/cases.rs
@@ -6,7 +6,7 @@
 use crate::world::World;
 use rand::Rng;
 use std::sync::atomic::{AtomicU64, Ordering};
-use wharfplank_release::{Action, Allowance, Ledger, Micros, PlanId, Version, Word};
+use wharfplank_rollout::{Action, Allowance, Ledger, Micros, PlanId, Version, Word};
 
 const LENGTH: Micros = 400 * S;
 const GROUPS: u32 = 6;
--- a/crates/release/tests/release/cast.rs
+++ b/crates/rollout/tests/release/cast.rs
@@ -3,7 +3,7 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::collections::BTreeMap;
-use wharfplank_release::{Allowance, Launch, Micros, Order, Place, Sight, Version};
+use wharfplank_rollout::{Allowance, Launch, Micros, Order, Place, Sight, Version};
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000 * MS;
--- a/crates/release/tests/release/measured.rs
+++ b/crates/rollout/tests/release/measured.rs
@@ -5,7 +5,7 @@
 use crate::world::World;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use wharfplank_release::{Action, Allowance, Course, Evidence, Micros, PlanId, Tally, Terms, Trial, Version};
+use wharfplank_rollout::{Action, Allowance, Course, Evidence, Micros, PlanId, Tally, Terms, Trial, Version};
 
 const GROUPS: u32 = 24;
 const EACH: u32 = 5;
--- a/crates/release/tests/release/trouble.rs
+++ b/crates/rollout/tests/release/trouble.rs
@@ -3,7 +3,7 @@
 use crate::cast::S;
 use crate::world::World;
 use rand::Rng;
-use wharfplank_release::{Action, Course, Micros, PlanId, Reason, Step, Version, Word};
+use wharfplank_rollout::{Action, Course, Micros, PlanId, Reason, Step, Version, Word};
 
 /// Whether a driver took a step of this kind just now.
 fn just_did(world: &World, kind: usize) -> bool {
--- a/crates/release/tests/release/wire.rs
+++ b/crates/rollout/tests/release/wire.rs
@@ -4,7 +4,7 @@
 use crate::cast::S;
 use crate::world::{Message, To, World};
 use rand::Rng;
-use wharfplank_release::{Cause, Id, Micros};
+use wharfplank_rollout::{Cause, Id, Micros};
 
 impl World {
     fn reached(&self, proxy: usize, to: To) -> bool {
--- a/crates/release/tests/release/world.rs
+++ b/crates/rollout/tests/release/world.rs
@@ -5,7 +5,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
-use wharfplank_release::{
+use wharfplank_rollout::{
     Action, Allowance, Deed, Id, Identity, Kind, Launch, Ledger, Micros, Order, Place, Roster, Sight,
     Station, Terms,
 };
@@ -167,8 +167,8 @@
         let (sends, deeds) = (station.take_sends(), station.take_deeds());
         for (to, bytes) in sends {
             let to = match to {
-                wharfplank_release::To::Bank(bank) => bank as usize,
-                wharfplank_release::To::Proxy(rank) => rank as usize - 1,
+                wharfplank_rollout::To::Bank(bank) => bank as usize,
+                wharfplank_rollout::To::Proxy(rank) => rank as usize - 1,
             };
             self.put(i, To::Proxy(to), Message::Station(bytes));
         }
--- a/crates/release/tests/rules.rs
+++ b/crates/rollout/tests/rules.rs
@@ -1,6 +1,6 @@
 //! The rules of a bank one by one, each by the one thing that would break it.
 
-use wharfplank_release::{
+use wharfplank_rollout::{
     Allowance, Answer, Ask, Bank, Cause, Id, Kind, Launch, Ledger, Micros, Place, PlanId, Refusal, Return,
     Roster, Sight, Terms, Wheel,
 };
--- a/crates/replica/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`Replica`]: one proxy's copy; [`frame`] and [`unframe`]: how its messages ride.
 //!
 //! ```
-//! use wharfplank_replica::{Doubt, Replica, Terms};
+//! use wharfplank_shared_state::{Doubt, Replica, Terms};
 //!
 //! let (mut one, mut two) = (Replica::new(1, Terms::default(), 1, 0), Replica::new(2, Terms::default(), 2, 0));
 //! two.alive(0, ["127.0.0.1:1".parse().unwrap()].into_iter());
--- a/crates/replica/tests/catch_up.rs
+++ b/crates/shared-state/tests/catch_up.rs
@@ -2,8 +2,8 @@
 //! and a restart: three proxies that run the real table and the real exchange.
 
 use stateright::{Checker, Model, Property};
-use wharfplank_replica::sync::{fill, lacking, tell, Message};
-use wharfplank_replica::{Doubt, Entry, Key, Store, Value};
+use wharfplank_shared_state::sync::{fill, lacking, tell, Message};
+use wharfplank_shared_state::{Doubt, Entry, Key, Store, Value};
 
 const NOW: i64 = 10;
 const PROXIES: usize = 3;
--- a/crates/replica/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddrV4;
-use wharfplank_replica::{Doubt, Entry, Key, Micros, Replica, Terms, Value};
+use wharfplank_shared_state::{Doubt, Entry, Key, Micros, Replica, Terms, Value};
 
 const MS: Micros = 1_000;
 const STEP: Micros = 25 * MS;
--- a/crates/replica/tests/health.rs
+++ b/crates/shared-state/tests/health.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddrV4;
 use wharfplank_health::{Health, Outcome, Verdict, QUESTION, WINDOW};
-use wharfplank_replica::{Micros, Replica, Terms};
+use wharfplank_shared_state::{Micros, Replica, Terms};
 
 const SECOND: Micros = 1_000_000;
 const STEP: Micros = 25_000;
--- a/crates/replica/tests/laws.rs
+++ b/crates/shared-state/tests/laws.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use std::net::SocketAddrV4;
-use wharfplank_replica::{
+use wharfplank_shared_state::{
     frame, snapshot, unframe, Doubt, Entry, Key, Mark, Replica, Stamp, Store, Terms, Value,
 };
 
--- a/crates/transport/src/budgets/mod.rs
+++ b/crates/transport/src/budgets/mod.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_budget::{Ask, Budget, Holder, Kind, Micros, Parts};
-use wharfplank_replica::named;
+use wharfplank_shared_state::named;
 
 /// Asks and leases that may wait between the two threads.
 pub const RING: usize = 256;
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -14,7 +14,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_membership::{Age, Desk, News};
+use wharfplank_discovery::{Age, Desk, News};
 
 /// A call that the fleet's budget does not allow is tried again so much later.
 const ASK_AGAIN: Duration = Duration::from_millis(100);
--- a/crates/transport/src/discovery/call.rs
+++ b/crates/transport/src/discovery/call.rs
@@ -9,7 +9,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_membership::{Ask, Call, Pace};
+use wharfplank_discovery::{Ask, Call, Pace};
 use wharfplank_protocol::catalog::{self, Catalog};
 use wharfplank_protocol::http;
 use wharfplank_routing::Micros;
--- a/crates/transport/src/fleet/drive.rs
+++ b/crates/transport/src/fleet/drive.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use wharfplank_failover::{decode, encode, TOPIC};
-use wharfplank_replica::{frame, unframe, FRAME_BYTES};
 use wharfplank_routing::Micros;
+use wharfplank_shared_state::{frame, unframe, FRAME_BYTES};
 
 /// How often the traffic is told, and the least change of a share that is passed on.
 const TELL_EVERY: Micros = 5_000_000;
--- a/crates/transport/src/fleet/heard.rs
+++ b/crates/transport/src/fleet/heard.rs
@@ -9,8 +9,8 @@
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::task::{Context, Poll};
-use wharfplank_replica::{Doubt, Doubts, News, ENTRIES_MOST};
 use wharfplank_routing::Micros;
+use wharfplank_shared_state::{Doubt, Doubts, News, ENTRIES_MOST};
 
 /// News that may wait for the broker; past that the oldest go. They are lower bounds, and come again.
 const NEWS_MOST: usize = 4096;
--- a/crates/transport/src/fleet/judge.rs
+++ b/crates/transport/src/fleet/judge.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use wharfplank_health::{Health, Verdict, Verdicts};
-use wharfplank_replica::named;
 use wharfplank_routing::Micros;
+use wharfplank_shared_state::named;
 
 /// The judgement, with the members' names for the log; bounded by what the judgement keeps and the broker retains.
 pub struct Judge {
--- a/crates/transport/src/fleet/mod.rs
+++ b/crates/transport/src/fleet/mod.rs
@@ -30,9 +30,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use wharfplank_failover::Zones;
-use wharfplank_peers::Peers;
-use wharfplank_replica::{Doubt, Replica};
+use wharfplank_gossip::Peers;
 use wharfplank_routing::Micros;
+use wharfplank_shared_state::{Doubt, Replica};
 
 /// Facts that may wait for the thread, and what may wait for the broker; past that they are dropped and counted, since
 /// serving must not wait.
--- a/crates/transport/src/fleet/said.rs
+++ b/crates/transport/src/fleet/said.rs
@@ -1,9 +1,9 @@
 //! What the driver tells the log.
 
 use wharfplank_failover::Standing;
+use wharfplank_gossip::{Change, Peer, Peers};
 use wharfplank_health::Verdict;
-use wharfplank_peers::{Change, Peer, Peers};
-use wharfplank_replica::Replica;
+use wharfplank_shared_state::Replica;
 
 /// What the driver tells the log.
 #[derive(Clone)]
--- a/crates/transport/src/fleet/witness.rs
+++ b/crates/transport/src/fleet/witness.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use wharfplank_health::Outcome;
-use wharfplank_replica::Doubt;
 use wharfplank_routing::Micros;
+use wharfplank_shared_state::Doubt;
 
 /// What a member did, as the broker saw it.
 #[derive(Clone, Debug)]
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -22,7 +22,7 @@
 use std::ops::Range;
 use std::rc::Rc;
 use std::time::Instant;
-use wharfplank_membership::{Age, News};
+use wharfplank_discovery::{Age, News};
 use wharfplank_protocol::buffer::MODEST;
 use wharfplank_protocol::comment;
 use wharfplank_protocol::pipeline::Ticket;
@@ -119,7 +119,7 @@
     /// The members that the fleet does not hold sound, and what the latency of each counts for.
     Factors(Vec<(u64, f64)>),
     /// What other proxies learned.
-    Told(Vec<wharfplank_replica::News>),
+    Told(Vec<wharfplank_shared_state::News>),
     /// The process that replaces this one, or that this one replaces.
     Other(handover::Other),
     /// The process is asked to read its configuration anew.
--- a/crates/transport/src/members.rs
+++ b/crates/transport/src/members.rs
@@ -20,9 +20,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wharfplank_admin::Figures;
+use wharfplank_pool_policy::Demand;
 use wharfplank_protocol::client::Answer;
 use wharfplank_routing::Ending;
-use wharfplank_standby::Demand;
 
 /// The most connections to a member that open at one time.
 const OPENING_MOST: usize = 6;
--- a/crates/transport/src/missing.rs
+++ b/crates/transport/src/missing.rs
@@ -10,7 +10,7 @@
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_missing::Node;
+use wharfplank_negative_cache::Node;
 
 /// How often the log hears what was done.
 const TELL_EVERY: i64 = 5_000_000;
--- a/crates/transport/src/release.rs
+++ b/crates/transport/src/release.rs
@@ -10,7 +10,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use wharfplank_release::{read_ledger, write_ledger, Desk, Ledger, Micros, Said, Signal, View};
+use wharfplank_rollout::{read_ledger, write_ledger, Desk, Ledger, Micros, Said, Signal, View};
 
 /// Views and notes that may wait in each ring; the broker looks each second.
 const RING: usize = 256;
--- a/src/bin/wharfplank-benchlink/main.rs
+++ b/src/bin/wharfplank-simulator-adapter/main.rs
@@ -150,7 +150,7 @@
     match run() {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("wharfplank-benchlink: {message}");
+            eprintln!("wharfplank-simulator-adapter: {message}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,14 +7,14 @@
 //! processes of the program with faults between them. `docs/architecture.md` follows a request through them.
 
 pub use wharfplank_console as console;
+pub use wharfplank_discovery as membership;
 pub use wharfplank_failover as failover;
-pub use wharfplank_fleetrig as fleetrig;
+pub use wharfplank_fleet_harness as fleetrig;
+pub use wharfplank_gossip as peers;
 pub use wharfplank_incidents as incidents;
 pub use wharfplank_lab as lab;
-pub use wharfplank_membership as membership;
-pub use wharfplank_peers as peers;
-pub use wharfplank_program as program;
 pub use wharfplank_protocol as protocol;
+pub use wharfplank_proxy as program;
 pub use wharfplank_records as records;
 pub use wharfplank_report as report;
 pub use wharfplank_routing as routing;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -11,7 +11,7 @@
 const ID: &str = "5d3a91c4-6d75-48c5-a84c-05bd7edbb904";
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_wharfplank-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_wharfplank-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
