--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -17,12 +17,15 @@
     assert!(sends(&b.ask(UNSAFE)).is_empty(), "the search is shared");
     for attempt in 0..3 {
         seen.push(sent.1);
-        sent = sends(&b.end(sent, attempt, Ending::Miss, Some(Role::Replica)))[0];
+        sent = sends(&b.end(sent, attempt, AttemptOutcome::Misrouted, Some(Role::Replica)))[0];
     }
     seen.push(sent.1);
     seen.sort();
     assert_eq!(seen, (1..=4).map(HostId).collect::<Vec<_>>());
-    assert!(sends(&b.end(sent, 3, Ending::Miss, Some(Role::Replica))).is_empty(), "after a round it waits");
+    assert!(
+        sends(&b.end(sent, 3, AttemptOutcome::Misrouted, Some(Role::Replica))).is_empty(),
+        "after a round it waits"
+    );
 }
 
 #[test]
@@ -43,28 +46,30 @@
     let mut b = Bench::new(settings());
     let sent = sends(&b.ask(UNSAFE))[0];
     assert_eq!(sent.1, HostId(1));
-    let next = sends(&b.end(sent, 0, Ending::Miss, Some(Role::Replica)));
+    let next = sends(&b.end(sent, 0, AttemptOutcome::Misrouted, Some(Role::Replica)));
     assert_ne!(next[0].1, HostId(1));
 }
 
 #[test]
 fn an_unsafe_write_that_may_have_run_fails_at_once() {
-    for ending in [Ending::Timeout, Ending::Reset, Ending::Error, Ending::Cancelled] {
+    for outcome in
+        [AttemptOutcome::Timeout, AttemptOutcome::Reset, AttemptOutcome::Error, AttemptOutcome::Cancelled]
+    {
         let mut b = Bench::new(settings());
         let sent = sends(&b.ask(UNSAFE))[0];
-        let actions = b.end(sent, 0, ending, None);
-        assert!(failed(&actions) && !refused(&actions) && sends(&actions).is_empty(), "{ending:?}");
+        let actions = b.end(sent, 0, outcome, None);
+        assert!(failed(&actions) && !refused(&actions) && sends(&actions).is_empty(), "{outcome:?}");
     }
 }
 
 #[test]
 fn an_unsafe_write_that_never_ran_is_tried_again() {
-    for ending in [Ending::Full, Ending::ConnectFailed, Ending::Miss] {
+    for outcome in [AttemptOutcome::Overloaded, AttemptOutcome::ConnectFailed, AttemptOutcome::Misrouted] {
         let mut b = Bench::new(settings());
         let sent = sends(&b.ask(UNSAFE))[0];
-        let mut actions = b.end(sent, 0, ending, None);
+        let mut actions = b.end(sent, 0, outcome, None);
         actions.extend(b.pass(900_000));
-        assert!(!failed(&actions), "{ending:?}");
+        assert!(!failed(&actions), "{outcome:?}");
     }
 }
 
@@ -74,7 +79,7 @@
         let mut b = Bench::new(settings());
         let sent = sends(&b.ask_with(KEYED, None, 3_000_000))[0];
         b.now += after;
-        let actions = b.end(sent, 0, Ending::Error, Some(Role::Primary));
+        let actions = b.end(sent, 0, AttemptOutcome::Error, Some(Role::Primary));
         assert_eq!(!sends(&actions).is_empty(), again);
         assert_eq!(failed(&actions), !again);
         assert!(!refused(&actions));
@@ -90,15 +95,15 @@
         actions.extend(b.ask(class));
     }
     actions.extend(b.pass(1_000_000));
-    let finals = actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(..)));
+    let finals = actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }));
     assert_eq!(finals.count(), classes.len());
 }
 
 #[test]
 fn a_draining_member_gets_nothing_new_not_even_held_requests() {
     let mut b = Bench::new(settings());
-    let down = |host, primary| Entry { listed: Listed::Draining, ..entry(host, primary) };
-    b.tell(Event::ListChange(vec![down(2, false), down(1, true)]));
+    let down = |host, primary| Endpoint { status: EndpointStatus::Draining, ..entry(host, primary) };
+    b.tell(Event::EndpointsChanged(vec![down(2, false), down(1, true)]));
     for _ in 0..4 {
         for (_, host) in sends(&b.ask(ANY)) {
             assert_eq!(host, HostId(3));
@@ -111,13 +116,13 @@
 #[test]
 fn a_cold_member_gets_a_part_of_what_warm_ones_get() {
     let mut b = Bench::with(settings(), vec![entry(1, true), entry(2, false)]);
-    let start = Entry { launched: Some(START), ..entry(3, false) };
-    b.tell(Event::ListChange(vec![start]));
+    let start = Endpoint { started_at: Some(START), ..entry(3, false) };
+    b.tell(Event::EndpointsChanged(vec![start]));
     let mut counts = [0; 4];
     for _ in 0..200 {
         for sent in sends(&b.ask(ANY)) {
             counts[sent.1 .0 as usize] += 1;
-            b.end(sent, 0, Ending::Ok, Some(Role::Replica));
+            b.end(sent, 0, AttemptOutcome::Ok, Some(Role::Replica));
         }
         b.pass(10_000);
     }
@@ -134,7 +139,7 @@
             if sent.1 == HostId(2) {
                 late += u32::from(step > 100);
             } else {
-                b.end(sent, 0, Ending::Ok, Some(Role::Replica));
+                b.end(sent, 0, AttemptOutcome::Ok, Some(Role::Replica));
             }
         }
         let now = b.now;
@@ -153,8 +158,8 @@
         let mut attempt = 0;
         while let Some(sent) = open.pop() {
             counts[sent.1 .0 as usize] += 1;
-            let ending = if sent.1 == HostId(2) { Ending::Full } else { Ending::Ok };
-            open.extend(sends(&b.end(sent, attempt, ending, Some(Role::Replica))));
+            let outcome = if sent.1 == HostId(2) { AttemptOutcome::Overloaded } else { AttemptOutcome::Ok };
+            open.extend(sends(&b.end(sent, attempt, outcome, Some(Role::Replica))));
             attempt += 1;
         }
         b.pass(10_000);
@@ -174,9 +179,9 @@
 fn a_restarted_router_knows_nothing_of_before() {
     let mut old = Bench::new(settings());
     old.probed(2, Role::Replica, START);
-    let mut b = Bench::new(Settings { when_behind: WhenBehind::Answers, ..settings() });
+    let mut b = Bench::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
     assert!(sends(&b.ask(BOUNDED)).is_empty());
-    assert!(old.tell(Event::Gone(RequestId([b'x'; 36]))).is_empty());
+    assert!(old.tell(Event::ClientDisconnected(RequestId([b'x'; 36]))).is_empty());
 }
 
 #[test]
@@ -188,8 +193,8 @@
             let class = ClassId(step as usize % 6);
             let actions = b.ask(class);
             for sent in sends(&actions) {
-                let ending = if step % 7 == 0 { Ending::Full } else { Ending::Ok };
-                all.extend(b.end(sent, 0, ending, None));
+                let outcome = if step % 7 == 0 { AttemptOutcome::Overloaded } else { AttemptOutcome::Ok };
+                all.extend(b.end(sent, 0, outcome, None));
             }
             all.extend(actions);
             all.extend(b.pass(7_000));
@@ -206,14 +211,14 @@
         may_probe: false,
         may_cancel: false,
         max_retry_after: 0,
-        cold_span: 0,
-        fall_span: 0,
+        slow_start_span: 0,
+        overload_span: 0,
         max_attempts: 0,
         ..settings()
     };
     let mut b = Bench::new(bare);
-    let launched = Entry { launched: Some(START), ..entry(4, false) };
-    b.tell(Event::ListChange(vec![launched]));
+    let launched = Endpoint { started_at: Some(START), ..entry(4, false) };
+    b.tell(Event::EndpointsChanged(vec![launched]));
     for class in 0..6 {
         assert!(refused(&b.ask(ClassId(class))));
     }
@@ -225,17 +230,17 @@
     let mut b = Bench::with(settings(), vec![entry(1, true), entry(2, false)]);
     let lone = sends(&b.ask_with(FRESH, None, 400_000))[0];
     b.pass(380_000);
-    b.end(lone, 0, Ending::Timeout, None);
+    b.end(lone, 0, AttemptOutcome::Timeout, None);
     let wary = sends(&b.ask(UNSAFE));
     assert!(wary.iter().all(|s| s.1 != HostId(1)), "silence makes the router wary of the primary");
     for scout in wary {
-        b.end(scout, 0, Ending::Miss, Some(Role::Replica));
+        b.end(scout, 0, AttemptOutcome::Misrouted, Some(Role::Replica));
     }
     let mut freed = false;
     for _ in 0..100 {
         for sent in sends(&b.ask(ANY)) {
             let role = if sent.1 == HostId(1) { Role::Primary } else { Role::Replica };
-            let next = sends(&b.end(sent, 0, Ending::Ok, Some(role)));
+            let next = sends(&b.end(sent, 0, AttemptOutcome::Ok, Some(role)));
             freed |= next.iter().any(|s| s.1 == HostId(1));
         }
         b.pass(10_000);
@@ -249,22 +254,23 @@
     let long = sends(&b.ask_with(FRESH, None, 400_000))[0];
     let short = sends(&b.ask_with(FRESH, None, 400_000))[0];
     b.pass(150_000);
-    b.end(short, 0, Ending::Ok, Some(Role::Primary));
+    b.end(short, 0, AttemptOutcome::Ok, Some(Role::Primary));
     b.pass(240_000);
     b.latency = 390_000;
-    b.end(long, 0, Ending::Timeout, None);
+    b.end(long, 0, AttemptOutcome::Timeout, None);
     assert!((0..10).any(|_| sends(&b.ask(UNSAFE)).iter().any(|s| s.1 == HostId(1))));
 }
 
 /// The newest answer of a primary proves its position as of the send of the request, no later.
 #[test]
 fn an_answer_proves_the_position_at_its_send_only() {
-    let answers = Settings { tokens_carried: false, when_behind: WhenBehind::Answers, ..settings() };
+    let answers =
+        Settings { sessions_carry_tokens: false, stale_reads: StaleReadPolicy::Serve, ..settings() };
     for (wait, fresh) in [(0, true), (1, false)] {
         let mut b = Bench::with(answers.clone(), vec![entry(1, true), entry(2, false)]);
         let read = sends(&b.ask(FRESH))[0];
         b.now += 60_000;
-        b.end(read, 0, Ending::Ok, Some(Role::Primary));
+        b.end(read, 0, AttemptOutcome::Ok, Some(Role::Primary));
         // Member 2 leads now; the former primary stands where the answer proved it to stand.
         b.now += 1;
         let now = b.now;
@@ -279,15 +285,16 @@
 /// A client that leaves early: the commit still counts for its session.
 #[test]
 fn a_commit_counts_for_its_session_after_the_client_has_left() {
-    let answers = Settings { tokens_carried: false, when_behind: WhenBehind::Answers, ..settings() };
+    let answers =
+        Settings { sessions_carry_tokens: false, stale_reads: StaleReadPolicy::Serve, ..settings() };
     let mut b = Bench::new(answers);
     let write = sends(&b.ask(UNSAFE))[0];
-    b.tell(Event::Gone(write.0));
+    b.tell(Event::ClientDisconnected(write.0));
     b.now += 20_000;
     let commit = b.now - 1_000;
     b.probed(2, Role::Replica, commit - 1);
     b.probed(3, Role::Replica, commit - 1);
-    b.end_at(write, 0, Ending::Ok, Some(Role::Primary), Some(commit));
+    b.end_at(write, 0, AttemptOutcome::Ok, Some(Role::Primary), Some(commit));
     assert!(sends(&b.ask(SESSION)).iter().all(|s| s.1 == HostId(1)));
 }
 
@@ -295,10 +302,10 @@
 #[test]
 fn an_empty_list_empties_no_group_where_gone_is_advice() {
     for advice in [true, false] {
-        let mut b = Bench::new(Settings { gone_is_advice: advice, ..settings() });
-        let gone = |host| Entry { listed: Listed::Removed, ..entry(host, false) };
-        b.tell(Event::ListChange(vec![gone(2)]));
-        b.tell(Event::List(vec![]));
+        let mut b = Bench::new(Settings { removal_is_advisory: advice, ..settings() });
+        let gone = |host| Endpoint { status: EndpointStatus::Removed, ..entry(host, false) };
+        b.tell(Event::EndpointsChanged(vec![gone(2)]));
+        b.tell(Event::EndpointList(vec![]));
         assert_eq!(sends(&b.ask(ANY)).len(), usize::from(advice));
         assert_eq!(sends(&b.ask(UNSAFE)).len(), usize::from(advice));
     }
@@ -306,10 +313,10 @@
 
 #[test]
 fn a_member_that_drained_stays_out_where_gone_is_advice() {
-    let mut b = Bench::new(Settings { gone_is_advice: true, ..settings() });
-    let drain = |host| Entry { listed: Listed::Draining, ..entry(host, false) };
-    b.tell(Event::ListChange(vec![drain(2)]));
-    b.tell(Event::List(vec![entry(1, true), entry(3, false)]));
+    let mut b = Bench::new(Settings { removal_is_advisory: true, ..settings() });
+    let drain = |host| Endpoint { status: EndpointStatus::Draining, ..entry(host, false) };
+    b.tell(Event::EndpointsChanged(vec![drain(2)]));
+    b.tell(Event::EndpointList(vec![entry(1, true), entry(3, false)]));
     for _ in 0..4 {
         assert!(sends(&b.ask(ANY)).iter().all(|s| s.1 == HostId(3)));
     }
@@ -322,7 +329,7 @@
     let read = sends(&b.ask_with(FRESH, None, 2_000_000));
     b.now += 1_200_000;
     b.tell(Event::Timer);
-    b.end(read[0], 0, Ending::Timeout, None);
+    b.end(read[0], 0, AttemptOutcome::Timeout, None);
     assert_eq!(sends(&b.ask(UNSAFE))[0].1, HostId(1));
 }
 
@@ -337,7 +344,7 @@
             for s in sends(&b.ask(ANY)) {
                 *count += 1;
                 b.latency = 380_000;
-                b.end(s, 0, Ending::Ok, Some(Role::Replica));
+                b.end(s, 0, AttemptOutcome::Ok, Some(Role::Replica));
             }
             b.pass(20_000);
         }
@@ -352,7 +359,7 @@
         let mut b = Bench::with(settings(), vec![entry(1, true), entry(2, false)]);
         let lone = sends(&b.ask_with(FRESH, None, 400_000))[0];
         b.pass(390_000);
-        b.end(lone, 0, Ending::Timeout, None);
+        b.end(lone, 0, AttemptOutcome::Timeout, None);
         let suspected = b.now;
         b.now += 50_000;
         b.probed(1, Role::Primary, suspected + moved.min(40_000));
@@ -365,12 +372,12 @@
 fn a_reported_queue_turns_reads_to_another_member() {
     let mut b = Bench::new(settings());
     let report = |host, queue| {
-        Event::Probed(Probed {
+        Event::ProbeFinished(ProbeResult {
             host: HostId(host),
-            ok: true,
+            answered: true,
             role: Some(Role::Replica),
             position: Some(START),
-            queue: Some(queue),
+            queued: Some(queue),
         })
     };
     for crowded in [2, 3] {
@@ -386,12 +393,12 @@
     let mut b = Bench::with(settings(), vec![entry(1, true), entry(2, false)]);
     let read = sends(&b.ask_with(FRESH, None, 400_000))[0];
     b.pass(390_000);
-    b.end(read, 0, Ending::Timeout, None);
+    b.end(read, 0, AttemptOutcome::Timeout, None);
     let mut sent = 0;
     for _ in 0..200 {
         for s in sends(&b.ask(FRESH)).into_iter().chain(sends(&b.ask(ANY))) {
             sent += u32::from(s.1 == HostId(1));
-            b.end(s, 0, if s.1 == HostId(1) { Ending::Full } else { Ending::Ok }, None);
+            b.end(s, 0, if s.1 == HostId(1) { AttemptOutcome::Overloaded } else { AttemptOutcome::Ok }, None);
         }
         b.pass(10_000);
     }
@@ -413,10 +420,10 @@
 fn at_the_process_end_a_write_in_flight_fails_and_a_read_is_refused() {
     let mut b = Bench::new(settings());
     assert_eq!(sends(&b.ask(UNSAFE)).len(), 1);
-    let actions = b.tell(Event::Close);
+    let actions = b.tell(Event::Shutdown);
     assert!(failed(&actions) && !refused(&actions));
     assert_eq!(sends(&b.ask(ANY)).len(), 1);
-    let actions = b.tell(Event::Close);
+    let actions = b.tell(Event::Shutdown);
     assert!(refused(&actions) && !failed(&actions));
 }
 
@@ -425,21 +432,21 @@
 #[test]
 fn broken_connections_leave_no_member_out() {
     let mut b = Bench::with(settings(), vec![entry(1, true), entry(2, false)]);
-    for endings in [[Ending::Reset; 3].as_slice(), &[Ending::ConnectFailed]] {
-        for ending in endings {
+    for endings in [[AttemptOutcome::Reset; 3].as_slice(), &[AttemptOutcome::ConnectFailed]] {
+        for outcome in endings {
             let sent = sends(&b.ask(ANY))[0];
-            assert_eq!(sent.1, HostId(2), "after {ending:?}");
-            let again = sends(&b.end(sent, 0, *ending, None))[0];
-            b.end(again, 1, Ending::Ok, Some(Role::Primary));
+            assert_eq!(sent.1, HostId(2), "after {outcome:?}");
+            let again = sends(&b.end(sent, 0, *outcome, None))[0];
+            b.end(again, 1, AttemptOutcome::Ok, Some(Role::Primary));
         }
         let sent = sends(&b.ask(ANY))[0];
-        b.end(sent, 0, Ending::Ok, Some(Role::Replica));
+        b.end(sent, 0, AttemptOutcome::Ok, Some(Role::Replica));
     }
     for _ in 0..2 {
         let sent = sends(&b.ask(ANY))[0];
         assert_eq!(sent.1, HostId(2), "not left out yet");
-        let again = sends(&b.end(sent, 0, Ending::ConnectFailed, None))[0];
-        b.end(again, 1, Ending::Ok, Some(Role::Primary));
+        let again = sends(&b.end(sent, 0, AttemptOutcome::ConnectFailed, None))[0];
+        b.end(again, 1, AttemptOutcome::Ok, Some(Role::Primary));
     }
     assert_eq!(sends(&b.ask(ANY))[0].1, HostId(1), "left out after two refusals");
     b.probed(2, Role::Replica, b.now - 1);
@@ -482,8 +489,8 @@
             b.now += 1_000_000;
             b.latency = if n % 5 == 4 { 900_000 } else { 40_000 };
             let actions = b.ask(ANY);
-            refused += actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
-            sends(&actions).into_iter().for_each(|sent| drop(b.end(sent, 0, Ending::Ok, None)));
+            refused += actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
+            sends(&actions).into_iter().for_each(|sent| drop(b.end(sent, 0, AttemptOutcome::Ok, None)));
         }
     }
     assert!(refused <= 125, "{refused} of 500 refused");
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,7 +3,7 @@
 
 use serde_json::{json, Value};
 use wharfplank::program::config::{Config, Given};
-use wharfplank::routing::{Effect, Settings};
+use wharfplank::routing::{Idempotency, Settings};
 
 #[path = "common/config.rs"]
 mod config;
@@ -162,10 +162,14 @@
 #[test]
 fn an_unknown_effect_must_not_run_twice() {
     for (place, word) in [("/settings/Classes/1/Repeat", "merge"), ("/settings/Classes/1/Group", "zone")] {
-        assert_eq!(settings(&with(&good(), place, json!(word))).classes[1].effect, Effect::Unsafe, "{word}");
+        assert_eq!(
+            settings(&with(&good(), place, json!(word))).classes[1].idempotency,
+            Idempotency::NotIdempotent,
+            "{word}"
+        );
     }
-    let keyed = Effect::Keyed { window: 1_200_000, everywhere: false };
-    assert_eq!(settings(&good()).classes[1].effect, keyed);
+    let keyed = Idempotency::Keyed { window: 1_200_000, all_groups: false };
+    assert_eq!(settings(&good()).classes[1].idempotency, keyed);
     let everywhere = settings(&with(&good(), "/settings/Classes/1/Group", json!("all")));
-    assert_eq!(everywhere.classes[1].effect, Effect::Keyed { window: 1_200_000, everywhere: true });
+    assert_eq!(everywhere.classes[1].idempotency, Idempotency::Keyed { window: 1_200_000, all_groups: true });
 }
--- a/tests/told.rs
+++ b/tests/told.rs
@@ -5,11 +5,16 @@
 use wharfplank::routing::*;
 
 fn told(host: u32, position: Micros, suspected_at: Micros) -> Event {
-    Event::Told(vec![Told { host: HostId(host), position, suspected_at, traits: None }])
+    Event::PeerObservations(vec![PeerObservation {
+        host: HostId(host),
+        position,
+        suspected_at,
+        traits: None,
+    }])
 }
 
 fn answers() -> Settings {
-    Settings { when_behind: WhenBehind::Answers, ..settings() }
+    Settings { stale_reads: StaleReadPolicy::Serve, ..settings() }
 }
 
 #[test]
@@ -39,20 +44,20 @@
     let mut b = Bench::new(settings());
     let mut ask = |class| {
         let id = RequestId([class as u8; 36]);
-        let (key, write_age, give_up_at) = (None, None, START + 1_000_000);
+        let (session, last_write_age, deadline) = (None, None, START + 1_000_000);
         b.tell(Event::Request(Request {
             id,
             class: ClassId(class),
             group: GROUP,
-            key,
-            give_up_at,
-            write_age,
-            doubted: true,
+            session,
+            deadline,
+            last_write_age,
+            may_have_run: true,
         }))
     };
     let write = ask(UNSAFE.0);
     assert!(sends(&write).is_empty());
-    assert!(write.iter().any(|a| matches!(a, Action::Fail(_, Reason::MayHaveRun))));
+    assert!(write.iter().any(|a| matches!(a, Action::Fail { reason: RejectReason::MayHaveRun, .. })));
     assert_eq!(sends(&ask(ANY.0)).len(), 1, "a read runs as often as it likes");
 }
 
@@ -65,10 +70,14 @@
     for _ in 0..40 {
         b.now += 20_000;
         for sent in sends(&b.ask(ANY)) {
-            let ending = if sent.1 == HostId(2) && !refused { Ending::ConnectFailed } else { Ending::Ok };
+            let outcome = if sent.1 == HostId(2) && !refused {
+                AttemptOutcome::ConnectFailed
+            } else {
+                AttemptOutcome::Ok
+            };
             after += usize::from(refused && sent.1 == HostId(2));
-            refused |= ending == Ending::ConnectFailed;
-            b.end(sent, 0, ending, Some(Role::Replica));
+            refused |= outcome == AttemptOutcome::ConnectFailed;
+            b.end(sent, 0, outcome, Some(Role::Replica));
         }
     }
     assert!(refused, "member 2 was not used at all: a word alone withdrew it");
