--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,28 +1,30 @@
-//! What the list of members is worth: how old it is, which answer of discovery to believe, when to ask again, and
-//! until when a member may be sent something. It does no I/O: answers and the time go in, the next call and what
-//! is believed come out. Which member serves a request is `routing`'s call, which hears only of what is believed.
+//! Service discovery without I/O: which answer to accept, how stale the endpoint list is, when to poll again, and
+//! until when an endpoint may still be sent requests.
 //!
-//! - [`Pace`]: the times that a call may take, derived from the settings' figures.
-//! - [`Desk`]: the list that is believed, the doubts about the newest answer, and the next call.
+//! The caller passes answers and the time in, and gets the next poll and the accepted changes out. Which endpoint
+//! serves a request is decided in `routing`, which only ever sees accepted changes.
+//!
+//! - [`PollSchedule`]: the time limits of polls, derived from the settings.
+//! - [`EndpointTracker`]: the accepted endpoint list, suspect answers, and the next poll.
 //!
 //! ```
-//! use wharfplank_discovery::{Ask, Desk, Pace};
+//! use wharfplank_discovery::{EndpointTracker, PollKind, PollSchedule};
 //! use wharfplank_protocol::catalog::{parse, Catalog};
 //!
-//! let mut desk = Desk::new(Pace::new(1_000_000), &Catalog::default(), 0);
-//! assert_eq!(desk.next(0).ask, Ask::Whole);
-//! let list = br#"{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}"#;
-//! let heard = desk.heard(10_000, parse(list).unwrap());
-//! assert_eq!(heard.list.unwrap().hosts.len(), 1);
-//! assert_eq!(desk.next(10_000).ask, Ask::Watch { seq: 7 });
+//! let mut tracker = EndpointTracker::new(PollSchedule::new(1_000_000), &Catalog::default(), 0);
+//! assert_eq!(tracker.next_poll(0).kind, PollKind::FullList);
+//! let body = br#"{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}"#;
+//! let event = tracker.on_response(10_000, parse(body).unwrap());
+//! assert_eq!(event.update.unwrap().hosts.len(), 1);
+//! assert_eq!(tracker.next_poll(10_000).kind, PollKind::Watch { version: 7 });
 //! ```
 
-mod call;
-mod desk;
-mod news;
-mod pace;
+mod event;
+mod request;
+mod schedule;
+mod tracker;
 
-pub use call::{Ask, Call};
-pub use desk::Desk;
-pub use news::{Age, Doubt, News};
-pub use pace::{Pace, Shared};
+pub use event::{SendDeadline, Staleness, SuspectReason, WatchEvent};
+pub use request::{HedgedPoll, PollKind, PollRequest};
+pub use schedule::{HedgeLimits, PollSchedule, SharedDiscovery};
+pub use tracker::EndpointTracker;
--- /dev/null
+++ b/crates/discovery/src/tracker/list.rs
@@ -0,0 +1,203 @@
+//! The accepted endpoint list, and the deadlines of endpoints that suspect answers take out of use.
+
+use crate::{PollSchedule, SendDeadline, SuspectReason, WatchEvent};
+use std::collections::BTreeMap;
+use wharfplank_protocol::catalog::{Catalog, Health, Host};
+use wharfplank_routing::Micros;
+
+/// An endpoint's deadline is this much earlier than the drain grace allows: checking it takes a moment.
+const DEADLINE_MARGIN: Micros = 20_000;
+/// All machines read one clock, so a start further ahead of it than this cannot be true.
+const MAX_CLOCK_SKEW: Micros = 50_000;
+const MICROS_PER_MILLI: Micros = 1_000;
+
+/// The endpoint list as far as it is accepted.
+#[derive(Debug)]
+pub(super) struct AcceptedList {
+    drain_grace: Micros,
+    /// The accepted entries by name.
+    pub(super) entries: BTreeMap<String, Host>,
+    /// The newest version accepted from this address.
+    pub(super) version: Option<u64>,
+    /// A version from before this address was first polled, from which a watch may resume.
+    pub(super) resume_version: Option<u64>,
+    /// The newest complete answer that is suspect.
+    pub(super) pending: Option<PendingAnswer>,
+    /// The endpoints that suspect answers take out of use, until another answer contradicts them, by name.
+    deadlines: BTreeMap<String, RemovalDeadline>,
+}
+
+/// A complete answer that waits for its confirmation by another one.
+#[derive(Debug)]
+pub(super) struct PendingAnswer {
+    pub(super) reason: SuspectReason,
+    pub(super) list: Catalog,
+}
+
+/// When an endpoint goes out of use because of a suspect answer.
+#[derive(Clone, Copy, Debug)]
+struct RemovalDeadline {
+    until: Micros,
+    reason: SuspectReason,
+}
+
+impl AcceptedList {
+    pub(super) fn new(schedule: &PollSchedule, known: &Catalog) -> Self {
+        let can_resume = schedule.shared.is_some() && !known.hosts.is_empty();
+        AcceptedList {
+            drain_grace: schedule.drain_grace,
+            entries: known.hosts.iter().map(|host| (host.name.clone(), host.clone())).collect(),
+            version: None,
+            resume_version: can_resume.then_some(known.seq),
+            pending: None,
+            deadlines: BTreeMap::new(),
+        }
+    }
+
+    /// The version from which a watch goes on.
+    pub(super) fn watch_version(&self) -> Option<u64> {
+        self.version.or(self.resume_version)
+    }
+
+    /// Versions come from another address from now on; `resumes` says whether a watch goes on from the one of the
+    /// former address.
+    pub(super) fn reset_version(&mut self, resumes: bool) {
+        self.resume_version = self.watch_version().filter(|_| resumes);
+        self.version = None;
+    }
+
+    /// Whether an answer says that nothing changed.
+    pub(super) fn is_unchanged_by(&self, answer: &Catalog) -> bool {
+        !answer.whole && answer.hosts.is_empty() && self.version == Some(answer.seq)
+    }
+
+    /// Whether a suspect answer waits for its confirmation.
+    pub(super) fn has_pending(&self) -> bool {
+        self.pending.is_some()
+    }
+
+    /// Accepts an answer, or keeps it as suspect.
+    pub(super) fn on_answer(&mut self, now: Micros, answer: Catalog) -> WatchEvent {
+        let suspect = self.inspect(&answer).filter(|reason| !self.is_confirmed_by(*reason, &answer));
+        match suspect {
+            Some(reason) => self.hold_back(now, reason, answer),
+            None => self.accept(now, answer),
+        }
+    }
+
+    /// Keeps a suspect answer for its confirmation and sets the deadlines that it gives rise to.
+    fn hold_back(&mut self, now: Micros, reason: SuspectReason, answer: Catalog) -> WatchEvent {
+        self.add_deadlines(now, reason, &answer);
+        if reason == SuspectReason::MissingEndpoints {
+            // A newer version restores what an earlier suspect one left out; an older one does not.
+            self.cancel_deadlines_of_active(&answer);
+        }
+        if answer.whole {
+            self.pending = Some(PendingAnswer { reason, list: answer });
+        }
+        WatchEvent { update: None, deadlines: self.send_deadlines(), suspect: Some(reason) }
+    }
+
+    fn add_deadlines(&mut self, now: Micros, reason: SuspectReason, answer: &Catalog) {
+        let until = now + (self.drain_grace - DEADLINE_MARGIN).max(0);
+        for name in self.removed_by(answer) {
+            // A second suspect answer does not move the deadlines of the first.
+            let deadline = self.deadlines.entry(name).or_insert(RemovalDeadline { until, reason });
+            if reason == SuspectReason::MissingEndpoints {
+                deadline.reason = reason;
+            }
+        }
+    }
+
+    fn cancel_deadlines_of_active(&mut self, answer: &Catalog) {
+        let is_active =
+            |name: &str| answer.hosts.iter().any(|host| host.name == name && host.health == Health::Active);
+        self.deadlines.retain(|name, _| !is_active(name));
+    }
+
+    fn send_deadlines(&self) -> Vec<SendDeadline> {
+        let deadline = |(name, deadline): (&String, &RemovalDeadline)| SendDeadline {
+            endpoint: name.clone(),
+            until: deadline.until,
+        };
+        self.deadlines.iter().map(deadline).collect()
+    }
+
+    /// Merges an answer into the list. The event has no update where the answer says nothing.
+    fn accept(&mut self, now: Micros, mut answer: Catalog) -> WatchEvent {
+        for host in &mut answer.hosts {
+            self.correct_start(now, host);
+        }
+        self.version = Some(answer.seq);
+        if answer.whole {
+            // A change settles nothing about a suspect complete list; another complete list does.
+            self.pending = None;
+            self.entries.clear();
+            self.deadlines.clear();
+        }
+        for host in &answer.hosts {
+            self.merge(host);
+        }
+        let says_something = answer.whole || !answer.hosts.is_empty();
+        WatchEvent { update: says_something.then_some(answer), ..WatchEvent::default() }
+    }
+
+    /// Corrects the time of an endpoint's last start: it is not in the future, and does not go back.
+    fn correct_start(&self, now: Micros, host: &mut Host) {
+        if host.born_ms > (now + MAX_CLOCK_SKEW) / MICROS_PER_MILLI {
+            host.born_ms = now / MICROS_PER_MILLI;
+        }
+        if let Some(accepted) = self.entries.get(&host.name) {
+            host.born_ms = host.born_ms.max(accepted.born_ms);
+        }
+    }
+
+    fn merge(&mut self, host: &Host) {
+        self.deadlines.remove(&host.name);
+        if host.health == Health::Left {
+            self.entries.remove(&host.name);
+        } else {
+            self.entries.insert(host.name.clone(), host.clone());
+        }
+    }
+
+    /// The earliest deadline.
+    pub(super) fn next_deadline(&self) -> Option<Micros> {
+        self.deadlines.values().map(|deadline| deadline.until).min()
+    }
+
+    /// Takes endpoints out of use whose deadline has passed, see `EndpointTracker::expire_deadlines`.
+    pub(super) fn expire_deadlines(&mut self, now: Micros) -> WatchEvent {
+        let expired = self.take_expired(now);
+        if expired.is_empty() {
+            return WatchEvent::default();
+        }
+        let would_remove_all = expired.len() >= self.active().count();
+        let all_missing =
+            expired.iter().all(|(_, deadline)| deadline.reason == SuspectReason::MissingEndpoints);
+        let mut hosts = Vec::new();
+        for (name, deadline) in expired {
+            let is_weak = all_missing || deadline.reason == SuspectReason::OlderVersion;
+            if would_remove_all && is_weak {
+                hosts.extend(self.entries.get(&name).cloned());
+            } else if let Some(host) = self.entries.remove(&name) {
+                hosts.push(Host { health: Health::Left, ..host });
+            }
+        }
+        let update = Catalog { seq: self.version.unwrap_or(0), whole: false, hosts };
+        WatchEvent { update: Some(update), ..WatchEvent::default() }
+    }
+
+    fn take_expired(&mut self, now: Micros) -> Vec<(String, RemovalDeadline)> {
+        let has_passed = |deadline: &RemovalDeadline| now >= deadline.until;
+        let expired = self.deadlines.iter().filter(|(_, deadline)| has_passed(deadline));
+        let expired = expired.map(|(name, deadline)| (name.clone(), *deadline)).collect();
+        self.deadlines.retain(|_, deadline| !has_passed(deadline));
+        expired
+    }
+
+    /// The endpoints in use.
+    pub(super) fn active(&self) -> impl Iterator<Item = &Host> {
+        self.entries.values().filter(|host| host.health == Health::Active)
+    }
+}
--- /dev/null
+++ b/crates/discovery/src/tracker/suspect.rs
@@ -0,0 +1,65 @@
+//! Which answers are suspect, and what confirms them.
+
+use super::list::AcceptedList;
+use crate::SuspectReason;
+use wharfplank_protocol::catalog::{Catalog, Health, Host};
+
+impl AcceptedList {
+    /// Why an answer is suspect, if it is.
+    pub(super) fn inspect(&self, answer: &Catalog) -> Option<SuspectReason> {
+        // Until the first answer, a change older than the requested version says nothing about the complete list.
+        let newest = self.version.or(self.resume_version.filter(|_| !answer.whole));
+        if newest.is_some_and(|version| answer.seq < version) {
+            return Some(SuspectReason::OlderVersion);
+        }
+        self.lacks_half(answer).then_some(SuspectReason::MissingEndpoints)
+    }
+
+    /// Whether a complete list lacks half of the active endpoints or more. One that it lists as leaving is not missing.
+    fn lacks_half(&self, answer: &Catalog) -> bool {
+        let active = self.active().count();
+        let missing = self.active().filter(|host| find(answer, &host.name).is_none()).count();
+        answer.whole && missing > 0 && missing * 2 >= active
+    }
+
+    /// Whether an answer that is suspect for this reason repeats the pending one.
+    pub(super) fn is_confirmed_by(&self, reason: SuspectReason, answer: &Catalog) -> bool {
+        let Some(pending) = &self.pending else { return false };
+        if pending.reason != reason || !answer.whole || answer.seq < pending.list.seq {
+            return false;
+        }
+        // A restarted agent counts its versions anew, and may list more endpoints by its second answer.
+        let is_restart = reason == SuspectReason::OlderVersion && !self.lacks_half(answer);
+        is_restart || sorted_names(answer) == sorted_names(&pending.list)
+    }
+
+    /// The active endpoints that an answer takes out of use; none if it would take out all of them.
+    pub(super) fn removed_by(&self, answer: &Catalog) -> Vec<String> {
+        let active = self.active().map(|host| host.name.as_str());
+        let removed: Vec<String> =
+            active.filter(|name| !stays_active(answer, name)).map(str::to_string).collect();
+        if removed.len() == self.active().count() {
+            Vec::new()
+        } else {
+            removed
+        }
+    }
+}
+
+/// Whether an active endpoint stays active by an answer.
+fn stays_active(answer: &Catalog, name: &str) -> bool {
+    match find(answer, name) {
+        Some(host) => host.health == Health::Active,
+        None => !answer.whole,
+    }
+}
+
+fn find<'a>(list: &'a Catalog, name: &str) -> Option<&'a Host> {
+    list.hosts.iter().find(|host| host.name == name)
+}
+
+fn sorted_names(list: &Catalog) -> Vec<&str> {
+    let mut names: Vec<&str> = list.hosts.iter().map(|host| host.name.as_str()).collect();
+    names.sort_unstable();
+    names
+}
--- a/tests/discovery_times.rs
+++ b/crates/discovery/tests/recovery_times.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use wharfplank::membership::{Ask, Call, Desk, Pace, Shared};
-use wharfplank::protocol::catalog::{Catalog, Health, Host};
+use wharfplank_discovery::{EndpointTracker, PollKind, PollRequest, PollSchedule, SharedDiscovery};
+use wharfplank_protocol::catalog::{Catalog, Health, Host};
 
 const SECOND: i64 = 1_000_000;
 const START: i64 = 1_800_000_000 * SECOND;
@@ -50,44 +50,44 @@
 }
 
 /// When a call that hangs, and the one beside it, are given up.
-fn given_up(call: &Call) -> i64 {
-    let beside = call.beside < call.answer;
-    let second = call.beside + call.again_answer;
-    call.at + if beside { second.max(call.answer) } else { call.answer }
+fn given_up(poll: &PollRequest) -> i64 {
+    let beside = poll.hedge.after < poll.response_timeout;
+    let second = poll.hedge.after + poll.hedge.timeout;
+    poll.start_at + if beside { second.max(poll.response_timeout) } else { poll.response_timeout }
 }
 
 /// When a call ends that breaks: the one beside it hangs on.
-fn breaks(call: &Call, part: i64) -> i64 {
-    let at = call.answer * part / 1000;
-    if at < call.beside {
-        call.at + at
+fn breaks(poll: &PollRequest, part: i64) -> i64 {
+    let at = poll.response_timeout * part / 1000;
+    if at < poll.hedge.after {
+        poll.start_at + at
     } else {
-        given_up(call)
+        given_up(poll)
     }
 }
 
 /// When an answer came that was given at the first call that began once discovery could be reached, and the last
 /// SIGHUP. `late` is the part of the time allowed that this answer takes.
-fn acted(desk: &mut Desk, back: i64, hups: &[i64], fates: &[Fate], late: i64) -> (i64, i64) {
+fn acted(tracker: &mut EndpointTracker, back: i64, hups: &[i64], fates: &[Fate], late: i64) -> (i64, i64) {
     let (mut now, mut seq, mut hup_at) = (START, 1, START);
     let mut hups = hups.iter().copied().peekable();
     let mut fates = fates.iter().copied().cycle();
     loop {
-        let call = desk.next(now);
-        assert!(call.at >= now && call.beside <= call.answer);
-        let reached = call.at >= back;
+        let poll = tracker.next_poll(now);
+        assert!(poll.start_at >= now && poll.hedge.after <= poll.response_timeout);
+        let reached = poll.start_at >= back;
         let fate = fates.next().unwrap_or(Fate::Hangs);
         let end = match fate {
-            _ if reached => call.at + call.answer * late / 1000,
-            Fate::Refused => call.at + 1_000,
-            Fate::Breaks(part) => breaks(&call, part),
-            Fate::Hangs => given_up(&call),
-            Fate::Answered(part) => call.at + call.beside * part / 1000,
+            _ if reached => poll.start_at + poll.response_timeout * late / 1000,
+            Fate::Refused => poll.start_at + 1_000,
+            Fate::Breaks(part) => breaks(&poll, part),
+            Fate::Hangs => given_up(&poll),
+            Fate::Answered(part) => poll.start_at + poll.hedge.after * part / 1000,
         };
         // A signal drops the call, whether it waits for its time or for its answer.
         if let Some(at) = hups.next_if(|at| *at <= end) {
             (now, hup_at) = (now.max(at), now.max(at));
-            desk.moved(now);
+            tracker.on_address_changed(now);
             continue;
         }
         now = end;
@@ -95,16 +95,16 @@
             _ if reached => return (now, hup_at),
             Fate::Answered(_) => {
                 seq += 1;
-                desk.heard(now, list(seq, call.ask == Ask::Whole));
+                tracker.on_response(now, list(seq, poll.kind == PollKind::FullList));
             }
-            _ => desk.failed(now),
+            _ => tracker.on_failure(now),
         }
     }
 }
 
 prop_compose! {
-    fn shared()(seed in any::<u64>(), ask_every in SECOND / 2..120 * SECOND, proxies in 1_u32..1000) -> Shared {
-        Shared { seed, ask_every, proxies }
+    fn shared()(seed in any::<u64>(), poll_interval in SECOND / 2..120 * SECOND, proxies in 1_u32..1000) -> SharedDiscovery {
+        SharedDiscovery { seed, poll_interval, proxies }
     }
 }
 
@@ -130,7 +130,7 @@
     /// could be reached, with the answer as late as its call allows.
     #[test]
     fn an_asked_list_is_acted_on_in_time(
-        stop_within in 0..20 * SECOND,
+        drain_grace in 0..20 * SECOND,
         shared in shared(),
         story in story(),
         late in 0..1000_i64,
@@ -138,30 +138,30 @@
     ) {
         let (back, hups, fates) = story;
         let known = if restarted { Catalog::default() } else { list(1, true) };
-        let pace = Pace::new(stop_within).shared(shared);
-        let mut desk = Desk::new(pace, &known, START);
-        let (acted, hup_at) = acted(&mut desk, back, &hups, &fates, late);
-        let allowed = TOLD + stop_within.min(TOLD) - ACTED;
+        let schedule = PollSchedule::new(drain_grace).with_shared(shared);
+        let mut tracker = EndpointTracker::new(schedule, &known, START);
+        let (acted, hup_at) = acted(&mut tracker, back, &hups, &fates, late);
+        let allowed = TOLD + drain_grace.min(TOLD) - ACTED;
         let span = acted - back.max(hup_at);
         prop_assert!(span <= allowed, "{span} of {allowed} us");
         // What the module derives holds, and is enough.
-        prop_assert!(span <= pace.reached() && pace.reached() <= pace.allowed() - ACTED, "{span}: {pace:?}");
+        prop_assert!(span <= schedule.max_recovery() && schedule.max_recovery() <= schedule.allowed_recovery() - ACTED, "{span}: {schedule:?}");
     }
 
     /// Guards against a pushed list that is acted on later than the rule's time after the agent had it, or, after
     /// SIGHUP, 4 s and that time later. The agent answers at once; half of what is left is its machine's.
     #[test]
-    fn a_pushed_list_is_acted_on_in_time(stop_within in 400_000..20 * SECOND, story in story()) {
+    fn a_pushed_list_is_acted_on_in_time(drain_grace in 400_000..20 * SECOND, story in story()) {
         let (back, hups, fates) = story;
         // An open watch that hangs has fallen silent and has the other clock: see below.
         let fates = fates.into_iter().filter(|f| !matches!(f, Fate::Answered(_)));
         let fates: Vec<Fate> = fates.chain([Fate::Hangs]).collect();
-        let mut desk = Desk::new(Pace::new(stop_within), &list(1, true), START);
-        let (acted, hup_at) = acted(&mut desk, back, &hups, &fates, 0);
-        let pace = Pace::new(stop_within);
-        prop_assert!(acted <= back.max(hup_at) + pace.reached() && pace.reached() <= pace.allowed() - ACTED);
+        let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace), &list(1, true), START);
+        let (acted, hup_at) = acted(&mut tracker, back, &hups, &fates, 0);
+        let schedule = PollSchedule::new(drain_grace);
+        prop_assert!(acted <= back.max(hup_at) + schedule.max_recovery() && schedule.max_recovery() <= schedule.allowed_recovery() - ACTED);
         let reloaded = if hup_at > START { RELOADED } else { 0 };
-        let allowed = back.max(hup_at + reloaded) + stop_within - ACTED;
+        let allowed = back.max(hup_at + reloaded) + drain_grace - ACTED;
         prop_assert!(acted <= allowed, "{} us too late", acted - allowed);
     }
 
@@ -169,38 +169,38 @@
     /// is the next one, and the third is answered as late as its call allows.
     #[test]
     fn a_silent_watch_may_be_refused_twice(
-        stop_within in 0..20 * SECOND, shared in shared(), late in 0..1000_i64, hangs in any::<bool>(),
+        drain_grace in 0..20 * SECOND, shared in shared(), late in 0..1000_i64, hangs in any::<bool>(),
     ) {
-        let mut desk = Desk::new(Pace::new(stop_within).shared(shared), &list(1, true), START);
-        let mut now = desk.next(START).at;
-        desk.heard(now, list(2, false));
+        let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace).with_shared(shared), &list(1, true), START);
+        let mut now = tracker.next_poll(START).start_at;
+        tracker.on_response(now, list(2, false));
         // It falls silent as it begins, with a change that it holds back.
-        let call = desk.next(now);
-        let silent = call.at;
-        now = if hangs { given_up(&call) } else { call.at + call.answer };
-        desk.failed(now);
-        let mut call = desk.next(now);
+        let poll = tracker.next_poll(now);
+        let silent = poll.start_at;
+        now = if hangs { given_up(&poll) } else { poll.start_at + poll.response_timeout };
+        tracker.on_failure(now);
+        let mut poll = tracker.next_poll(now);
         if !hangs {
-            desk.failed(call.at + 1_000);
-            call = desk.next(call.at + 1_000);
+            tracker.on_failure(poll.start_at + 1_000);
+            poll = tracker.next_poll(poll.start_at + 1_000);
         }
-        let span = call.at + call.answer * late / 1000 - silent;
-        let allowed = TOLD + stop_within.min(TOLD) - ACTED;
+        let span = poll.start_at + poll.response_timeout * late / 1000 - silent;
+        let allowed = TOLD + drain_grace.min(TOLD) - ACTED;
         prop_assert!(span <= allowed, "{span} of {allowed} us");
     }
 
     /// Guards against a pushed watch that fell silent and that SIGHUP, to the same address, leaves as it is: what it
     /// missed counts 6 s after it fell silent, and what the agent has 4 s after the signal.
     #[test]
-    fn a_silent_pushed_watch_needs_no_help_of_a_signal(stop_within in 0..20 * SECOND) {
-        let mut desk = Desk::new(Pace::new(stop_within), &list(1, true), START);
-        let now = desk.next(START).at;
-        desk.heard(now, list(2, true));
-        let call = desk.next(now);
-        let now = given_up(&call);
-        desk.failed(now);
-        let span = desk.next(now).at + call.connect - call.at;
-        let allowed = RELOADED + stop_within.min(TOLD) - ACTED;
+    fn a_silent_pushed_watch_needs_no_help_of_a_signal(drain_grace in 0..20 * SECOND) {
+        let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace), &list(1, true), START);
+        let now = tracker.next_poll(START).start_at;
+        tracker.on_response(now, list(2, true));
+        let poll = tracker.next_poll(now);
+        let now = given_up(&poll);
+        tracker.on_failure(now);
+        let span = tracker.next_poll(now).start_at + poll.connect_timeout - poll.start_at;
+        let allowed = RELOADED + drain_grace.min(TOLD) - ACTED;
         prop_assert!(span <= allowed, "{span} of {allowed} us");
     }
 }
@@ -209,30 +209,31 @@
 /// one whose versions mean something else and is never asked for it: an older version, or some time, has it asked for.
 #[test]
 fn many_proxies_go_on_from_their_version_at_a_new_address() {
-    let desk = |proxies| {
-        let shared = Shared { seed: 3, ask_every: 10 * SECOND, proxies };
-        let mut desk = Desk::new(Pace::new(SECOND).shared(shared), &list(1, true), START);
-        let now = desk.next(START).at;
-        desk.heard(now, list(7, true));
-        desk.next(now);
-        desk.moved(now);
-        (desk, now)
+    let tracker = |proxies| {
+        let shared = SharedDiscovery { seed: 3, poll_interval: 10 * SECOND, proxies };
+        let mut tracker =
+            EndpointTracker::new(PollSchedule::new(SECOND).with_shared(shared), &list(1, true), START);
+        let now = tracker.next_poll(START).start_at;
+        tracker.on_response(now, list(7, true));
+        tracker.next_poll(now);
+        tracker.on_address_changed(now);
+        (tracker, now)
     };
-    let (mut few, now) = desk(10);
-    assert_eq!(few.next(now).ask, Ask::Whole);
-    let (mut many, now) = desk(300);
-    let call = many.next(now);
-    assert_eq!(call.ask, Ask::Watch { seq: 7 });
-    assert!(many.heard(call.at, list(3, false)).list.is_none());
-    assert_eq!(many.next(call.at).ask, Ask::Whole);
-    let (mut many, mut now) = desk(300);
-    let end = now + 2 * 300 * Pace::WHOLE_SPREAD + 10 * SECOND;
+    let (mut few, now) = tracker(10);
+    assert_eq!(few.next_poll(now).kind, PollKind::FullList);
+    let (mut many, now) = tracker(300);
+    let poll = many.next_poll(now);
+    assert_eq!(poll.kind, PollKind::Watch { version: 7 });
+    assert!(many.on_response(poll.start_at, list(3, false)).update.is_none());
+    assert_eq!(many.next_poll(poll.start_at).kind, PollKind::FullList);
+    let (mut many, mut now) = tracker(300);
+    let end = now + 2 * 300 * PollSchedule::FULL_LIST_SPREAD_PER_PROXY + 10 * SECOND;
     let mut wholes = 0;
     while now < end {
-        let call = many.next(now);
-        wholes += u32::from(call.ask == Ask::Whole);
-        now = call.at + call.wait;
-        many.heard(now, list(7, call.ask == Ask::Whole));
+        let poll = many.next_poll(now);
+        wholes += u32::from(poll.kind == PollKind::FullList);
+        now = poll.start_at + poll.wait;
+        many.on_response(now, list(7, poll.kind == PollKind::FullList));
     }
     assert_eq!(wholes, 1);
 }
--- a/tests/discovery_fleet.rs
+++ b/crates/discovery/tests/shared_service.rs
@@ -1,10 +1,10 @@
 //! Many proxies and one discovery of fixed capacity in virtual time: what each calls adds up. Events are counted.
 
 use std::collections::VecDeque;
-use wharfplank::membership::{Ask, Call, Desk, Pace, Shared};
-use wharfplank::protocol::catalog::{Catalog, Health, Host};
+use wharfplank_discovery::{EndpointTracker, PollKind, PollRequest, PollSchedule, SharedDiscovery};
+use wharfplank_protocol::catalog::{Catalog, Health, Host};
 
-#[path = "discovery_fleet/service.rs"]
+#[path = "shared_service/service.rs"]
 mod service;
 
 use service::{Service, MS, SECOND};
@@ -28,8 +28,8 @@
 const DOWN: i64 = 15 * SECOND;
 
 struct Proxy {
-    desk: Desk,
-    call: Call,
+    tracker: EndpointTracker,
+    poll: PollRequest,
     /// When the call was made, if it was.
     open: bool,
     end: i64,
@@ -38,7 +38,7 @@
     granted: bool,
     /// Its watch has fallen silent.
     broken: bool,
-    news: Option<i64>,
+    notified_after: Option<i64>,
     failed: bool,
 }
 
@@ -49,7 +49,7 @@
     last: Option<i64>,
     half: Option<i64>,
     heard_in_time: usize,
-    calls: usize,
+    polls: usize,
     refused: usize,
     wasted: usize,
     /// The most calls in any second. A watch that stands on the service's list costs nothing.
@@ -69,11 +69,13 @@
     let from = if trouble == Trouble::Start { 0 } else { BACK };
     let mut fleet: Vec<Proxy> = (0..proxies as u64)
         .map(|seed| {
-            let shared = Shared { seed: seed + 1, ask_every: 10 * SECOND, proxies: proxies as u32 };
-            let mut desk = Desk::new(Pace::new(SECOND).shared(shared), &catalog(1, true), 0);
+            let shared =
+                SharedDiscovery { seed: seed + 1, poll_interval: 10 * SECOND, proxies: proxies as u32 };
+            let mut tracker =
+                EndpointTracker::new(PollSchedule::new(SECOND).with_shared(shared), &catalog(1, true), 0);
             if trouble != Trouble::Start {
-                desk.next(0);
-                desk.heard(MS, catalog(1, true));
+                tracker.next_poll(0);
+                tracker.on_response(MS, catalog(1, true));
             }
             // Those that are served watch on, each from a moment of its own.
             let at = if trouble == Trouble::Start {
@@ -81,17 +83,17 @@
             } else {
                 10 * SECOND + seed as i64 * 2 * SECOND / proxies as i64
             };
-            let call = desk.next(at);
+            let poll = tracker.next_poll(at);
             let granted = trouble != Trouble::Start;
             Proxy {
-                desk,
-                call,
+                tracker,
+                poll,
                 open: false,
                 end: 0,
                 second: false,
                 granted,
                 broken: false,
-                news: None,
+                notified_after: None,
                 failed: false,
             }
         })
@@ -109,17 +111,17 @@
         }
         if now == BACK && trouble == Trouble::Reload {
             for p in &mut fleet {
-                p.desk.moved(now);
+                p.tracker.on_address_changed(now);
                 (p.granted, p.open, p.second, p.broken) = (false, false, false, false);
-                p.call = p.desk.next(now);
+                p.poll = p.tracker.next_poll(now);
             }
         }
         let answered = if down { None } else { service.tick(now) };
         for (i, p) in fleet.iter_mut().enumerate() {
             let mut ended = None;
-            let whole = p.call.ask == Ask::Whole;
-            if !p.open && now >= p.call.at {
-                (p.open, p.end, p.failed) = (true, p.call.at + p.call.answer, false);
+            let whole = p.poll.kind == PollKind::FullList;
+            if !p.open && now >= p.poll.start_at {
+                (p.open, p.end, p.failed) = (true, p.poll.start_at + p.poll.response_timeout, false);
                 if !p.granted || whole {
                     if now >= from {
                         starts.push(now);
@@ -128,7 +130,7 @@
                         p.failed = trouble == Trouble::Refuses;
                         p.broken = !p.failed;
                     } else if !p.broken {
-                        p.failed = !service.ask(i, now, whole, p.call.at + p.call.answer);
+                        p.failed = !service.ask(i, now, whole, p.poll.start_at + p.poll.response_timeout);
                     }
                 }
             }
@@ -136,13 +138,17 @@
                 continue;
             }
             // The call beside it.
-            if !p.second && !p.failed && p.call.beside < p.call.answer && now >= p.call.at + p.call.beside {
+            if !p.second
+                && !p.failed
+                && p.poll.hedge.after < p.poll.response_timeout
+                && now >= p.poll.start_at + p.poll.hedge.after
+            {
                 p.second = true;
-                let span = p.call.again_answer;
+                let span = p.poll.hedge.timeout;
                 if now >= from {
                     starts.push(now);
                 }
-                if !down && service.ask(i, now, p.call.again == Ask::Whole, now + span) {
+                if !down && service.ask(i, now, p.poll.hedge.kind == PollKind::FullList, now + span) {
                     p.end = p.end.max(now + span);
                 }
             }
@@ -153,7 +159,7 @@
             } else if p.granted
                 && !p.broken
                 && now >= from
-                && p.news.is_none()
+                && p.notified_after.is_none()
                 && trouble != Trouble::Start
                 && !whole
             {
@@ -161,7 +167,7 @@
                 ended = Some(true);
             } else if p.failed {
                 ended = Some(false);
-            } else if !whole && !p.second && !p.broken && !down && now >= p.call.at + p.call.wait {
+            } else if !whole && !p.second && !p.broken && !down && now >= p.poll.start_at + p.poll.wait {
                 // Its wait is over: nothing new, or it still stands in the line and is turned away.
                 ended = Some(p.granted);
             } else if now >= p.end {
@@ -169,29 +175,29 @@
             }
             match ended {
                 Some(true) => {
-                    if now >= from && p.news.is_none() {
-                        p.news = Some(now - from);
+                    if now >= from && p.notified_after.is_none() {
+                        p.notified_after = Some(now - from);
                     }
-                    p.desk.heard(now, catalog(1 + u64::from(now >= from), whole));
+                    p.tracker.on_response(now, catalog(1 + u64::from(now >= from), whole));
                 }
-                Some(false) => p.desk.failed(now),
+                Some(false) => p.tracker.on_failure(now),
                 None => continue,
             }
-            p.call = p.desk.next(now);
+            p.poll = p.tracker.next_poll(now);
             (p.open, p.second, p.broken) = (false, false, false);
         }
-        if fleet.iter().all(|p| p.news.is_some()) && now >= from {
+        if fleet.iter().all(|p| p.notified_after.is_some()) && now >= from {
             break;
         }
     }
-    let mut heard: Vec<i64> = fleet.iter().filter_map(|p| p.news).collect();
+    let mut heard: Vec<i64> = fleet.iter().filter_map(|p| p.notified_after).collect();
     heard.sort_unstable();
     let second = |at: &i64| starts.iter().filter(|s| (*at..*at + SECOND).contains(*s)).count();
     Course {
         last: heard.get(proxies - 1).map(|at| at / MS),
         half: heard.get((proxies - 1) / 2).map(|at| at / MS),
         heard_in_time: heard.iter().filter(|at| **at <= 7 * SECOND).count(),
-        calls: starts.len(),
+        polls: starts.len(),
         refused: service.refused,
         wasted: service.wasted,
         peak: starts.iter().map(second).max().unwrap_or(0),
--- a/tests/fleet.rs
+++ b/crates/discovery/tests/subscription.rs
@@ -1,8 +1,8 @@
 //! Many proxies' decisions in virtual time against one thing that they share. Events are counted, nothing is timed.
 
 use std::collections::VecDeque;
-use wharfplank::membership::{Ask, Call, Desk, Pace, Shared};
-use wharfplank::protocol::catalog::{parse, Catalog};
+use wharfplank_discovery::{EndpointTracker, PollKind, PollRequest, PollSchedule, SharedDiscovery};
+use wharfplank_protocol::catalog::{parse, Catalog};
 
 const MS: i64 = 1_000;
 const SECOND: i64 = 1_000 * MS;
@@ -40,34 +40,34 @@
 }
 
 enum Stand {
-    Calls(Call),
+    Calls(PollRequest),
     Waits { until: i64, asked: bool },
 }
 
 /// How many proxies are subscribed after so many seconds, and what the service was asked.
-fn play(pace: impl Fn(u64) -> Pace, seconds: i64) -> (usize, Service) {
+fn play(schedule: impl Fn(u64) -> PollSchedule, seconds: i64) -> (usize, Service) {
     let known = br#"{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}"#;
     let known = parse(known).unwrap();
     let mut service = Service::default();
     let mut subscribed = [false; PROXIES];
-    let mut fleet: Vec<(Desk, Stand)> = (0..PROXIES as u64)
+    let mut fleet: Vec<(EndpointTracker, Stand)> = (0..PROXIES as u64)
         .map(|seed| {
-            let mut desk = Desk::new(pace(seed), &known, 0);
-            let call = desk.next(0);
-            (desk, Stand::Calls(call))
+            let mut tracker = EndpointTracker::new(schedule(seed), &known, 0);
+            let poll = tracker.next_poll(0);
+            (tracker, Stand::Calls(poll))
         })
         .collect();
     for now in (0..seconds * SECOND).step_by(MS as usize) {
         let answered = service.tick(now);
-        for (proxy, (desk, stand)) in fleet.iter_mut().enumerate() {
+        for (proxy, (tracker, stand)) in fleet.iter_mut().enumerate() {
             let refused = match stand {
-                Stand::Calls(call) if now >= call.at => {
-                    let whole = call.ask == Ask::Whole;
+                Stand::Calls(poll) if now >= poll.start_at => {
+                    let whole = poll.kind == PollKind::FullList;
                     let work = if whole { 200 * MS } else { 50 * MS };
                     let free = !whole && subscribed[proxy];
                     let stands = !whole && service.line.iter().any(|(p, ..)| *p == proxy);
                     let refused = !free && !stands && !service.ask(proxy, now, work);
-                    let span = if whole { call.answer } else { call.wait };
+                    let span = if whole { poll.response_timeout } else { poll.wait };
                     *stand = Stand::Waits { until: now + span, asked: !whole };
                     refused
                 }
@@ -79,13 +79,13 @@
                 subscribed[proxy] = true;
             }
             if refused || mine == Some(false) || (now >= until && !subscribed[proxy]) {
-                desk.failed(now);
+                tracker.on_failure(now);
             } else if now >= until || (mine == Some(true) && !asked) {
-                desk.heard(now, Catalog { seq: 1, whole: !asked, hosts: known.hosts.clone() });
+                tracker.on_response(now, Catalog { seq: 1, whole: !asked, hosts: known.hosts.clone() });
             } else {
                 continue;
             }
-            *stand = Stand::Calls(desk.next(now));
+            *stand = Stand::Calls(tracker.next_poll(now));
         }
     }
     (subscribed.iter().filter(|s| **s).count(), service)
@@ -93,11 +93,16 @@
 
 #[test]
 fn all_proxies_come_through_to_a_discovery_that_they_share() {
-    let shared =
-        |seed| Pace::new(SECOND).shared(Shared { seed, ask_every: 10 * SECOND, proxies: PROXIES as u32 });
+    let shared = |seed| {
+        PollSchedule::new(SECOND).with_shared(SharedDiscovery {
+            seed,
+            poll_interval: 10 * SECOND,
+            proxies: PROXIES as u32,
+        })
+    };
     let (subscribed, service) = play(shared, 15);
     assert_eq!(subscribed, PROXIES);
-    assert!(service.asked.len() <= 3 * PROXIES, "{} calls", service.asked.len());
+    assert!(service.asked.len() <= 3 * PROXIES, "{} polls", service.asked.len());
     // Once all stand on the list, nobody asks.
     assert!(service.asked.iter().all(|at| *at < 14 * SECOND));
 }
@@ -105,7 +110,7 @@
 /// What the spread and the pauses are for: the same proxies at the pace that suits an agent of their own.
 #[test]
 fn at_a_fixed_pace_most_of_them_never_do() {
-    let (subscribed, service) = play(|_| Pace::new(SECOND), 15);
+    let (subscribed, service) = play(|_| PollSchedule::new(SECOND), 15);
     assert!(subscribed < PROXIES / 2, "{subscribed} subscribed");
-    assert!(service.asked.len() > 6 * PROXIES, "{} calls", service.asked.len());
+    assert!(service.asked.len() > 6 * PROXIES, "{} polls", service.asked.len());
 }
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -37,7 +37,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_admin::{Cordons, Succession};
-use wharfplank_discovery::{Age, Doubt, News};
+use wharfplank_discovery::{SendDeadline, Staleness, SuspectReason, WatchEvent};
 use wharfplank_pool_policy::Opening;
 use wharfplank_protocol::catalog::{Catalog, Health, Host};
 use wharfplank_protocol::client;
--- a/crates/proxy/src/broker/roster.rs
+++ b/crates/proxy/src/broker/roster.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 impl Broker {
-    pub(super) fn heard(&mut self, news: News, age: Option<Age>) {
+    pub(super) fn heard(&mut self, event: WatchEvent, staleness: Option<Staleness>) {
         // An answer that there is nothing new tells that the list as known stands.
-        self.told |= news.list.is_some() || age == Some(Age::Fresh);
-        if news.doubt.is_some() || age.is_some() {
-            log::list(age.map(Age::name), news.doubt, news.until.len());
-            self.journal.list(age.map(Age::name), news.doubt.map(Doubt::name));
+        self.told |= event.update.is_some() || staleness == Some(Staleness::Fresh);
+        if event.suspect.is_some() || staleness.is_some() {
+            log::list(staleness.map(Staleness::as_str), event.suspect, event.deadlines.len());
+            self.journal.list(staleness.map(Staleness::as_str), event.suspect.map(SuspectReason::as_str));
         }
-        for (name, until) in news.until {
-            let member = self.names.get(&name).and_then(|host| self.members.get(host));
+        for SendDeadline { endpoint, until } in event.deadlines {
+            let member = self.names.get(&endpoint).and_then(|host| self.members.get(host));
             member.into_iter().for_each(|m| m.until(self.clock.instant(until)));
         }
-        if let Some(list) = news.list {
+        if let Some(list) = event.update {
             self.list(list);
         }
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_admin::{Figures, Holds};
-use wharfplank_discovery::{Desk, Pace, Shared};
+use wharfplank_discovery::{EndpointTracker, PollSchedule, SharedDiscovery};
 use wharfplank_protocol::catalog;
 use wharfplank_settings::Settings;
 use wharfplank_transport::admin::{Admin, PLACES};
@@ -96,19 +96,20 @@
         to_clients,
         Memory::new(config.memory / LARGE_PART),
     );
-    let pace = Pace::new(config.terms.stop_within);
-    let asked = config.terms.ask_every.filter(|_| config.settings.must_follow).map(|ask_every| Shared {
-        seed: config.settings.seed,
-        ask_every,
-        proxies: config.settings.routers,
-    });
-    let pace = asked.map_or(pace, |shared| pace.shared(shared));
+    let schedule = PollSchedule::new(config.terms.stop_within);
+    let shared_discovery =
+        config.terms.ask_every.filter(|_| config.settings.must_follow).map(|poll_interval| SharedDiscovery {
+            seed: config.settings.seed,
+            poll_interval,
+            proxies: config.settings.routers,
+        });
+    let schedule = shared_discovery.map_or(schedule, |shared| schedule.with_shared(shared));
     // What the process that is replaced believes is newer than what the file knows.
     let list = inherited.as_ref().and_then(|inherited| catalog::read(&inherited.state.list).ok());
     config.known = list.unwrap_or(config.known);
-    let desk = Desk::new(pace, &config.known, clock.now());
+    let tracker = EndpointTracker::new(schedule, &config.known, clock.now());
     let watch =
-        Watch::start(Rc::clone(&executor), events.clone(), ends, now, desk, config.discovery, budgets);
+        Watch::start(Rc::clone(&executor), events.clone(), ends, now, tracker, config.discovery, budgets);
     let journal = journal::Journal::start(settings.records.as_ref(), &config, clock)?;
     let mut broker =
         broker::Broker::new(&config, clock, shared, Rc::clone(&clients), events.clone(), watch, journal);
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -15,7 +15,7 @@
 use tracing_subscriber::fmt::format::{FormatEvent, FormatFields, Writer};
 use tracing_subscriber::fmt::FmtContext;
 use tracing_subscriber::registry::LookupSpan;
-use wharfplank_discovery::Doubt;
+use wharfplank_discovery::SuspectReason;
 use wharfplank_settings::{Format, Level};
 use wharfplank_transport::Ended;
 
@@ -126,8 +126,8 @@
 
 /// Notes how old the list of members is, or that an answer of discovery is not believed as it is, and how many
 /// members it would take out of use.
-pub fn list(age: Option<&str>, doubt: Option<Doubt>, lacks: usize) {
-    let doubt = doubt.map_or("-", Doubt::name);
+pub fn list(age: Option<&str>, doubt: Option<SuspectReason>, lacks: usize) {
+    let doubt = doubt.map_or("-", SuspectReason::as_str);
     warn!(age = age.unwrap_or("-"), doubt, lacks = lacks as u64, "list");
 }
 
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -14,7 +14,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_discovery::{Age, Desk, News};
+use wharfplank_discovery::{EndpointTracker, Staleness, WatchEvent};
 
 /// A call that the fleet's budget does not allow is tried again so much later.
 const ASK_AGAIN: Duration = Duration::from_millis(100);
@@ -33,7 +33,7 @@
     ends: Ends,
     now: Now,
     /// Only the task borrows it, and never across a wait.
-    desk: Rc<RefCell<Desk>>,
+    tracker: Rc<RefCell<EndpointTracker>>,
     address: SocketAddr,
     budgets: Option<Rc<Budgets>>,
     /// The reason of connections that are dropped in use.
@@ -47,12 +47,12 @@
         events: Sender<Event>,
         ends: Ends,
         now: Now,
-        desk: Desk,
+        tracker: EndpointTracker,
         address: SocketAddr,
         budgets: Option<Rc<Budgets>>,
     ) -> Self {
-        let (desk, dropped) = (Rc::new(RefCell::new(desk)), Rc::new(Cell::new("shutdown")));
-        Self::follow(Parts { executor, events, ends, now, desk, address, budgets, dropped })
+        let (tracker, dropped) = (Rc::new(RefCell::new(tracker)), Rc::new(Cell::new("shutdown")));
+        Self::follow(Parts { executor, events, ends, now, tracker, address, budgets, dropped })
     }
 
     fn follow(parts: Parts) -> Self {
@@ -64,7 +64,7 @@
     pub fn move_to(&mut self, address: SocketAddr) {
         if address != self.parts.address {
             self.parts.dropped.set("moved");
-            self.parts.desk.borrow_mut().moved((self.parts.now)());
+            self.parts.tracker.borrow_mut().on_address_changed((self.parts.now)());
             let dropped = Rc::new(Cell::new("shutdown"));
             // The old task ends with the assignment, whatever it waits for, and so do its connections.
             *self = Self::follow(Parts { address, dropped, ..self.parts.clone() });
@@ -76,10 +76,10 @@
     /// Follows the list for good and tells of each answer that says something.
     async fn watch(self) {
         let mut kept = None;
-        let mut age = Age::Unheard;
+        let mut age = Staleness::Unconfirmed;
         loop {
-            let call = self.desk.borrow_mut().next((self.now)());
-            let pause = Duration::from_micros((call.at - (self.now)()).max(0) as u64);
+            let call = self.tracker.borrow_mut().next_poll((self.now)());
+            let pause = Duration::from_micros((call.start_at - (self.now)()).max(0) as u64);
             if !pause.is_zero() {
                 self.attended(Timer::after(pause)).await;
             }
@@ -90,16 +90,16 @@
             let news = match called {
                 Some((list, connection)) => {
                     kept = connection;
-                    self.desk.borrow_mut().heard((self.now)(), list)
+                    self.tracker.borrow_mut().on_response((self.now)(), list)
                 }
                 None => {
-                    self.desk.borrow_mut().failed((self.now)());
-                    News::default()
+                    self.tracker.borrow_mut().on_failure((self.now)());
+                    WatchEvent::default()
                 }
             };
-            let before = std::mem::replace(&mut age, self.desk.borrow().age((self.now)()));
+            let before = std::mem::replace(&mut age, self.tracker.borrow().staleness((self.now)()));
             let aged = (age != before).then_some(age);
-            if (news != News::default() || aged.is_some()) && !self.tell(news, aged).await {
+            if (news != WatchEvent::default() || aged.is_some()) && !self.tell(news, aged).await {
                 return;
             }
         }
@@ -110,7 +110,7 @@
     }
 
     /// Whether anybody still listens.
-    async fn tell(&self, news: News, age: Option<Age>) -> bool {
+    async fn tell(&self, news: WatchEvent, age: Option<Staleness>) -> bool {
         self.events.send(Event::Heard(news, age)).await.is_ok()
     }
 
@@ -118,14 +118,14 @@
     async fn attended<T>(&self, work: impl std::future::Future<Output = T>) -> T {
         let mut work = pin!(work);
         loop {
-            let due = self.desk.borrow().due();
+            let due = self.tracker.borrow().next_deadline();
             let Some(due) = due else { return work.await };
             let pause = Duration::from_micros((due - (self.now)()).max(0) as u64);
             if let Some(done) = within(Instant::now() + pause, work.as_mut()).await {
                 return done;
             }
-            let news = self.desk.borrow_mut().lapse((self.now)());
-            if news != News::default() {
+            let news = self.tracker.borrow_mut().expire_deadlines((self.now)());
+            if news != WatchEvent::default() {
                 self.tell(news, None).await;
             }
         }
--- a/crates/transport/src/discovery/call.rs
+++ b/crates/transport/src/discovery/call.rs
@@ -9,7 +9,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_discovery::{Ask, Call, Pace};
+use wharfplank_discovery::{PollKind, PollRequest, PollSchedule};
 use wharfplank_protocol::catalog::{self, Catalog};
 use wharfplank_protocol::http;
 use wharfplank_routing::Micros;
@@ -35,21 +35,21 @@
 impl Parts {
     /// One call, and a second beside it where the first stays silent. What answers first counts; a failure counts
     /// once both have failed.
-    pub(super) async fn call(&self, kept: Option<Connection>, call: &Call) -> Answered {
+    pub(super) async fn call(&self, kept: Option<Connection>, call: &PollRequest) -> Answered {
         let begun = Instant::now();
-        let (connect, most) = (span(call.connect), begun + span(call.most));
-        let still = span(call.answer - call.wait);
+        let (connect, most) = (span(call.connect_timeout), begun + span(call.total_timeout));
+        let still = span(call.response_timeout - call.wait);
         let done = {
-            let limits = Limits { until: begun + span(call.answer), still, most };
-            let mut first = pin!(self.ask(kept, call.ask, call.wait, connect, limits));
-            if let Some(done) = within(begun + span(call.beside), first.as_mut()).await {
+            let limits = Limits { until: begun + span(call.response_timeout), still, most };
+            let mut first = pin!(self.ask(kept, call.kind, call.wait, connect, limits));
+            if let Some(done) = within(begun + span(call.hedge.after), first.as_mut()).await {
                 return done;
             }
             if !self.may_call() {
                 return first.await;
             }
-            let limits = Limits { until: Instant::now() + span(call.again_answer), ..limits };
-            let mut second = pin!(self.ask(None, call.again, call.again_wait, connect, limits));
+            let limits = Limits { until: Instant::now() + span(call.hedge.timeout), ..limits };
+            let mut second = pin!(self.ask(None, call.hedge.kind, call.hedge.wait, connect, limits));
             let race =
                 future::or(async { (true, first.as_mut().await) }, async { (false, second.as_mut().await) });
             let (by_first, done) = match race.await {
@@ -70,19 +70,19 @@
     async fn ask(
         &self,
         kept: Option<Connection>,
-        ask: Ask,
+        ask: PollKind,
         wait: Micros,
         connect: Duration,
         limits: Limits,
     ) -> Answered {
         let target = match ask {
-            Ask::Whole => "/catalog/members".to_string(),
-            Ask::Watch { seq } => format!("/catalog/members?index={seq}&wait={}", wait / 1000),
+            PollKind::FullList => "/catalog/members".to_string(),
+            PollKind::Watch { version } => format!("/catalog/members?index={version}&wait={}", wait / 1000),
         };
         if let Some(connection) = kept {
             let begun = Instant::now();
             match self.ask_on(connection, &target, limits).await {
-                Err(ended) if ended && begun.elapsed() < span(Pace::LEAST) => {}
+                Err(ended) if ended && begun.elapsed() < span(PollSchedule::MIN_TIMEOUT) => {}
                 done => return done.ok(),
             }
         }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -22,7 +22,7 @@
 use std::ops::Range;
 use std::rc::Rc;
 use std::time::Instant;
-use wharfplank_discovery::{Age, News};
+use wharfplank_discovery::{Staleness, WatchEvent};
 use wharfplank_protocol::buffer::MODEST;
 use wharfplank_protocol::comment;
 use wharfplank_protocol::pipeline::Ticket;
@@ -113,7 +113,7 @@
         report: Option<String>,
     },
     /// What is believed of the members changed, or how old that is.
-    Heard(News, Option<Age>),
+    Heard(WatchEvent, Option<Staleness>),
     /// The part of reads that each named zone may take, as the fleet decided; others take all.
     Shares(Vec<(String, f64)>),
     /// The members that the fleet does not hold sound, and what the latency of each counts for.
