--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -1,6 +1,6 @@
 //! The router's actions, and the attempts and probes that come of them.
 
-use super::probes::role;
+use super::health_checks::role;
 use super::*;
 
 /// What is left of a send's margin when its last byte must be out.
--- a/crates/proxy/src/broker/replacement.rs
+++ b/crates/proxy/src/broker/handover.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use wharfplank_admin::{Call, Holds, Learned, State, Ways, Word};
 use wharfplank_protocol::catalog;
-use wharfplank_transport::handover::{self, Inherited, Link, Other, Post};
+use wharfplank_transport::handover::{self as handover_socket, Inherited, Link, Other, Post};
 
 /// How often the other process is told what this one holds.
 const TELL_EVERY: Micros = 100_000;
@@ -129,7 +129,7 @@
                     let (executor, events) = (&self.shared.executor, self.events.clone());
                     r.link = Some(Link::give(executor, stream, listener, &state, events));
                 } else {
-                    self.shared.executor.spawn(handover::turn_away(stream)).detach();
+                    self.shared.executor.spawn(handover_socket::turn_away(stream)).detach();
                 }
             }
             Other::Says(Word::Serving) => {
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -1,22 +1,22 @@
 //! The broker: it alone owns the router and the tables of requests and attempts. It feeds the drivers'
 //! events to the router and carries its actions out.
 
+mod admin_calls;
 mod attempts;
 mod budgets;
-mod course;
-mod lookups;
-mod operators;
-mod passing;
-mod probes;
-mod replacement;
+mod endpoints;
+mod handover;
+mod health_checks;
+mod lifecycle;
+mod negative_cache;
 mod requests;
-mod roster;
+mod streaming;
 
 use attempts::{Allowed, Flight};
 use budgets::Barred;
-use replacement::Replacement;
+use endpoints::{hash, suspects, zone_number};
+use handover::Replacement;
 use requests::Open;
-use roster::{hash, suspects, zone_number};
 
 use super::clock::Clock;
 use super::config::{Config, SEND_MARGIN};
@@ -92,7 +92,7 @@
     /// The ids of open requests, as clients gave them.
     ids: HashSet<String>,
     flights: HashMap<(RequestId, u32), Flight>,
-    passing: passing::Values,
+    passing: streaming::Values,
     members: BTreeMap<HostId, Rc<Member>>,
     names: HashMap<String, HostId>,
     /// The list as discovery tells it, without what operators say; and its version.
@@ -145,7 +145,7 @@
             tickets: HashMap::new(),
             ids: HashSet::new(),
             flights: HashMap::new(),
-            passing: passing::Values::new(&config.settings),
+            passing: streaming::Values::new(&config.settings),
             members: BTreeMap::new(),
             names: HashMap::new(),
             listed: BTreeMap::new(),
