--- a/crates/admin/src/avoided.rs
+++ b/crates/admin/src/avoided.rs
@@ -1,6 +1,6 @@
 //! Which members of the list count as left out, for the figures and the log.
 
-use wharfplank_protocol::catalog::Health;
+use wharfplank_protocol::endpoint_list::EndpointHealth;
 use wharfplank_routing::Micros;
 
 /// A suspect counts from this long after it came to be one. Nearly all are tried again within half a second and serve
@@ -20,11 +20,16 @@
 
 impl Avoided {
     /// Whether and why a member is left out at this time; `suspected` is when it came to be suspected, if it is now.
-    pub fn why(listed: Health, cordoned: bool, suspected: Option<Micros>, now: Micros) -> Option<Self> {
+    pub fn why(
+        listed: EndpointHealth,
+        cordoned: bool,
+        suspected: Option<Micros>,
+        now: Micros,
+    ) -> Option<Self> {
         if cordoned {
             return Some(Avoided::Cordoned);
         }
-        if listed != Health::Active {
+        if listed != EndpointHealth::Active {
             return Some(Avoided::Draining);
         }
         suspected.filter(|since| now - since >= SUSPECTED_FOR).map(|_| Avoided::Suspected)
@@ -47,7 +52,7 @@
     /// Guards against figures that jump by each member that one request made wait.
     #[test]
     fn a_suspect_counts_once_it_stays_one() {
-        let suspected = |since| Avoided::why(Health::Active, false, since, 9_000_000);
+        let suspected = |since| Avoided::why(EndpointHealth::Active, false, since, 9_000_000);
         assert_eq!(suspected(None), None);
         assert_eq!(suspected(Some(8_000_001)), None);
         assert_eq!(suspected(Some(8_000_000)), Some(Avoided::Suspected));
@@ -55,8 +60,8 @@
 
     #[test]
     fn by_hand_and_by_the_list_count_at_once() {
-        assert_eq!(Avoided::why(Health::Active, true, None, 0), Some(Avoided::Cordoned));
-        assert_eq!(Avoided::why(Health::Leaving, true, Some(0), 0), Some(Avoided::Cordoned));
-        assert_eq!(Avoided::why(Health::Leaving, false, Some(0), 0), Some(Avoided::Draining));
+        assert_eq!(Avoided::why(EndpointHealth::Active, true, None, 0), Some(Avoided::Cordoned));
+        assert_eq!(Avoided::why(EndpointHealth::Draining, true, Some(0), 0), Some(Avoided::Cordoned));
+        assert_eq!(Avoided::why(EndpointHealth::Draining, false, Some(0), 0), Some(Avoided::Draining));
     }
 }
--- a/crates/admin/src/cordons.rs
+++ b/crates/admin/src/cordons.rs
@@ -5,7 +5,7 @@
 //! meanwhile, so one that is called back counts as started then, however late discovery tells of the restart.
 
 use std::collections::{BTreeMap, BTreeSet};
-use wharfplank_protocol::catalog::{Health, Host};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
 use wharfplank_routing::Micros;
 
 /// Members that may be out, or may have been called back, at one time; a fleet has some hundred.
@@ -86,13 +86,13 @@
 
     /// What the list's entry comes to: a member that is out drains, and one that was called back started then at the
     /// earliest.
-    pub fn apply(&self, listed: &Host) -> Host {
+    pub fn apply(&self, listed: &EndpointRecord) -> EndpointRecord {
         let mut host = listed.clone();
-        if host.health == Health::Active && self.is_out(&host.name) {
-            host.health = Health::Leaving;
+        if host.health == EndpointHealth::Active && self.is_out(&host.name) {
+            host.health = EndpointHealth::Draining;
         }
         if let Some(back) = self.back.get(&host.name) {
-            host.born_ms = host.born_ms.max(back / 1000);
+            host.started_at_ms = host.started_at_ms.max(back / 1000);
         }
         host
     }
@@ -118,9 +118,17 @@
 mod tests {
     use super::*;
 
-    fn host(health: Health, born_ms: i64) -> Host {
+    fn host(health: EndpointHealth, born_ms: i64) -> EndpointRecord {
         let (name, site) = ("m1".to_string(), "a".to_string());
-        Host { name, dial: None, site, group: 1, health, born_ms, primary: false }
+        EndpointRecord {
+            name,
+            address: None,
+            zone: site,
+            group: 1,
+            health,
+            started_at_ms: born_ms,
+            primary: false,
+        }
     }
 
     /// Guards against discovery, which knows nothing of cordons, giving a member back, and against two calls out that
@@ -130,13 +138,13 @@
         let mut cordons = Cordons::default();
         assert_eq!(cordons.cordon("m1", true), Ok(()));
         assert_eq!(cordons.cordon("m1", false), Ok(()), "the list may lack it by now");
-        assert_eq!(cordons.apply(&host(Health::Active, 7)).health, Health::Leaving);
-        assert_eq!(cordons.apply(&host(Health::Left, 7)).health, Health::Left);
+        assert_eq!(cordons.apply(&host(EndpointHealth::Active, 7)).health, EndpointHealth::Draining);
+        assert_eq!(cordons.apply(&host(EndpointHealth::Removed, 7)).health, EndpointHealth::Removed);
         cordons.retain(|_| false);
         assert!(cordons.is_out("m1"));
         assert_eq!(cordons.uncordon("m1", false, 5_000_000), Ok(()));
         assert!(!cordons.is_out("m1"));
-        assert_eq!(cordons.apply(&host(Health::Active, 7)).health, Health::Active);
+        assert_eq!(cordons.apply(&host(EndpointHealth::Active, 7)).health, EndpointHealth::Active);
     }
 
     /// Guards against full load on a member that was restarted while it was out, of which discovery tells late.
@@ -144,15 +152,15 @@
     fn one_called_back_counts_as_started_then() {
         let mut cordons = Cordons::default();
         assert_eq!(cordons.uncordon("m1", true, 4_000_000), Ok(()));
-        assert_eq!(cordons.apply(&host(Health::Active, 7)).born_ms, 7, "it was not out");
+        assert_eq!(cordons.apply(&host(EndpointHealth::Active, 7)).started_at_ms, 7, "it was not out");
         assert_eq!(cordons.cordon("m1", true), Ok(()));
         assert_eq!(cordons.uncordon("m1", true, 5_000_000), Ok(()));
-        assert_eq!(cordons.apply(&host(Health::Active, 7)).born_ms, 5_000);
-        assert_eq!(cordons.apply(&host(Health::Active, 6_000)).born_ms, 6_000);
+        assert_eq!(cordons.apply(&host(EndpointHealth::Active, 7)).started_at_ms, 5_000);
+        assert_eq!(cordons.apply(&host(EndpointHealth::Active, 6_000)).started_at_ms, 6_000);
         let again = Cordons::new(cordons.out().map(str::to_string), [("m1".to_string(), 5_000_000)]);
         assert_eq!(again, cordons);
         cordons.retain(|_| false);
-        assert_eq!(cordons.apply(&host(Health::Active, 7)).born_ms, 7);
+        assert_eq!(cordons.apply(&host(EndpointHealth::Active, 7)).started_at_ms, 7);
     }
 
     #[test]
--- a/crates/discovery/src/desk.rs
+++ b/crates/discovery/src/desk.rs
@@ -7,7 +7,7 @@
 use super::pace::Pace;
 use fastrand::Rng;
 use std::collections::BTreeMap;
-use wharfplank_protocol::catalog::{Catalog, Host};
+use wharfplank_protocol::endpoint_list::{EndpointList, EndpointRecord};
 use wharfplank_routing::Micros;
 
 /// A watch answered after less than this part of its wait, with nothing to say, was hurried.
@@ -17,14 +17,14 @@
 #[derive(Debug)]
 struct Pending {
     doubt: Doubt,
-    list: Catalog,
+    list: EndpointList,
 }
 
 /// The list of members as far as it is believed, and the calls to discovery.
 #[derive(Debug)]
 pub struct Desk {
     pace: Pace,
-    held: BTreeMap<String, Host>,
+    held: BTreeMap<String, EndpointRecord>,
     /// The newest version believed at this address.
     seq: Option<u64>,
     /// The version of the list as it was known at the start, where a watch may go on from it.
@@ -49,13 +49,13 @@
 
 impl Desk {
     /// Begins at `now` with the list as it was last known.
-    pub fn new(pace: Pace, known: &Catalog, now: Micros) -> Self {
-        let held = known.hosts.iter().map(|h| (h.name.clone(), h.clone())).collect();
+    pub fn new(pace: Pace, known: &EndpointList, now: Micros) -> Self {
+        let held = known.endpoints.iter().map(|h| (h.name.clone(), h.clone())).collect();
         Desk {
             pace,
             held,
             seq: None,
-            known: pace.shared.and(Some(known.seq)).filter(|_| !known.hosts.is_empty()),
+            known: pace.shared.and(Some(known.version)).filter(|_| !known.endpoints.is_empty()),
             random: Rng::with_seed(pace.shared.map_or(0, |s| s.seed)),
             pending: None,
             stops: BTreeMap::new(),
--- a/crates/discovery/src/desk/belief.rs
+++ b/crates/discovery/src/desk/belief.rs
@@ -2,7 +2,7 @@
 
 use super::{Desk, Pending, HURRIED};
 use crate::{Doubt, News};
-use wharfplank_protocol::catalog::{Catalog, Health, Host};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 use wharfplank_routing::Micros;
 
 /// A member's deadline is kept this much early: the check itself takes a moment.
@@ -17,18 +17,18 @@
     }
 
     /// Takes an answer.
-    pub fn heard(&mut self, now: Micros, list: Catalog) -> News {
-        let nothing = !list.whole && list.hosts.is_empty() && self.seq == Some(list.seq);
+    pub fn heard(&mut self, now: Micros, list: EndpointList) -> News {
+        let nothing = !list.complete && list.endpoints.is_empty() && self.seq == Some(list.version);
         let quick = self.called_at.is_some_and(|at| now - at < self.pace.wait / HURRIED);
         self.hurried = if nothing && quick && !self.whole { self.hurried.saturating_add(1) } else { 0 };
         (self.heard_at, self.failures, self.waiting) = (Some(now), 0, false);
-        if list.whole {
+        if list.complete {
             self.whole_at = None;
         }
         let doubt = self.doubt(&list);
         let Some(doubt) = doubt.filter(|doubt| !self.confirmed(*doubt, &list)) else {
             // A change that says nothing settles no doubt about the whole.
-            if list.whole {
+            if list.complete {
                 self.pending = None;
             }
             self.whole = self.pending.is_some();
@@ -43,11 +43,12 @@
         }
         // A newer version brings back what an earlier one in doubt left out; an older one does not.
         if doubt == Doubt::Short {
-            let back =
-                |name: &String| list.hosts.iter().any(|h| h.name == *name && h.health == Health::Active);
+            let back = |name: &String| {
+                list.endpoints.iter().any(|h| h.name == *name && h.health == EndpointHealth::Active)
+            };
             self.stops.retain(|name, _| !back(name));
         }
-        if list.whole {
+        if list.complete {
             self.pending = Some(Pending { doubt, list });
         }
         let until = self.stops.iter().map(|(name, (until, _))| (name.clone(), *until));
@@ -76,22 +77,22 @@
             if all && (none_back || doubt == Doubt::Back) {
                 hosts.extend(self.held.get(&name).cloned());
             } else if let Some(host) = self.held.remove(&name) {
-                hosts.push(Host { health: Health::Left, ..host });
+                hosts.push(EndpointRecord { health: EndpointHealth::Removed, ..host });
             }
         }
-        let list = Catalog { seq: self.seq.unwrap_or(0), whole: false, hosts };
+        let list = EndpointList { version: self.seq.unwrap_or(0), complete: false, endpoints: hosts };
         News { list: Some(list), ..News::default() }
     }
 
-    fn active(&self) -> impl Iterator<Item = &Host> {
-        self.held.values().filter(|h| h.health == Health::Active)
+    fn active(&self) -> impl Iterator<Item = &EndpointRecord> {
+        self.held.values().filter(|h| h.health == EndpointHealth::Active)
     }
 
     /// Members in use that an answer takes out of use; none where those are all there are.
-    fn lacking(&self, list: &Catalog) -> Vec<String> {
-        let stays = |name: &str| match list.hosts.iter().find(|h| h.name == name) {
-            Some(host) => host.health == Health::Active,
-            None => !list.whole,
+    fn lacking(&self, list: &EndpointList) -> Vec<String> {
+        let stays = |name: &str| match list.endpoints.iter().find(|h| h.name == name) {
+            Some(host) => host.health == EndpointHealth::Active,
+            None => !list.complete,
         };
         let gone: Vec<String> = self.active().map(|h| h.name.clone()).filter(|name| !stays(name)).collect();
         if gone.len() == self.active().count() {
@@ -101,62 +102,62 @@
         }
     }
 
-    fn doubt(&self, list: &Catalog) -> Option<Doubt> {
+    fn doubt(&self, list: &EndpointList) -> Option<Doubt> {
         // Until the first answer, a change older than what was asked from leaves open what the whole list says.
-        let newest = self.seq.or(self.known.filter(|_| !list.whole));
-        if newest.is_some_and(|seq| list.seq < seq) {
+        let newest = self.seq.or(self.known.filter(|_| !list.complete));
+        if newest.is_some_and(|seq| list.version < seq) {
             return Some(Doubt::Back);
         }
         self.is_short(list).then_some(Doubt::Short)
     }
 
     /// Whether a whole list leaves out half of the members in use, or more. One that it calls leaving is there.
-    fn is_short(&self, list: &Catalog) -> bool {
-        let named = |name: &str| list.hosts.iter().any(|h| h.name == name);
+    fn is_short(&self, list: &EndpointList) -> bool {
+        let named = |name: &str| list.endpoints.iter().any(|h| h.name == name);
         let (all, missing) =
             self.active().fold((0, 0), |(all, missing), h| (all + 1, missing + usize::from(!named(&h.name))));
-        list.whole && missing > 0 && missing * 2 >= all
+        list.complete && missing > 0 && missing * 2 >= all
     }
 
     /// Whether an answer in doubt is the second that tells the same.
-    fn confirmed(&self, doubt: Doubt, list: &Catalog) -> bool {
-        let Some(pending) = self.pending.as_ref().filter(|p| p.doubt == doubt && list.whole) else {
+    fn confirmed(&self, doubt: Doubt, list: &EndpointList) -> bool {
+        let Some(pending) = self.pending.as_ref().filter(|p| p.doubt == doubt && list.complete) else {
             return false;
         };
-        let names = |list: &Catalog| {
-            let mut names: Vec<String> = list.hosts.iter().map(|h| h.name.clone()).collect();
+        let names = |list: &EndpointList| {
+            let mut names: Vec<String> = list.endpoints.iter().map(|h| h.name.clone()).collect();
             names.sort_unstable();
             names
         };
         // An agent that began anew counts its versions from there, and may have more to tell by the second answer.
         let anew = doubt == Doubt::Back && !self.is_short(list);
-        list.seq >= pending.list.seq && (anew || names(list) == names(&pending.list))
+        list.version >= pending.list.version && (anew || names(list) == names(&pending.list))
     }
 
     /// Makes a list the one that is believed; `None` where it says nothing.
-    fn believe(&mut self, now: Micros, mut list: Catalog) -> Option<Catalog> {
-        for host in &mut list.hosts {
+    fn believe(&mut self, now: Micros, mut list: EndpointList) -> Option<EndpointList> {
+        for host in &mut list.endpoints {
             // What is ahead of the clock cannot have been.
-            if host.born_ms > (now + AHEAD_MOST) / 1000 {
-                host.born_ms = now / 1000;
+            if host.started_at_ms > (now + AHEAD_MOST) / 1000 {
+                host.started_at_ms = now / 1000;
             }
             // A start does not come undone: an older one is an older word.
             if let Some(held) = self.held.get(&host.name) {
-                host.born_ms = host.born_ms.max(held.born_ms);
+                host.started_at_ms = host.started_at_ms.max(held.started_at_ms);
             }
         }
-        self.seq = Some(list.seq);
-        if list.whole {
+        self.seq = Some(list.version);
+        if list.complete {
             self.held.clear();
             self.stops.clear();
         }
-        for host in &list.hosts {
+        for host in &list.endpoints {
             self.stops.remove(&host.name);
             match host.health {
-                Health::Left => drop(self.held.remove(&host.name)),
+                EndpointHealth::Removed => drop(self.held.remove(&host.name)),
                 _ => drop(self.held.insert(host.name.clone(), host.clone())),
             }
         }
-        (list.whole || !list.hosts.is_empty()).then_some(list)
+        (list.complete || !list.endpoints.is_empty()).then_some(list)
     }
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -7,9 +7,9 @@
 //!
 //! ```
 //! use wharfplank_discovery::{Ask, Desk, Pace};
-//! use wharfplank_protocol::catalog::{parse, Catalog};
+//! use wharfplank_protocol::endpoint_list::{parse, EndpointList};
 //!
-//! let mut desk = Desk::new(Pace::new(1_000_000), &Catalog::default(), 0);
+//! let mut desk = Desk::new(Pace::new(1_000_000), &EndpointList::default(), 0);
 //! assert_eq!(desk.next(0).ask, Ask::Whole);
 //! let list = br#"{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}"#;
 //! let heard = desk.heard(10_000, parse(list).unwrap());
--- a/crates/discovery/src/news.rs
+++ b/crates/discovery/src/news.rs
@@ -1,6 +1,6 @@
 //! What is said of the list.
 
-use wharfplank_protocol::catalog::Catalog;
+use wharfplank_protocol::endpoint_list::EndpointList;
 use wharfplank_routing::Micros;
 
 /// Why the newest answer is not believed as it is.
@@ -52,7 +52,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct News {
     /// What is believed now: the whole list, or entries that changed.
-    pub list: Option<Catalog>,
+    pub list: Option<EndpointList>,
     /// Members that a doubted answer lacks, and until when they may be sent something all the same.
     pub until: Vec<(String, Micros)>,
     /// Why the newest answer was not believed as it is.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -2,9 +2,9 @@
 
 mod ask;
 pub mod buffer;
-pub mod catalog;
 pub mod client;
 pub mod comment;
+pub mod endpoint_list;
 pub mod http;
 pub mod pipeline;
 mod report;
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -39,9 +39,9 @@
 use wharfplank_admin::{Cordons, Succession};
 use wharfplank_discovery::{Age, Doubt, News};
 use wharfplank_pool_policy::Opening;
-use wharfplank_protocol::catalog::{Catalog, Health, Host};
 use wharfplank_protocol::client;
 use wharfplank_protocol::comment::ID_MOST;
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 use wharfplank_protocol::pipeline::{Answer, Ticket};
 use wharfplank_routing::settings::Terms;
 use wharfplank_routing::{
@@ -96,7 +96,7 @@
     members: BTreeMap<HostId, Rc<Member>>,
     names: HashMap<String, HostId>,
     /// The list as discovery tells it, without what operators say; and its version.
-    listed: BTreeMap<String, Host>,
+    listed: BTreeMap<String, EndpointRecord>,
     seq: u64,
     cordons: Cordons,
     /// Where this process may be replaced while it serves.
@@ -180,12 +180,12 @@
     }
 
     /// Works until the process is to end.
-    pub async fn run(mut self, known: Catalog, received: Receiver<Event>, operators: Receiver<Asking>) {
+    pub async fn run(mut self, known: EndpointList, received: Receiver<Event>, operators: Receiver<Asking>) {
         let mut actions = Vec::new();
         self.router.start(&mut actions);
         self.perform(self.clock.now(), actions);
         // The list as last known may be old, but nothing else is known yet: it counts as whole.
-        self.list(Catalog { whole: true, ..known });
+        self.list(EndpointList { complete: true, ..known });
         self.recall();
         loop {
             let wake_at = self.wake_at();
--- a/crates/proxy/src/broker/operators.rs
+++ b/crates/proxy/src/broker/operators.rs
@@ -43,7 +43,7 @@
         let out = self.cordons.is_out(id);
         log::operator(id, if out { "cordoned" } else { "uncordoned" });
         if let Some(host) = self.listed.get(id).map(|host| self.cordons.apply(host)) {
-            self.enlist(Catalog { seq: self.seq, whole: false, hosts: vec![host] });
+            self.enlist(EndpointList { version: self.seq, complete: false, endpoints: vec![host] });
         }
         format!("ok {}\n", if out { "cordoned" } else { "uncordoned" })
     }
--- a/crates/proxy/src/broker/replacement.rs
+++ b/crates/proxy/src/broker/replacement.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::path::PathBuf;
 use wharfplank_admin::{Call, Holds, Learned, State, Ways, Word};
-use wharfplank_protocol::catalog;
+use wharfplank_protocol::endpoint_list;
 use wharfplank_transport::handover::{self, Inherited, Link, Other, Post};
 
 /// How often the other process is told what this one holds.
@@ -236,7 +236,11 @@
         let hosts = self.listed.values().cloned().collect();
         State {
             version: wharfplank_admin::succession::VERSION,
-            list: catalog::write(&Catalog { seq: self.seq, whole: true, hosts }),
+            list: endpoint_list::to_json(&EndpointList {
+                version: self.seq,
+                complete: true,
+                endpoints: hosts,
+            }),
             out: self.cordons.out().map(str::to_string).collect(),
             back: self.cordons.back().map(|(id, at)| (id.to_string(), at)).collect(),
             learned: learned.collect(),
--- a/crates/proxy/src/broker/roster.rs
+++ b/crates/proxy/src/broker/roster.rs
@@ -20,33 +20,33 @@
     }
 
     /// Takes the list or its changes as discovery tells them.
-    pub(super) fn list(&mut self, catalog: Catalog) {
-        self.seq = catalog.seq;
-        if catalog.whole {
+    pub(super) fn list(&mut self, catalog: EndpointList) {
+        self.seq = catalog.version;
+        if catalog.complete {
             self.listed.clear();
         }
-        for host in &catalog.hosts {
+        for host in &catalog.endpoints {
             match host.health {
-                Health::Left => drop(self.listed.remove(&host.name)),
+                EndpointHealth::Removed => drop(self.listed.remove(&host.name)),
                 _ => drop(self.listed.insert(host.name.clone(), host.clone())),
             }
         }
-        if catalog.whole {
+        if catalog.complete {
             self.cordons.retain(|name| self.listed.contains_key(name));
         }
-        let hosts = catalog.hosts.iter().map(|host| self.cordons.apply(host)).collect();
-        self.enlist(Catalog { hosts, ..catalog });
+        let hosts = catalog.endpoints.iter().map(|host| self.cordons.apply(host)).collect();
+        self.enlist(EndpointList { endpoints: hosts, ..catalog });
     }
 
     /// Takes entries as they hold together with what operators say.
-    pub(super) fn enlist(&mut self, catalog: Catalog) {
-        if catalog.whole {
-            let named = |m: &Member| catalog.hosts.iter().any(|h| h.name == m.name());
+    pub(super) fn enlist(&mut self, catalog: EndpointList) {
+        if catalog.complete {
+            let named = |m: &Member| catalog.endpoints.iter().any(|h| h.name == m.name());
             self.members.values().filter(|m| !named(m)).for_each(|m| m.want(false, None));
         }
-        let seq = catalog.seq;
-        let entries: Vec<Entry> = catalog.hosts.iter().map(|host| self.entry(seq, host)).collect();
-        let event = if catalog.whole { routing::Event::List } else { routing::Event::ListChange };
+        let seq = catalog.version;
+        let entries: Vec<Entry> = catalog.endpoints.iter().map(|host| self.entry(seq, host)).collect();
+        let event = if catalog.complete { routing::Event::List } else { routing::Event::ListChange };
         self.tell(event(entries));
         // What waits for a connection to a member that takes nothing new must not go out.
         let stopped = |host: &HostId| self.members.get(host).is_none_or(|m| !m.wanted());
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(super) fn entry(&mut self, seq: u64, listed: &Host) -> Entry {
+    pub(super) fn entry(&mut self, seq: u64, listed: &EndpointRecord) -> Entry {
         let known = self.names.contains_key(&listed.name);
         let host = self.host(&listed.name);
         if !known {
@@ -77,8 +77,8 @@
         self.journal.listed(seq, host, listed);
         self.talk.listed(host, listed);
         self.lookups.listed(host, listed);
-        let wanted = listed.health == Health::Active;
-        match (self.members.get(&host), listed.dial) {
+        let wanted = listed.health == EndpointHealth::Active;
+        match (self.members.get(&host), listed.address) {
             (Some(member), dial) => member.want(wanted, dial),
             (None, Some(dial)) if wanted => {
                 let member = Member::new(Rc::clone(&self.shared), &listed.name, dial);
@@ -91,14 +91,14 @@
             host,
             group: GroupId(listed.group),
             listed: match listed.health {
-                Health::Active => Listed::Up,
-                Health::Leaving => Listed::Draining,
-                Health::Left => Listed::Removed,
+                EndpointHealth::Active => Listed::Up,
+                EndpointHealth::Draining => Listed::Draining,
+                EndpointHealth::Removed => Listed::Removed,
             },
             primary: listed.primary,
-            launched: (listed.born_ms > 0).then(|| listed.born_ms.saturating_mul(1000)),
-            local: listed.site == self.terms.zone,
-            zone: zone_number(&listed.site),
+            launched: (listed.started_at_ms > 0).then(|| listed.started_at_ms.saturating_mul(1000)),
+            local: listed.zone == self.terms.zone,
+            zone: zone_number(&listed.zone),
         }
     }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
-use wharfplank_protocol::catalog::{self, Catalog};
+use wharfplank_protocol::endpoint_list::{self, EndpointList};
 use wharfplank_routing::settings::{translate, Fields, Terms};
 use wharfplank_routing::{Consistency, Micros, Settings};
 
@@ -31,7 +31,7 @@
     /// Bytes of memory that may be used.
     pub memory: usize,
     /// The list as it was last known.
-    pub known: Catalog,
+    pub known: EndpointList,
     /// The module's settings.
     pub settings: Settings,
     /// The rest of the settings.
@@ -108,8 +108,8 @@
             }
         }
         let known = json.get("known").filter(|known| !known.is_null());
-        let known = known.map_or(Ok(Catalog::default()), |known| {
-            catalog::read(known).map_err(|what| format!("known: {what}"))
+        let known = known.map_or(Ok(EndpointList::default()), |known| {
+            endpoint_list::from_json(known).map_err(|what| format!("known: {what}"))
         })?;
         let (sockets, memory) = limits(&json)?;
         Ok(Config { listen, admin, discovery, sockets, memory, known, settings, terms })
--- a/crates/proxy/src/journal.rs
+++ b/crates/proxy/src/journal.rs
@@ -5,7 +5,7 @@
 use super::log;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
-use wharfplank_protocol::catalog::{Health, Host};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
 use wharfplank_records::recorder::Terms;
 use wharfplank_records::{record, store::Limits, Outcome, Record, Recorder, Seen};
 use wharfplank_rollout::status::name;
@@ -20,7 +20,7 @@
     recorder: Option<Recorder>,
     aims: Vec<Micros>,
     /// What the list last said of each member.
-    listed: HashMap<HostId, (Health, i64)>,
+    listed: HashMap<HostId, (EndpointHealth, i64)>,
 }
 
 /// The module's reason as records and the log's counts name it.
@@ -103,23 +103,23 @@
     }
 
     /// A member was heard of for the first time.
-    pub fn named(&self, host: HostId, listed: &Host) {
-        self.note(|| Record::Name { member: host.0, name: listed.name.clone(), zone: listed.site.clone() });
+    pub fn named(&self, host: HostId, listed: &EndpointRecord) {
+        self.note(|| Record::Name { member: host.0, name: listed.name.clone(), zone: listed.zone.clone() });
     }
 
     /// The list said something of a member.
-    pub fn listed(&mut self, seq: u64, host: HostId, listed: &Host) {
-        let (health, born) = (listed.health, listed.born_ms);
+    pub fn listed(&mut self, seq: u64, host: HostId, listed: &EndpointRecord) {
+        let (health, born) = (listed.health, listed.started_at_ms);
         if self.recorder.is_none() || self.listed.insert(host, (health, born)) == Some((health, born)) {
             return;
         }
         let name = match health {
-            Health::Active => "active",
-            Health::Leaving => "leaving",
-            Health::Left => "left",
+            EndpointHealth::Active => "active",
+            EndpointHealth::Draining => "leaving",
+            EndpointHealth::Removed => "left",
         };
         self.note(|| Record::Listed { seq, member: host.0, health: name.to_string(), born: born * 1000 });
-        if health == Health::Left {
+        if health == EndpointHealth::Removed {
             self.listed.remove(&host);
         }
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use wharfplank_admin::{Figures, Holds};
 use wharfplank_discovery::{Desk, Pace, Shared};
-use wharfplank_protocol::catalog;
+use wharfplank_protocol::endpoint_list;
 use wharfplank_settings::Settings;
 use wharfplank_transport::admin::{Admin, PLACES};
 use wharfplank_transport::clients::{self, Clients};
@@ -104,7 +104,7 @@
     });
     let pace = asked.map_or(pace, |shared| pace.shared(shared));
     // What the process that is replaced believes is newer than what the file knows.
-    let list = inherited.as_ref().and_then(|inherited| catalog::read(&inherited.state.list).ok());
+    let list = inherited.as_ref().and_then(|inherited| endpoint_list::from_json(&inherited.state.list).ok());
     config.known = list.unwrap_or(config.known);
     let desk = Desk::new(pace, &config.known, clock.now());
     let watch =
--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -9,8 +9,8 @@
 use std::net::UdpSocket;
 use std::rc::Rc;
 use wharfplank_negative_cache::{Asked, Hasher, Node, Terms, Ticket};
-use wharfplank_protocol::catalog::Host;
 use wharfplank_protocol::client::{Answer, Verdict};
+use wharfplank_protocol::endpoint_list::EndpointRecord;
 use wharfplank_routing::{ClassId, Consistency, Ending, GroupId, HostId, Micros, RequestId};
 use wharfplank_settings::Missing as MissingSettings;
 use wharfplank_shared_state::named;
@@ -209,16 +209,16 @@
     }
 
     /// A member as the list has it.
-    pub fn listed(&mut self, host: HostId, listed: &Host) {
+    pub fn listed(&mut self, host: HostId, listed: &EndpointRecord) {
         if self.on.is_none() {
             return;
         }
-        let site = self.sites.entry(host).or_insert(Site { born_ms: listed.born_ms, position: 0 });
-        if site.born_ms != listed.born_ms {
-            *site = Site { born_ms: listed.born_ms, position: 0 };
+        let site = self.sites.entry(host).or_insert(Site { born_ms: listed.started_at_ms, position: 0 });
+        if site.born_ms != listed.started_at_ms {
+            *site = Site { born_ms: listed.started_at_ms, position: 0 };
         }
         if listed.primary {
-            let primary = named(&format!("{} {}", listed.name, listed.born_ms)) as u32;
+            let primary = named(&format!("{} {}", listed.name, listed.started_at_ms)) as u32;
             self.primaries.insert(GroupId(listed.group), primary);
         }
     }
--- a/crates/proxy/src/release.rs
+++ b/crates/proxy/src/release.rs
@@ -9,7 +9,7 @@
 use std::net::UdpSocket;
 use std::path::PathBuf;
 use wharfplank_admin::Cordons;
-use wharfplank_protocol::catalog::{Health, Host};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
 use wharfplank_rollout::{Allowance, Desk, Identity, Kind, Look, Place, Roster, Said, Terms, Trial, View};
 use wharfplank_routing::{self as routing, ClassId, Ending, HostId, Micros};
 use wharfplank_settings::{Release as ReleaseSettings, Undo};
@@ -80,7 +80,7 @@
     pub fn tell(
         &mut self,
         now: Micros,
-        listed: &BTreeMap<String, Host>,
+        listed: &BTreeMap<String, EndpointRecord>,
         cordons: &Cordons,
         hosts: &HashMap<String, HostId>,
         views: impl Iterator<Item = routing::View>,
@@ -120,12 +120,12 @@
 
 /// A listed member, as the list has it, the router sees it and operators say. The list's launch is taken, not the
 /// one that a cordon's end gives it.
-fn look(listed: &Host, view: Option<&routing::View>, cordoned: bool, trial: Trial) -> Look {
+fn look(listed: &EndpointRecord, view: Option<&routing::View>, cordoned: bool, trial: Trial) -> Look {
     Look {
-        launch: listed.born_ms.max(0) as u64,
-        well: listed.health != Health::Left && view.is_some_and(|view| view.suspected.is_none()),
+        launch: listed.started_at_ms.max(0) as u64,
+        well: listed.health != EndpointHealth::Removed && view.is_some_and(|view| view.suspected.is_none()),
         primary: view.is_some_and(|view| view.primary),
-        drained: listed.health == Health::Leaving,
+        drained: listed.health == EndpointHealth::Draining,
         cordoned,
         trial,
     }
@@ -164,9 +164,9 @@
     use super::*;
     use wharfplank_routing::GroupId;
 
-    fn host(health: Health) -> Host {
+    fn host(health: EndpointHealth) -> EndpointRecord {
         let (name, site) = ("m1".to_string(), "a".to_string());
-        Host { name, dial: None, site, group: 1, health, born_ms: 7, primary: false }
+        EndpointRecord { name, address: None, zone: site, group: 1, health, started_at_ms: 7, primary: false }
     }
 
     fn view(suspected: Option<Micros>) -> routing::View {
@@ -190,11 +190,11 @@
     #[test]
     fn a_member_is_well_where_it_is_listed_and_not_suspected() {
         let of = |health, view: Option<&routing::View>| look(&host(health), view, false, Trial::default());
-        assert!(of(Health::Active, Some(&view(None))).well);
-        assert!(!of(Health::Active, Some(&view(Some(5)))).well);
-        assert!(!of(Health::Left, Some(&view(None))).well);
-        assert!(!of(Health::Active, None).well);
-        let drained = of(Health::Leaving, Some(&view(None)));
+        assert!(of(EndpointHealth::Active, Some(&view(None))).well);
+        assert!(!of(EndpointHealth::Active, Some(&view(Some(5)))).well);
+        assert!(!of(EndpointHealth::Removed, Some(&view(None))).well);
+        assert!(!of(EndpointHealth::Active, None).well);
+        let drained = of(EndpointHealth::Draining, Some(&view(None)));
         assert!(drained.well && drained.drained && drained.primary && drained.launch == 7);
     }
 
--- a/crates/proxy/src/talk.rs
+++ b/crates/proxy/src/talk.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 use wharfplank_health::Outcome;
-use wharfplank_protocol::catalog::Host;
+use wharfplank_protocol::endpoint_list::EndpointRecord;
 use wharfplank_protocol::pipeline::Answer;
 use wharfplank_routing::{Class, ClassId, Effect, Ending, HostId, Micros, RequestId, Told};
 use wharfplank_shared_state::{named, Doubt, News};
@@ -57,12 +57,12 @@
     }
 
     /// A member as the list has it, by its number.
-    pub fn listed(&mut self, host: HostId, listed: &Host) {
+    pub fn listed(&mut self, host: HostId, listed: &EndpointRecord) {
         let Some(witness) = &self.witness else { return };
-        let (key, born_ms) = (named(&listed.name), listed.born_ms);
-        witness.listed(key, &listed.name, &listed.site, born_ms);
-        let old = self.sites.get(&host).map(|site| &site.zone).filter(|zone| ***zone == *listed.site);
-        let zone = old.map_or_else(|| Arc::from(listed.site.as_str()), Arc::clone);
+        let (key, born_ms) = (named(&listed.name), listed.started_at_ms);
+        witness.listed(key, &listed.name, &listed.zone, born_ms);
+        let old = self.sites.get(&host).map(|site| &site.zone).filter(|zone| ***zone == *listed.zone);
+        let zone = old.map_or_else(|| Arc::from(listed.zone.as_str()), Arc::clone);
         self.sites.insert(host, Site { zone, key, born_ms });
         self.hosts.insert(key, host);
     }
--- a/crates/transport/src/discovery/call.rs
+++ b/crates/transport/src/discovery/call.rs
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wharfplank_discovery::{Ask, Call, Pace};
-use wharfplank_protocol::catalog::{self, Catalog};
+use wharfplank_protocol::endpoint_list::{self, EndpointList};
 use wharfplank_protocol::http;
 use wharfplank_routing::Micros;
 
 /// An answer, and its connection where that can be used again.
-type Answered = Option<(Catalog, Option<Connection>)>;
+type Answered = Option<(EndpointList, Option<Connection>)>;
 
 fn span(micros: Micros) -> Duration {
     Duration::from_micros(micros.max(0) as u64)
@@ -96,12 +96,12 @@
         mut connection: Connection,
         target: &str,
         limits: Limits,
-    ) -> Result<(Catalog, Option<Connection>), bool> {
+    ) -> Result<(EndpointList, Option<Connection>), bool> {
         let host = self.address.to_string();
         let (reason, ended) = match connection.exchange(target, &host, limits).await {
             Err(reason) => (reason, matches!(reason, "reset" | "server_closed") && !connection.begun),
             Ok(answer) if answer.status != 200 => ("http_status", false),
-            Ok(answer) => match catalog::parse(&answer.body) {
+            Ok(answer) => match endpoint_list::parse(&answer.body) {
                 Err(_) => ("malformed_list", false),
                 Ok(list) => {
                     connection.line.calls += 1;
--- a/tests/discovery_fleet.rs
+++ b/tests/discovery_fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 use wharfplank::membership::{Ask, Call, Desk, Pace, Shared};
-use wharfplank::protocol::catalog::{Catalog, Health, Host};
+use wharfplank::protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 
 #[path = "discovery_fleet/service.rs"]
 mod service;
@@ -56,11 +56,19 @@
     peak: usize,
 }
 
-fn catalog(seq: u64, whole: bool) -> Catalog {
+fn catalog(seq: u64, whole: bool) -> EndpointList {
     let dial = Some("127.0.0.1:1".parse().unwrap());
     let (name, site) = ("a".to_string(), String::new());
-    let host = Host { name, dial, site, group: 0, health: Health::Active, born_ms: 0, primary: false };
-    Catalog { seq, whole, hosts: vec![host] }
+    let host = EndpointRecord {
+        name,
+        address: dial,
+        zone: site,
+        group: 0,
+        health: EndpointHealth::Active,
+        started_at_ms: 0,
+        primary: false,
+    };
+    EndpointList { version: seq, complete: whole, endpoints: vec![host] }
 }
 
 fn play(proxies: usize, turn: i64, trouble: Trouble) -> Course {
--- a/tests/discovery_times.rs
+++ b/tests/discovery_times.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use wharfplank::membership::{Ask, Call, Desk, Pace, Shared};
-use wharfplank::protocol::catalog::{Catalog, Health, Host};
+use wharfplank::protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 
 const SECOND: i64 = 1_000_000;
 const START: i64 = 1_800_000_000 * SECOND;
@@ -14,18 +14,22 @@
 /// The broker's share of the time: from the answer's last byte to the last send that still begins.
 const ACTED: i64 = 20_000;
 
-fn list(seq: u64, whole: bool) -> Catalog {
+fn list(seq: u64, whole: bool) -> EndpointList {
     let dial = Some("127.0.0.1:1".parse().unwrap());
-    let host = |name: &str| Host {
+    let host = |name: &str| EndpointRecord {
         name: name.into(),
-        dial,
-        site: String::new(),
+        address: dial,
+        zone: String::new(),
         group: 0,
-        health: Health::Active,
-        born_ms: 0,
+        health: EndpointHealth::Active,
+        started_at_ms: 0,
         primary: false,
     };
-    Catalog { seq, whole, hosts: if whole { vec![host("a"), host("b")] } else { vec![] } }
+    EndpointList {
+        version: seq,
+        complete: whole,
+        endpoints: if whole { vec![host("a"), host("b")] } else { vec![] },
+    }
 }
 
 /// What becomes of a call that begins before discovery can be reached. Parts are thousandths.
@@ -137,7 +141,7 @@
         restarted in any::<bool>(),
     ) {
         let (back, hups, fates) = story;
-        let known = if restarted { Catalog::default() } else { list(1, true) };
+        let known = if restarted { EndpointList::default() } else { list(1, true) };
         let pace = Pace::new(stop_within).shared(shared);
         let mut desk = Desk::new(pace, &known, START);
         let (acted, hup_at) = acted(&mut desk, back, &hups, &fates, late);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 use wharfplank::membership::{Ask, Call, Desk, Pace, Shared};
-use wharfplank::protocol::catalog::{parse, Catalog};
+use wharfplank::protocol::endpoint_list::{parse, EndpointList};
 
 const MS: i64 = 1_000;
 const SECOND: i64 = 1_000 * MS;
@@ -81,7 +81,10 @@
             if refused || mine == Some(false) || (now >= until && !subscribed[proxy]) {
                 desk.failed(now);
             } else if now >= until || (mine == Some(true) && !asked) {
-                desk.heard(now, Catalog { seq: 1, whole: !asked, hosts: known.hosts.clone() });
+                desk.heard(
+                    now,
+                    EndpointList { version: 1, complete: !asked, endpoints: known.endpoints.clone() },
+                );
             } else {
                 continue;
             }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -4,19 +4,31 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank::membership::{Age, Ask, Desk, Doubt, News, Pace, Shared};
-use wharfplank::protocol::catalog::{Catalog, Health, Host};
+use wharfplank::protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 
 const SECOND: i64 = 1_000_000;
 const START: i64 = 1_800_000_000 * SECOND;
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-fn host(name: &str, health: Health) -> Host {
+fn host(name: &str, health: EndpointHealth) -> EndpointRecord {
     let dial = Some("127.0.0.1:1".parse().unwrap());
-    Host { name: name.into(), dial, site: String::new(), group: 0, health, born_ms: 0, primary: false }
+    EndpointRecord {
+        name: name.into(),
+        address: dial,
+        zone: String::new(),
+        group: 0,
+        health,
+        started_at_ms: 0,
+        primary: false,
+    }
 }
 
-fn list(seq: u64, whole: bool, names: &[&str]) -> Catalog {
-    Catalog { seq, whole, hosts: names.iter().map(|n| host(n, Health::Active)).collect() }
+fn list(seq: u64, whole: bool, names: &[&str]) -> EndpointList {
+    EndpointList {
+        version: seq,
+        complete: whole,
+        endpoints: names.iter().map(|n| host(n, EndpointHealth::Active)).collect(),
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -67,14 +79,17 @@
             self.until.insert(name, until);
         }
         let Some(list) = news.list else { return };
-        assert!(!list.whole || !list.hosts.is_empty() || self.empties > 1, "empty by one answer alone");
-        if list.whole {
+        assert!(
+            !list.complete || !list.endpoints.is_empty() || self.empties > 1,
+            "empty by one answer alone"
+        );
+        if list.complete {
             self.active.clear();
         }
-        for host in list.hosts {
+        for host in list.endpoints {
             self.until.remove(&host.name);
             match host.health {
-                Health::Active => self.active.insert(host.name),
+                EndpointHealth::Active => self.active.insert(host.name),
                 _ => self.active.remove(&host.name),
             };
         }
@@ -89,13 +104,17 @@
         let seq = self.newest.saturating_add_signed(ahead);
         let healths: Vec<(&str, u8)> = NAMES.into_iter().zip(healths.iter().copied()).collect();
         let hosts = healths.iter().filter(|(_, h)| *h > 0).map(|(name, h)| {
-            host(name, [Health::Active, Health::Leaving, Health::Left][usize::from(*h) - 1])
+            host(
+                name,
+                [EndpointHealth::Active, EndpointHealth::Draining, EndpointHealth::Removed]
+                    [usize::from(*h) - 1],
+            )
         });
-        let catalog = Catalog { seq, whole, hosts: hosts.collect() };
+        let catalog = EndpointList { version: seq, complete: whole, endpoints: hosts.collect() };
         let out = |h: u8| if whole { h != 1 } else { h > 1 };
         let in_use = |name: &str| self.active.contains(name);
         let all = self.active.iter().all(|n| healths.iter().any(|(name, h)| name == n && out(*h)));
-        self.empties = if whole && catalog.hosts.is_empty() { self.empties + 1 } else { 0 };
+        self.empties = if whole && catalog.endpoints.is_empty() { self.empties + 1 } else { 0 };
         // What an answer of a newer version tells binds from now on, unless it would leave no member at all.
         if ahead >= 0 && (!whole || !all) {
             for (name, h) in &healths {
@@ -221,14 +240,21 @@
     assert_eq!(news.until.len(), 3);
     assert!(news.until.iter().all(|(_, until)| (START + 10..=START + 10 + SECOND).contains(until)));
     assert_eq!(desk.next(START + 20).ask, Ask::Whole);
-    assert_eq!(desk.heard(START + 30, list(6, true, &["a", "b", "c"])).list.map(|l| l.hosts.len()), Some(3));
+    assert_eq!(
+        desk.heard(START + 30, list(6, true, &["a", "b", "c"])).list.map(|l| l.endpoints.len()),
+        Some(3)
+    );
     assert_eq!(desk.due(), None);
     // One that nobody confirms counts by its deadline; one that would leave nobody never does alone.
     assert_eq!(desk.heard(START + 40, list(7, true, &["a"])).doubt, Some(Doubt::Short));
     let due = desk.due().unwrap();
     assert_eq!(desk.lapse(due - 1), News::default());
-    let left: Vec<_> = desk.lapse(due).list.unwrap().hosts.into_iter().map(|h| (h.name, h.health)).collect();
-    assert_eq!(left, [("b".to_string(), Health::Left), ("c".to_string(), Health::Left)]);
+    let left: Vec<_> =
+        desk.lapse(due).list.unwrap().endpoints.into_iter().map(|h| (h.name, h.health)).collect();
+    assert_eq!(
+        left,
+        [("b".to_string(), EndpointHealth::Removed), ("c".to_string(), EndpointHealth::Removed)]
+    );
     let empty = desk.heard(due + 10, list(8, true, &[]));
     assert_eq!((empty.list, empty.until.len(), empty.doubt), (None, 0, Some(Doubt::Short)));
     assert_eq!(desk.lapse(due + 2 * SECOND), News::default());
@@ -244,7 +270,7 @@
     assert_eq!(desk.heard(START + 1, list(3, true, &NAMES)).doubt, Some(Doubt::Back));
     assert_eq!(desk.heard(START + 2, list(9, true, &["a", "b", "c"])).doubt, None);
     assert_eq!(desk.heard(START + 3, list(3, true, &NAMES)).doubt, Some(Doubt::Back));
-    assert_eq!(desk.heard(START + 4, list(4, true, &NAMES)).list.map(|l| l.hosts.len()), Some(6));
+    assert_eq!(desk.heard(START + 4, list(4, true, &NAMES)).list.map(|l| l.endpoints.len()), Some(6));
     assert_eq!(desk.next(START + 5).ask, Ask::Watch { seq: 4 });
     // A patch of an older version says nothing and has the whole list asked for.
     assert_eq!(desk.heard(START + 6, list(2, false, &["z"])).doubt, Some(Doubt::Back));
@@ -254,10 +280,13 @@
 /// Guards against a start that comes undone, which would end a cold member's budget, or lies ahead of the clock.
 #[test]
 fn a_start_stays() {
-    let mut desk = Desk::new(Pace::new(SECOND), &Catalog::default(), START);
-    let born =
-        |ms| Catalog { seq: 1, whole: true, hosts: vec![Host { born_ms: ms, ..host("a", Health::Active) }] };
-    let mut told = |ms| desk.heard(START, born(ms)).list.unwrap().hosts[0].born_ms;
+    let mut desk = Desk::new(Pace::new(SECOND), &EndpointList::default(), START);
+    let born = |ms| EndpointList {
+        version: 1,
+        complete: true,
+        endpoints: vec![EndpointRecord { started_at_ms: ms, ..host("a", EndpointHealth::Active) }],
+    };
+    let mut told = |ms| desk.heard(START, born(ms)).list.unwrap().endpoints[0].started_at_ms;
     assert_eq!(told(START / 1000 - 500), START / 1000 - 500);
     assert_eq!(told(0), START / 1000 - 500);
     assert_eq!(told(START / 1000 + 60_000), START / 1000);
