--- a/crates/discovery/src/event.rs
+++ b/crates/discovery/src/event.rs
@@ -1,6 +1,6 @@
 //! What the tracker reports to its caller.
 
-use wharfplank_protocol::catalog::Catalog;
+use wharfplank_protocol::endpoint_list::EndpointList;
 use wharfplank_routing::Micros;
 
 /// Why an answer is suspect and has to be confirmed by another one before it is accepted.
@@ -61,7 +61,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct WatchEvent {
     /// The accepted change: the complete list, or the entries that changed.
-    pub update: Option<Catalog>,
+    pub update: Option<EndpointList>,
     /// The deadlines of the endpoints that suspect answers take out of use.
     pub deadlines: Vec<SendDeadline>,
     /// Why the newest answer was not accepted.
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -9,13 +9,13 @@
 //!
 //! ```
 //! use wharfplank_discovery::{EndpointTracker, PollKind, PollSchedule};
-//! use wharfplank_protocol::catalog::{parse, Catalog};
+//! use wharfplank_protocol::endpoint_list::{parse, EndpointList};
 //!
-//! let mut tracker = EndpointTracker::new(PollSchedule::new(1_000_000), &Catalog::default(), 0);
+//! let mut tracker = EndpointTracker::new(PollSchedule::new(1_000_000), &EndpointList::default(), 0);
 //! assert_eq!(tracker.next_poll(0).kind, PollKind::FullList);
 //! let body = br#"{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}"#;
 //! let event = tracker.on_response(10_000, parse(body).unwrap());
-//! assert_eq!(event.update.unwrap().hosts.len(), 1);
+//! assert_eq!(event.update.unwrap().endpoints.len(), 1);
 //! assert_eq!(tracker.next_poll(10_000).kind, PollKind::Watch { version: 7 });
 //! ```
 
--- a/crates/discovery/src/tracker.rs
+++ b/crates/discovery/src/tracker.rs
@@ -7,7 +7,7 @@
 use crate::{PollRequest, PollSchedule, Staleness, WatchEvent};
 use list::AcceptedList;
 use poll::PollState;
-use wharfplank_protocol::catalog::Catalog;
+use wharfplank_protocol::endpoint_list::EndpointList;
 use wharfplank_routing::Micros;
 
 /// Tracks the endpoint list of one discovery address at a time and decides when to poll it.
@@ -19,7 +19,7 @@
 
 impl EndpointTracker {
     /// Starts at `now` with the endpoint list as it was last known.
-    pub fn new(schedule: PollSchedule, known: &Catalog, now: Micros) -> Self {
+    pub fn new(schedule: PollSchedule, known: &EndpointList, now: Micros) -> Self {
         EndpointTracker { list: AcceptedList::new(&schedule, known), poll: PollState::new(schedule, now) }
     }
 
@@ -48,9 +48,9 @@
     }
 
     /// Takes a response and returns what it changed.
-    pub fn on_response(&mut self, now: Micros, answer: Catalog) -> WatchEvent {
+    pub fn on_response(&mut self, now: Micros, answer: EndpointList) -> WatchEvent {
         self.poll.on_response(now, self.list.is_unchanged_by(&answer));
-        if answer.whole {
+        if answer.complete {
             self.poll.cancel_scheduled_full_list();
         }
         let event = self.list.on_answer(now, answer);
--- a/crates/discovery/src/tracker/list.rs
+++ b/crates/discovery/src/tracker/list.rs
@@ -2,7 +2,7 @@
 
 use crate::{PollSchedule, SendDeadline, SuspectReason, WatchEvent};
 use std::collections::BTreeMap;
-use wharfplank_protocol::catalog::{Catalog, Health, Host};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 use wharfplank_routing::Micros;
 
 /// An endpoint's deadline is this much earlier than the drain grace allows: checking it takes a moment.
@@ -16,7 +16,7 @@
 pub(super) struct AcceptedList {
     drain_grace: Micros,
     /// The accepted entries by name.
-    pub(super) entries: BTreeMap<String, Host>,
+    pub(super) entries: BTreeMap<String, EndpointRecord>,
     /// The newest version accepted from this address.
     pub(super) version: Option<u64>,
     /// A version from before this address was first polled, from which a watch may resume.
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub(super) struct PendingAnswer {
     pub(super) reason: SuspectReason,
-    pub(super) list: Catalog,
+    pub(super) list: EndpointList,
 }
 
 /// When an endpoint goes out of use because of a suspect answer.
@@ -42,13 +42,13 @@
 }
 
 impl AcceptedList {
-    pub(super) fn new(schedule: &PollSchedule, known: &Catalog) -> Self {
-        let can_resume = schedule.shared.is_some() && !known.hosts.is_empty();
+    pub(super) fn new(schedule: &PollSchedule, known: &EndpointList) -> Self {
+        let can_resume = schedule.shared.is_some() && !known.endpoints.is_empty();
         AcceptedList {
             drain_grace: schedule.drain_grace,
-            entries: known.hosts.iter().map(|host| (host.name.clone(), host.clone())).collect(),
+            entries: known.endpoints.iter().map(|record| (record.name.clone(), record.clone())).collect(),
             version: None,
-            resume_version: can_resume.then_some(known.seq),
+            resume_version: can_resume.then_some(known.version),
             pending: None,
             deadlines: BTreeMap::new(),
         }
@@ -67,8 +67,8 @@
     }
 
     /// Whether an answer says that nothing changed.
-    pub(super) fn is_unchanged_by(&self, answer: &Catalog) -> bool {
-        !answer.whole && answer.hosts.is_empty() && self.version == Some(answer.seq)
+    pub(super) fn is_unchanged_by(&self, answer: &EndpointList) -> bool {
+        !answer.complete && answer.endpoints.is_empty() && self.version == Some(answer.version)
     }
 
     /// Whether a suspect answer waits for its confirmation.
@@ -77,7 +77,7 @@
     }
 
     /// Accepts an answer, or keeps it as suspect.
-    pub(super) fn on_answer(&mut self, now: Micros, answer: Catalog) -> WatchEvent {
+    pub(super) fn on_answer(&mut self, now: Micros, answer: EndpointList) -> WatchEvent {
         let suspect = self.inspect(&answer).filter(|reason| !self.is_confirmed_by(*reason, &answer));
         match suspect {
             Some(reason) => self.hold_back(now, reason, answer),
@@ -86,19 +86,19 @@
     }
 
     /// Keeps a suspect answer for its confirmation and sets the deadlines that it gives rise to.
-    fn hold_back(&mut self, now: Micros, reason: SuspectReason, answer: Catalog) -> WatchEvent {
+    fn hold_back(&mut self, now: Micros, reason: SuspectReason, answer: EndpointList) -> WatchEvent {
         self.add_deadlines(now, reason, &answer);
         if reason == SuspectReason::MissingEndpoints {
             // A newer version restores what an earlier suspect one left out; an older one does not.
             self.cancel_deadlines_of_active(&answer);
         }
-        if answer.whole {
+        if answer.complete {
             self.pending = Some(PendingAnswer { reason, list: answer });
         }
         WatchEvent { update: None, deadlines: self.send_deadlines(), suspect: Some(reason) }
     }
 
-    fn add_deadlines(&mut self, now: Micros, reason: SuspectReason, answer: &Catalog) {
+    fn add_deadlines(&mut self, now: Micros, reason: SuspectReason, answer: &EndpointList) {
         let until = now + (self.drain_grace - DEADLINE_MARGIN).max(0);
         for name in self.removed_by(answer) {
             // A second suspect answer does not move the deadlines of the first.
@@ -109,9 +109,13 @@
         }
     }
 
-    fn cancel_deadlines_of_active(&mut self, answer: &Catalog) {
-        let is_active =
-            |name: &str| answer.hosts.iter().any(|host| host.name == name && host.health == Health::Active);
+    fn cancel_deadlines_of_active(&mut self, answer: &EndpointList) {
+        let is_active = |name: &str| {
+            answer
+                .endpoints
+                .iter()
+                .any(|record| record.name == name && record.health == EndpointHealth::Active)
+        };
         self.deadlines.retain(|name, _| !is_active(name));
     }
 
@@ -124,40 +128,40 @@
     }
 
     /// Merges an answer into the list. The event has no update where the answer says nothing.
-    fn accept(&mut self, now: Micros, mut answer: Catalog) -> WatchEvent {
-        for host in &mut answer.hosts {
-            self.correct_start(now, host);
+    fn accept(&mut self, now: Micros, mut answer: EndpointList) -> WatchEvent {
+        for record in &mut answer.endpoints {
+            self.correct_start(now, record);
         }
-        self.version = Some(answer.seq);
-        if answer.whole {
+        self.version = Some(answer.version);
+        if answer.complete {
             // A change settles nothing about a suspect complete list; another complete list does.
             self.pending = None;
             self.entries.clear();
             self.deadlines.clear();
         }
-        for host in &answer.hosts {
-            self.merge(host);
+        for record in &answer.endpoints {
+            self.merge(record);
         }
-        let says_something = answer.whole || !answer.hosts.is_empty();
+        let says_something = answer.complete || !answer.endpoints.is_empty();
         WatchEvent { update: says_something.then_some(answer), ..WatchEvent::default() }
     }
 
     /// Corrects the time of an endpoint's last start: it is not in the future, and does not go back.
-    fn correct_start(&self, now: Micros, host: &mut Host) {
-        if host.born_ms > (now + MAX_CLOCK_SKEW) / MICROS_PER_MILLI {
-            host.born_ms = now / MICROS_PER_MILLI;
+    fn correct_start(&self, now: Micros, record: &mut EndpointRecord) {
+        if record.started_at_ms > (now + MAX_CLOCK_SKEW) / MICROS_PER_MILLI {
+            record.started_at_ms = now / MICROS_PER_MILLI;
         }
-        if let Some(accepted) = self.entries.get(&host.name) {
-            host.born_ms = host.born_ms.max(accepted.born_ms);
+        if let Some(accepted) = self.entries.get(&record.name) {
+            record.started_at_ms = record.started_at_ms.max(accepted.started_at_ms);
         }
     }
 
-    fn merge(&mut self, host: &Host) {
-        self.deadlines.remove(&host.name);
-        if host.health == Health::Left {
-            self.entries.remove(&host.name);
+    fn merge(&mut self, record: &EndpointRecord) {
+        self.deadlines.remove(&record.name);
+        if record.health == EndpointHealth::Removed {
+            self.entries.remove(&record.name);
         } else {
-            self.entries.insert(host.name.clone(), host.clone());
+            self.entries.insert(record.name.clone(), record.clone());
         }
     }
 
@@ -175,16 +179,16 @@
         let would_remove_all = expired.len() >= self.active().count();
         let all_missing =
             expired.iter().all(|(_, deadline)| deadline.reason == SuspectReason::MissingEndpoints);
-        let mut hosts = Vec::new();
+        let mut records = Vec::new();
         for (name, deadline) in expired {
             let is_weak = all_missing || deadline.reason == SuspectReason::OlderVersion;
             if would_remove_all && is_weak {
-                hosts.extend(self.entries.get(&name).cloned());
-            } else if let Some(host) = self.entries.remove(&name) {
-                hosts.push(Host { health: Health::Left, ..host });
+                records.extend(self.entries.get(&name).cloned());
+            } else if let Some(record) = self.entries.remove(&name) {
+                records.push(EndpointRecord { health: EndpointHealth::Removed, ..record });
             }
         }
-        let update = Catalog { seq: self.version.unwrap_or(0), whole: false, hosts };
+        let update = EndpointList { version: self.version.unwrap_or(0), complete: false, endpoints: records };
         WatchEvent { update: Some(update), ..WatchEvent::default() }
     }
 
@@ -197,7 +201,7 @@
     }
 
     /// The endpoints in use.
-    pub(super) fn active(&self) -> impl Iterator<Item = &Host> {
-        self.entries.values().filter(|host| host.health == Health::Active)
+    pub(super) fn active(&self) -> impl Iterator<Item = &EndpointRecord> {
+        self.entries.values().filter(|record| record.health == EndpointHealth::Active)
     }
 }
--- a/crates/discovery/src/tracker/suspect.rs
+++ b/crates/discovery/src/tracker/suspect.rs
@@ -2,30 +2,30 @@
 
 use super::list::AcceptedList;
 use crate::SuspectReason;
-use wharfplank_protocol::catalog::{Catalog, Health, Host};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 
 impl AcceptedList {
     /// Why an answer is suspect, if it is.
-    pub(super) fn inspect(&self, answer: &Catalog) -> Option<SuspectReason> {
+    pub(super) fn inspect(&self, answer: &EndpointList) -> Option<SuspectReason> {
         // Until the first answer, a change older than the requested version says nothing about the complete list.
-        let newest = self.version.or(self.resume_version.filter(|_| !answer.whole));
-        if newest.is_some_and(|version| answer.seq < version) {
+        let newest = self.version.or(self.resume_version.filter(|_| !answer.complete));
+        if newest.is_some_and(|version| answer.version < version) {
             return Some(SuspectReason::OlderVersion);
         }
         self.lacks_half(answer).then_some(SuspectReason::MissingEndpoints)
     }
 
     /// Whether a complete list lacks half of the active endpoints or more. One that it lists as leaving is not missing.
-    fn lacks_half(&self, answer: &Catalog) -> bool {
+    fn lacks_half(&self, answer: &EndpointList) -> bool {
         let active = self.active().count();
-        let missing = self.active().filter(|host| find(answer, &host.name).is_none()).count();
-        answer.whole && missing > 0 && missing * 2 >= active
+        let missing = self.active().filter(|record| find(answer, &record.name).is_none()).count();
+        answer.complete && missing > 0 && missing * 2 >= active
     }
 
     /// Whether an answer that is suspect for this reason repeats the pending one.
-    pub(super) fn is_confirmed_by(&self, reason: SuspectReason, answer: &Catalog) -> bool {
+    pub(super) fn is_confirmed_by(&self, reason: SuspectReason, answer: &EndpointList) -> bool {
         let Some(pending) = &self.pending else { return false };
-        if pending.reason != reason || !answer.whole || answer.seq < pending.list.seq {
+        if pending.reason != reason || !answer.complete || answer.version < pending.list.version {
             return false;
         }
         // A restarted agent counts its versions anew, and may list more endpoints by its second answer.
@@ -34,8 +34,8 @@
     }
 
     /// The active endpoints that an answer takes out of use; none if it would take out all of them.
-    pub(super) fn removed_by(&self, answer: &Catalog) -> Vec<String> {
-        let active = self.active().map(|host| host.name.as_str());
+    pub(super) fn removed_by(&self, answer: &EndpointList) -> Vec<String> {
+        let active = self.active().map(|record| record.name.as_str());
         let removed: Vec<String> =
             active.filter(|name| !stays_active(answer, name)).map(str::to_string).collect();
         if removed.len() == self.active().count() {
@@ -47,19 +47,19 @@
 }
 
 /// Whether an active endpoint stays active by an answer.
-fn stays_active(answer: &Catalog, name: &str) -> bool {
+fn stays_active(answer: &EndpointList, name: &str) -> bool {
     match find(answer, name) {
-        Some(host) => host.health == Health::Active,
-        None => !answer.whole,
+        Some(record) => record.health == EndpointHealth::Active,
+        None => !answer.complete,
     }
 }
 
-fn find<'a>(list: &'a Catalog, name: &str) -> Option<&'a Host> {
-    list.hosts.iter().find(|host| host.name == name)
+fn find<'a>(list: &'a EndpointList, name: &str) -> Option<&'a EndpointRecord> {
+    list.endpoints.iter().find(|record| record.name == name)
 }
 
-fn sorted_names(list: &Catalog) -> Vec<&str> {
-    let mut names: Vec<&str> = list.hosts.iter().map(|host| host.name.as_str()).collect();
+fn sorted_names(list: &EndpointList) -> Vec<&str> {
+    let mut names: Vec<&str> = list.endpoints.iter().map(|record| record.name.as_str()).collect();
     names.sort_unstable();
     names
 }
--- a/crates/discovery/tests/endpoint_list.rs
+++ b/crates/discovery/tests/endpoint_list.rs
@@ -6,19 +6,31 @@
 use wharfplank_discovery::{
     EndpointTracker, PollKind, PollSchedule, SharedDiscovery, Staleness, SuspectReason, WatchEvent,
 };
-use wharfplank_protocol::catalog::{Catalog, Health, Host};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 
 const SECOND: i64 = 1_000_000;
 const START: i64 = 1_800_000_000 * SECOND;
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-fn host(name: &str, health: Health) -> Host {
+fn host(name: &str, health: EndpointHealth) -> EndpointRecord {
     let dial = Some("127.0.0.1:1".parse().unwrap());
-    Host { name: name.into(), dial, site: String::new(), group: 0, health, born_ms: 0, primary: false }
+    EndpointRecord {
+        name: name.into(),
+        address: dial,
+        zone: String::new(),
+        group: 0,
+        health,
+        started_at_ms: 0,
+        primary: false,
+    }
 }
 
-fn list(seq: u64, whole: bool, names: &[&str]) -> Catalog {
-    Catalog { seq, whole, hosts: names.iter().map(|n| host(n, Health::Active)).collect() }
+fn list(seq: u64, whole: bool, names: &[&str]) -> EndpointList {
+    EndpointList {
+        version: seq,
+        complete: whole,
+        endpoints: names.iter().map(|n| host(n, EndpointHealth::Active)).collect(),
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -69,14 +81,17 @@
             self.until.insert(deadline.endpoint, deadline.until);
         }
         let Some(list) = event.update else { return };
-        assert!(!list.whole || !list.hosts.is_empty() || self.empties > 1, "empty by one answer alone");
-        if list.whole {
+        assert!(
+            !list.complete || !list.endpoints.is_empty() || self.empties > 1,
+            "empty by one answer alone"
+        );
+        if list.complete {
             self.active.clear();
         }
-        for host in list.hosts {
+        for host in list.endpoints {
             self.until.remove(&host.name);
             match host.health {
-                Health::Active => self.active.insert(host.name),
+                EndpointHealth::Active => self.active.insert(host.name),
                 _ => self.active.remove(&host.name),
             };
         }
@@ -91,13 +106,17 @@
         let seq = self.newest.saturating_add_signed(ahead);
         let healths: Vec<(&str, u8)> = NAMES.into_iter().zip(healths.iter().copied()).collect();
         let hosts = healths.iter().filter(|(_, h)| *h > 0).map(|(name, h)| {
-            host(name, [Health::Active, Health::Leaving, Health::Left][usize::from(*h) - 1])
+            host(
+                name,
+                [EndpointHealth::Active, EndpointHealth::Draining, EndpointHealth::Removed]
+                    [usize::from(*h) - 1],
+            )
         });
-        let catalog = Catalog { seq, whole, hosts: hosts.collect() };
+        let catalog = EndpointList { version: seq, complete: whole, endpoints: hosts.collect() };
         let out = |h: u8| if whole { h != 1 } else { h > 1 };
         let in_use = |name: &str| self.active.contains(name);
         let all = self.active.iter().all(|n| healths.iter().any(|(name, h)| name == n && out(*h)));
-        self.empties = if whole && catalog.hosts.is_empty() { self.empties + 1 } else { 0 };
+        self.empties = if whole && catalog.endpoints.is_empty() { self.empties + 1 } else { 0 };
         // A newer version takes effect from now on, unless it would leave no endpoint at all.
         if ahead >= 0 && (!whole || !all) {
             for (name, h) in &healths {
@@ -231,7 +250,7 @@
         .all(|deadline| (START + 10..=START + 10 + SECOND).contains(&deadline.until)));
     assert_eq!(tracker.next_poll(START + 20).kind, PollKind::FullList);
     assert_eq!(
-        tracker.on_response(START + 30, list(6, true, &["a", "b", "c"])).update.map(|l| l.hosts.len()),
+        tracker.on_response(START + 30, list(6, true, &["a", "b", "c"])).update.map(|l| l.endpoints.len()),
         Some(3)
     );
     assert_eq!(tracker.next_deadline(), None);
@@ -242,9 +261,18 @@
     );
     let due = tracker.next_deadline().unwrap();
     assert_eq!(tracker.expire_deadlines(due - 1), WatchEvent::default());
-    let left: Vec<_> =
-        tracker.expire_deadlines(due).update.unwrap().hosts.into_iter().map(|h| (h.name, h.health)).collect();
-    assert_eq!(left, [("b".to_string(), Health::Left), ("c".to_string(), Health::Left)]);
+    let left: Vec<_> = tracker
+        .expire_deadlines(due)
+        .update
+        .unwrap()
+        .endpoints
+        .into_iter()
+        .map(|h| (h.name, h.health))
+        .collect();
+    assert_eq!(
+        left,
+        [("b".to_string(), EndpointHealth::Removed), ("c".to_string(), EndpointHealth::Removed)]
+    );
     let empty = tracker.on_response(due + 10, list(8, true, &[]));
     assert_eq!(
         (empty.update, empty.deadlines.len(), empty.suspect),
@@ -269,7 +297,10 @@
         tracker.on_response(START + 3, list(3, true, &NAMES)).suspect,
         Some(SuspectReason::OlderVersion)
     );
-    assert_eq!(tracker.on_response(START + 4, list(4, true, &NAMES)).update.map(|l| l.hosts.len()), Some(6));
+    assert_eq!(
+        tracker.on_response(START + 4, list(4, true, &NAMES)).update.map(|l| l.endpoints.len()),
+        Some(6)
+    );
     assert_eq!(tracker.next_poll(START + 5).kind, PollKind::Watch { version: 4 });
     // A patch of an older version says nothing and has the whole list asked for.
     assert_eq!(
@@ -282,10 +313,14 @@
 /// Guards against a start that comes undone, which would end a cold member's budget, or lies ahead of the clock.
 #[test]
 fn the_start_of_an_endpoint_does_not_go_back() {
-    let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &Catalog::default(), START);
-    let born =
-        |ms| Catalog { seq: 1, whole: true, hosts: vec![Host { born_ms: ms, ..host("a", Health::Active) }] };
-    let mut accepted_start = |ms| tracker.on_response(START, born(ms)).update.unwrap().hosts[0].born_ms;
+    let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &EndpointList::default(), START);
+    let born = |ms| EndpointList {
+        version: 1,
+        complete: true,
+        endpoints: vec![EndpointRecord { started_at_ms: ms, ..host("a", EndpointHealth::Active) }],
+    };
+    let mut accepted_start =
+        |ms| tracker.on_response(START, born(ms)).update.unwrap().endpoints[0].started_at_ms;
     assert_eq!(accepted_start(START / 1000 - 500), START / 1000 - 500);
     assert_eq!(accepted_start(0), START / 1000 - 500);
     assert_eq!(accepted_start(START / 1000 + 60_000), START / 1000);
--- a/crates/discovery/tests/subscription.rs
+++ b/crates/discovery/tests/subscription.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 use wharfplank_discovery::{EndpointTracker, PollKind, PollRequest, PollSchedule, SharedDiscovery};
-use wharfplank_protocol::catalog::{parse, Catalog};
+use wharfplank_protocol::endpoint_list::{parse, EndpointList};
 
 const MS: i64 = 1_000;
 const SECOND: i64 = 1_000 * MS;
@@ -81,7 +81,10 @@
             if refused || mine == Some(false) || (now >= until && !subscribed[proxy]) {
                 tracker.on_failure(now);
             } else if now >= until || (mine == Some(true) && !asked) {
-                tracker.on_response(now, Catalog { seq: 1, whole: !asked, hosts: known.hosts.clone() });
+                tracker.on_response(
+                    now,
+                    EndpointList { version: 1, complete: !asked, endpoints: known.endpoints.clone() },
+                );
             } else {
                 continue;
             }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use wharfplank_admin::{Figures, Holds};
 use wharfplank_discovery::{EndpointTracker, PollSchedule, SharedDiscovery};
-use wharfplank_protocol::catalog;
+use wharfplank_protocol::endpoint_list;
 use wharfplank_settings::Settings;
 use wharfplank_transport::admin::{Admin, PLACES};
 use wharfplank_transport::clients::{self, Clients};
@@ -105,7 +105,7 @@
         });
     let schedule = shared_discovery.map_or(schedule, |shared| schedule.with_shared(shared));
     // What the process that is replaced believes is newer than what the file knows.
-    let list = inherited.as_ref().and_then(|inherited| catalog::read(&inherited.state.list).ok());
+    let list = inherited.as_ref().and_then(|inherited| endpoint_list::from_json(&inherited.state.list).ok());
     config.known = list.unwrap_or(config.known);
     let tracker = EndpointTracker::new(schedule, &config.known, clock.now());
     let watch =
