--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -12,7 +12,7 @@
     pub(super) sent: Micros,
     /// What its member had told before.
     pub(super) position: Option<Micros>,
-    pub(super) stage: Rc<Cell<Stage>>,
+    pub(super) stage: Rc<Cell<AttemptStage>>,
     /// Dropping it closes the attempt's connection.
     pub(super) task: Task<()>,
 }
@@ -57,7 +57,7 @@
             }
             self.talk.saw(host, sent, ending);
             self.close_left(id);
-            let outcome = self.outcome(id, attempt, host, sent, &Report::bare(ending));
+            let outcome = self.outcome(id, attempt, host, sent, &AttemptReport::without_answer(ending));
             self.route(self.clock.now(), outcome);
             self.settle_probes();
         }
@@ -108,7 +108,8 @@
         let attempt = open.attempts;
         open.attempts += 1;
         let barred = attempt > 0 && self.shared.budgets.as_ref().is_some_and(|budgets| !budgets.retry());
-        let wanted = attempt < self.allowed.attempts && !barred && open.lane.awaits(open.ticket);
+        let wanted =
+            attempt < self.allowed.attempts && !barred && open.response_writer.is_awaited(open.ticket);
         let member = self.members.get(&host).filter(|_| wanted);
         let Some(member) = member else {
             self.ended.push_back((id, attempt, host, now, Ending::Moot));
@@ -118,22 +119,22 @@
             self.ended.push_back((id, attempt, host, now, Ending::Moot));
             return;
         };
-        let stage: Rc<Cell<Stage>> = Rc::default();
+        let stage: Rc<Cell<AttemptStage>> = Rc::default();
         let holds = holds_until.map(|until| until + SEND_MARGIN - WRITE_MARGIN);
         let holds = holds.into_iter().chain(leave).min().map(|until| self.clock.instant(until));
         let deadline = self.clock.instant(now.saturating_add(timeout));
         let (member, statement) = (Rc::clone(member), Rc::clone(&open.statement));
-        let (lane, ticket) = (Rc::clone(&open.lane), open.ticket);
-        let wanted = move || lane.awaits_now(ticket);
+        let (response_writer, ticket) = (Rc::clone(&open.response_writer), open.ticket);
+        let wanted = move || response_writer.is_awaited_now(ticket);
         let work = member.attempt(statement, Rc::clone(&stage), deadline, holds, wanted);
         let (events, done) = (self.events.clone(), Rc::clone(&stage));
         let task = self.shared.executor.spawn(async move {
             let (report, stream) = work.await;
-            done.set(Stage::Done);
-            let _ = events.send(Event::Attempt { id, attempt, report }).await;
+            done.set(AttemptStage::Finished);
+            let _ = events.send(ProxyEvent::AttemptFinished { id, attempt, report }).await;
             if let Some(stream) = stream {
                 let report = stream.pass().await;
-                let _ = events.send(Event::Passed { id, attempt, report }).await;
+                let _ = events.send(ProxyEvent::StreamFinished { id, attempt, report }).await;
             }
         });
         let position = self.lookups.position(host);
@@ -145,8 +146,8 @@
     pub(super) fn end(&mut self, id: RequestId, attempt: u32, ending: Ending) {
         let stage = self.flights.get(&(id, attempt)).map(|f| f.stage.get());
         let ending = match stage {
-            Some(Stage::Done) => return,
-            Some(Stage::Waiting | Stage::Begun) => Ending::Moot,
+            Some(AttemptStage::Finished) => return,
+            Some(AttemptStage::Queued | AttemptStage::Writing) => Ending::Moot,
             _ => ending,
         };
         if let Some(flight) = self.flights.remove(&(id, attempt)) {
@@ -162,8 +163,10 @@
     /// they never ran, so their requests are refused.
     pub(super) fn give_up(&mut self) {
         self.tell(routing::Event::Closing);
-        let unsent =
-            self.flights.iter().filter(|(_, f)| matches!(f.stage.get(), Stage::Waiting | Stage::Begun));
+        let unsent = self
+            .flights
+            .iter()
+            .filter(|(_, f)| matches!(f.stage.get(), AttemptStage::Queued | AttemptStage::Writing));
         let mut unsent: Vec<_> = unsent.map(|(key, _)| *key).collect();
         unsent.sort_unstable();
         unsent.into_iter().for_each(|(id, attempt)| self.end(id, attempt, Ending::Moot));
@@ -171,19 +174,19 @@
         self.tell(routing::Event::Close);
     }
 
-    pub(super) fn attempt_ended(&mut self, id: RequestId, attempt: u32, mut report: Report) {
-        if report.flow.is_some() {
+    pub(super) fn attempt_ended(&mut self, id: RequestId, attempt: u32, mut report: AttemptReport) {
+        if report.stream.is_some() {
             return self.began(id, attempt, report);
         }
         self.note_left(id);
         let Some(flight) = self.flights.remove(&(id, attempt)) else { return };
-        self.talk.ended(self.clock.now(), id, report.ending);
-        self.lookups.ended(self.clock.now(), (id, attempt), report.ending);
+        self.talk.ended(self.clock.now(), id, report.outcome);
+        self.lookups.ended(self.clock.now(), (id, attempt), report.outcome);
         if let Some(open) = self.requests.get(&id) {
-            self.talk.tried(self.clock.now(), flight.host, open.class, flight.sent, report.ending);
-            self.releases.ended(flight.host, open.class, self.clock.now() - flight.sent, report.ending);
+            self.talk.tried(self.clock.now(), flight.host, open.class, flight.sent, report.outcome);
+            self.releases.ended(flight.host, open.class, self.clock.now() - flight.sent, report.outcome);
         }
-        if report.ending == Ending::Ok {
+        if report.outcome == Ending::Ok {
             if let Some(answer) = &mut report.answer {
                 self.looked_up(id, flight.position, answer);
                 let member = Some(flight.host);
@@ -192,11 +195,11 @@
                 self.answer(id, Answer::Served(std::mem::take(&mut answer.messages)));
             }
         }
-        self.counts.one("attempt", counts::ending(report.ending), "");
+        self.counts.one("attempt", counts::ending(report.outcome), "");
         if self.counts.on() {
-            self.keep_ending(id, flight.host, report.ending);
+            self.keep_ending(id, flight.host, report.outcome);
         }
-        self.talk.saw(flight.host, flight.sent, report.ending);
+        self.talk.saw(flight.host, flight.sent, report.outcome);
         let outcome = self.outcome(id, attempt, flight.host, flight.sent, &report);
         if let routing::Event::Outcome(outcome) = &outcome {
             self.talk.learned(self.clock.now(), flight.host, outcome.position);
@@ -211,7 +214,7 @@
         attempt: u32,
         host: HostId,
         sent: Micros,
-        r: &Report,
+        r: &AttemptReport,
     ) -> routing::Event {
         let primary = r.answer.as_ref().and_then(|a| a.primary);
         let position = r.answer.as_ref().and_then(|a| a.applied_ms);
@@ -221,7 +224,7 @@
             id,
             attempt: AttemptNo(attempt),
             host,
-            ending: r.ending,
+            ending: r.outcome,
             terminal: !self.requests.contains_key(&id),
             latency: self.clock.now() - sent,
             role: primary.map(role),
--- a/crates/proxy/src/broker/budgets.rs
+++ b/crates/proxy/src/broker/budgets.rs
@@ -41,9 +41,12 @@
     /// Breaks attempts off whose connections must go since the fleet's budget has none for them any more, the oldest
     /// first; what is idle goes as pools are tended.
     pub(super) fn break_off(&mut self) {
-        let over: Vec<(HostId, u64)> = self.members.iter().map(|(host, m)| (*host, m.excess().1)).collect();
+        let over: Vec<(HostId, u64)> =
+            self.members.iter().map(|(host, m)| (*host, m.excess().overdue)).collect();
         for (host, overdue) in over.into_iter().filter(|(_, overdue)| *overdue > 0) {
-            let here = |f: &Flight| f.host == host && matches!(f.stage.get(), Stage::Begun | Stage::Written);
+            let here = |f: &Flight| {
+                f.host == host && matches!(f.stage.get(), AttemptStage::Writing | AttemptStage::Written)
+            };
             let out = self.flights.iter().filter(|(_, f)| here(f)).map(|(key, f)| (f.sent, *key));
             let mut out: Vec<_> = out.collect();
             out.extend(self.passing.at(host));
@@ -51,7 +54,7 @@
             for (_, (id, attempt)) in out.into_iter().take(overdue as usize) {
                 self.counts.one("budget", "broken_off", "");
                 match self.passing.has(&(id, attempt)) {
-                    true => self.passed(id, attempt, Report::bare(Ending::Cancelled)),
+                    true => self.passed(id, attempt, AttemptReport::without_answer(Ending::Cancelled)),
                     false => self.end(id, attempt, Ending::Cancelled),
                 }
             }
--- a/crates/proxy/src/broker/course.rs
+++ b/crates/proxy/src/broker/course.rs
@@ -40,7 +40,7 @@
         if self.leaving_at.is_none() {
             self.leaving_at = Some(self.clock.now());
             self.journal.stopping();
-            self.clients.leave();
+            self.clients.begin_draining();
         }
     }
 
@@ -69,14 +69,14 @@
         }
         if now >= self.tend_at {
             self.tend_at = now + TEND;
-            self.counts.add("connections", "open", "", self.shared.open.get() as u64);
+            self.counts.add("connections", "open", "", self.shared.open_connections.get() as u64);
             if let Some(what) = self.counts.take() {
                 log::counts(now as u64 / 1000, &what);
             }
-            self.shared.relax();
+            self.shared.relax_liveness_check();
             self.talk.suspicions(now, suspects(&self.router));
             self.break_off();
-            self.members.values().for_each(|m| m.tend());
+            self.members.values().for_each(|m| m.maintain());
             let (views, journal) = (self.router.view(), &self.journal);
             self.releases.tell(now, &self.listed, &self.cordons, &self.names, views, |said, names| {
                 journal.released(said, names)
@@ -90,20 +90,20 @@
             let age = now - self.started;
             let told = self.told || age >= DISCOVERY_WAIT;
             let late = age >= READY_WAIT;
-            let warm = late || self.members.values().any(|m| m.warm());
-            let wanted = self.members.iter().filter(|(_, m)| !warm && m.wanted()).map(|(host, _)| *host);
+            let warm = late || self.members.values().any(|m| m.has_idle_connection());
+            let wanted = self.members.iter().filter(|(_, m)| !warm && m.is_active()).map(|(host, _)| *host);
             let knock = self.opening.next(now, wanted);
-            knock.and_then(|host| self.members.get(&host)).into_iter().for_each(|m| m.knock());
+            knock.and_then(|host| self.members.get(&host)).into_iter().for_each(|m| m.connect_if_unused());
             if told && warm && (late || !self.listed.is_empty()) {
                 self.ready = true;
-                self.clients.ready();
+                self.clients.set_ready();
             }
         }
         let Some(leaving_at) = self.leaving_at else { return };
         if !self.closed && now >= leaving_at + CLOSE_AFTER {
             self.closed = true;
             self.lookups.end();
-            self.clients.close();
+            self.clients.stop_accepting();
             self.leave_socket();
         }
         if !self.gave_up && now >= leaving_at + give_up_after(self.terms.longest) {
@@ -117,7 +117,7 @@
     /// Whether the process may end.
     pub(super) fn over(&self) -> bool {
         let Some(leaving_at) = self.leaving_at else { return false };
-        let done = self.requests.is_empty() && self.clients.over();
+        let done = self.requests.is_empty() && self.clients.is_finished();
         // What still passes through ends by itself, or with the process.
         let late = self.clock.now() >= leaving_at + give_up_after(self.terms.longest) + LAST_WORDS;
         (self.closed && done) || (late && self.passing.none())
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -49,12 +49,12 @@
     Probed, Request, RequestId, Role, Router, SessionKey,
 };
 use wharfplank_transport::admin::Asking;
-use wharfplank_transport::client::Lane;
-use wharfplank_transport::clients::Clients;
+use wharfplank_transport::client_connection::ResponseWriter;
+use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::Watch;
 use wharfplank_transport::fleet::Witness;
-use wharfplank_transport::members::{Member, Report, Shared, Stage};
-use wharfplank_transport::{Asked, Event, Statement};
+use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, MemberPool, PoolContext};
+use wharfplank_transport::{ClientRequest, ProxyEvent, Statement};
 
 /// The client counts its wait from its own send: answers are due this much earlier here.
 const ANSWER_MARGIN: Micros = 5_000;
@@ -70,7 +70,7 @@
 /// Why the broker goes on after a wait.
 enum Woken {
     Operator(Asking),
-    Event(Event),
+    Event(ProxyEvent),
     Closed,
     Time,
 }
@@ -81,9 +81,9 @@
     router: Router,
     terms: Terms,
     allowed: Allowed,
-    shared: Rc<Shared>,
-    clients: Rc<Clients>,
-    events: Sender<Event>,
+    shared: Rc<PoolContext>,
+    clients: Rc<ClientListener>,
+    events: Sender<ProxyEvent>,
     watch: Watch,
     journal: Journal,
     counts: Counts,
@@ -93,7 +93,7 @@
     ids: HashSet<String>,
     flights: HashMap<(RequestId, u32), Flight>,
     passing: passing::Values,
-    members: BTreeMap<HostId, Rc<Member>>,
+    members: BTreeMap<HostId, Rc<MemberPool>>,
     names: HashMap<String, HostId>,
     /// The list as discovery tells it, without what operators say; and its version.
     listed: BTreeMap<String, Host>,
@@ -123,9 +123,9 @@
     pub fn new(
         config: &Config,
         clock: Clock,
-        shared: Rc<Shared>,
-        clients: Rc<Clients>,
-        events: Sender<Event>,
+        shared: Rc<PoolContext>,
+        clients: Rc<ClientListener>,
+        events: Sender<ProxyEvent>,
         watch: Watch,
         journal: Journal,
     ) -> Self {
@@ -180,7 +180,7 @@
     }
 
     /// Works until the process is to end.
-    pub async fn run(mut self, known: Catalog, received: Receiver<Event>, operators: Receiver<Asking>) {
+    pub async fn run(mut self, known: Catalog, received: Receiver<ProxyEvent>, operators: Receiver<Asking>) {
         let mut actions = Vec::new();
         self.router.start(&mut actions);
         self.perform(self.clock.now(), actions);
@@ -219,30 +219,30 @@
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn event(&mut self, event: ProxyEvent) {
         match event {
-            Event::Asked(asked) => self.asked(*asked),
-            Event::Gone(ticket) => self.gone(ticket),
-            Event::Cancelled(ticket) => self.cancelled(ticket),
-            Event::Attempt { id, attempt, report } => self.attempt_ended(id, attempt, report),
-            Event::Passed { id, attempt, report } => self.passed(id, attempt, report),
-            Event::Probed { host, report } => self.probed(host, report),
-            Event::Told(news) => {
+            ProxyEvent::RequestReceived(asked) => self.asked(*asked),
+            ProxyEvent::ClientDisconnected(ticket) => self.gone(ticket),
+            ProxyEvent::RequestCancelled(ticket) => self.cancelled(ticket),
+            ProxyEvent::AttemptFinished { id, attempt, report } => self.attempt_ended(id, attempt, report),
+            ProxyEvent::StreamFinished { id, attempt, report } => self.passed(id, attempt, report),
+            ProxyEvent::ProbeFinished { host, report } => self.probed(host, report),
+            ProxyEvent::PeerNews(news) => {
                 let told = self.talk.told(&news, self.clock.now() + AHEAD_MOST);
                 self.tell(routing::Event::Told(told));
             }
-            Event::Heard(news, age) => self.heard(news, age),
-            Event::Shares(shares) => {
+            ProxyEvent::EndpointsChanged(news, age) => self.heard(news, age),
+            ProxyEvent::ZoneShares(shares) => {
                 let shares = shares.iter().map(|(zone, share)| (zone_number(zone), *share)).collect();
                 self.tell(routing::Event::Shares(shares));
             }
-            Event::Factors(factors) => {
+            ProxyEvent::MemberFactors(factors) => {
                 let factors = self.talk.factors(&factors);
                 self.tell(routing::Event::Factors(factors));
             }
-            Event::Other(other) => self.other(other),
-            Event::Reload => self.reload(),
-            Event::Terminate => self.terminate(),
+            ProxyEvent::Handover(other) => self.other(other),
+            ProxyEvent::ReloadRequested => self.reload(),
+            ProxyEvent::ShutdownRequested => self.terminate(),
         }
     }
 }
--- a/crates/proxy/src/broker/passing.rs
+++ b/crates/proxy/src/broker/passing.rs
@@ -45,10 +45,10 @@
     /// with the time that the first bytes took, since neither the rest of them nor a client that takes them slowly
     /// tells anything of the member's load. Only a write whose commit sessions must remember is heard of at its
     /// end, where the commit stands.
-    pub(super) fn began(&mut self, id: RequestId, attempt: u32, mut report: Report) {
+    pub(super) fn began(&mut self, id: RequestId, attempt: u32, mut report: AttemptReport) {
         let Some(flight) = self.flights.remove(&(id, attempt)) else { return };
-        if let Some((open, flow)) = self.requests.get(&id).zip(report.flow.take()) {
-            open.lane.begin(open.ticket, flow);
+        if let Some((open, flow)) = self.requests.get(&id).zip(report.stream.take()) {
+            open.response_writer.begin_stream(open.ticket, flow);
         }
         let outcome = self.outcome(id, attempt, flight.host, flight.sent, &report);
         let routing::Event::Outcome(outcome) = outcome else { return };
@@ -62,16 +62,16 @@
     }
 
     /// A value that passed through is over.
-    pub(super) fn passed(&mut self, id: RequestId, attempt: u32, report: Report) {
+    pub(super) fn passed(&mut self, id: RequestId, attempt: u32, report: AttemptReport) {
         let Some(Passing { flight, begun }) = self.passing.open.remove(&(id, attempt)) else { return };
-        self.talk.ended(self.clock.now(), id, report.ending);
-        self.lookups.ended(self.clock.now(), (id, attempt), report.ending);
-        self.talk.saw(flight.host, flight.sent, report.ending);
-        self.counts.one("attempt", counts::ending(report.ending), "");
+        self.talk.ended(self.clock.now(), id, report.outcome);
+        self.lookups.ended(self.clock.now(), (id, attempt), report.outcome);
+        self.talk.saw(flight.host, flight.sent, report.outcome);
+        self.counts.one("attempt", counts::ending(report.outcome), "");
         // Where the client left meanwhile, nothing more is owed or counted.
         if self.requests.contains_key(&id) {
             let primary = report.answer.as_ref().is_some_and(|a| a.primary == Some(true));
-            let answer = if report.ending == Ending::Ok {
+            let answer = if report.outcome == Ending::Ok {
                 let member = Some(flight.host);
                 self.count(id, "served", if primary { "primary" } else { "replica" });
                 self.note_end(id, |journal, ended| journal.served(Ended { member, ..ended }));
--- a/crates/proxy/src/broker/probes.rs
+++ b/crates/proxy/src/broker/probes.rs
@@ -13,7 +13,7 @@
         let (member, events) = (Rc::clone(member), self.events.clone());
         let task = async move {
             let report = member.probe(PROBE_TIMEOUT).await;
-            let _ = events.send(Event::Probed { host, report }).await;
+            let _ = events.send(ProxyEvent::ProbeFinished { host, report }).await;
         };
         self.shared.executor.spawn(task).detach();
     }
--- a/crates/proxy/src/broker/replacement.rs
+++ b/crates/proxy/src/broker/replacement.rs
@@ -215,16 +215,16 @@
     }
 
     fn held(&self) -> Holds {
-        Holds { clients: self.clients.open(), members: self.shared.open.get() }
+        Holds { clients: self.clients.open_connections(), members: self.shared.open_connections.get() }
     }
 
     /// Puts this process's share of connections into force.
     fn share_out(&mut self) {
         let Some(r) = &self.replacement else { return };
         let most = r.succession.most(r.all);
-        self.clients.limit(most.clients);
-        self.shared.most.set(most.members);
-        self.clients.take_new(r.succession.takes(self.ready));
+        self.clients.set_max_connections(most.clients);
+        self.shared.max_connections.set(most.members);
+        self.clients.set_accepting(r.succession.takes(self.ready));
     }
 
     fn state(&self, holds: Holds) -> State {
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -9,7 +9,7 @@
     /// The id that the client gave it.
     pub(super) name: String,
     pub(super) statement: Rc<Statement>,
-    pub(super) lane: Rc<Lane>,
+    pub(super) response_writer: Rc<ResponseWriter>,
     pub(super) attempts: u32,
     pub(super) class: ClassId,
     pub(super) group: GroupId,
@@ -21,35 +21,39 @@
 }
 
 impl Broker {
-    pub(super) fn asked(&mut self, asked: Asked) {
+    pub(super) fn asked(&mut self, asked: ClientRequest) {
         // Its client went away, or cancelled it, before it got here: it has its answer, or needs none.
-        if !asked.lane.awaits(asked.ticket) {
+        if !asked.response_writer.is_awaited(asked.ticket) {
             return;
         }
         let Some(class) = self.terms.names.iter().position(|name| *name == asked.class) else {
-            asked.lane.give(asked.ticket, Answer::Malformed("the class is not in the settings"));
+            asked
+                .response_writer
+                .respond(asked.ticket, Answer::Malformed("the class is not in the settings"));
             return;
         };
         // Members tell requests apart by their ids: a second one would be taken for a copy of the first.
         if !self.ids.insert(asked.id.clone()) {
-            asked.lane.give(asked.ticket, Answer::Malformed("the id is in use by another open request"));
+            asked
+                .response_writer
+                .respond(asked.ticket, Answer::Malformed("the id is in use by another open request"));
             return;
         }
         let now = self.clock.now();
         let id = request_id(asked.ticket, &asked.id);
-        let (group, arrived) = (GroupId(asked.group), self.clock.at(asked.arrived));
-        let touch = self.lookups.asked(ClassId(class), group, asked.key.as_deref(), &asked.statement);
+        let (group, arrived) = (GroupId(asked.group), self.clock.at(asked.arrived_at));
+        let touch = self.lookups.asked(ClassId(class), group, asked.session_key.as_deref(), &asked.statement);
         let request = Request {
             id,
             class: ClassId(class),
             group,
-            key: asked.key.map(|key| SessionKey(hash(key.as_bytes()))),
+            key: asked.session_key.map(|key| SessionKey(hash(key.as_bytes()))),
             // Its time runs from its last byte, however long it stood behind others.
-            give_up_at: arrived + (Micros::from(asked.wait_ms) * 1000 - ANSWER_MARGIN).max(1),
+            give_up_at: arrived + (Micros::from(asked.timeout_ms) * 1000 - ANSWER_MARGIN).max(1),
             doubted: self.talk.in_doubt(now, &asked.id),
-            write_age: asked.after_ms.map(|ms| now - ms.saturating_mul(1000)),
+            write_age: asked.min_position_ms.map(|ms| now - ms.saturating_mul(1000)),
         };
-        let Asked { ticket, statement, lane, id: name, after_ms, .. } = asked;
+        let ClientRequest { ticket, statement, response_writer, id: name, min_position_ms, .. } = asked;
         self.tickets.insert(ticket, id);
         self.requests.insert(
             id,
@@ -57,7 +61,7 @@
                 ticket,
                 name,
                 statement,
-                lane,
+                response_writer,
                 attempts: 0,
                 class: ClassId(class),
                 group,
@@ -69,7 +73,7 @@
         if self.denied(group) {
             return self.tell_at(now, routing::Event::Denied(request));
         }
-        if self.settled_at_once(id, now, after_ms) {
+        if self.settled_at_once(id, now, min_position_ms) {
             return;
         }
         // The age of the session's write counts from the very time that the router takes the request at:
@@ -94,13 +98,17 @@
     /// An attempt has ended. Where the client has gone and the event that says so is still on its way, that comes
     /// first: nothing more is tried or looked for.
     pub(super) fn note_left(&mut self, id: RequestId) {
-        let left = self.requests.get(&id).filter(|open| open.lane.has_left()).map(|open| open.ticket);
+        let left = self
+            .requests
+            .get(&id)
+            .filter(|open| open.response_writer.is_disconnected())
+            .map(|open| open.ticket);
         left.into_iter().for_each(|ticket| self.gone(ticket));
     }
 
     /// One that was not sent since its client has gone is over.
     pub(super) fn close_left(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|open| open.lane.has_left()) {
+        if self.requests.get(&id).is_some_and(|open| open.response_writer.is_disconnected()) {
             self.close(id);
         }
     }
@@ -110,8 +118,10 @@
     fn withdraw(&mut self, id: RequestId, attempts: u32, begun: bool) {
         for attempt in 0..attempts {
             match self.flights.get(&(id, attempt)).map(|flight| flight.stage.get()) {
-                Some(Stage::Waiting) => self.end(id, attempt, Ending::Moot),
-                Some(Stage::Begun | Stage::Written) if begun => self.end(id, attempt, Ending::Cancelled),
+                Some(AttemptStage::Queued) => self.end(id, attempt, Ending::Moot),
+                Some(AttemptStage::Writing | AttemptStage::Written) if begun => {
+                    self.end(id, attempt, Ending::Cancelled)
+                }
                 _ => {}
             }
         }
@@ -186,7 +196,7 @@
     /// Gives the one final answer, and counts it: nothing else answers a request that was taken.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(open) = self.ended(id, &answer) {
-            open.lane.give(open.ticket, answer);
+            open.response_writer.respond(open.ticket, answer);
         }
     }
 
--- a/crates/proxy/src/broker/roster.rs
+++ b/crates/proxy/src/broker/roster.rs
@@ -12,7 +12,7 @@
         }
         for (name, until) in news.until {
             let member = self.names.get(&name).and_then(|host| self.members.get(host));
-            member.into_iter().for_each(|m| m.until(self.clock.instant(until)));
+            member.into_iter().for_each(|m| m.stop_sends_at(self.clock.instant(until)));
         }
         if let Some(list) = news.list {
             self.list(list);
@@ -41,17 +41,17 @@
     /// Takes entries as they hold together with what operators say.
     pub(super) fn enlist(&mut self, catalog: Catalog) {
         if catalog.whole {
-            let named = |m: &Member| catalog.hosts.iter().any(|h| h.name == m.name());
-            self.members.values().filter(|m| !named(m)).for_each(|m| m.want(false, None));
+            let named = |m: &MemberPool| catalog.hosts.iter().any(|h| h.name == m.name());
+            self.members.values().filter(|m| !named(m)).for_each(|m| m.deactivate());
         }
         let seq = catalog.seq;
         let entries: Vec<Entry> = catalog.hosts.iter().map(|host| self.entry(seq, host)).collect();
         let event = if catalog.whole { routing::Event::List } else { routing::Event::ListChange };
         self.tell(event(entries));
         // What waits for a connection to a member that takes nothing new must not go out.
-        let stopped = |host: &HostId| self.members.get(host).is_none_or(|m| !m.wanted());
+        let stopped = |host: &HostId| self.members.get(host).is_none_or(|m| !m.is_active());
         let waiting = |(key, f): (&(RequestId, u32), &Flight)| {
-            (f.stage.get() == Stage::Waiting && stopped(&f.host)).then_some(*key)
+            (f.stage.get() == AttemptStage::Queued && stopped(&f.host)).then_some(*key)
         };
         let mut moot: Vec<_> = self.flights.iter().filter_map(waiting).collect();
         moot.sort_unstable();
@@ -59,7 +59,7 @@
             self.end(id, attempt, Ending::Moot);
         }
         self.settle();
-        self.members.retain(|_, m| m.wanted() || !m.unused());
+        self.members.retain(|_, m| m.is_active() || !m.has_no_connections());
         if self.names.len() > NAMES_MOST {
             self.names.retain(|_, host| self.members.contains_key(host));
             let names = &self.names;
@@ -79,10 +79,18 @@
         self.lookups.listed(host, listed);
         let wanted = listed.health == Health::Active;
         match (self.members.get(&host), listed.dial) {
-            (Some(member), dial) => member.want(wanted, dial),
+            (Some(member), dial) => {
+                if let Some(dial) = dial {
+                    member.relocate(dial);
+                }
+                match wanted {
+                    true => member.activate(),
+                    false => member.deactivate(),
+                }
+            }
             (None, Some(dial)) if wanted => {
-                let member = Member::new(Rc::clone(&self.shared), &listed.name, dial);
-                member.want(true, None);
+                let member = MemberPool::new(Rc::clone(&self.shared), &listed.name, dial);
+                member.activate();
                 self.members.insert(host, member);
             }
             _ => {}
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -15,7 +15,7 @@
 use wharfplank_settings::{AloneChoice, Peers as PeerSettings, Replica as ReplicaSettings};
 use wharfplank_shared_state::{snapshot, Replica, Terms as ReplicaTerms};
 use wharfplank_transport::fleet::{self, Judge, Parts, Side, Witness};
-use wharfplank_transport::Event;
+use wharfplank_transport::ProxyEvent;
 
 /// The fleet's counters: requests answered with a value, refused, and failed.
 pub const SERVED: u32 = 1;
@@ -32,7 +32,7 @@
     health: bool,
     config: &Config,
     clock: Clock,
-    events: Sender<Event>,
+    events: Sender<ProxyEvent>,
     executor: &LocalExecutor<'static>,
 ) -> Result<(Witness, Task<()>), String> {
     let socket = UdpSocket::bind(settings.listen())
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -25,9 +25,9 @@
 use wharfplank_protocol::catalog;
 use wharfplank_settings::Settings;
 use wharfplank_transport::admin::{Admin, PLACES};
-use wharfplank_transport::clients::{self, Clients};
+use wharfplank_transport::client_listener::{self, ClientListener};
 use wharfplank_transport::discovery::Watch;
-use wharfplank_transport::{handover, members, signals, Ends, Memory, Now};
+use wharfplank_transport::{handover, member_pool, signals, ConnectionEndObserver, MemoryBudget, Now};
 
 /// Events that may wait for the broker; past that connections wait.
 const EVENTS: usize = 1024;
@@ -49,7 +49,7 @@
 
 /// Serves until the process is asked to end.
 pub fn run(mut config: Config, settings: &Settings) -> Result<(), String> {
-    let signals = signals::take().map_err(|e| format!("signals: {e}"))?;
+    let signals = signals::register().map_err(|e| format!("signals: {e}"))?;
     // Only where operators call is a process replaced while it serves; elsewhere nothing else listens. One that takes
     // any free port replaces none, since nobody can tell whose port that was.
     let replaces = config.admin.is_some() && config.listen.port() != 0;
@@ -63,7 +63,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let (events, received) = async_channel::bounded(EVENTS);
     log::started(listener.get_ref().local_addr().unwrap_or(config.listen));
-    let ends: Ends = Rc::new(log::ended);
+    let ends: ConnectionEndObserver = Rc::new(log::ended);
 
     let clock = Clock::start();
     let now: Now = Rc::new(move || clock.now());
@@ -72,29 +72,29 @@
     let reserved = RESERVED + if admin.is_some() { RESERVED_ADMIN } else { 0 };
     let sockets = config.sockets.saturating_sub(reserved).max(8);
     let to_clients = sockets * 6 / 10;
-    let to_members = sockets - to_clients - clients::beyond(to_clients);
+    let to_members = sockets - to_clients - client_listener::overflow_connections(to_clients);
     let budgets = settings.budgets.as_ref().map(|b| budgets::start(b, clock, &executor)).transpose()?;
-    let shared = Rc::new(members::Shared {
+    let shared = Rc::new(member_pool::PoolContext {
         executor: Rc::clone(&executor),
-        ends: Rc::clone(&ends),
+        on_connection_end: Rc::clone(&ends),
         connect_timeout: Duration::from_micros(config.terms.connect_timeout.max(1) as u64),
-        idle_most: Duration::from_micros(config.terms.keepalive.max(1) as u64 * 6 / 10),
-        most: Cell::new(to_members),
-        most_each: (to_members / 4).max(1),
-        open: Cell::new(0),
-        memory: Memory::new(config.memory / LARGE_PART),
-        rowless: settings.missing.is_some(),
-        check_after: Cell::new(members::CHECK_AFTER),
+        idle_timeout: Duration::from_micros(config.terms.keepalive.max(1) as u64 * 6 / 10),
+        max_connections: Cell::new(to_members),
+        max_connections_per_member: (to_members / 4).max(1),
+        open_connections: Cell::new(0),
+        memory_budget: MemoryBudget::new(config.memory / LARGE_PART),
+        allow_empty_result: settings.missing.is_some(),
+        liveness_check_after: Cell::new(member_pool::CHECK_AFTER),
         now: Rc::clone(&now),
         figures: Figures::new(&config.terms.names),
         budgets: budgets.clone(),
     });
-    let clients = Clients::new(
+    let clients = ClientListener::new(
         Rc::clone(&executor),
         events.clone(),
         Rc::clone(&ends),
         to_clients,
-        Memory::new(config.memory / LARGE_PART),
+        MemoryBudget::new(config.memory / LARGE_PART),
     );
     let pace = Pace::new(config.terms.stop_within);
     let asked = config.terms.ask_every.filter(|_| config.settings.must_follow).map(|ask_every| Shared {
@@ -139,7 +139,7 @@
     }
     executor.spawn(Rc::clone(&clients).listen(listener)).detach();
     async_io::block_on(executor.run(async {
-        let signals = executor.spawn(signals::watch(signals, events));
+        let signals = executor.spawn(signals::forward(signals, events));
         broker.run(config.known, received, operators).await;
         signals.cancel().await;
         // The other proxies hear at once that this one is gone, and need not find out.
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -17,7 +17,7 @@
 use tracing_subscriber::registry::LookupSpan;
 use wharfplank_discovery::Doubt;
 use wharfplank_settings::{Format, Level};
-use wharfplank_transport::Ended;
+use wharfplank_transport::ConnectionEnd;
 
 /// Lines that may wait to be written; further ones are counted and dropped.
 const LINES: usize = 1024;
@@ -152,7 +152,7 @@
 }
 
 /// Notes an ended connection.
-pub fn ended(e: &Ended<'_>) {
+pub fn ended(e: &ConnectionEnd<'_>) {
     let name = if e.name.is_empty() { "-" } else { e.name };
     let age_ms = e.since.elapsed().as_millis() as u64;
     info!(side = e.side, peer = %e.peer, name, reason = e.reason, requests = e.requests, age_ms, "ended");
--- a/crates/transport/src/admin.rs
+++ b/crates/transport/src/admin.rs
@@ -3,7 +3,7 @@
 //! Its few places are its own, and a caller who says nothing keeps one only until another comes: whatever clients and
 //! members hold, a call finds one.
 
-use super::within;
+use super::with_deadline;
 use async_channel::{bounded, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -103,7 +103,7 @@
             None
         };
         let line = future::or(read(&mut stream), evicted);
-        let line = within(Instant::now() + LINE_WAIT, line).await.flatten();
+        let line = with_deadline(Instant::now() + LINE_WAIT, line).await.flatten();
         self.silent.borrow_mut().remove(&number);
         let Some(line) = line else { return };
         let text = match line {
@@ -118,7 +118,7 @@
             while matches!(stream.read(&mut sink).await, Ok(1..)) {}
             Some(())
         };
-        within(Instant::now() + WRITE_WAIT, rest).await;
+        with_deadline(Instant::now() + WRITE_WAIT, rest).await;
     }
 
     async fn ask(&self, call: Call) -> String {
@@ -127,7 +127,7 @@
             self.broker.send(Asking { call, answer }).await.ok()?;
             answered.recv().await.ok()
         };
-        let text = within(Instant::now() + ANSWER_WAIT, work).await.flatten();
+        let text = with_deadline(Instant::now() + ANSWER_WAIT, work).await.flatten();
         text.unwrap_or_else(|| "fail not answered in time\n".to_string())
     }
 }
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client_connection.rs
@@ -1,17 +1,17 @@
 //! One client connection: reads commands, asks them at once, and writes their answers in order.
 
+mod cancel_keys;
 mod input;
-mod keys;
-mod lane;
 mod output;
-mod presence;
+mod response_writer;
+mod wait;
 
-pub(super) use keys::Keys;
-pub use lane::Lane;
+pub(super) use cancel_keys::CancelKeys;
+pub use response_writer::ResponseWriter;
 
-use super::clients::{Clients, Peer};
-use super::flow::Piece;
-use super::{Asked, Event, Statement};
+use super::client_listener::{ClientListener, Peer};
+use super::response_stream::Piece;
+use super::{ClientRequest, ProxyEvent, Statement};
 use async_io::Async;
 use output::Passing;
 use std::collections::VecDeque;
@@ -26,7 +26,7 @@
 /// first byte on until a message is whole: within 3 s of connecting it is to hear what is wrong.
 const FIRST_WAIT: Duration = Duration::from_millis(2_300);
 const MESSAGE_WAIT: Duration = Duration::from_millis(2_300);
-/// How long it may stand idle between requests. Clients hold a bound number of connections, and many ask once and
+/// How long it may stand idle between requests. ClientListener hold a bound number of connections, and many ask once and
 /// keep theirs for good: those would leave none for the others.
 const IDLE_MOST: Duration = Duration::from_millis(2_100);
 /// For how long it may take nothing of what is written to it, and what it may take to take one part of it all.
@@ -47,11 +47,11 @@
 
 /// A client's connection.
 pub(super) struct Connection {
-    /// Shared with its own writes, during which it is read all the same.
+    /// PoolContext with its own writes, during which it is read all the same.
     stream: Rc<Async<TcpStream>>,
     server: Server,
     peer: Rc<Peer>,
-    lane: Rc<Lane>,
+    lane: Rc<ResponseWriter>,
     accepted: Instant,
     started: bool,
     requests: u64,
@@ -77,7 +77,7 @@
     Due,
 }
 
-impl Clients {
+impl ClientListener {
     /// Serves one connection to its end, and says why it ended. What was open then is given up.
     pub(super) async fn serve(&self, c: &mut Connection) -> Reason {
         let _ = c.stream.get_ref().set_nodelay(true);
@@ -96,15 +96,15 @@
                 break reason;
             }
         };
-        for ticket in c.lane.leave() {
-            let _ = self.events.send(Event::Gone(ticket)).await;
+        for ticket in c.lane.disconnect() {
+            let _ = self.events.send(ProxyEvent::ClientDisconnected(ticket)).await;
         }
         reason
     }
 
     /// Asks the commands that have arrived, as far as there is room for them.
     async fn take(&self, c: &mut Connection) -> Result<(), Reason> {
-        while c.lane.has_room() {
+        while c.lane.has_capacity() {
             let at = c.arrived();
             let query = match c.server.advance() {
                 Ok(None) => {
@@ -154,14 +154,14 @@
                 c.lane.pipeline.borrow_mut().ask_nothing();
                 continue;
             };
-            asked.arrived = at.unwrap_or(asked.arrived);
+            asked.arrived_at = at.unwrap_or(asked.arrived_at);
             c.lane.pipeline.borrow_mut().ask(asked.ticket, bytes);
-            c.lane.hold();
+            c.lane.update_reservation();
             c.requests += 1;
             if !c.server.out.is_empty() {
                 c.flush().await?;
             }
-            if self.events.send(Event::Asked(Box::new(asked))).await.is_err() {
+            if self.events.send(ProxyEvent::RequestReceived(Box::new(asked))).await.is_err() {
                 return Err("shutdown");
             }
         }
@@ -171,19 +171,24 @@
 }
 
 /// A request, and the bytes of its statement.
-fn ask(query: &str, comment: &comment::Comment<'_>, ticket: Ticket, lane: Rc<Lane>) -> (Asked, usize) {
-    let asked = Asked {
+fn ask(
+    query: &str,
+    comment: &comment::Comment<'_>,
+    ticket: Ticket,
+    lane: Rc<ResponseWriter>,
+) -> (ClientRequest, usize) {
+    let asked = ClientRequest {
         ticket,
         id: comment.id.to_string(),
         class: comment.class.to_string(),
-        arrived: Instant::now(),
-        wait_ms: comment.wait_ms,
+        arrived_at: Instant::now(),
+        timeout_ms: comment.wait_ms,
         group: comment.group,
-        after_ms: comment.after_ms,
-        key: comment.key.map(str::to_string),
+        min_position_ms: comment.after_ms,
+        session_key: comment.key.map(str::to_string),
         // It outlives the read buffer: attempts go out and end while the next query is read.
         statement: Rc::new(Statement::new(query.as_bytes().to_vec(), comment.wait_at.clone())),
-        lane,
+        response_writer: lane,
     };
     (asked, query.len())
 }
@@ -191,7 +196,7 @@
 impl Connection {
     pub(super) fn new(stream: Async<TcpStream>, peer: Rc<Peer>, accepted: Instant) -> Self {
         let stream = Rc::new(stream);
-        peer.lane.serve(&stream);
+        peer.lane.attach_socket(&stream);
         Connection {
             stream,
             server: Server::new(peer.key),
--- a/crates/transport/src/client/keys.rs
+++ b/crates/transport/src/client_connection/cancel_keys.rs
@@ -1,19 +1,19 @@
-//! Keys of connections, and the cancel requests that name them.
+//! CancelKeys of connections, and the cancel requests that name them.
 
-use crate::clients::Clients;
-use crate::Event;
+use crate::client_listener::ClientListener;
+use crate::ProxyEvent;
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
 use wharfplank_protocol::server::Key;
 
 /// Draws keys. Each ends with its connection, which alone holds it.
 #[derive(Default)]
-pub(crate) struct Keys {
+pub(crate) struct CancelKeys {
     /// Keyed by the operating system, and never told: who knows some secrets cannot reckon others.
     secrets: RandomState,
 }
 
-impl Keys {
+impl CancelKeys {
     /// The key of the connection with this number: a positive number, as a process has, and a secret that is not zero.
     pub(crate) fn of(&self, number: u64) -> Key {
         let process = (number % i32::MAX as u64) as u32 + 1;
@@ -21,14 +21,14 @@
     }
 }
 
-impl Clients {
-    /// Ends what is open on the connection that the key names, if it names one: each request is answered in its place,
+impl ClientListener {
+    /// ConnectionEndObserver what is open on the connection that the key names, if it names one: each request is answered in its place,
     /// and no attempt of it begins.
     pub(super) async fn cancel(&self, key: Key) {
         let named = self.peers.borrow().values().find(|peer| peer.key == key).cloned();
         let Some(peer) = named else { return };
         for ticket in peer.lane.cancel() {
-            let _ = self.events.send(Event::Cancelled(ticket)).await;
+            let _ = self.events.send(ProxyEvent::RequestCancelled(ticket)).await;
         }
     }
 }
--- a/crates/transport/src/client/presence.rs
+++ b/crates/transport/src/client_connection/input.rs
@@ -47,7 +47,7 @@
     pub(super) fn reads(&self, ahead: bool) -> bool {
         let held = self.server.buffer.bytes().len();
         // A message that is not yet whole grows on behind open ones where there is memory for it.
-        let grows = || self.lane.memory.room() >= self.server.buffer.capacity();
+        let grows = || self.lane.memory.available() >= self.server.buffer.capacity();
         let far = || held < AHEAD_MOST || self.server.length().is_none();
         !ahead || held < AHEAD_LEAST || (far() && grows())
     }
@@ -77,7 +77,7 @@
     fn has_memory(&mut self) -> bool {
         self.server.buffer.space();
         self.lane.buffer.set(self.server.buffer.capacity());
-        self.lane.hold()
+        self.lane.update_reservation()
     }
 
     fn filled(&mut self, count: usize) {
--- a/crates/transport/src/client/output.rs
+++ b/crates/transport/src/client_connection/output.rs
@@ -1,9 +1,9 @@
 //! What a connection writes: answers in the order of their commands, whole or as they pass through.
 
 use super::{Connection, Reason, FLUSH_MOST, GATHER, LINGER, WRITE_WAIT};
-use crate::clients::{Clients, Leaving};
-use crate::flow::{Flow, Piece};
-use crate::within;
+use crate::client_listener::{ClientListener, Leaving};
+use crate::response_stream::{Piece, ResponseStream};
+use crate::with_deadline;
 use async_channel::{Receiver, TryRecvError};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::net::Shutdown;
@@ -14,7 +14,7 @@
 
 /// The answer that passes through at present.
 pub(super) struct Passing {
-    flow: Flow,
+    flow: ResponseStream,
     /// Whether the client was given any of it.
     begun: bool,
     /// A piece that came while the connection waited.
@@ -45,7 +45,7 @@
     }
 }
 
-impl Clients {
+impl ClientListener {
     /// Writes what can be written in order; whether that was anything. The end of the connection is an error.
     pub(super) async fn write(&self, c: &mut Connection) -> Result<bool, Reason> {
         let mut wrote = false;
@@ -78,7 +78,7 @@
             c.flush().await?;
         }
         if wrote {
-            c.lane.hold();
+            c.lane.update_reservation();
             c.peer.settled.set(c.peer.settled.get() || self.leaving.get() != Leaving::No);
         }
         Ok(wrote)
@@ -184,7 +184,7 @@
                     false => future::pending().await,
                 }
             };
-            match within(most.min(until), future::or(taken, heard)).await {
+            match with_deadline(most.min(until), future::or(taken, heard)).await {
                 Some(Woken::Taken(0)) => return Err("client_reset"),
                 Some(Woken::Taken(count)) => {
                     at += count;
@@ -212,6 +212,6 @@
     pub(super) async fn drain(&mut self) {
         let mut sink = [0; 4096];
         let drain = async { while matches!((&*self.stream).read(&mut sink).await, Ok(1..)) {} };
-        within(Instant::now() + LINGER, drain).await;
+        with_deadline(Instant::now() + LINGER, drain).await;
     }
 }
--- a/crates/transport/src/client/input.rs
+++ b/crates/transport/src/client_connection/wait.rs
@@ -1,15 +1,15 @@
 //! What a connection waits for, and what it reads.
 
 use super::{Connection, Reason, Wake, FIRST_WAIT, IDLE_MOST, MESSAGE_WAIT};
-use crate::clients::{Clients, Leaving};
-use crate::within;
+use crate::client_listener::{ClientListener, Leaving};
+use crate::with_deadline;
 use event_listener::EventListener;
 use futures_lite::future;
 use std::net::Shutdown;
 use std::time::Instant;
 use wharfplank_protocol::server::Violation;
 
-impl Clients {
+impl ClientListener {
     /// Waits until something has been read, an answer is there, or a time is up.
     pub(super) async fn wait(&self, c: &mut Connection, bell: EventListener) -> Result<(), Reason> {
         let now = Instant::now();
@@ -57,7 +57,7 @@
         // What has already arrived is read before the connection closes.
         let work = future::or(read, future::or(given, rung));
         let wake = match due {
-            Some(due) => within(due, work).await.unwrap_or(Ok(Wake::Due)),
+            Some(due) => with_deadline(due, work).await.unwrap_or(Ok(Wake::Due)),
             None => work.await,
         };
         c.peer.idle.set(None);
@@ -90,7 +90,7 @@
     }
 }
 
-impl Clients {
+impl ClientListener {
     /// Whether an empty query is answered. It waits for the process's start; where that will not come since the
     /// process was asked to end before, it is answered for the sake of what stands behind it.
     pub(super) fn answers_empty(&self, c: &Connection) -> bool {
@@ -101,7 +101,7 @@
 }
 
 impl Connection {
-    /// Ends a connection on which nothing is open, unless something has just arrived. A client that sends many
+    /// ConnectionEndObserver a connection on which nothing is open, unless something has just arrived. A client that sends many
     /// requests at once loses all but the first where its write crosses the close, and a process that must share its
     /// core may stand still between any two steps: so nothing lies between this look and the end.
     fn hangs_up(&self) -> bool {
--- a/crates/transport/src/clients.rs
+++ b/crates/transport/src/client_listener.rs
@@ -1,11 +1,11 @@
 //! The listener and the table of client connections: who is let in, and until when.
 
-mod places;
+mod admission;
 
-pub use places::beyond;
+pub use admission::overflow_connections;
 
-use super::client::{Connection, Keys, Lane};
-use super::{Ended, Ends, Event, Memory};
+use super::client_connection::{CancelKeys, Connection, ResponseWriter};
+use super::{ConnectionEnd, ConnectionEndObserver, MemoryBudget, ProxyEvent};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -24,23 +24,23 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// All connections of clients.
-pub struct Clients {
+pub struct ClientListener {
     executor: Rc<LocalExecutor<'static>>,
-    pub(super) events: Sender<Event>,
-    ends: Ends,
+    pub(super) events: Sender<ProxyEvent>,
+    ends: ConnectionEndObserver,
     pub(super) most: Cell<usize>,
     /// Whether new connections are taken.
     takes: Cell<bool>,
     /// A message that does not fit into it ends its connection: it is not whole, so nothing that was taken is
     /// lost.
-    memory: Rc<Memory>,
+    memory: Rc<MemoryBudget>,
     /// Connections that wait for their last error to arrive. They hold descriptors, so their number is bound.
     pub(super) lingering: Cell<usize>,
     /// Connections that have asked something.
     asked: Cell<usize>,
     pub(super) peers: RefCell<BTreeMap<u64, Rc<Peer>>>,
     numbers: Cell<u64>,
-    keys: Keys,
+    keys: CancelKeys,
     /// Whether queries can be served: until then an empty query waits.
     pub(super) ready: Cell<bool>,
     pub(super) leaving: Cell<Leaving>,
@@ -62,7 +62,7 @@
 /// What others may see of one connection.
 pub(super) struct Peer {
     /// Its answers. Its bell is rung for this connection alone: one for all would wake hundreds to close one.
-    pub(super) lane: Rc<Lane>,
+    pub(super) lane: Rc<ResponseWriter>,
     /// What cancels its requests.
     pub(super) key: Key,
     /// Since when it stands between requests, or since when it has not asked any.
@@ -74,16 +74,16 @@
     pub(super) settled: Cell<bool>,
 }
 
-impl Clients {
+impl ClientListener {
     /// No connections yet, and room for `most`.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        events: Sender<Event>,
-        ends: Ends,
+        events: Sender<ProxyEvent>,
+        ends: ConnectionEndObserver,
         most: usize,
-        memory: Rc<Memory>,
+        memory: Rc<MemoryBudget>,
     ) -> Rc<Self> {
-        Rc::new(Clients {
+        Rc::new(ClientListener {
             executor,
             events,
             ends,
@@ -94,7 +94,7 @@
             asked: Cell::new(0),
             peers: RefCell::default(),
             numbers: Cell::new(0),
-            keys: Keys::default(),
+            keys: CancelKeys::default(),
             ready: Cell::new(false),
             leaving: Cell::new(Leaving::No),
             listens: Cell::new(true),
@@ -103,46 +103,46 @@
     }
 
     /// Empty queries are answered from now on.
-    pub fn ready(&self) {
+    pub fn set_ready(&self) {
         self.ready.set(true);
         self.ring();
     }
 
     /// Idle connections close from now on, and others after their answer. New ones are still taken, for
     /// one answer each.
-    pub fn leave(&self) {
+    pub fn begin_draining(&self) {
         self.peers.borrow().values().for_each(|peer| peer.settled.set(true));
         self.leaving.set(self.leaving.get().max(Leaving::Idle));
         self.ring();
     }
 
     /// Takes new connections from now on, or leaves them to another process that listens on the same socket.
-    pub fn take_new(&self, takes: bool) {
+    pub fn set_accepting(&self, takes: bool) {
         if self.takes.replace(takes) != takes {
             self.bell.notify(usize::MAX);
         }
     }
 
     /// New connections are over, too.
-    pub fn close(&self) {
+    pub fn stop_accepting(&self) {
         self.leaving.set(Leaving::All);
         self.ring();
     }
 
-    /// Whether all is over: none is open, and after [`Clients::close`] none is left that the machine had accepted.
-    pub fn over(&self) -> bool {
-        !self.listens.get() && self.open() == 0
+    /// Whether all is over: none is open, and after [`ClientListener::stop_accepting`] none is left that the machine had accepted.
+    pub fn is_finished(&self) -> bool {
+        !self.listens.get() && self.open_connections() == 0
     }
 
     /// Wakes the listener and every connection.
     fn ring(&self) {
         self.bell.notify(usize::MAX);
         for peer in self.peers.borrow().values() {
-            peer.lane.ring();
+            peer.lane.wake();
         }
     }
 
-    /// Takes connections until [`Clients::close`].
+    /// Takes connections until [`ClientListener::stop_accepting`].
     pub async fn listen(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
         loop {
             let bell = self.bell.listen();
@@ -190,7 +190,7 @@
     fn admit(self: &Rc<Self>, stream: Async<TcpStream>, address: SocketAddr) {
         let (number, since) = (self.number(), Instant::now());
         let full = self.is_full();
-        let lane = Rc::new(Lane::new(&self.memory));
+        let lane = Rc::new(ResponseWriter::new(&self.memory));
         let (idle, asked, evicted, settled) = Default::default();
         let peer = Rc::new(Peer { lane, key: self.keys.of(number), idle, asked, evicted, settled });
         self.peers.borrow_mut().insert(number, Rc::clone(&peer));
@@ -207,7 +207,14 @@
             clients.peers.borrow_mut().remove(&number);
             clients.asked.set(clients.asked.get() - usize::from(peer.asked.get()));
             let requests = connection.requests();
-            (clients.ends)(&Ended { side: "client", peer: address, name: "", reason, requests, since });
+            (clients.ends)(&ConnectionEnd {
+                side: "client",
+                peer: address,
+                name: "",
+                reason,
+                requests,
+                since,
+            });
         };
         self.executor.spawn(task).detach();
     }
--- a/crates/transport/src/clients/places.rs
+++ b/crates/transport/src/client_listener/admission.rs
@@ -1,6 +1,6 @@
 //! The places of client connections: how many there are, and who makes room.
 
-use super::{Clients, Peer};
+use super::{ClientListener, Peer};
 use std::time::{Duration, Instant};
 
 /// Connections that have asked nothing for so long make room first: a client sends its startup at once.
@@ -9,38 +9,38 @@
 const REST: Duration = Duration::from_secs(2);
 /// Connections beyond those of the limit `places`, while they are told that there is none for them, or while others
 /// still close for them: their descriptors are kept free beside the places.
-pub fn beyond(places: usize) -> usize {
+pub fn overflow_connections(places: usize) -> usize {
     places / 10
 }
 
 /// As many may come beside that where there are few places; the process keeps descriptors of its own for them.
 const BESIDE: usize = 2;
 
-impl Clients {
+impl ClientListener {
     /// How many are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.peers.borrow().len()
     }
 
     /// Room for so many connections from now on.
-    pub fn limit(&self, most: usize) {
+    pub fn set_max_connections(&self, most: usize) {
         self.most.set(most);
     }
 
     /// Whether a connection that has been accepted finds no place. One that was asked to make room may have read a
     /// request meanwhile and stay: past what is kept for that none is asked.
     pub(super) fn is_full(&self) -> bool {
-        let (open, most) = (self.open(), self.most.get());
-        open >= most && (open >= most + beyond(most) + BESIDE || !self.evict(|_| true))
+        let (open, most) = (self.open_connections(), self.most.get());
+        open >= most && (open >= most + overflow_connections(most) + BESIDE || !self.evict(|_| true))
     }
 
     /// Whether a connection may be kept until its last error has arrived.
     pub(crate) fn may_linger(&self) -> bool {
         let most = self.most.get();
-        self.lingering.get() < most / 4 && self.open() <= most + beyond(most)
+        self.lingering.get() < most / 4 && self.open_connections() <= most + overflow_connections(most)
     }
 
-    /// Counts a connection that asks something. Clients share a bound number of connections: past two fifths of
+    /// Counts a connection that asks something. ClientListener share a bound number of connections: past two fifths of
     /// the places the one idle longest gives way.
     pub(crate) fn count(&self, peer: &Peer) {
         if !peer.asked.replace(true) {
@@ -66,7 +66,7 @@
         let idle = idle.filter_map(|p| p.idle.get().map(|since| (rank(p, since), since, p)));
         let Some((.., peer)) = idle.min_by_key(|(rank, since, _)| (*rank, *since)) else { return false };
         peer.evicted.set(true);
-        peer.lane.ring();
+        peer.lane.wake();
         true
     }
 }
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -5,7 +5,7 @@
 mod connection;
 
 use super::budgets::Budgets;
-use super::{within, Ends, Event, Now};
+use super::{with_deadline, ConnectionEndObserver, Now, ProxyEvent};
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
@@ -29,8 +29,8 @@
 #[derive(Clone)]
 struct Parts {
     executor: Rc<LocalExecutor<'static>>,
-    events: Sender<Event>,
-    ends: Ends,
+    events: Sender<ProxyEvent>,
+    ends: ConnectionEndObserver,
     now: Now,
     /// Only the task borrows it, and never across a wait.
     desk: Rc<RefCell<Desk>>,
@@ -44,8 +44,8 @@
     /// Follows the list at an address from now on.
     pub fn start(
         executor: Rc<LocalExecutor<'static>>,
-        events: Sender<Event>,
-        ends: Ends,
+        events: Sender<ProxyEvent>,
+        ends: ConnectionEndObserver,
         now: Now,
         desk: Desk,
         address: SocketAddr,
@@ -111,7 +111,7 @@
 
     /// Whether anybody still listens.
     async fn tell(&self, news: News, age: Option<Age>) -> bool {
-        self.events.send(Event::Heard(news, age)).await.is_ok()
+        self.events.send(ProxyEvent::EndpointsChanged(news, age)).await.is_ok()
     }
 
     /// Does work, and meanwhile tells what lapses.
@@ -121,7 +121,7 @@
             let due = self.desk.borrow().due();
             let Some(due) = due else { return work.await };
             let pause = Duration::from_micros((due - (self.now)()).max(0) as u64);
-            if let Some(done) = within(Instant::now() + pause, work.as_mut()).await {
+            if let Some(done) = with_deadline(Instant::now() + pause, work.as_mut()).await {
                 return done;
             }
             let news = self.desk.borrow_mut().lapse((self.now)());
--- a/crates/transport/src/discovery/call.rs
+++ b/crates/transport/src/discovery/call.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Connection, Line};
 use super::Parts;
-use crate::within;
+use crate::with_deadline;
 use async_io::Async;
 use futures_lite::future;
 use std::net::TcpStream;
@@ -42,7 +42,7 @@
         let done = {
             let limits = Limits { until: begun + span(call.answer), still, most };
             let mut first = pin!(self.ask(kept, call.ask, call.wait, connect, limits));
-            if let Some(done) = within(begun + span(call.beside), first.as_mut()).await {
+            if let Some(done) = with_deadline(begun + span(call.beside), first.as_mut()).await {
                 return done;
             }
             if !self.may_call() {
@@ -120,7 +120,7 @@
     async fn connect(&self, until: Instant) -> Option<Connection> {
         let (ends, peer, dropped) = (Rc::clone(&self.ends), self.address, Rc::clone(&self.dropped));
         let mut line = Line { ends, peer, since: Instant::now(), calls: 0, reason: None, dropped };
-        match within(until, Async::<TcpStream>::connect(self.address)).await {
+        match with_deadline(until, Async::<TcpStream>::connect(self.address)).await {
             Some(Ok(stream)) => {
                 let _ = stream.get_ref().set_nodelay(true);
                 Some(Connection { stream, reader: http::Reader::default(), line, begun: false })
--- a/crates/transport/src/discovery/connection.rs
+++ b/crates/transport/src/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to discovery, and its line of the log.
 
 use super::call::Limits;
-use crate::{within, Ended, Ends};
+use crate::{with_deadline, ConnectionEnd, ConnectionEndObserver};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::cell::Cell;
@@ -20,7 +20,7 @@
 }
 
 pub(super) struct Line {
-    pub(super) ends: Ends,
+    pub(super) ends: ConnectionEndObserver,
     pub(super) peer: SocketAddr,
     pub(super) since: Instant,
     pub(super) calls: u64,
@@ -32,7 +32,7 @@
     fn drop(&mut self) {
         let reason = self.reason.unwrap_or(self.dropped.get());
         let (peer, requests, since) = (self.peer, self.calls, self.since);
-        (self.ends)(&Ended { side: "discovery", peer, name: "", reason, requests, since });
+        (self.ends)(&ConnectionEnd { side: "discovery", peer, name: "", reason, requests, since });
     }
 }
 
@@ -46,7 +46,7 @@
     ) -> Result<http::Answer, &'static str> {
         let Limits { mut until, still, most } = limits;
         self.begun = false;
-        let asked = within(until, self.stream.write_all(&http::get(target, host))).await;
+        let asked = with_deadline(until, self.stream.write_all(&http::get(target, host))).await;
         asked.ok_or("timeout")?.map_err(|_| "reset")?;
         let mut ended = false;
         loop {
@@ -56,7 +56,7 @@
             if ended {
                 return Err("server_closed");
             }
-            let read = within(until, self.stream.read(self.reader.buffer.space())).await;
+            let read = with_deadline(until, self.stream.read(self.reader.buffer.space())).await;
             let count = read.ok_or("timeout")?.map_err(|_| "reset")?;
             self.reader.buffer.filled(count);
             self.begun |= count > 0;
--- /dev/null
+++ b/crates/transport/src/event.rs
@@ -0,0 +1,57 @@
+//! The events that the drivers send to the broker.
+
+use crate::request::ClientRequest;
+use crate::{handover, member_pool};
+use wharfplank_discovery::{Age, News};
+use wharfplank_protocol::pipeline::Ticket;
+use wharfplank_routing::{HostId, RequestId};
+
+/// Something that happened outside the broker and that the broker has to handle.
+#[derive(Debug)]
+pub enum ProxyEvent {
+    /// A client sent a request.
+    RequestReceived(Box<ClientRequest>),
+    /// A client disconnected while its request was open.
+    ClientDisconnected(Ticket),
+    /// A client cancelled a request, which has been answered accordingly.
+    RequestCancelled(Ticket),
+    /// An attempt finished, or its streamed response began.
+    AttemptFinished {
+        /// The request.
+        id: RequestId,
+        /// The number of the attempt within the request.
+        attempt: u32,
+        /// The result of the attempt.
+        report: member_pool::AttemptReport,
+    },
+    /// A streamed response ended.
+    StreamFinished {
+        /// The request.
+        id: RequestId,
+        /// The number of the attempt within the request.
+        attempt: u32,
+        /// The result at the end of the stream.
+        report: member_pool::AttemptReport,
+    },
+    /// A health check of a member finished.
+    ProbeFinished {
+        /// The member.
+        host: HostId,
+        /// The member's load report; `None` if the health check failed.
+        report: Option<String>,
+    },
+    /// The endpoint list or its staleness changed.
+    EndpointsChanged(News, Option<Age>),
+    /// The share of reads that each named zone may take, as the fleet decided. Other zones take all.
+    ZoneShares(Vec<(String, f64)>),
+    /// The latency factors of the members that the fleet judges unhealthy.
+    MemberFactors(Vec<(u64, f64)>),
+    /// Observations that other proxies shared.
+    PeerNews(Vec<wharfplank_shared_state::News>),
+    /// An event on the link to the process that replaces this one, or that this one replaces.
+    Handover(handover::Other),
+    /// The process was asked to reload its configuration.
+    ReloadRequested,
+    /// The process was asked to shut down.
+    ShutdownRequested,
+}
--- a/crates/transport/src/fleet/heard.rs
+++ b/crates/transport/src/fleet/heard.rs
@@ -3,7 +3,7 @@
 
 use super::Said;
 use crate::duty::Inbox;
-use crate::Event;
+use crate::ProxyEvent;
 use async_channel::Sender;
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -71,7 +71,7 @@
     }
 
     /// The next event for the broker; `None` once the thread has ended.
-    fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<Option<Event>> {
+    fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<Option<ProxyEvent>> {
         let ended = loop {
             match self.told.poll_next(cx) {
                 Poll::Ready(Some(told)) => self.take(told),
@@ -79,11 +79,11 @@
                 Poll::Pending => break false,
             }
         };
-        let shares = self.shares.take().map(Event::Shares);
-        let factors = || self.factors.take().map(Event::Factors);
-        let next = shares
-            .or_else(factors)
-            .or_else(|| (!self.news.is_empty()).then(|| Event::Told(std::mem::take(&mut self.news))));
+        let shares = self.shares.take().map(ProxyEvent::ZoneShares);
+        let factors = || self.factors.take().map(ProxyEvent::MemberFactors);
+        let next = shares.or_else(factors).or_else(|| {
+            (!self.news.is_empty()).then(|| ProxyEvent::PeerNews(std::mem::take(&mut self.news)))
+        });
         match next {
             Some(event) => Poll::Ready(Some(event)),
             None if ended => Poll::Ready(None),
@@ -94,13 +94,13 @@
 
 /// Passes on to the broker what is told. Where the thread failed, nobody will say when a zone is back or a member sound:
 /// all zones and members count in full again, as they do alone.
-pub(super) async fn relay(heard: Rc<RefCell<Heard>>, events: Sender<Event>, say: fn(Said<'_>)) {
+pub(super) async fn relay(heard: Rc<RefCell<Heard>>, events: Sender<ProxyEvent>, say: fn(Said<'_>)) {
     while let Some(event) = poll_fn(|cx| heard.borrow_mut().poll_event(cx)).await {
         let _ = events.send(event).await;
     }
     if heard.borrow().told.failed() {
         say(Said::Failed);
-        for event in [Event::Shares(Vec::new()), Event::Factors(Vec::new())] {
+        for event in [ProxyEvent::ZoneShares(Vec::new()), ProxyEvent::MemberFactors(Vec::new())] {
             let _ = events.send(event).await;
         }
     }
@@ -127,11 +127,14 @@
         assert!(heard.in_doubt(3));
         told.push(Told::Shares(vec![("a".to_string(), 1.0)]));
         drop(told);
-        let events: Vec<Option<Event>> =
+        let events: Vec<Option<ProxyEvent>> =
             (0..3).map(|_| block_on(poll_fn(|cx| heard.poll_event(cx)))).collect();
-        assert!(matches!(&events[0], Some(Event::Shares(shares)) if shares[0].1 == 1.0), "the newest alone");
+        assert!(
+            matches!(&events[0], Some(ProxyEvent::ZoneShares(shares)) if shares[0].1 == 1.0),
+            "the newest alone"
+        );
         let news = |news: &[News]| news == [News::Suspected { member: 7, at: 3 }];
-        assert!(matches!(&events[1], Some(Event::Told(told)) if news(told)));
+        assert!(matches!(&events[1], Some(ProxyEvent::PeerNews(told)) if news(told)));
         assert!(events[2].is_none());
     }
 
@@ -146,7 +149,7 @@
         assert_eq!((heard.news.len(), told.dropped()), (NEWS_MOST, 0));
         assert!(matches!(
             block_on(poll_once(poll_fn(|cx| heard.poll_event(cx)))),
-            Some(Some(Event::Told(_)))
+            Some(Some(ProxyEvent::PeerNews(_)))
         ));
     }
 
@@ -161,8 +164,10 @@
         });
         assert!(failing.join().is_err());
         block_on(relay(heard, events, |said| assert!(matches!(said, Said::Failed))));
-        let heard: Vec<Event> = std::iter::from_fn(|| received.try_recv().ok()).collect();
-        assert!(matches!(&heard[..], [Event::Shares(left), Event::Shares(back), Event::Factors(none)]
-            if left.len() == 1 && back.is_empty() && none.is_empty()));
+        let heard: Vec<ProxyEvent> = std::iter::from_fn(|| received.try_recv().ok()).collect();
+        assert!(
+            matches!(&heard[..], [ProxyEvent::ZoneShares(left), ProxyEvent::ZoneShares(back), ProxyEvent::MemberFactors(none)]
+            if left.len() == 1 && back.is_empty() && none.is_empty())
+        );
     }
 }
--- a/crates/transport/src/fleet/mod.rs
+++ b/crates/transport/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 pub use turns::{Turns, GAP, WAKING};
 pub use witness::{Fact, Seen, Witness};
 
-use super::{duty, Event, Now};
+use super::{duty, Now, ProxyEvent};
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use heard::Heard;
@@ -74,7 +74,7 @@
     /// Whether members are judged.
     pub judged: bool,
     /// Where events for the broker go.
-    pub events: Sender<Event>,
+    pub events: Sender<ProxyEvent>,
     /// The log, which both threads write.
     pub say: fn(Said<'_>),
 }
--- a/crates/transport/src/handover.rs
+++ b/crates/transport/src/handover.rs
@@ -5,7 +5,7 @@
 
 pub use post::Post;
 
-use super::{within, Event};
+use super::{with_deadline, ProxyEvent};
 use async_channel::{bounded, Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -100,7 +100,7 @@
 pub fn ask(path: &Path) -> io::Result<Option<Inherited>> {
     let Ok(stream) = UnixStream::connect(path) else { return Ok(None) };
     let inherited =
-        async { within(Instant::now() + ASK_WAIT, inherit(Async::new(stream)?)).await.transpose() };
+        async { with_deadline(Instant::now() + ASK_WAIT, inherit(Async::new(stream)?)).await.transpose() };
     match async_io::block_on(inherited) {
         Err(e) if e.kind() == io::ErrorKind::ResourceBusy => Err(e),
         other => Ok(other.ok().flatten()),
@@ -142,7 +142,7 @@
     }
 
     /// Keeps up the link with the older process; what is left is the socket and the state.
-    pub fn link(self, executor: &Rc<LocalExecutor<'static>>, events: Sender<Event>) -> Link {
+    pub fn link(self, executor: &Rc<LocalExecutor<'static>>, events: Sender<ProxyEvent>) -> Link {
         let (link, words) = Link::new();
         executor.spawn(talk(self.stream, words, events)).detach();
         link
@@ -161,7 +161,7 @@
         stream: Async<UnixStream>,
         listener: Rc<Async<TcpListener>>,
         state: &State,
-        events: Sender<Event>,
+        events: Sender<ProxyEvent>,
     ) -> Link {
         let (link, words) = Link::new();
         let line = line(state);
@@ -171,9 +171,9 @@
                 stream.write_with(|stream| pass(stream, &listener)).await?;
                 stream.write_all(&line).await
             };
-            match within(Instant::now() + WRITE_WAIT, given).await {
+            match with_deadline(Instant::now() + WRITE_WAIT, given).await {
                 Some(Ok(())) => talk(BufReader::new(stream), words, events).await,
-                _ => drop(events.send(Event::Other(Other::Lost)).await),
+                _ => drop(events.send(ProxyEvent::Handover(Other::Lost)).await),
             }
         };
         executor.spawn(task).detach();
@@ -183,7 +183,7 @@
 
 /// Tells a process that asks that another was first.
 pub async fn turn_away(mut stream: Async<UnixStream>) {
-    within(Instant::now() + WRITE_WAIT, stream.write_all(&[LATE])).await;
+    with_deadline(Instant::now() + WRITE_WAIT, stream.write_all(&[LATE])).await;
 }
 
 fn pass(stream: &UnixStream, listener: &Async<TcpListener>) -> io::Result<()> {
@@ -202,14 +202,14 @@
 }
 
 /// Carries words both ways until one side ends. A line that cannot be read ends the link: the two would differ.
-async fn talk(stream: BufReader<Async<UnixStream>>, words: Receiver<Word>, events: Sender<Event>) {
+async fn talk(stream: BufReader<Async<UnixStream>>, words: Receiver<Word>, events: Sender<ProxyEvent>) {
     let writer = stream.get_ref().get_ref().try_clone().and_then(Async::new);
     let hear = async {
         let (mut stream, mut line) = (stream, String::new());
         while let Ok(1..) = (&mut stream).take(LINE_MOST).read_line(&mut line).await {
             let Ok(word) = serde_json::from_str(&line) else { break };
             line.clear();
-            if events.send(Event::Other(Other::Says(word))).await.is_err() {
+            if events.send(ProxyEvent::Handover(Other::Says(word))).await.is_err() {
                 break;
             }
         }
@@ -217,12 +217,12 @@
     let say = async {
         let Ok(mut writer) = writer else { return };
         while let Ok(word) = words.recv().await {
-            let done = within(Instant::now() + WRITE_WAIT, writer.write_all(&line(&word))).await;
+            let done = with_deadline(Instant::now() + WRITE_WAIT, writer.write_all(&line(&word))).await;
             if !matches!(done, Some(Ok(()))) {
                 return;
             }
         }
     };
     future::or(hear, say).await;
-    let _ = events.send(Event::Other(Other::Lost)).await;
+    let _ = events.send(ProxyEvent::Handover(Other::Lost)).await;
 }
--- a/crates/transport/src/handover/post.rs
+++ b/crates/transport/src/handover/post.rs
@@ -1,7 +1,7 @@
 //! Where the next process asks: a Unix socket's file.
 
 use super::Other;
-use crate::Event;
+use crate::ProxyEvent;
 use async_channel::Sender;
 use async_io::{Async, Timer};
 use std::io;
@@ -39,11 +39,11 @@
     }
 
     /// Hands on those who ask.
-    pub async fn listen(self, events: Sender<Event>) {
+    pub async fn listen(self, events: Sender<ProxyEvent>) {
         loop {
             match self.listener.accept().await {
                 Ok((stream, _)) => {
-                    if events.send(Event::Other(Other::Asks(stream))).await.is_err() {
+                    if events.send(ProxyEvent::Handover(Other::Asks(stream))).await.is_err() {
                         return;
                     }
                 }
--- a/crates/transport/src/members.rs
+++ b/crates/transport/src/member_pool.rs
@@ -4,13 +4,13 @@
 //! run apart from the attempts, and keep as many spare as `standby` finds that the member's use is worth.
 
 mod attempt;
-mod budgeted;
 mod connection;
-mod pool;
+mod connection_budget;
+mod connections;
 
 use super::budgets::Budgets;
-use super::flow::Flow;
-use super::{Ends, Memory};
+use super::response_stream::ResponseStream;
+use super::{ConnectionEndObserver, MemoryBudget};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use connection::{Connection, IDLE};
@@ -37,62 +37,64 @@
 pub const CHECK_AFTER: Duration = Duration::from_millis(500);
 const CHECK_LEAST: Duration = Duration::from_millis(5);
 
+pub use connection_budget::ConnectionExcess;
+
 type Reason = &'static str;
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Report {
+pub struct AttemptReport {
     /// In the module's words.
-    pub ending: Ending,
+    pub outcome: Ending,
     /// The member's answer, if it gave one.
     pub answer: Option<Answer>,
     /// A served answer that has only begun: it passes through, and ends with a report of its own.
-    pub flow: Option<Flow>,
+    pub stream: Option<ResponseStream>,
 }
 
-impl Report {
+impl AttemptReport {
     /// An end without an answer.
-    pub fn bare(ending: Ending) -> Self {
-        Report { ending, answer: None, flow: None }
+    pub fn without_answer(outcome: Ending) -> Self {
+        AttemptReport { outcome, answer: None, stream: None }
     }
 }
 
 /// How far an attempt has come; the first byte is what drains count from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stage {
+pub enum AttemptStage {
     /// Nothing is written yet.
     #[default]
-    Waiting,
+    Queued,
     /// Some of it may be written, but not its last byte: closed now, it never runs.
-    Begun,
+    Writing,
     /// All of it is written: it may have run.
     Written,
     /// It has ended, and its report is on the way.
-    Done,
+    Finished,
 }
 
 /// What the pools share.
-pub struct Shared {
+pub struct PoolContext {
     /// Runs the openers.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Where ended connections are noted.
-    pub ends: Ends,
+    pub on_connection_end: ConnectionEndObserver,
     /// A connection that is not up after this time never comes up.
     pub connect_timeout: Duration,
     /// Idle connections are retired after this time, well before the member closes them.
-    pub idle_most: Duration,
+    pub idle_timeout: Duration,
     /// The most connections to all members, and to one.
-    pub most: Cell<usize>,
+    pub max_connections: Cell<usize>,
     /// The most connections to one member.
-    pub most_each: usize,
+    pub max_connections_per_member: usize,
     /// Connections to all members that are up or coming up.
-    pub open: Cell<usize>,
+    pub open_connections: Cell<usize>,
     /// What the answers of all members may fill.
-    pub memory: Rc<Memory>,
+    pub memory_budget: Rc<MemoryBudget>,
     /// Whether members may answer that there is no row.
-    pub rowless: bool,
+    pub allow_empty_result: bool,
     /// See [`CHECK_AFTER`].
-    pub check_after: Cell<Duration>,
+    pub liveness_check_after: Cell<Duration>,
     /// The caller's clock.
     pub now: super::Now,
     /// Counts requests that ended, and attempts written whole.
@@ -101,28 +103,28 @@
     pub budgets: Option<Rc<Budgets>>,
 }
 
-impl Shared {
+impl PoolContext {
     /// Learns that a connection was dead that had stood idle for so long.
     fn died(&self, idle: Duration) {
         if idle >= CHECK_LEAST {
-            self.check_after.set(self.check_after.get().min(idle / 2).max(CHECK_LEAST));
+            self.liveness_check_after.set(self.liveness_check_after.get().min(idle / 2).max(CHECK_LEAST));
         }
     }
 
     /// What was learnt of idle connections wears off.
-    pub fn relax(&self) {
-        self.check_after.set((self.check_after.get() * 11 / 10).min(CHECK_AFTER));
+    pub fn relax_liveness_check(&self) {
+        self.liveness_check_after.set((self.liveness_check_after.get() * 11 / 10).min(CHECK_AFTER));
     }
 }
 
 /// A member as this proxy reaches it.
-pub struct Member {
-    shared: Rc<Shared>,
+pub struct MemberPool {
+    shared: Rc<PoolContext>,
     name: String,
     address: Cell<SocketAddr>,
-    wanted: Cell<bool>,
+    active: Cell<bool>,
     /// When sends must have ended, where the list takes it out of use but is in doubt.
-    until: Cell<Option<Instant>>,
+    stop_sends_at: Cell<Option<Instant>>,
     idle: RefCell<Vec<Connection>>,
     waiters: RefCell<VecDeque<Sender<Option<Connection>>>>,
     opening: Cell<usize>,
@@ -134,16 +136,16 @@
     demand: Cell<Demand>,
 }
 
-impl Member {
-    /// A member at an address. No connection is opened before [`Member::want`].
-    pub fn new(shared: Rc<Shared>, name: &str, address: SocketAddr) -> Rc<Self> {
+impl MemberPool {
+    /// A member at an address. No connection is opened before [`MemberPool::activate`].
+    pub fn new(shared: Rc<PoolContext>, name: &str, address: SocketAddr) -> Rc<Self> {
         shared.budgets.iter().for_each(|budgets| budgets.member(name));
-        Rc::new(Member {
+        Rc::new(MemberPool {
             shared,
             name: name.to_string(),
             address: Cell::new(address),
-            wanted: Cell::new(false),
-            until: Cell::new(None),
+            active: Cell::new(false),
+            stop_sends_at: Cell::new(None),
             idle: RefCell::default(),
             waiters: RefCell::default(),
             opening: Cell::new(0),
@@ -161,59 +163,65 @@
     }
 
     /// Whether it takes work, as far as the list tells.
-    pub fn wanted(&self) -> bool {
-        self.wanted.get()
+    pub fn is_active(&self) -> bool {
+        self.active.get()
     }
 
     /// Nothing may be begun from then on, unless a list says otherwise before.
-    pub fn until(&self, until: Instant) {
-        self.until.set(Some(until));
+    pub fn stop_sends_at(&self, until: Instant) {
+        self.stop_sends_at.set(Some(until));
     }
 
-    /// Whether something may be sent to it now. Asked just before a first byte, which is what drains count from:
+    /// Whether something may be sent to it now. ClientRequest just before a first byte, which is what drains count from:
     /// between the decision and there lie a wait for a connection and a check whether it still works.
     fn open_for_work(&self) -> bool {
-        self.wanted.get() && self.until.get().is_none_or(|until| Instant::now() < until)
+        self.active.get() && self.stop_sends_at.get().is_none_or(|until| Instant::now() < until)
     }
 
     /// Whether a connection to it stands ready.
-    pub fn warm(&self) -> bool {
+    pub fn has_idle_connection(&self) -> bool {
         !self.idle.borrow().is_empty()
     }
 
     /// Whether nothing holds a connection to it.
-    pub fn unused(&self) -> bool {
+    pub fn has_no_connections(&self) -> bool {
         self.open.get() == 0 && self.opening.get() == 0
     }
 
     /// Connects to it, so that it is seen whether it can be reached.
-    pub fn knock(self: &Rc<Self>) {
-        if self.wanted.get() && self.unused() && self.may_open() {
+    pub fn connect_if_unused(self: &Rc<Self>) {
+        if self.active.get() && self.has_no_connections() && self.may_open() {
             self.open_one();
         }
     }
 
-    /// Keeps connections ready to a member that takes work, and closes idle ones of another.
-    pub fn want(self: &Rc<Self>, wanted: bool, address: Option<SocketAddr>) {
-        if let Some(address) = address.filter(|a| *a != self.address.get()) {
-            self.address.set(address);
+    /// Connects to this address from now on. Idle connections to a former address are closed.
+    pub fn relocate(&self, address: SocketAddr) {
+        if self.address.replace(address) != address {
             self.close_idle("moved", |_| true);
         }
-        self.wanted.set(wanted);
-        self.until.set(None);
-        if wanted {
-            self.top_up();
-        } else {
-            self.close_idle("left", |_| true);
-        }
+    }
+
+    /// Sends attempts to the member from now on, and keeps connections ready.
+    pub fn activate(self: &Rc<Self>) {
+        self.active.set(true);
+        self.stop_sends_at.set(None);
+        self.open_missing_connections();
+    }
+
+    /// Sends nothing to the member from now on, and closes its idle connections.
+    pub fn deactivate(&self) {
+        self.active.set(false);
+        self.stop_sends_at.set(None);
+        self.close_idle("left", |_| true);
     }
 
     /// Retires what stood idle for long, drops what has died, and opens spares.
-    pub fn tend(self: &Rc<Self>) {
+    pub fn maintain(self: &Rc<Self>) {
         let now = Instant::now();
         let mut idle = std::mem::take(&mut *self.idle.borrow_mut());
         idle.retain_mut(|c| {
-            let old = now - c.used >= self.shared.idle_most;
+            let old = now - c.used >= self.shared.idle_timeout;
             let quiet = c.quiet();
             c.reason = match (old, quiet) {
                 (true, _) => "retired",
@@ -223,12 +231,12 @@
             quiet && !old
         });
         // What is held past the fleet's budget goes first where it is idle, longest first.
-        let excess = idle.len().min(self.excess().0 as usize);
+        let excess = idle.len().min(self.excess().held as usize);
         idle.drain(..excess).for_each(|connection| connection.end("over_budget"));
         // The borrow is over before a dropped connection's line is noted.
         self.idle.borrow_mut().splice(0..0, idle);
-        if self.wanted.get() {
-            self.top_up();
+        if self.active.get() {
+            self.open_missing_connections();
         }
     }
 
--- a/crates/transport/src/members/attempt.rs
+++ b/crates/transport/src/member_pool/attempt.rs
@@ -1,9 +1,9 @@
 //! Attempts and probes: a statement goes out on a connection, and what comes back is told.
 
 use super::connection::{Connection, IN_USE, MALFORMED, OUT_OF_MEMORY, STALLED};
-use super::{Member, Report, Stage};
-use crate::flow::{Flow, Source};
-use crate::{within, Statement};
+use super::{AttemptReport, AttemptStage, MemberPool};
+use crate::response_stream::{ResponseStream, ResponseStreamSender};
+use crate::{with_deadline, Statement};
 use futures_lite::AsyncWriteExt;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 /// A value that passes through has come to its end by then, however slowly it is given and taken.
 const PASS_MOST: Duration = Duration::from_secs(60);
 
-impl Member {
+impl MemberPool {
     /// Sends a statement and waits for its answer until `deadline`, which is told to the member as what is left of
     /// it. The reason for the send holds until `holds`: what is not written by then is ended as never sent, and so is
     /// what is not `wanted` just before its first byte. Both are points in time and count from the decision, however
@@ -26,14 +26,14 @@
     pub async fn attempt(
         self: Rc<Self>,
         statement: Rc<Statement>,
-        stage: Rc<Cell<Stage>>,
+        stage: Rc<Cell<AttemptStage>>,
         deadline: Instant,
         holds: Option<Instant>,
         wanted: impl Fn() -> bool,
-    ) -> (Report, Option<Stream>) {
+    ) -> (AttemptReport, Option<Stream>) {
         let write = |out: &mut Vec<u8>| {
             let left = deadline.saturating_duration_since(Instant::now()).as_millis().max(1);
-            statement.write(out, left as i64);
+            statement.write_with_timeout(out, left as i64);
         };
         self.ask(write, &stage, deadline, holds, Some((&self.shared.figures, &wanted))).await
     }
@@ -50,11 +50,11 @@
     async fn ask(
         self: &Rc<Self>,
         write: impl FnOnce(&mut Vec<u8>),
-        stage: &Cell<Stage>,
+        stage: &Cell<AttemptStage>,
         deadline: Instant,
         holds: Option<Instant>,
         client: Option<(&Figures, &dyn Fn() -> bool)>,
-    ) -> (Report, Option<Stream>) {
+    ) -> (AttemptReport, Option<Stream>) {
         let start = Instant::now();
         let until = holds.map_or(deadline, |at| deadline.min(at));
         let mut connection = match self.have(start, until).await {
@@ -65,14 +65,14 @@
             self.put(connection);
             return bare(Ending::Moot);
         }
-        stage.set(Stage::Begun);
+        stage.set(AttemptStage::Writing);
         connection.reason = IN_USE;
         connection.requests += 1;
         let idle = connection.used.elapsed();
         let message = client::query(write);
-        match within(until, connection.stream.write_all(&message)).await {
+        match with_deadline(until, connection.stream.write_all(&message)).await {
             Some(Ok(())) => {
-                stage.set(Stage::Written);
+                stage.set(AttemptStage::Written);
                 client.into_iter().for_each(|(figures, _)| figures.dispatched());
             }
             // Broken before the last byte: it never ran. Cut off by the clock: it was never whole.
@@ -83,12 +83,12 @@
             None => return bare(Ending::Moot),
         }
         drop(message);
-        match within(deadline, connection.step()).await {
+        match with_deadline(deadline, connection.step()).await {
             Some(Ok(Step::Whole(answer))) => (connection.over(answer), None),
             Some(Ok(Step::Begun(first, left))) => {
                 self.heard.set(Instant::now());
-                let (flow, source) = Flow::new(first, left, &self.shared.memory);
-                let report = Report { ending: Ending::Ok, answer: None, flow: Some(flow) };
+                let (flow, source) = ResponseStream::new(first, left, &self.shared.memory_budget);
+                let report = AttemptReport { outcome: Ending::Ok, answer: None, stream: Some(flow) };
                 (report, Some(Stream { connection, source }))
             }
             // Nothing passes through that has not begun.
@@ -118,7 +118,7 @@
         if !self.open_for_work() {
             return Err(Ending::Moot);
         }
-        let connection = match within(until.min(connect_by), self.take()).await {
+        let connection = match with_deadline(until.min(connect_by), self.take()).await {
             Some(Some(connection)) => connection,
             Some(None) if !self.open_for_work() => return Err(Ending::Moot),
             Some(None) => return Err(Ending::ConnectFailed),
@@ -134,8 +134,8 @@
     }
 }
 
-fn bare(ending: Ending) -> (Report, Option<Stream>) {
-    (Report::bare(ending), None)
+fn bare(ending: Ending) -> (AttemptReport, Option<Stream>) {
+    (AttemptReport::without_answer(ending), None)
 }
 
 /// How an attempt ended whose connection ended for this reason.
@@ -149,11 +149,11 @@
 
 impl Connection {
     /// Takes a whole answer's meaning, and gives the connection back.
-    fn over(mut self, answer: Answer) -> Report {
+    fn over(mut self, answer: Answer) -> AttemptReport {
         let now = Instant::now();
         self.member.heard.set(now);
         self.used = now;
-        let ending = match answer.verdict {
+        let outcome = match answer.verdict {
             Verdict::Row | Verdict::NoRow => Ending::Ok,
             Verdict::Miss => Ending::Miss,
             Verdict::Full => Ending::Full,
@@ -161,27 +161,27 @@
         };
         if self.reason == IN_USE {
             self.client.buffer.release();
-            self.memory.hold(0);
+            self.memory.resize(0);
             let member = Rc::clone(&self.member);
             member.rest(self);
         }
-        Report { ending, answer: Some(answer), flow: None }
+        AttemptReport { outcome, answer: Some(answer), stream: None }
     }
 }
 
 /// A long value that a member has begun to give.
 pub struct Stream {
     connection: Connection,
-    source: Source,
+    source: ResponseStreamSender,
 }
 
 impl Stream {
     /// Passes it on as it comes and as the client takes it, to its end, which is told. Without a whole end the
     /// client's connection sees the flow end early.
-    pub async fn pass(mut self) -> Report {
+    pub async fn pass(mut self) -> AttemptReport {
         let until = Instant::now() + PASS_MOST;
         loop {
-            let step = match within(until, self.connection.step()).await {
+            let step = match with_deadline(until, self.connection.step()).await {
                 Some(step) => step,
                 None => Err(STALLED),
             };
@@ -191,22 +191,22 @@
                     match self.source.give(bytes).await {
                         true => continue,
                         // The client has gone.
-                        false => return Report::bare(Ending::Cancelled),
+                        false => return AttemptReport::without_answer(Ending::Cancelled),
                     }
                 }
                 Ok(Step::Whole(answer)) => answer,
-                Ok(Step::Begun(..)) => return Report::bare(Ending::Error),
+                Ok(Step::Begun(..)) => return AttemptReport::without_answer(Ending::Error),
                 Err(reason) => {
                     self.connection.reason = reason;
-                    return Report::bare(failed(reason));
+                    return AttemptReport::without_answer(failed(reason));
                 }
             };
             let mut report = self.connection.over(answer);
             let rest = report.answer.as_mut().map(|a| std::mem::take(&mut a.messages));
-            if report.ending == Ending::Ok {
+            if report.outcome == Ending::Ok {
                 self.source.end(rest.unwrap_or_default()).await;
             } else {
-                report.ending = Ending::Error;
+                report.outcome = Ending::Error;
             }
             return report;
         }
--- a/crates/transport/src/members/connection.rs
+++ b/crates/transport/src/member_pool/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a member: what it is used for, and what the member gives on it.
 
-use super::{Member, Reason};
-use crate::{within, Ended, Part};
+use super::{MemberPool, Reason};
+use crate::{with_deadline, ConnectionEnd, MemoryReservation};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::net::{SocketAddr, TcpStream};
@@ -31,11 +31,11 @@
     pub(super) stream: Async<TcpStream>,
     pub(super) client: Client,
     pub(super) peer: SocketAddr,
-    pub(super) member: Rc<Member>,
+    pub(super) member: Rc<MemberPool>,
     pub(super) since: Instant,
     pub(super) used: Instant,
     pub(super) requests: u64,
-    pub(super) memory: Part,
+    pub(super) memory: MemoryReservation,
     /// Why it ends, should it end now.
     pub(super) reason: Reason,
 }
@@ -44,7 +44,7 @@
     fn drop(&mut self) {
         self.member.open.set(self.member.open.get() - 1);
         self.member.closed();
-        (self.member.shared.ends)(&Ended {
+        (self.member.shared.on_connection_end)(&ConnectionEnd {
             side: "member",
             peer: self.peer,
             name: &self.member.name,
@@ -76,7 +76,7 @@
             let answer = if written.is_ok() { self.answer().await.ok() } else { None };
             answer.is_some_and(|a| a.verdict == Verdict::Done)
         };
-        let alive = within(Instant::now() + CHECK_WAIT, ask).await?;
+        let alive = with_deadline(Instant::now() + CHECK_WAIT, ask).await?;
         self.used = Instant::now();
         Some(alive && self.quiet())
     }
@@ -104,8 +104,8 @@
                 (Err(Broken), _) => return Err(MALFORMED),
             }
             let passing = self.client.passing();
-            let least = if passing && self.memory.memory.room() >= PASS_READ { PASS_READ } else { 0 };
-            let holds = self.memory.hold(self.client.buffer.next_capacity(least));
+            let least = if passing && self.memory.budget().available() >= PASS_READ { PASS_READ } else { 0 };
+            let holds = self.memory.resize(self.client.buffer.next_capacity(least));
             if !holds && !passing {
                 // What there is of a row passes on, so that no memory is needed for the rest.
                 match self.client.hurry() {
@@ -116,7 +116,8 @@
             let stall = if passing { PASS_STALL } else { STALL };
             let begun = self.client.begun();
             let read = self.stream.read(self.client.buffer.space_of(least));
-            let read = if begun { within(Instant::now() + stall, read).await } else { Some(read.await) };
+            let read =
+                if begun { with_deadline(Instant::now() + stall, read).await } else { Some(read.await) };
             match read {
                 Some(Ok(0)) => over = Some("member_closed"),
                 Some(Ok(count)) => self.client.buffer.filled(count),
--- a/crates/transport/src/members/pool.rs
+++ b/crates/transport/src/member_pool/connections.rs
@@ -1,8 +1,8 @@
 //! The connections to one member that stand ready: how they are opened, handed out and put back.
 
 use super::connection::{Connection, IDLE, IN_USE};
-use super::{Member, OPENING_MOST, PAUSE, REST};
-use crate::{within, Ended, Part};
+use super::{MemberPool, OPENING_MOST, PAUSE, REST};
+use crate::{with_deadline, ConnectionEnd, MemoryReservation};
 use async_channel::bounded;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -11,18 +11,18 @@
 use std::time::Instant;
 use wharfplank_protocol::client::{self, Broken, Client, Step, Verdict};
 
-impl Member {
-    pub(super) fn top_up(self: &Rc<Self>) {
+impl MemberPool {
+    pub(super) fn open_missing_connections(self: &Rc<Self>) {
         let now = Instant::now();
         let paused = self.pause_until.get().is_some_and(|until| now < until);
-        let unwanted = paused || !self.wanted.get();
+        let unwanted = paused || !self.active.get();
         let spare = if unwanted { 0 } else { self.demand.get().spares((self.shared.now)()) };
         let waiting = self.waiters.borrow().iter().filter(|w| !w.is_closed()).count();
         let soon = self.idle.borrow().len() + self.resting.get();
         let need = (waiting + spare).saturating_sub(soon).min(OPENING_MOST);
         while self.opening.get() < need
-            && self.open.get() + self.opening.get() < self.shared.most_each
-            && self.shared.open.get() < self.shared.most.get()
+            && self.open.get() + self.opening.get() < self.shared.max_connections_per_member
+            && self.shared.open_connections.get() < self.shared.max_connections.get()
             && self.may_open()
         {
             self.open_one();
@@ -31,7 +31,7 @@
 
     pub(super) fn open_one(self: &Rc<Self>) {
         self.opening.set(self.opening.get() + 1);
-        self.shared.open.set(self.shared.open.get() + 1);
+        self.shared.open_connections.set(self.shared.open_connections.get() + 1);
         let member = Rc::clone(self);
         self.shared.executor.spawn(async move { member.open().await }).detach();
     }
@@ -39,7 +39,7 @@
     /// Opens one connection and hands it on; a failure is told to the attempt that waits longest.
     async fn open(self: Rc<Self>) {
         let (peer, since) = (self.address.get(), Instant::now());
-        let opened = within(since + self.shared.connect_timeout, self.connect(peer)).await;
+        let opened = with_deadline(since + self.shared.connect_timeout, self.connect(peer)).await;
         self.opening.set(self.opening.get() - 1);
         match opened {
             Some(Ok(connection)) => {
@@ -50,7 +50,7 @@
                 let reason = if failed.is_some() { "connect_failed" } else { "connect_timeout" };
                 self.closed();
                 let (side, name, requests) = ("member", &*self.name, 0);
-                (self.shared.ends)(&Ended { side, peer, name, reason, requests, since });
+                (self.shared.on_connection_end)(&ConnectionEnd { side, peer, name, reason, requests, since });
                 self.pause_until.set(Some(Instant::now() + PAUSE));
                 loop {
                     let waiter = self.waiters.borrow_mut().pop_front();
@@ -59,7 +59,7 @@
                         _ => break,
                     }
                 }
-                self.top_up();
+                self.open_missing_connections();
             }
         }
     }
@@ -70,7 +70,7 @@
         let _ = stream.get_ref().set_nodelay(true);
         stream.write_all(&client::startup("web", "orders")).await.map_err(|_| Broken)?;
         let mut client = Client::default();
-        client.rowless = self.shared.rowless;
+        client.rowless = self.shared.allow_empty_result;
         loop {
             match client.advance(false) {
                 Ok(Some(Step::Whole(answer))) if answer.verdict == Verdict::Done => break,
@@ -84,24 +84,25 @@
         }
         self.open.set(self.open.get() + 1);
         let (member, now) = (Rc::clone(self), Instant::now());
-        let (since, used, requests, memory) = (now, now, 0, Part::of(&self.shared.memory));
+        let (since, used, requests, memory) =
+            (now, now, 0, MemoryReservation::new(&self.shared.memory_budget));
         Ok(Connection { stream, client, peer, member, since, used, requests, memory, reason: IDLE })
     }
 
     pub(super) fn put(self: &Rc<Self>, mut connection: Connection) {
-        if self.excess().0 > 0 {
+        if self.excess().held > 0 {
             return connection.end("over_budget");
         }
         // It came up, or served, while the member moved: another may listen at the old address by now.
         if connection.peer != self.address.get() {
             connection.end("moved");
-            return self.top_up();
+            return self.open_missing_connections();
         }
         loop {
             let waiter = self.waiters.borrow_mut().pop_front();
             let Some(waiter) = waiter else { break };
             match waiter.try_send(Some(connection)) {
-                Ok(()) => return self.top_up(),
+                Ok(()) => return self.open_missing_connections(),
                 Err(back) => match back.into_inner() {
                     Some(back) => connection = back,
                     None => return,
@@ -110,7 +111,7 @@
         }
         connection.reason = IDLE;
         connection.client.buffer.release();
-        if self.wanted.get() {
+        if self.active.get() {
             self.idle.borrow_mut().push(connection);
         } else {
             connection.reason = "left";
@@ -123,7 +124,7 @@
         let member = Rc::clone(self);
         let task = async move {
             if !connection.client.begun() {
-                within(Instant::now() + REST, connection.stream.readable()).await;
+                with_deadline(Instant::now() + REST, connection.stream.readable()).await;
             }
             member.resting.set(member.resting.get() - 1);
             if connection.quiet() {
@@ -132,7 +133,7 @@
             let spoke =
                 connection.client.begun() || matches!(connection.stream.get_ref().peek(&mut [0]), Ok(1..));
             connection.end(if spoke { "unasked" } else { "member_closed" });
-            member.top_up();
+            member.open_missing_connections();
         };
         self.shared.executor.spawn(task).detach();
     }
@@ -151,12 +152,12 @@
             }
             let (used, idle) = (connection.used, connection.used.elapsed());
             // Pools are tended now and then, and a member may close sooner than the next time.
-            if idle >= self.shared.idle_most {
+            if idle >= self.shared.idle_timeout {
                 connection.end("retired");
                 continue;
             }
-            self.top_up();
-            if idle < self.shared.check_after.get() {
+            self.open_missing_connections();
+            if idle < self.shared.liveness_check_after.get() {
                 return Some(connection);
             }
             if !self.open_for_work() {
@@ -182,7 +183,7 @@
         let (sender, receiver) = bounded(1);
         self.waiters.borrow_mut().retain(|w| !w.is_closed());
         self.waiters.borrow_mut().push_back(sender);
-        self.top_up();
+        self.open_missing_connections();
         let connection = receiver.recv().await.ok().flatten()?;
         // A member may greet and end at once: what is written to it then may have run, for all that can be known.
         if !connection.quiet() {
--- a/crates/transport/src/flow.rs
+++ b/crates/transport/src/response_stream.rs
@@ -1,7 +1,7 @@
 //! A long value on its way from a member to a client: pieces in a bounded queue between the two connections. What the
 //! client does not take stays with the member, beyond a few pieces.
 
-use super::{Memory, Part};
+use super::{MemoryBudget, MemoryReservation};
 use async_channel::{bounded, Receiver, Sender};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,13 +13,13 @@
 /// A part of an answer.
 pub(super) enum Piece {
     /// Bytes of the row.
-    Row(Vec<u8>, Part),
+    Row(Vec<u8>, MemoryReservation),
     /// What follows the row: the answer is whole.
     End(Vec<u8>),
 }
 
 /// The client's end of it. Pieces that stop without an end were cut off.
-pub struct Flow {
+pub struct ResponseStream {
     /// The row's description and the first bytes of the row.
     pub(super) first: Vec<u8>,
     /// Bytes of the row that are to come after those.
@@ -27,31 +27,36 @@
     pub(super) pieces: Receiver<Piece>,
     /// Whether its end has been handed on.
     whole: Rc<Cell<bool>>,
-    _part: Part,
+    _part: MemoryReservation,
 }
 
-impl std::fmt::Debug for Flow {
+impl std::fmt::Debug for ResponseStream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Flow({} to come)", self.left)
+        write!(f, "ResponseStream({} to come)", self.left)
     }
 }
 
 /// The member's end of it.
-pub(super) struct Source {
+pub(super) struct ResponseStreamSender {
     pieces: Sender<Piece>,
     whole: Rc<Cell<bool>>,
-    memory: Rc<Memory>,
+    memory: Rc<MemoryBudget>,
 }
 
-impl Flow {
+impl ResponseStream {
     /// Both ends of a value that has begun.
-    pub(super) fn new(first: Vec<u8>, left: usize, memory: &Rc<Memory>) -> (Flow, Source) {
+    pub(super) fn new(
+        first: Vec<u8>,
+        left: usize,
+        memory: &Rc<MemoryBudget>,
+    ) -> (ResponseStream, ResponseStreamSender) {
         let (sender, pieces) = bounded(PIECES);
-        let mut part = Part::of(memory);
-        part.hold(first.len());
+        let mut part = MemoryReservation::new(memory);
+        part.resize(first.len());
         let whole: Rc<Cell<bool>> = Rc::default();
-        let source = Source { pieces: sender, whole: Rc::clone(&whole), memory: Rc::clone(memory) };
-        (Flow { first, left, pieces, whole, _part: part }, source)
+        let source =
+            ResponseStreamSender { pieces: sender, whole: Rc::clone(&whole), memory: Rc::clone(memory) };
+        (ResponseStream { first, left, pieces, whole, _part: part }, source)
     }
 
     /// Whether the member's side ended without an end.
@@ -60,11 +65,11 @@
     }
 }
 
-impl Source {
+impl ResponseStreamSender {
     /// Hands a piece on once there is room for it; false where nobody wants it any more.
     pub(super) async fn give(&self, bytes: Vec<u8>) -> bool {
-        let mut part = Part::of(&self.memory);
-        part.hold(bytes.len());
+        let mut part = MemoryReservation::new(&self.memory);
+        part.resize(bytes.len());
         self.pieces.send(Piece::Row(bytes, part)).await.is_ok()
     }
 
@@ -85,14 +90,14 @@
     #[test]
     fn what_is_not_taken_stays_with_the_member() {
         block_on(async {
-            let memory = Memory::new(1 << 20);
-            let (flow, source) = Flow::new(vec![0; 100], 64 << 20, &memory);
+            let memory = MemoryBudget::new(1 << 20);
+            let (flow, source) = ResponseStream::new(vec![0; 100], 64 << 20, &memory);
             let mut given = 0;
             while poll_once(source.give(vec![1; 64 * 1024])).await.is_some() {
                 given += 1;
             }
             assert_eq!(given, PIECES);
-            let held = (1 << 20) - memory.room();
+            let held = (1 << 20) - memory.available();
             assert!((1..=PIECES * 64 * 1024).contains(&held), "{held} held");
             for _ in 0..100 {
                 assert!(
@@ -104,7 +109,7 @@
             drop(flow);
             assert!(!source.give(vec![1]).await, "nobody takes it any more");
             drop(source);
-            assert_eq!(memory.room(), 1 << 20);
+            assert_eq!(memory.available(), 1 << 20);
         });
     }
 
@@ -112,13 +117,13 @@
     #[test]
     fn only_an_end_that_was_handed_on_makes_it_whole() {
         block_on(async {
-            let memory = Memory::new(1 << 20);
-            let (whole, source) = Flow::new(vec![0], 1, &memory);
+            let memory = MemoryBudget::new(1 << 20);
+            let (whole, source) = ResponseStream::new(vec![0], 1, &memory);
             assert!(source.give(vec![1]).await && !whole.is_cut());
             source.end(vec![2]).await;
             drop(source);
             assert!(!whole.is_cut());
-            let (cut, source) = Flow::new(vec![0], 1, &memory);
+            let (cut, source) = ResponseStream::new(vec![0], 1, &memory);
             source.give(vec![1]).await;
             drop(source);
             assert!(cut.is_cut());
--- a/crates/transport/tests/backlog.rs
+++ b/crates/transport/tests/backlog.rs
@@ -5,8 +5,8 @@
 use std::cell::{Cell, RefCell};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
-use wharfplank_transport::clients::Clients;
-use wharfplank_transport::Memory;
+use wharfplank_transport::client_listener::ClientListener;
+use wharfplank_transport::MemoryBudget;
 
 /// How many of three connections in the backlog are taken by a listener that finds itself at its end.
 fn taken_at_the_end(ours: bool) -> usize {
@@ -15,12 +15,12 @@
     let callers: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(at).unwrap()).collect();
     let (events, _received) = async_channel::bounded(8);
     let executor = Rc::new(LocalExecutor::new());
-    let clients = Clients::new(executor, events, Rc::new(|_| {}), 8, Memory::new(1 << 20));
-    clients.take_new(ours);
-    clients.close();
+    let clients = ClientListener::new(executor, events, Rc::new(|_| {}), 8, MemoryBudget::new(1 << 20));
+    clients.set_accepting(ours);
+    clients.stop_accepting();
     block_on(Rc::clone(&clients).listen(Rc::new(listener)));
     drop(callers);
-    clients.open()
+    clients.open_connections()
 }
 
 /// Guards against connections that are reset with what was written to them, since they came in the moment in which
@@ -40,20 +40,20 @@
     let callers: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(at).unwrap()).collect();
     let (events, _received) = async_channel::bounded(8);
     let executor = Rc::new(LocalExecutor::new());
-    let held: Rc<RefCell<Option<Rc<Clients>>>> = Rc::default();
+    let held: Rc<RefCell<Option<Rc<ClientListener>>>> = Rc::default();
     let (peak, ended) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
     let (seen, most, count) = (Rc::clone(&held), Rc::clone(&peak), Rc::clone(&ended));
-    let ends = Rc::new(move |_: &wharfplank_transport::Ended<'_>| {
-        let open = seen.borrow().as_ref().map_or(0, |clients| clients.open());
+    let ends = Rc::new(move |_: &wharfplank_transport::ConnectionEnd<'_>| {
+        let open = seen.borrow().as_ref().map_or(0, |clients| clients.open_connections());
         most.set(most.get().max(open));
         count.set(count.get() + 1);
     });
-    let clients = Clients::new(Rc::clone(&executor), events, ends, MOST, Memory::new(1 << 20));
+    let clients = ClientListener::new(Rc::clone(&executor), events, ends, MOST, MemoryBudget::new(1 << 20));
     *held.borrow_mut() = Some(Rc::clone(&clients));
-    clients.close();
+    clients.stop_accepting();
     block_on(executor.run(Rc::clone(&clients).listen(Rc::new(listener))));
     // What is open at the end counts as well.
-    peak.set(peak.get().max(clients.open()));
+    peak.set(peak.get().max(clients.open_connections()));
     assert!(ended.get() >= callers.len() - 2 * MOST, "{} of {} have ended", ended.get(), callers.len());
     assert!(peak.get() <= 2 * MOST, "{} were open at a time", peak.get());
     held.borrow_mut().take();
--- a/crates/transport/tests/member_ends.rs
+++ b/crates/transport/tests/member_ends.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 use wharfplank_routing::Ending;
-use wharfplank_transport::members::Stage;
+use wharfplank_transport::member_pool::AttemptStage;
 
 /// Enough for a connection to come up on a busy machine.
 const TIME: Duration = Duration::from_secs(2);
@@ -33,15 +33,15 @@
                 let attempt = rig.spawn(attempt);
                 let peer = stand.greets().await;
                 peer.asked().await;
-                assert_eq!(stage.get(), Stage::Written);
+                assert_eq!(stage.get(), AttemptStage::Written);
                 peer.says(&said);
                 if resets {
                     peer.resets();
                 } else {
                     peer.closes();
                 }
-                assert_eq!(soon(attempt).await.ending, ending, "resets {resets} after {said:?}");
-                assert_eq!(rig.shared.open.get(), 0, "it carries nothing more");
+                assert_eq!(soon(attempt).await.outcome, ending, "resets {resets} after {said:?}");
+                assert_eq!(rig.shared.open_connections.get(), 0, "it carries nothing more");
             });
         }
     }
@@ -57,7 +57,7 @@
             let peer = stand.greets().await;
             peer.asked().await;
             peer.says(&row(b'a')[..length]);
-            assert_eq!(soon(attempt).await.ending, Ending::Error);
+            assert_eq!(soon(attempt).await.outcome, Ending::Error);
             assert_eq!(peer.hears().await, Heard::End, "its rest would be read as the next answer");
             assert_eq!(*rig.ends.borrow(), ["stalled"]);
         });
@@ -77,17 +77,17 @@
             let peer = stand.accepts().await;
             peer.hold(true);
             peer.greets().await;
-            until(|| stage.get() == Stage::Begun).await;
+            until(|| stage.get() == AttemptStage::Writing).await;
             if resets {
                 peer.resets();
                 peer.hold(false);
-                assert_eq!(soon(attempt).await.ending, Ending::ConnectFailed);
+                assert_eq!(soon(attempt).await.outcome, Ending::ConnectFailed);
             } else {
                 drop(attempt);
                 peer.hold(false);
             }
             assert_eq!(peer.hears().await, Heard::End, "it came whole");
-            assert_eq!(rig.shared.open.get(), 0);
+            assert_eq!(rig.shared.open_connections.get(), 0);
         });
     }
 }
@@ -103,9 +103,9 @@
             let peer = stand.greets().await;
             peer.asked().await;
             if by_time {
-                assert_eq!(soon(first).await.ending, Ending::Timeout);
+                assert_eq!(soon(first).await.outcome, Ending::Timeout);
             } else {
-                until(|| stage.get() == Stage::Written).await;
+                until(|| stage.get() == AttemptStage::Written).await;
                 drop(first);
             }
             let (_, second) = rig.attempt("2", far(), None);
@@ -131,7 +131,7 @@
         let second = rig.spawn(second);
         peer.asked().await;
         peer.resets();
-        assert_eq!(soon(second).await.ending, Ending::Reset);
+        assert_eq!(soon(second).await.outcome, Ending::Reset);
         assert!(stand.none(), "it was sent again");
     });
 }
--- a/crates/transport/tests/member_pool.rs
+++ b/crates/transport/tests/member_pool.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::time::Duration;
 use wharfplank_routing::Ending;
-use wharfplank_transport::members::Stage;
+use wharfplank_transport::member_pool::AttemptStage;
 
 const SHORT: Duration = Duration::from_millis(100);
 
@@ -43,10 +43,10 @@
         let first = rig.spawn(first);
         let late = stand.accepts().await;
         assert_eq!(late.hears().await, Heard::Startup);
-        assert_eq!(soon(first).await.ending, Ending::ConnectFailed);
-        assert_eq!(stage.get(), Stage::Waiting);
+        assert_eq!(soon(first).await.outcome, Ending::ConnectFailed);
+        assert_eq!(stage.get(), AttemptStage::Queued);
         assert_eq!(late.hears().await, Heard::End);
-        until(|| rig.shared.open.get() == 0).await;
+        until(|| rig.shared.open_connections.get() == 0).await;
         // Its greeting reaches nobody.
         let _ = (&late.stream).write_all(&message(b'Z', b"I"));
         let (_, second) = rig.attempt("2", far(), None);
@@ -87,7 +87,8 @@
         let attempt = rig.spawn(attempt);
         let old = stand.accepts().await;
         let moved = Stand::start();
-        rig.member.want(true, Some(moved.address));
+        rig.member.relocate(moved.address);
+        rig.member.activate();
         old.greets().await;
         assert_eq!(old.hears().await, Heard::End);
         let new = moved.greets().await;
@@ -95,7 +96,7 @@
         new.says(&row(b'1'));
         assert_eq!(value(&soon(attempt).await), Some(b'1'));
         assert_eq!(*rig.ends.borrow(), ["moved"]);
-        until(|| rig.shared.open.get() == 1).await;
+        until(|| rig.shared.open_connections.get() == 1).await;
     });
 }
 
@@ -111,10 +112,10 @@
             assert_eq!(peer.hears().await, Heard::Startup);
             peer.says(&[message(b'R', &[0; 4]), message(b'Z', b"I"), said].concat());
             peer.closes();
-            assert_eq!(soon(attempt).await.ending, Ending::ConnectFailed);
-            assert_eq!(stage.get(), Stage::Waiting, "nothing was written");
+            assert_eq!(soon(attempt).await.outcome, Ending::ConnectFailed);
+            assert_eq!(stage.get(), AttemptStage::Queued, "nothing was written");
             assert_eq!(*rig.ends.borrow(), ["member_closed"]);
-            assert_eq!(rig.shared.open.get(), 0);
+            assert_eq!(rig.shared.open_connections.get(), 0);
         });
     }
 }
--- a/crates/transport/tests/member_time.rs
+++ b/crates/transport/tests/member_time.rs
@@ -33,7 +33,7 @@
         assert!((1..=most).contains(&told), "{told} of {most} ms at most");
         assert!(Instant::now() < deadline, "the machine was too slow for this test");
         peer.says(&row(b'a'));
-        assert_eq!(soon(attempt).await.ending, Ending::Ok);
+        assert_eq!(soon(attempt).await.outcome, Ending::Ok);
     });
 }
 
@@ -46,16 +46,16 @@
         let peer = stand.greets().await;
         assert!(peer.asked().await.ends_with("*/ 1"));
         peer.says(&row(b'a'));
-        assert_eq!(soon(first).await.ending, Ending::Ok);
-        until(|| rig.member.warm()).await;
+        assert_eq!(soon(first).await.outcome, Ending::Ok);
+        until(|| rig.member.has_idle_connection()).await;
         let (_, late) = rig.attempt("2", Instant::now() + LONG, Some(Instant::now() + PAUSE));
         thread::sleep(2 * PAUSE);
-        assert_eq!(soon(late).await.ending, Ending::Moot);
+        assert_eq!(soon(late).await.outcome, Ending::Moot);
         let (_, third) = rig.attempt("3", Instant::now() + LONG, None);
         let third = rig.spawn(third);
         assert!(peer.asked().await.ends_with("*/ 3"), "the second was never sent");
         peer.says(&row(b'c'));
-        assert_eq!(soon(third).await.ending, Ending::Ok);
+        assert_eq!(soon(third).await.outcome, Ending::Ok);
     });
 }
 
@@ -70,18 +70,18 @@
             let (stage, attempt) = rig.attempt("1", now + deadline, holds);
             let attempt = rig.spawn(attempt);
             let peer = stand.accepts().await;
-            assert_eq!(soon(attempt).await.ending, Ending::Moot);
+            assert_eq!(soon(attempt).await.outcome, Ending::Moot);
             assert_eq!(stage.get(), Default::default(), "nothing of it was written");
             // Its connection comes up late, and carries the next one.
             peer.greets().await;
-            until(|| rig.member.warm()).await;
+            until(|| rig.member.has_idle_connection()).await;
             let (_, next) = rig.attempt("2", Instant::now() + LONG, None);
             let next = rig.spawn(next);
             assert!(peer.asked().await.ends_with("*/ 2"), "the first was never sent");
             peer.says(&row(b'b'));
-            assert_eq!(soon(next).await.ending, Ending::Ok);
+            assert_eq!(soon(next).await.outcome, Ending::Ok);
             assert!(stand.none(), "one connection is enough");
-            assert_eq!(rig.shared.open.get(), 1);
+            assert_eq!(rig.shared.open_connections.get(), 1);
         });
     }
 }
--- a/crates/transport/tests/stand/rig.rs
+++ b/crates/transport/tests/stand/rig.rs
@@ -7,13 +7,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wharfplank_admin::Figures;
-use wharfplank_transport::members::{Member, Report, Shared, Stage, CHECK_AFTER};
-use wharfplank_transport::{Memory, Statement};
+use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, MemberPool, PoolContext, CHECK_AFTER};
+use wharfplank_transport::{MemoryBudget, Statement};
 
 /// A pool of connections, and what it noted of those that ended.
 pub struct Rig {
-    pub shared: Rc<Shared>,
-    pub member: Rc<Member>,
+    pub shared: Rc<PoolContext>,
+    pub member: Rc<MemberPool>,
     pub ends: Rc<RefCell<Vec<&'static str>>>,
 }
 
@@ -37,23 +37,23 @@
     let ends: Rc<RefCell<Vec<&'static str>>> = Rc::default();
     let noted = Rc::clone(&ends);
     let start = Instant::now();
-    let shared = Rc::new(Shared {
+    let shared = Rc::new(PoolContext {
         executor: Rc::clone(&executor),
-        ends: Rc::new(move |ended| noted.borrow_mut().push(ended.reason)),
+        on_connection_end: Rc::new(move |ended| noted.borrow_mut().push(ended.reason)),
         connect_timeout: terms.connect_timeout,
-        idle_most: terms.idle_most,
-        most: Cell::new(16),
-        most_each: 8,
-        open: Cell::new(0),
-        memory: Memory::new(1 << 20),
-        rowless: false,
-        check_after: Cell::new(terms.check_after),
+        idle_timeout: terms.idle_most,
+        max_connections: Cell::new(16),
+        max_connections_per_member: 8,
+        open_connections: Cell::new(0),
+        memory_budget: MemoryBudget::new(1 << 20),
+        allow_empty_result: false,
+        liveness_check_after: Cell::new(terms.check_after),
         now: Rc::new(move || start.elapsed().as_micros() as i64),
         figures: Figures::new(&[]),
         budgets: None,
     });
-    let member = Member::new(Rc::clone(&shared), "m", stand.address);
-    member.want(true, None);
+    let member = MemberPool::new(Rc::clone(&shared), "m", stand.address);
+    member.activate();
     async_io::block_on(executor.run(test(Rig { shared, member, ends }, stand)));
 }
 
@@ -64,8 +64,8 @@
         text: &str,
         deadline: Instant,
         holds: Option<Instant>,
-    ) -> (Rc<Cell<Stage>>, impl Future<Output = Report>) {
-        let stage: Rc<Cell<Stage>> = Rc::default();
+    ) -> (Rc<Cell<AttemptStage>>, impl Future<Output = AttemptReport>) {
+        let stage: Rc<Cell<AttemptStage>> = Rc::default();
         let statement = Rc::new(Statement::new(format!("/* id=1,d=9 */ {text}").into_bytes(), 10..11));
         let work = Rc::clone(&self.member).attempt(statement, Rc::clone(&stage), deadline, holds, || true);
         (stage, async { work.await.0 })
@@ -78,7 +78,7 @@
 }
 
 /// The value that an attempt was served with.
-pub fn value(report: &Report) -> Option<u8> {
+pub fn value(report: &AttemptReport) -> Option<u8> {
     let answer = report.answer.as_ref()?;
     answer.messages.get(answer.value.clone())?.first().copied()
 }
@@ -96,6 +96,6 @@
     assert!(peer.asked().await.ends_with("*/ 0"));
     peer.says(&row(b'0'));
     assert_eq!(value(&soon(first).await), Some(b'0'));
-    until(|| rig.member.warm()).await;
+    until(|| rig.member.has_idle_connection()).await;
     peer
 }
