--- a/crates/transport/src/event.rs
+++ b/crates/transport/src/event.rs
@@ -2,7 +2,7 @@
 
 use crate::request::ClientRequest;
 use crate::{handover, member_pool};
-use wharfplank_discovery::{Age, News};
+use wharfplank_discovery::{Staleness, WatchEvent};
 use wharfplank_protocol::pipeline::Ticket;
 use wharfplank_routing::{HostId, RequestId};
 
@@ -41,7 +41,7 @@
         report: Option<String>,
     },
     /// The endpoint list or its staleness changed.
-    EndpointsChanged(News, Option<Age>),
+    EndpointsChanged(WatchEvent, Option<Staleness>),
     /// The share of reads that each named zone may take, as the fleet decided. Other zones take all.
     ZoneShares(Vec<(String, f64)>),
     /// The latency factors of the members that the fleet judges unhealthy.
