--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -12,7 +12,7 @@
         }
         for SendDeadline { endpoint, until } in event.deadlines {
             let member = self.names.get(&endpoint).and_then(|host| self.members.get(host));
-            member.into_iter().for_each(|m| m.until(self.clock.instant(until)));
+            member.into_iter().for_each(|m| m.stop_sends_at(self.clock.instant(until)));
         }
         if let Some(list) = event.update {
             self.list(list);
@@ -41,8 +41,8 @@
     /// Takes entries as they hold together with what operators say.
     pub(super) fn enlist(&mut self, catalog: EndpointList) {
         if catalog.complete {
-            let named = |m: &Member| catalog.endpoints.iter().any(|h| h.name == m.name());
-            self.members.values().filter(|m| !named(m)).for_each(|m| m.want(false, None));
+            let named = |m: &MemberPool| catalog.endpoints.iter().any(|h| h.name == m.name());
+            self.members.values().filter(|m| !named(m)).for_each(|m| m.deactivate());
         }
         let seq = catalog.version;
         let entries: Vec<Endpoint> = catalog.endpoints.iter().map(|host| self.entry(seq, host)).collect();
@@ -50,9 +50,9 @@
             if catalog.complete { routing::Event::EndpointList } else { routing::Event::EndpointsChanged };
         self.tell(event(entries));
         // What waits for a connection to a member that takes nothing new must not go out.
-        let stopped = |host: &HostId| self.members.get(host).is_none_or(|m| !m.wanted());
+        let stopped = |host: &HostId| self.members.get(host).is_none_or(|m| !m.is_active());
         let waiting = |(key, f): (&(RequestId, u32), &Flight)| {
-            (f.stage.get() == Stage::Waiting && stopped(&f.host)).then_some(*key)
+            (f.stage.get() == AttemptStage::Queued && stopped(&f.host)).then_some(*key)
         };
         let mut moot: Vec<_> = self.flights.iter().filter_map(waiting).collect();
         moot.sort_unstable();
@@ -60,7 +60,7 @@
             self.end(id, attempt, AttemptOutcome::NotSent);
         }
         self.settle();
-        self.members.retain(|_, m| m.wanted() || !m.unused());
+        self.members.retain(|_, m| m.is_active() || !m.has_no_connections());
         if self.names.len() > NAMES_MOST {
             self.names.retain(|_, host| self.members.contains_key(host));
             let names = &self.names;
@@ -80,10 +80,18 @@
         self.lookups.listed(host, listed);
         let wanted = listed.health == EndpointHealth::Active;
         match (self.members.get(&host), listed.address) {
-            (Some(member), dial) => member.want(wanted, dial),
+            (Some(member), dial) => {
+                if let Some(dial) = dial {
+                    member.relocate(dial);
+                }
+                match wanted {
+                    true => member.activate(),
+                    false => member.deactivate(),
+                }
+            }
             (None, Some(dial)) if wanted => {
-                let member = Member::new(Rc::clone(&self.shared), &listed.name, dial);
-                member.want(true, None);
+                let member = MemberPool::new(Rc::clone(&self.shared), &listed.name, dial);
+                member.activate();
                 self.members.insert(host, member);
             }
             _ => {}
