--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -224,7 +224,7 @@
             id,
             attempt: AttemptNo(attempt),
             host,
-            ending: r.outcome,
+            outcome: r.outcome,
             terminal: !self.requests.contains_key(&id),
             latency: self.clock.now() - sent,
             role: primary.map(role),
