--- a/crates/admin/src/cordons.rs
+++ b/crates/admin/src/cordons.rs
@@ -1,175 +1,115 @@
-//! Members that operators took out by hand.
+//! Members that operators took out of service by hand.
 //!
-//! A cordon is a second source of 'nothing new to this member' beside discovery, and stands apart from it: whatever the
-//! list says, also that the member is gone and back, a cordoned one takes no work. Operators restart the member
-//! meanwhile, so one that is called back counts as started then, however late discovery tells of the restart.
+//! A cordon stops new requests to a member independently of discovery: a cordoned member takes no work whatever the
+//! endpoint list says, even after it was removed from the list and added again. Operators restart the member meanwhile,
+//! so one that was uncordoned counts as launched at that time, however late discovery reports the restart.
 
 use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
 use wharfplank_protocol::catalog::{Health, Host};
 use wharfplank_routing::Micros;
 
-/// Members that may be out, or may have been called back, at one time; a fleet has some hundred.
-pub const MOST: usize = 4096;
-
-/// Why a call on a member is answered no.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// Nobody has this id.
-    Unknown,
-    /// Too many are out.
-    TooMany,
-}
-
-impl Refusal {
-    /// In words.
-    pub fn name(self) -> &'static str {
-        match self {
-            Refusal::Unknown => "no member has this id",
-            Refusal::TooMany => "too many members are out",
-        }
-    }
+/// The most members that may be cordoned, or remembered as uncordoned, at one time; a fleet has some hundred.
+pub const MAX_ENTRIES: usize = 4096;
+
+/// Why a command on a member fails. The displayed text is part of the operators' protocol.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum CordonError {
+    /// The id is neither listed nor cordoned.
+    #[error("no member has this id")]
+    UnknownMember,
+    /// [`MAX_ENTRIES`] members are cordoned already.
+    #[error("too many members are out")]
+    TooManyCordons,
 }
 
-/// The members that are out by hand, and when others were called back.
+/// The cordoned members, and the times at which others were uncordoned.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Cordons {
-    out: BTreeSet<String>,
-    back: BTreeMap<String, Micros>,
+    cordoned: BTreeSet<String>,
+    uncordoned_at: BTreeMap<String, Micros>,
 }
 
 impl Cordons {
-    /// Those of another process that this one goes on for.
-    pub fn new(
-        out: impl IntoIterator<Item = String>,
-        back: impl IntoIterator<Item = (String, Micros)>,
+    /// The cordons of a process that this one replaces, bounded to [`MAX_ENTRIES`].
+    pub fn restore(
+        cordoned: impl IntoIterator<Item = String>,
+        uncordoned_at: impl IntoIterator<Item = (String, Micros)>,
     ) -> Self {
-        let out: BTreeSet<String> = out.into_iter().take(MOST).collect();
-        let back = back.into_iter().filter(|(id, _)| !out.contains(id)).take(MOST).collect();
-        Cordons { out, back }
+        let cordoned: BTreeSet<String> = cordoned.into_iter().take(MAX_ENTRIES).collect();
+        let uncordoned_at =
+            uncordoned_at.into_iter().filter(|(id, _)| !cordoned.contains(id)).take(MAX_ENTRIES).collect();
+        Cordons { cordoned, uncordoned_at }
     }
 
-    /// Takes a member out; a second call changes nothing. `listed` says whether the list has it: operators' calls on
-    /// ids that nobody has are a mistake that they are to hear of.
-    pub fn cordon(&mut self, id: &str, listed: bool) -> Result<(), Refusal> {
-        if self.out.contains(id) {
+    /// Cordons a member; a second call changes nothing. `is_listed` says whether the endpoint list has the member:
+    /// a command on an unknown id is a mistake that the operator is told of.
+    pub fn cordon(&mut self, id: &str, is_listed: bool) -> Result<(), CordonError> {
+        if self.cordoned.contains(id) {
             return Ok(());
         }
-        match (listed, self.out.len() < MOST) {
-            (false, _) => Err(Refusal::Unknown),
-            (_, false) => Err(Refusal::TooMany),
-            _ => {
-                self.back.remove(id);
-                self.out.insert(id.to_string());
-                Ok(())
-            }
+        if !is_listed {
+            return Err(CordonError::UnknownMember);
+        }
+        if self.cordoned.len() >= MAX_ENTRIES {
+            return Err(CordonError::TooManyCordons);
         }
+        self.uncordoned_at.remove(id);
+        self.cordoned.insert(id.to_string());
+        Ok(())
     }
 
-    /// Calls a member back, however often it was taken out; one that was not out is left as it is.
-    pub fn uncordon(&mut self, id: &str, listed: bool, now: Micros) -> Result<(), Refusal> {
-        if !self.out.remove(id) {
-            return if listed { Ok(()) } else { Err(Refusal::Unknown) };
+    /// Uncordons a member, however often it was cordoned; one that was not cordoned is left as it is.
+    pub fn uncordon(&mut self, id: &str, is_listed: bool, now: Micros) -> Result<(), CordonError> {
+        if !self.cordoned.remove(id) {
+            return if is_listed { Ok(()) } else { Err(CordonError::UnknownMember) };
         }
-        if self.back.len() >= MOST {
-            // The one called back longest ago is warm by now.
-            let oldest = self.back.iter().min_by_key(|(_, at)| **at).map(|(id, _)| id.clone());
-            oldest.and_then(|id| self.back.remove(&id));
+        if self.uncordoned_at.len() >= MAX_ENTRIES {
+            self.forget_oldest_uncordon();
         }
-        self.back.insert(id.to_string(), now);
+        self.uncordoned_at.insert(id.to_string(), now);
         Ok(())
     }
 
-    /// Whether a member is out.
-    pub fn is_out(&self, id: &str) -> bool {
-        self.out.contains(id)
+    /// The member that was uncordoned longest ago has warmed up by now.
+    fn forget_oldest_uncordon(&mut self) {
+        let oldest = self.uncordoned_at.iter().min_by_key(|(_, at)| **at);
+        if let Some(id) = oldest.map(|(id, _)| id.clone()) {
+            self.uncordoned_at.remove(&id);
+        }
     }
 
-    /// What the list's entry comes to: a member that is out drains, and one that was called back started then at the
-    /// earliest.
+    /// Whether a member is cordoned.
+    pub fn is_cordoned(&self, id: &str) -> bool {
+        self.cordoned.contains(id)
+    }
+
+    /// The endpoint list's entry with cordons applied: a cordoned member is draining, and an uncordoned one was
+    /// launched at the earliest when it was uncordoned.
     pub fn apply(&self, listed: &Host) -> Host {
         let mut host = listed.clone();
-        if host.health == Health::Active && self.is_out(&host.name) {
+        if host.health == Health::Active && self.is_cordoned(&host.name) {
             host.health = Health::Leaving;
         }
-        if let Some(back) = self.back.get(&host.name) {
-            host.born_ms = host.born_ms.max(back / 1000);
+        if let Some(uncordoned_at) = self.uncordoned_at.get(&host.name) {
+            host.born_ms = host.born_ms.max(uncordoned_at / 1000);
         }
         host
     }
 
-    /// Forgets when members were called back that the list no longer has. One that is out stays out: it may be
-    /// starting again.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
-        self.back.retain(|id, _| listed(id));
-    }
-
-    /// The members that are out.
-    pub fn out(&self) -> impl Iterator<Item = &str> {
-        self.out.iter().map(String::as_str)
-    }
-
-    /// When which members were called back.
-    pub fn back(&self) -> impl Iterator<Item = (&str, Micros)> {
-        self.back.iter().map(|(id, at)| (id.as_str(), *at))
+    /// Forgets when members that are no longer listed were uncordoned. A cordoned member stays cordoned: it may be
+    /// restarting.
+    pub fn retain_uncordoned(&mut self, is_listed: impl Fn(&str) -> bool) {
+        self.uncordoned_at.retain(|id, _| is_listed(id));
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    fn host(health: Health, born_ms: i64) -> Host {
-        let (name, site) = ("m1".to_string(), "a".to_string());
-        Host { name, dial: None, site, group: 1, health, born_ms, primary: false }
+    /// The ids of the cordoned members.
+    pub fn cordoned(&self) -> impl Iterator<Item = &str> {
+        self.cordoned.iter().map(String::as_str)
     }
 
-    /// Guards against discovery, which knows nothing of cordons, giving a member back, and against two calls out that
-    /// want two back.
-    #[test]
-    fn a_cordon_stands_whatever_the_list_says() {
-        let mut cordons = Cordons::default();
-        assert_eq!(cordons.cordon("m1", true), Ok(()));
-        assert_eq!(cordons.cordon("m1", false), Ok(()), "the list may lack it by now");
-        assert_eq!(cordons.apply(&host(Health::Active, 7)).health, Health::Leaving);
-        assert_eq!(cordons.apply(&host(Health::Left, 7)).health, Health::Left);
-        cordons.retain(|_| false);
-        assert!(cordons.is_out("m1"));
-        assert_eq!(cordons.uncordon("m1", false, 5_000_000), Ok(()));
-        assert!(!cordons.is_out("m1"));
-        assert_eq!(cordons.apply(&host(Health::Active, 7)).health, Health::Active);
-    }
-
-    /// Guards against full load on a member that was restarted while it was out, of which discovery tells late.
-    #[test]
-    fn one_called_back_counts_as_started_then() {
-        let mut cordons = Cordons::default();
-        assert_eq!(cordons.uncordon("m1", true, 4_000_000), Ok(()));
-        assert_eq!(cordons.apply(&host(Health::Active, 7)).born_ms, 7, "it was not out");
-        assert_eq!(cordons.cordon("m1", true), Ok(()));
-        assert_eq!(cordons.uncordon("m1", true, 5_000_000), Ok(()));
-        assert_eq!(cordons.apply(&host(Health::Active, 7)).born_ms, 5_000);
-        assert_eq!(cordons.apply(&host(Health::Active, 6_000)).born_ms, 6_000);
-        let again = Cordons::new(cordons.out().map(str::to_string), [("m1".to_string(), 5_000_000)]);
-        assert_eq!(again, cordons);
-        cordons.retain(|_| false);
-        assert_eq!(cordons.apply(&host(Health::Active, 7)).born_ms, 7);
-    }
-
-    #[test]
-    fn ids_that_nobody_has_are_a_no_and_tables_end() {
-        let mut cordons = Cordons::default();
-        assert_eq!(cordons.cordon("m9", false), Err(Refusal::Unknown));
-        assert_eq!(cordons.uncordon("m9", false, 1), Err(Refusal::Unknown));
-        for n in 0..MOST {
-            assert_eq!(cordons.cordon(&n.to_string(), true), Ok(()));
-        }
-        assert_eq!(cordons.cordon("one more", true), Err(Refusal::TooMany));
-        for n in 0..MOST {
-            assert_eq!(cordons.uncordon(&n.to_string(), true, n as Micros), Ok(()));
-        }
-        assert_eq!(cordons.cordon("one more", true), Ok(()));
-        assert_eq!(cordons.uncordon("one more", true, 9_999), Ok(()));
-        assert_eq!(cordons.back().count(), MOST);
-        assert!(cordons.back().all(|(id, _)| id != "0"));
+    /// The ids of uncordoned members and the times of their uncordoning.
+    pub fn uncordoned_at(&self) -> impl Iterator<Item = (&str, Micros)> {
+        self.uncordoned_at.iter().map(|(id, at)| (id.as_str(), *at))
     }
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,19 +1,22 @@
-//! What operators may ask of a running proxy, decided without I/O: the caller brings bytes, the time and the list.
+//! The operators' side of a running proxy, decided without I/O: the caller supplies bytes, the time and the endpoint
+//! list.
 //!
-//! - [`avoided`]: which members count as left out.
-//! - [`call`]: one line of a connection, and what it asks for.
-//! - [`cordons`]: members that operators took out, whatever discovery says of them.
-//! - [`figures`]: what this process counted since its start.
-//! - [`succession`]: two processes that form one proxy while the younger replaces the older.
+//! - [`command`]: parses the one line that an admin connection carries.
+//! - [`cordons`]: members that operators took out of service, whatever discovery reports of them.
+//! - [`exclusion`]: why a listed member receives no new requests.
+//! - [`metrics`]: counters since the start of this process, and their JSON form.
+//! - [`handover`]: the state machine of two processes that act as one proxy while the newer replaces the older.
 
-pub mod avoided;
-pub mod call;
+pub mod command;
 pub mod cordons;
-pub mod figures;
-pub mod succession;
+pub mod exclusion;
+pub mod handover;
+pub mod metrics;
 
-pub use avoided::Avoided;
-pub use call::{Call, Flaw, Line};
-pub use cordons::{Cordons, Refusal};
-pub use figures::{End, Figures, Gauges};
-pub use succession::{Holds, Learned, State, Succession, Ways, Word};
+pub use command::{Command, CommandError, CommandReader};
+pub use cordons::{CordonError, Cordons};
+pub use exclusion::Exclusion;
+pub use handover::{
+    CommandId, ConnectionCounts, Handover, HandoverMessage, HandoverState, MemberKnowledge, MemberTraits,
+};
+pub use metrics::{Gauges, Metrics, ReloadResult, ReplyStatus};
--- /dev/null
+++ b/crates/admin/tests/exclusion.rs
@@ -0,0 +1,20 @@
+//! Which listed members count as excluded.
+
+use wharfplank_admin::Exclusion;
+use wharfplank_protocol::catalog::Health;
+
+/// Guards against metrics that jump with each member that made a single request wait.
+#[test]
+fn a_suspect_is_excluded_once_it_stays_suspected() {
+    let exclusion_since = |since| Exclusion::of(Health::Active, false, since, 9_000_000);
+    assert_eq!(exclusion_since(None), None);
+    assert_eq!(exclusion_since(Some(8_000_001)), None);
+    assert_eq!(exclusion_since(Some(8_000_000)), Some(Exclusion::Suspected));
+}
+
+#[test]
+fn cordoned_and_draining_members_are_excluded_at_once() {
+    assert_eq!(Exclusion::of(Health::Active, true, None, 0), Some(Exclusion::Cordoned));
+    assert_eq!(Exclusion::of(Health::Leaving, true, Some(0), 0), Some(Exclusion::Cordoned));
+    assert_eq!(Exclusion::of(Health::Leaving, false, Some(0), 0), Some(Exclusion::Draining));
+}
--- a/crates/proxy/src/broker/course.rs
+++ b/crates/proxy/src/broker/course.rs
@@ -1,6 +1,7 @@
 //! The process's own course: its start, its regular work, a new configuration and its end.
 
 use super::*;
+use wharfplank_admin::ReloadResult;
 
 /// The front is told that queries can be served once discovery has answered, there is a list and a member is
 /// connected, or after these times: a proxy that is cut off, or has no list at all, still answers.
@@ -24,7 +25,10 @@
     /// Reads the configuration anew.
     pub(super) fn reload(&mut self) {
         let read = Config::anew();
-        self.shared.figures.reloaded(read.is_ok());
+        self.shared.metrics.record_reload(match read {
+            Ok(_) => ReloadResult::Applied,
+            Err(_) => ReloadResult::Failed,
+        });
         self.journal.reloaded(read.is_ok());
         match read {
             Ok(config) => {
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -36,7 +36,7 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_admin::{Cordons, Succession};
+use wharfplank_admin::Cordons;
 use wharfplank_discovery::{Age, Doubt, News};
 use wharfplank_pool_policy::Opening;
 use wharfplank_protocol::catalog::{Catalog, Health, Host};
@@ -48,7 +48,7 @@
     self as routing, Action, AttemptNo, ClassId, Ending, Entry, GroupId, HostId, Listed, Micros, Outcome,
     Probed, Request, RequestId, Role, Router, SessionKey,
 };
-use wharfplank_transport::admin::Asking;
+use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::client::Lane;
 use wharfplank_transport::clients::Clients;
 use wharfplank_transport::discovery::Watch;
@@ -69,7 +69,7 @@
 
 /// Why the broker goes on after a wait.
 enum Woken {
-    Operator(Asking),
+    Operator(AdminCall),
     Event(Event),
     Closed,
     Time,
@@ -180,7 +180,7 @@
     }
 
     /// Works until the process is to end.
-    pub async fn run(mut self, known: Catalog, received: Receiver<Event>, operators: Receiver<Asking>) {
+    pub async fn run(mut self, known: Catalog, received: Receiver<Event>, operators: Receiver<AdminCall>) {
         let mut actions = Vec::new();
         self.router.start(&mut actions);
         self.perform(self.clock.now(), actions);
--- a/crates/proxy/src/broker/replacement.rs
+++ b/crates/proxy/src/broker/replacement.rs
@@ -2,7 +2,10 @@
 
 use super::*;
 use std::path::PathBuf;
-use wharfplank_admin::{Call, Holds, Learned, State, Ways, Word};
+use wharfplank_admin::{
+    Command, CommandId, ConnectionCounts, Handover, HandoverMessage, HandoverState, MemberKnowledge,
+    MemberTraits,
+};
 use wharfplank_protocol::catalog;
 use wharfplank_transport::handover::{self, Inherited, Link, Other, Post};
 
@@ -16,13 +19,13 @@
     posted: Option<Task<()>>,
     /// Until this process takes no connections any more: it closes then, unless another has it too.
     listener: Option<Rc<Async<TcpListener>>>,
-    all: Holds,
-    succession: Succession,
+    all: ConnectionCounts,
+    handover: Handover,
     link: Option<Link>,
     /// Calls whose answers wait for the other process.
-    waiting: Vec<(u64, Asking, String)>,
-    learned: Vec<Learned>,
-    told: Holds,
+    waiting: Vec<(CommandId, AdminCall, String)>,
+    learned: Vec<MemberKnowledge>,
+    told: ConnectionCounts,
     tell_at: Micros,
     serves: bool,
 }
@@ -33,7 +36,7 @@
         &mut self,
         post: PathBuf,
         listener: Rc<Async<TcpListener>>,
-        all: Holds,
+        all: ConnectionCounts,
         inherited: Option<Inherited>,
     ) {
         let mut r = Replacement {
@@ -41,20 +44,20 @@
             posted: None,
             listener: Some(listener),
             all,
-            succession: Succession::default(),
+            handover: Handover::default(),
             link: None,
             waiting: Vec::new(),
             learned: Vec::new(),
-            told: Holds::default(),
+            told: ConnectionCounts::default(),
             tell_at: 0,
             serves: inherited.is_none(),
         };
         match inherited {
             Some(inherited) => {
                 let state = inherited.state.clone();
-                log::replacement("replaces another", state.out.len());
-                self.cordons = Cordons::new(state.out, state.back);
-                (r.learned, r.succession) = (state.learned, Succession::younger(state.holds));
+                log::replacement("replaces another", state.cordoned.len());
+                self.cordons = Cordons::restore(state.cordoned, state.uncordoned_at);
+                (r.learned, r.handover) = (state.members, Handover::successor_of(state.connections));
                 r.link = Some(inherited.link(&self.shared.executor, self.events.clone()));
             }
             None => r.posted = self.open_post(&r.post),
@@ -85,7 +88,7 @@
         let learned = self.replacement.as_mut().map(|r| std::mem::take(&mut r.learned)).unwrap_or_default();
         let now = self.clock.now();
         let told = learned.into_iter().filter_map(|l| {
-            let (host, traits) = (*self.names.get(&l.id)?, l.ways.map(|ways| ways.traits(now)));
+            let (host, traits) = (*self.names.get(&l.id)?, l.traits.map(|traits| traits.to_learned(now)));
             Some(routing::Told { host, position: l.position, suspected_at: l.suspected_at, traits })
         });
         let told: Vec<_> = told.collect();
@@ -95,19 +98,21 @@
     }
 
     /// Carries out an operator's call, and answers it once the other process has heard of it too, if there is one.
-    pub(super) fn operator(&mut self, asking: Asking) {
-        let text = self.operate(&asking.call);
-        let (id, out) = match &asking.call {
-            Call::Cordon(id) => (id.clone(), true),
-            Call::Uncordon(id) => (id.clone(), false),
+    pub(super) fn operator(&mut self, asking: AdminCall) {
+        let text = self.operate(&asking.command);
+        let (id, out) = match &asking.command {
+            Command::Cordon(id) => (id.clone(), true),
+            Command::Uncordon(id) => (id.clone(), false),
             _ => return asking.answer(text),
         };
         let at = self.clock.now();
         let Some(r) = self.replacement.as_mut().filter(|_| text.starts_with("ok")) else {
             return asking.answer(text);
         };
-        match (r.succession.call(at), &r.link) {
-            (Some(number), Some(link)) if link.say(Word::Cordon { number, id, out, at }) => {
+        match (r.handover.register_command(at), &r.link) {
+            (Some(number), Some(link))
+                if link.say(HandoverMessage::Cordon { number, id, is_cordoned: out, at }) =>
+            {
                 r.waiting.push((number, asking, text))
             }
             _ => asking.answer(text),
@@ -122,9 +127,9 @@
             Other::Asks(stream) => {
                 // Without a socket to give it is as if nobody had been asked.
                 let Some(listener) = r.listener.clone() else { return };
-                if r.succession.asked(held) {
+                if r.handover.begin(held) {
                     let state = self.state(held);
-                    log::replacement("is being replaced", state.out.len());
+                    log::replacement("is being replaced", state.cordoned.len());
                     let Some(r) = &mut self.replacement else { return };
                     let (executor, events) = (&self.shared.executor, self.events.clone());
                     r.link = Some(Link::give(executor, stream, listener, &state, events));
@@ -132,32 +137,32 @@
                     self.shared.executor.spawn(handover::turn_away(stream)).detach();
                 }
             }
-            Other::Says(Word::Serving) => {
+            Other::Says(HandoverMessage::Serving) => {
                 log::replacement("the other serves", 0);
-                r.succession.relieved();
+                r.handover.on_successor_serving();
             }
-            Other::Says(Word::Holds(holds)) => r.succession.holds(holds),
-            Other::Says(Word::Heard(number)) => {
-                if r.succession.heard(number) {
+            Other::Says(HandoverMessage::Connections(holds)) => r.handover.on_predecessor_connections(holds),
+            Other::Says(HandoverMessage::CordonApplied(number)) => {
+                if r.handover.confirm_command(number) {
                     self.answer_calls(&[number]);
                 }
             }
-            Other::Says(Word::Cordon { number, id, out, at }) => {
+            Other::Says(HandoverMessage::Cordon { number, id, is_cordoned: out, at }) => {
                 // It was known there: here, too, or it is about to be.
                 let done =
                     if out { self.cordons.cordon(&id, true) } else { self.cordons.uncordon(&id, true, at) };
                 self.cordoned(&id, done);
                 let link = self.replacement.as_ref().and_then(|r| r.link.as_ref());
                 link.into_iter().for_each(|link| {
-                    link.say(Word::Heard(number));
+                    link.say(HandoverMessage::CordonApplied(number));
                 });
             }
             Other::Lost => {
                 log::replacement("the other is gone", 0);
                 r.link = None;
                 // The successor may have put its own socket in the place of this one's.
-                let older = r.succession.tells_holds();
-                let waited = r.succession.lost();
+                let older = r.handover.is_predecessor();
+                let waited = r.handover.on_peer_lost();
                 if older && r.listener.is_some() {
                     self.take_post();
                 }
@@ -174,7 +179,7 @@
         }
     }
 
-    fn answer_calls(&mut self, numbers: &[u64]) {
+    fn answer_calls(&mut self, numbers: &[CommandId]) {
         let Some(r) = &mut self.replacement else { return };
         let waiting = std::mem::take(&mut r.waiting);
         let (done, left): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|(n, ..)| numbers.contains(n));
@@ -186,18 +191,18 @@
     pub(super) fn attend(&mut self) {
         let (now, ready, held) = (self.clock.now(), self.ready, self.held());
         let Some(r) = &mut self.replacement else { return };
-        let late = r.succession.overdue(now);
-        if r.succession.tells_holds() && now >= r.tell_at && held != r.told {
+        let late = r.handover.expire_commands(now);
+        if r.handover.is_predecessor() && now >= r.tell_at && held != r.told {
             (r.tell_at, r.told) = (now + TELL_EVERY, held);
             r.link.iter().for_each(|link| {
-                link.say(Word::Holds(held));
+                link.say(HandoverMessage::Connections(held));
             });
         }
         let begins = ready && !r.serves;
         r.serves |= ready;
         if begins {
             r.link.iter().for_each(|link| {
-                link.say(Word::Serving);
+                link.say(HandoverMessage::Serving);
             });
             self.take_post();
             self.share_out();
@@ -210,37 +215,42 @@
     /// When [`Broker::attend`] has something to do although nothing happens.
     pub(super) fn attends_at(&self) -> Micros {
         let Some(r) = &self.replacement else { return Micros::MAX };
-        let tell = if r.succession.tells_holds() { self.clock.now() + TELL_EVERY } else { Micros::MAX };
-        r.succession.due().unwrap_or(Micros::MAX).min(tell)
+        let tell = if r.handover.is_predecessor() { self.clock.now() + TELL_EVERY } else { Micros::MAX };
+        r.handover.next_deadline().unwrap_or(Micros::MAX).min(tell)
     }
 
-    fn held(&self) -> Holds {
-        Holds { clients: self.clients.open(), members: self.shared.open.get() }
+    fn held(&self) -> ConnectionCounts {
+        ConnectionCounts { clients: self.clients.open(), members: self.shared.open.get() }
     }
 
     /// Puts this process's share of connections into force.
     fn share_out(&mut self) {
         let Some(r) = &self.replacement else { return };
-        let most = r.succession.most(r.all);
+        let most = r.handover.connection_limit(r.all);
         self.clients.limit(most.clients);
         self.shared.most.set(most.members);
-        self.clients.take_new(r.succession.takes(self.ready));
+        self.clients.take_new(r.handover.accepts_connections(self.ready));
     }
 
-    fn state(&self, holds: Holds) -> State {
+    fn state(&self, holds: ConnectionCounts) -> HandoverState {
         let names = self.by_host();
         let learned = self.router.view().filter_map(|view| {
             let (id, suspected_at) = (names.get(&view.host)?.to_string(), view.suspected.unwrap_or(0));
-            Some(Learned { id, position: view.position, suspected_at, ways: Some(Ways::of(view.traits)) })
+            Some(MemberKnowledge {
+                id,
+                position: view.position,
+                suspected_at,
+                traits: Some(MemberTraits::from(view.traits)),
+            })
         });
         let hosts = self.listed.values().cloned().collect();
-        State {
-            version: wharfplank_admin::succession::VERSION,
-            list: catalog::write(&Catalog { seq: self.seq, whole: true, hosts }),
-            out: self.cordons.out().map(str::to_string).collect(),
-            back: self.cordons.back().map(|(id, at)| (id.to_string(), at)).collect(),
-            learned: learned.collect(),
-            holds,
+        HandoverState {
+            version: wharfplank_admin::handover::PROTOCOL_VERSION,
+            endpoint_list: catalog::write(&Catalog { seq: self.seq, whole: true, hosts }),
+            cordoned: self.cordons.cordoned().map(str::to_string).collect(),
+            uncordoned_at: self.cordons.uncordoned_at().map(|(id, at)| (id.to_string(), at)).collect(),
+            members: learned.collect(),
+            connections: holds,
         }
     }
 }
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -1,7 +1,7 @@
 //! Requests in the broker's tables, from a client's word to the final answer.
 
 use super::*;
-use wharfplank_admin::End;
+use wharfplank_admin::ReplyStatus;
 
 /// A request that is open.
 pub(super) struct Open {
@@ -194,12 +194,12 @@
     pub(super) fn ended(&mut self, id: RequestId, answer: &Answer) -> Option<Open> {
         self.talk.answered(self.clock.now(), answer);
         let open = self.close(id)?;
-        let end = match answer {
-            Answer::Served(_) => End::Success,
-            Answer::Refused(_) => End::Overload,
-            Answer::Failed | Answer::Cancelled | Answer::Malformed(_) => End::Error,
+        let status = match answer {
+            Answer::Served(_) => ReplyStatus::Success,
+            Answer::Refused(_) => ReplyStatus::Overload,
+            Answer::Failed | Answer::Cancelled | Answer::Malformed(_) => ReplyStatus::Error,
         };
-        self.shared.figures.ended(open.class.0, end);
+        self.shared.metrics.record_reply(open.class.0, status);
         Some(open)
     }
 }
--- a/crates/proxy/src/broker/roster.rs
+++ b/crates/proxy/src/broker/roster.rs
@@ -32,7 +32,7 @@
             }
         }
         if catalog.whole {
-            self.cordons.retain(|name| self.listed.contains_key(name));
+            self.cordons.retain_uncordoned(|name| self.listed.contains_key(name));
         }
         let hosts = catalog.hosts.iter().map(|host| self.cordons.apply(host)).collect();
         self.enlist(Catalog { hosts, ..catalog });
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_admin::{Figures, Holds};
+use wharfplank_admin::{ConnectionCounts, Metrics};
 use wharfplank_discovery::{Desk, Pace, Shared};
 use wharfplank_protocol::catalog;
 use wharfplank_settings::Settings;
@@ -86,7 +86,7 @@
         rowless: settings.missing.is_some(),
         check_after: Cell::new(members::CHECK_AFTER),
         now: Rc::clone(&now),
-        figures: Figures::new(&config.terms.names),
+        metrics: Metrics::new(&config.terms.names),
         budgets: budgets.clone(),
     });
     let clients = Clients::new(
@@ -104,7 +104,7 @@
     });
     let pace = asked.map_or(pace, |shared| pace.shared(shared));
     // What the process that is replaced believes is newer than what the file knows.
-    let list = inherited.as_ref().and_then(|inherited| catalog::read(&inherited.state.list).ok());
+    let list = inherited.as_ref().and_then(|inherited| catalog::read(&inherited.state.endpoint_list).ok());
     config.known = list.unwrap_or(config.known);
     let desk = Desk::new(pace, &config.known, clock.now());
     let watch =
@@ -134,7 +134,7 @@
         executor.spawn(Admin::new(Rc::clone(&executor), calls).listen(listener)).detach();
     }
     if let Some(post) = post {
-        let all = Holds { clients: to_clients, members: to_members };
+        let all = ConnectionCounts { clients: to_clients, members: to_members };
         broker.replaceable(post, Rc::clone(&listener), all, inherited.take());
     }
     executor.spawn(Rc::clone(&clients).listen(listener)).detach();
--- a/crates/proxy/src/release.rs
+++ b/crates/proxy/src/release.rs
@@ -91,7 +91,7 @@
         let look = |(name, id): (&String, &u64)| {
             let (host, number) = (listed.get(name)?, hosts.get(name)?);
             let trial = self.trials.get(number).copied().unwrap_or_default();
-            Some((*id, look(host, views.get(number), cordons.is_out(name), trial)))
+            Some((*id, look(host, views.get(number), cordons.is_cordoned(name), trial)))
         };
         let members = on.ids.iter().filter_map(look).collect();
         on.views.push(View { at: now, members });
--- a/crates/transport/src/admin.rs
+++ b/crates/transport/src/admin.rs
@@ -14,7 +14,7 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_admin::{Call, Line};
+use wharfplank_admin::{Command, CommandError, CommandReader};
 
 /// Callers at one time.
 pub const PLACES: usize = 16;
@@ -27,15 +27,15 @@
 /// Pause where no descriptor was left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A call on its way to the broker.
+/// An operator's command on its way to the broker, with the way back for its answer.
 #[derive(Debug)]
-pub struct Asking {
-    /// What is asked.
-    pub call: Call,
+pub struct AdminCall {
+    /// The command.
+    pub command: Command,
     answer: Sender<String>,
 }
 
-impl Asking {
+impl AdminCall {
     /// Answers it. A caller who has gone meanwhile hears nothing.
     pub fn answer(&self, text: String) {
         let _ = self.answer.try_send(text);
@@ -45,7 +45,7 @@
 /// The callers.
 pub struct Admin {
     executor: Rc<LocalExecutor<'static>>,
-    broker: Sender<Asking>,
+    broker: Sender<AdminCall>,
     open: Cell<usize>,
     numbers: Cell<u64>,
     /// Those whose line has not ended, by age.
@@ -56,7 +56,7 @@
 
 impl Admin {
     /// Nobody has called yet; calls go to `broker`.
-    pub fn new(executor: Rc<LocalExecutor<'static>>, broker: Sender<Asking>) -> Rc<Self> {
+    pub fn new(executor: Rc<LocalExecutor<'static>>, broker: Sender<AdminCall>) -> Rc<Self> {
         let (open, numbers, silent, free) = Default::default();
         Rc::new(Admin { executor, broker, open, numbers, silent, free })
     }
@@ -107,8 +107,8 @@
         self.silent.borrow_mut().remove(&number);
         let Some(line) = line else { return };
         let text = match line {
-            Ok(call) => self.ask(call).await,
-            Err(flaw) => format!("fail {flaw}\n"),
+            Ok(command) => self.ask(command).await,
+            Err(error) => format!("fail {error}\n"),
         };
         let rest = async {
             stream.write_all(text.as_bytes()).await.ok()?;
@@ -121,10 +121,10 @@
         within(Instant::now() + WRITE_WAIT, rest).await;
     }
 
-    async fn ask(&self, call: Call) -> String {
+    async fn ask(&self, command: Command) -> String {
         let (answer, answered) = bounded(1);
         let work = async {
-            self.broker.send(Asking { call, answer }).await.ok()?;
+            self.broker.send(AdminCall { command, answer }).await.ok()?;
             answered.recv().await.ok()
         };
         let text = within(Instant::now() + ANSWER_WAIT, work).await.flatten();
@@ -133,17 +133,17 @@
 }
 
 /// The caller's line; `None` where the caller left without a word.
-async fn read(stream: &mut Async<TcpStream>) -> Option<Result<Call, wharfplank_admin::Flaw>> {
-    let (mut line, mut piece) = (Line::default(), [0; 256]);
+async fn read(stream: &mut Async<TcpStream>) -> Option<Result<Command, CommandError>> {
+    let (mut reader, mut piece) = (CommandReader::default(), [0; 256]);
     let mut heard = false;
     loop {
         match stream.read(&mut piece).await {
-            Ok(0) if heard => return Some(Err(wharfplank_admin::Flaw::Cut)),
+            Ok(0) if heard => return Some(Err(CommandError::UnterminatedLine)),
             Ok(0) | Err(_) => return None,
             Ok(count) => {
                 heard = true;
-                if let Some(call) = line.feed(&piece[..count]) {
-                    return Some(call);
+                if let Some(command) = reader.feed(&piece[..count]) {
+                    return Some(command);
                 }
             }
         }
--- a/crates/transport/src/handover.rs
+++ b/crates/transport/src/handover.rs
@@ -1,5 +1,5 @@
 //! The Unix socket over which a process that replaces another gets the listening socket and what is known, and on which
-//! the two tell each other [`Word`]s until one ends. Words are lines of JSON.
+//! the two tell each other [`HandoverMessage`]s until one ends. Messages are lines of JSON.
 
 mod post;
 
@@ -23,7 +23,8 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_admin::{State, Word};
+use wharfplank_admin::handover::PROTOCOL_VERSION;
+use wharfplank_admin::{HandoverMessage, HandoverState};
 
 /// The byte that carries the listening socket, and the one that says that another process replaces this one already.
 const HERE: u8 = b'L';
@@ -35,7 +36,7 @@
 const WRITE_WAIT: Duration = Duration::from_secs(1);
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// Words that may wait to be written; the other process counts as lost past that.
+/// Messages that may wait to be written; the other process counts as lost past that.
 const WORDS: usize = 256;
 
 /// What is heard of the other process.
@@ -44,7 +45,7 @@
     /// It asks to replace this one.
     Asks(Async<UnixStream>),
     /// It says something.
-    Says(Word),
+    Says(HandoverMessage),
     /// It is gone.
     Lost,
 }
@@ -54,19 +55,19 @@
 pub struct Inherited {
     listener: TcpListener,
     /// What the older one knows.
-    pub state: State,
+    pub state: HandoverState,
     stream: BufReader<Async<UnixStream>>,
 }
 
 /// Where words for the other process go. The link ends when this is dropped.
 #[derive(Debug)]
 pub struct Link {
-    words: Sender<Word>,
+    words: Sender<HandoverMessage>,
 }
 
 impl Link {
     /// Tells the other process something; false where it takes no more. It counts as lost then: the two would differ.
-    pub fn say(&self, word: Word) -> bool {
+    pub fn say(&self, word: HandoverMessage) -> bool {
         let taken = self.words.try_send(word).is_ok();
         if !taken {
             self.words.close();
@@ -113,8 +114,8 @@
     // What comes behind the line stays in the reader, for the link.
     let (mut stream, mut line) = (BufReader::new(stream), String::new());
     (&mut stream).take(LINE_MOST).read_line(&mut line).await?;
-    let state: State = serde_json::from_str(&line)?;
-    if state.version != wharfplank_admin::succession::VERSION {
+    let state: HandoverState = serde_json::from_str(&line)?;
+    if state.version != PROTOCOL_VERSION {
         return Err(io::ErrorKind::Unsupported.into());
     }
     Ok(Inherited { listener, state, stream })
@@ -150,7 +151,7 @@
 }
 
 impl Link {
-    fn new() -> (Link, Receiver<Word>) {
+    fn new() -> (Link, Receiver<HandoverMessage>) {
         let (words, written) = bounded(WORDS);
         (Link { words }, written)
     }
@@ -160,7 +161,7 @@
         executor: &Rc<LocalExecutor<'static>>,
         stream: Async<UnixStream>,
         listener: Rc<Async<TcpListener>>,
-        state: &State,
+        state: &HandoverState,
         events: Sender<Event>,
     ) -> Link {
         let (link, words) = Link::new();
@@ -202,7 +203,7 @@
 }
 
 /// Carries words both ways until one side ends. A line that cannot be read ends the link: the two would differ.
-async fn talk(stream: BufReader<Async<UnixStream>>, words: Receiver<Word>, events: Sender<Event>) {
+async fn talk(stream: BufReader<Async<UnixStream>>, words: Receiver<HandoverMessage>, events: Sender<Event>) {
     let writer = stream.get_ref().get_ref().try_clone().and_then(Async::new);
     let hear = async {
         let (mut stream, mut line) = (stream, String::new());
--- a/crates/transport/src/members.rs
+++ b/crates/transport/src/members.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_admin::Figures;
+use wharfplank_admin::Metrics;
 use wharfplank_pool_policy::Demand;
 use wharfplank_protocol::client::Answer;
 use wharfplank_routing::Ending;
@@ -96,7 +96,7 @@
     /// The caller's clock.
     pub now: super::Now,
     /// Counts requests that ended, and attempts written whole.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// The fleet's budgets, where the settings have them.
     pub budgets: Option<Rc<Budgets>>,
 }
--- a/crates/transport/src/members/attempt.rs
+++ b/crates/transport/src/members/attempt.rs
@@ -8,7 +8,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_admin::Figures;
+use wharfplank_admin::Metrics;
 use wharfplank_protocol::client::{self, Answer, Step, Verdict};
 use wharfplank_routing::Ending;
 
@@ -35,7 +35,7 @@
             let left = deadline.saturating_duration_since(Instant::now()).as_millis().max(1);
             statement.write(out, left as i64);
         };
-        self.ask(write, &stage, deadline, holds, Some((&self.shared.figures, &wanted))).await
+        self.ask(write, &stage, deadline, holds, Some((&self.shared.metrics, &wanted))).await
     }
 
     /// Asks for the load report.
@@ -53,7 +53,7 @@
         stage: &Cell<Stage>,
         deadline: Instant,
         holds: Option<Instant>,
-        client: Option<(&Figures, &dyn Fn() -> bool)>,
+        client: Option<(&Metrics, &dyn Fn() -> bool)>,
     ) -> (Report, Option<Stream>) {
         let start = Instant::now();
         let until = holds.map_or(deadline, |at| deadline.min(at));
@@ -73,7 +73,7 @@
         match within(until, connection.stream.write_all(&message)).await {
             Some(Ok(())) => {
                 stage.set(Stage::Written);
-                client.into_iter().for_each(|(figures, _)| figures.dispatched());
+                client.into_iter().for_each(|(metrics, _)| metrics.record_dispatch());
             }
             // Broken before the last byte: it never ran. Cut off by the clock: it was never whole.
             Some(Err(_)) => {
--- a/crates/transport/tests/stand/rig.rs
+++ b/crates/transport/tests/stand/rig.rs
@@ -6,7 +6,7 @@
 use std::future::Future;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_admin::Figures;
+use wharfplank_admin::Metrics;
 use wharfplank_transport::members::{Member, Report, Shared, Stage, CHECK_AFTER};
 use wharfplank_transport::{Memory, Statement};
 
@@ -49,7 +49,7 @@
         rowless: false,
         check_after: Cell::new(terms.check_after),
         now: Rc::new(move || start.elapsed().as_micros() as i64),
-        figures: Figures::new(&[]),
+        metrics: Metrics::new(&[]),
         budgets: None,
     });
     let member = Member::new(Rc::clone(&shared), "m", stand.address);
