--- a/crates/admin/src/cordons.rs
+++ b/crates/admin/src/cordons.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
-use wharfplank_protocol::catalog::{Health, Host};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
 use wharfplank_routing::Micros;
 
 /// The most members that may be cordoned, or remembered as uncordoned, at one time; a fleet has some hundred.
@@ -86,13 +86,13 @@
 
     /// The endpoint list's entry with cordons applied: a cordoned member is draining, and an uncordoned one was
     /// launched at the earliest when it was uncordoned.
-    pub fn apply(&self, listed: &Host) -> Host {
+    pub fn apply(&self, listed: &EndpointRecord) -> EndpointRecord {
         let mut host = listed.clone();
-        if host.health == Health::Active && self.is_cordoned(&host.name) {
-            host.health = Health::Leaving;
+        if host.health == EndpointHealth::Active && self.is_cordoned(&host.name) {
+            host.health = EndpointHealth::Draining;
         }
         if let Some(uncordoned_at) = self.uncordoned_at.get(&host.name) {
-            host.born_ms = host.born_ms.max(uncordoned_at / 1000);
+            host.started_at_ms = host.started_at_ms.max(uncordoned_at / 1000);
         }
         host
     }
--- a/crates/admin/src/exclusion.rs
+++ b/crates/admin/src/exclusion.rs
@@ -1,6 +1,6 @@
 //! Why a listed member receives no new requests, for the metrics and the log.
 
-use wharfplank_protocol::catalog::Health;
+use wharfplank_protocol::endpoint_list::EndpointHealth;
 use wharfplank_routing::Micros;
 
 /// How long a member must have been suspected before it counts as excluded, in microseconds. Nearly all suspects are
@@ -22,7 +22,7 @@
     /// The reason why a member is excluded at `now`, or `None` where it is in service. `suspected_since` is the time
     /// since when the member has been suspected, where it is suspected now.
     pub fn of(
-        health: Health,
+        health: EndpointHealth,
         is_cordoned: bool,
         suspected_since: Option<Micros>,
         now: Micros,
@@ -30,7 +30,7 @@
         if is_cordoned {
             return Some(Exclusion::Cordoned);
         }
-        if health != Health::Active {
+        if health != EndpointHealth::Active {
             return Some(Exclusion::Draining);
         }
         let suspected_since = suspected_since?;
--- a/crates/admin/tests/cordons.rs
+++ b/crates/admin/tests/cordons.rs
@@ -2,12 +2,19 @@
 
 use wharfplank_admin::cordons::MAX_ENTRIES;
 use wharfplank_admin::{CordonError, Cordons};
-use wharfplank_protocol::catalog::{Health, Host};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
 use wharfplank_routing::Micros;
 
-fn host(health: Health, born_ms: i64) -> Host {
-    let (name, site) = ("m1".to_string(), "a".to_string());
-    Host { name, dial: None, site, group: 1, health, born_ms, primary: false }
+fn host(health: EndpointHealth, started_at_ms: i64) -> EndpointRecord {
+    EndpointRecord {
+        name: "m1".to_string(),
+        address: None,
+        zone: "a".to_string(),
+        group: 1,
+        health,
+        started_at_ms,
+        primary: false,
+    }
 }
 
 /// Guards against discovery, which knows nothing of cordons, putting a member back into service, and against two
@@ -17,13 +24,13 @@
     let mut cordons = Cordons::default();
     assert_eq!(cordons.cordon("m1", true), Ok(()));
     assert_eq!(cordons.cordon("m1", false), Ok(()), "the list may lack it by now");
-    assert_eq!(cordons.apply(&host(Health::Active, 7)).health, Health::Leaving);
-    assert_eq!(cordons.apply(&host(Health::Left, 7)).health, Health::Left);
+    assert_eq!(cordons.apply(&host(EndpointHealth::Active, 7)).health, EndpointHealth::Draining);
+    assert_eq!(cordons.apply(&host(EndpointHealth::Removed, 7)).health, EndpointHealth::Removed);
     cordons.retain_uncordoned(|_| false);
     assert!(cordons.is_cordoned("m1"));
     assert_eq!(cordons.uncordon("m1", false, 5_000_000), Ok(()));
     assert!(!cordons.is_cordoned("m1"));
-    assert_eq!(cordons.apply(&host(Health::Active, 7)).health, Health::Active);
+    assert_eq!(cordons.apply(&host(EndpointHealth::Active, 7)).health, EndpointHealth::Active);
 }
 
 /// Guards against full load on a member that was restarted while cordoned, where discovery reports it late.
@@ -31,15 +38,15 @@
 fn an_uncordoned_member_counts_as_launched_then() {
     let mut cordons = Cordons::default();
     assert_eq!(cordons.uncordon("m1", true, 4_000_000), Ok(()));
-    assert_eq!(cordons.apply(&host(Health::Active, 7)).born_ms, 7, "it was not cordoned");
+    assert_eq!(cordons.apply(&host(EndpointHealth::Active, 7)).started_at_ms, 7, "it was not cordoned");
     assert_eq!(cordons.cordon("m1", true), Ok(()));
     assert_eq!(cordons.uncordon("m1", true, 5_000_000), Ok(()));
-    assert_eq!(cordons.apply(&host(Health::Active, 7)).born_ms, 5_000);
-    assert_eq!(cordons.apply(&host(Health::Active, 6_000)).born_ms, 6_000);
+    assert_eq!(cordons.apply(&host(EndpointHealth::Active, 7)).started_at_ms, 5_000);
+    assert_eq!(cordons.apply(&host(EndpointHealth::Active, 6_000)).started_at_ms, 6_000);
     let again = Cordons::restore(cordons.cordoned().map(str::to_string), [("m1".to_string(), 5_000_000)]);
     assert_eq!(again, cordons);
     cordons.retain_uncordoned(|_| false);
-    assert_eq!(cordons.apply(&host(Health::Active, 7)).born_ms, 7);
+    assert_eq!(cordons.apply(&host(EndpointHealth::Active, 7)).started_at_ms, 7);
 }
 
 #[test]
--- a/crates/proxy/src/broker/replacement.rs
+++ b/crates/proxy/src/broker/handover.rs
@@ -6,8 +6,8 @@
     Command, CommandId, ConnectionCounts, Handover, HandoverMessage, HandoverState, MemberKnowledge,
     MemberTraits,
 };
-use wharfplank_protocol::catalog;
-use wharfplank_transport::handover::{self, Inherited, Link, Other, Post};
+use wharfplank_protocol::endpoint_list;
+use wharfplank_transport::handover::{self as handover_socket, Inherited, Link, Other, Post};
 
 /// How often the other process is told what this one holds.
 const TELL_EVERY: Micros = 100_000;
@@ -134,7 +134,7 @@
                     let (executor, events) = (&self.shared.executor, self.events.clone());
                     r.link = Some(Link::give(executor, stream, listener, &state, events));
                 } else {
-                    self.shared.executor.spawn(handover::turn_away(stream)).detach();
+                    self.shared.executor.spawn(handover_socket::turn_away(stream)).detach();
                 }
             }
             Other::Says(HandoverMessage::Serving) => {
@@ -246,7 +246,11 @@
         let hosts = self.listed.values().cloned().collect();
         HandoverState {
             version: wharfplank_admin::handover::PROTOCOL_VERSION,
-            endpoint_list: catalog::write(&Catalog { seq: self.seq, whole: true, hosts }),
+            endpoint_list: endpoint_list::to_json(&EndpointList {
+                version: self.seq,
+                complete: true,
+                endpoints: hosts,
+            }),
             cordoned: self.cordons.cordoned().map(str::to_string).collect(),
             uncordoned_at: self.cordons.uncordoned_at().map(|(id, at)| (id.to_string(), at)).collect(),
             members: learned.collect(),
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -1,22 +1,22 @@
 //! The broker: it alone owns the router and the tables of requests and attempts. It feeds the drivers'
 //! events to the router and carries its actions out.
 
+mod admin_calls;
 mod attempts;
 mod budgets;
-mod course;
-mod lookups;
-mod operators;
-mod passing;
-mod probes;
-mod replacement;
+mod endpoints;
+mod handover;
+mod health_checks;
+mod lifecycle;
+mod negative_cache;
 mod requests;
-mod roster;
+mod streaming;
 
 use attempts::{Allowed, Flight};
 use budgets::Barred;
-use replacement::Replacement;
+use endpoints::{hash, suspects, zone_number};
+use handover::Replacement;
 use requests::Open;
-use roster::{hash, suspects, zone_number};
 
 use super::clock::Clock;
 use super::config::{Config, SEND_MARGIN};
@@ -37,11 +37,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_admin::Cordons;
-use wharfplank_discovery::{Age, Doubt, News};
+use wharfplank_discovery::{SendDeadline, Staleness, SuspectReason, WatchEvent};
 use wharfplank_pool_policy::Opening;
-use wharfplank_protocol::catalog::{Catalog, Health, Host};
 use wharfplank_protocol::client;
 use wharfplank_protocol::comment::ID_MOST;
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 use wharfplank_protocol::pipeline::{Answer, Ticket};
 use wharfplank_routing::settings::Terms;
 use wharfplank_routing::{
@@ -92,11 +92,11 @@
     /// The ids of open requests, as clients gave them.
     ids: HashSet<String>,
     flights: HashMap<(RequestId, u32), Flight>,
-    passing: passing::Values,
+    passing: streaming::Values,
     members: BTreeMap<HostId, Rc<Member>>,
     names: HashMap<String, HostId>,
     /// The list as discovery tells it, without what operators say; and its version.
-    listed: BTreeMap<String, Host>,
+    listed: BTreeMap<String, EndpointRecord>,
     seq: u64,
     cordons: Cordons,
     /// Where this process may be replaced while it serves.
@@ -145,7 +145,7 @@
             tickets: HashMap::new(),
             ids: HashSet::new(),
             flights: HashMap::new(),
-            passing: passing::Values::new(&config.settings),
+            passing: streaming::Values::new(&config.settings),
             members: BTreeMap::new(),
             names: HashMap::new(),
             listed: BTreeMap::new(),
@@ -180,12 +180,17 @@
     }
 
     /// Works until the process is to end.
-    pub async fn run(mut self, known: Catalog, received: Receiver<Event>, operators: Receiver<AdminCall>) {
+    pub async fn run(
+        mut self,
+        known: EndpointList,
+        received: Receiver<Event>,
+        operators: Receiver<AdminCall>,
+    ) {
         let mut actions = Vec::new();
         self.router.start(&mut actions);
         self.perform(self.clock.now(), actions);
         // The list as last known may be old, but nothing else is known yet: it counts as whole.
-        self.list(Catalog { whole: true, ..known });
+        self.list(EndpointList { complete: true, ..known });
         self.recall();
         loop {
             let wake_at = self.wake_at();
