--- a/crates/proxy/src/broker/handover.rs
+++ b/crates/proxy/src/broker/handover.rs
@@ -220,16 +220,19 @@
     }
 
     fn held(&self) -> ConnectionCounts {
-        ConnectionCounts { clients: self.clients.open(), members: self.shared.open.get() }
+        ConnectionCounts {
+            clients: self.clients.open_connections(),
+            members: self.shared.open_connections.get(),
+        }
     }
 
     /// Puts this process's share of connections into force.
     fn share_out(&mut self) {
         let Some(r) = &self.replacement else { return };
         let most = r.handover.connection_limit(r.all);
-        self.clients.limit(most.clients);
-        self.shared.most.set(most.members);
-        self.clients.take_new(r.handover.accepts_connections(self.ready));
+        self.clients.set_max_connections(most.clients);
+        self.shared.max_connections.set(most.members);
+        self.clients.set_accepting(r.handover.accepts_connections(self.ready));
     }
 
     fn state(&self, holds: ConnectionCounts) -> HandoverState {
