--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -32,7 +32,7 @@
             }
         }
         if catalog.complete {
-            self.cordons.retain(|name| self.listed.contains_key(name));
+            self.cordons.retain_uncordoned(|name| self.listed.contains_key(name));
         }
         let hosts = catalog.endpoints.iter().map(|host| self.cordons.apply(host)).collect();
         self.enlist(EndpointList { endpoints: hosts, ..catalog });
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -36,7 +36,7 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_admin::{Cordons, Succession};
+use wharfplank_admin::Cordons;
 use wharfplank_discovery::{SendDeadline, Staleness, SuspectReason, WatchEvent};
 use wharfplank_pool_policy::Opening;
 use wharfplank_protocol::client;
@@ -48,7 +48,7 @@
     self as routing, Action, AttemptNo, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointStatus,
     GroupId, HostId, Micros, ProbeResult, Request, RequestId, Role, Router, SessionKey,
 };
-use wharfplank_transport::admin::Asking;
+use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::client_connection::ResponseWriter;
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::Watch;
@@ -69,7 +69,7 @@
 
 /// Why the broker goes on after a wait.
 enum Woken {
-    Operator(Asking),
+    Operator(AdminCall),
     Event(ProxyEvent),
     Closed,
     Time,
@@ -184,7 +184,7 @@
         mut self,
         known: EndpointList,
         received: Receiver<ProxyEvent>,
-        operators: Receiver<Asking>,
+        operators: Receiver<AdminCall>,
     ) {
         let mut actions = Vec::new();
         self.router.start(&mut actions);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_admin::{Figures, Holds};
+use wharfplank_admin::{ConnectionCounts, Metrics};
 use wharfplank_discovery::{EndpointTracker, PollSchedule, SharedDiscovery};
 use wharfplank_protocol::endpoint_list;
 use wharfplank_settings::Settings;
@@ -86,7 +86,7 @@
         allow_empty_result: settings.missing.is_some(),
         liveness_check_after: Cell::new(member_pool::CHECK_AFTER),
         now: Rc::clone(&now),
-        figures: Figures::new(&config.terms.class_names),
+        metrics: Metrics::new(&config.terms.class_names),
         budgets: budgets.clone(),
     });
     let clients = ClientListener::new(
@@ -103,7 +103,9 @@
         });
     let schedule = shared_discovery.map_or(schedule, |shared| schedule.with_shared(shared));
     // What the process that is replaced believes is newer than what the file knows.
-    let list = inherited.as_ref().and_then(|inherited| endpoint_list::from_json(&inherited.state.list).ok());
+    let list = inherited
+        .as_ref()
+        .and_then(|inherited| endpoint_list::from_json(&inherited.state.endpoint_list).ok());
     config.known = list.unwrap_or(config.known);
     let tracker = EndpointTracker::new(schedule, &config.known, clock.now());
     let watch =
@@ -133,7 +135,7 @@
         executor.spawn(Admin::new(Rc::clone(&executor), calls).listen(listener)).detach();
     }
     if let Some(post) = post {
-        let all = Holds { clients: to_clients, members: to_members };
+        let all = ConnectionCounts { clients: to_clients, members: to_members };
         broker.replaceable(post, Rc::clone(&listener), all, inherited.take());
     }
     executor.spawn(Rc::clone(&clients).listen(listener)).detach();
--- a/crates/transport/tests/stand/rig.rs
+++ b/crates/transport/tests/stand/rig.rs
@@ -6,7 +6,7 @@
 use std::future::Future;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_admin::Figures;
+use wharfplank_admin::Metrics;
 use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, MemberPool, PoolContext, CHECK_AFTER};
 use wharfplank_transport::{MemoryBudget, Statement};
 
@@ -49,7 +49,7 @@
         allow_empty_result: false,
         liveness_check_after: Cell::new(terms.check_after),
         now: Rc::new(move || start.elapsed().as_micros() as i64),
-        figures: Figures::new(&[]),
+        metrics: Metrics::new(&[]),
         budgets: None,
     });
     let member = MemberPool::new(Rc::clone(&shared), "m", stand.address);
