--- /dev/null
+++ b/crates/budget/src/lease_holder.rs
@@ -0,0 +1,271 @@
+//! One proxy's side of the budgets: its leases, its meters, and when it sends requests to which allocator.
+
+use crate::{
+    BudgetAmount, BudgetId, BudgetKind, BudgetLimits, ConcurrencyBudget, GrantEffect, HolderId, LeaseGrant,
+    LeaseRequest, LeaseTable, LeaseTerms, Micros, RateMeter,
+};
+use std::collections::BTreeMap;
+
+/// An allocator that will have more soon is sent the next request after this fraction of the usual interval.
+const SHORT_INTERVAL_DIVISOR: Micros = 4;
+/// The caller looks for what is overdue once a second, and closes it a little later: it hears so much ahead of time.
+const OVERDUE_LEAD: Micros = 1_500_000;
+/// Budgets of one proxy at most, as those of members: one past that has no quota. A request then still fits a datagram.
+pub const MAX_BUDGETS: usize = 4_096;
+
+/// What is held open of a concurrency budget past its quota.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Excess {
+    /// How many are in use past the quota.
+    pub over_quota: u64,
+    /// How many of these must be released now, idle or not.
+    pub overdue: u64,
+}
+
+/// One proxy's side of the budgets.
+#[derive(Clone, Debug)]
+pub struct LeaseHolder {
+    leases: LeaseTable,
+    terms: LeaseTerms,
+    /// What this proxy has for good of each budget, whether allocators answer or not.
+    static_quotas: BudgetLimits,
+    rate_meters: BTreeMap<BudgetId, RateMeter>,
+    concurrency_budgets: BTreeMap<BudgetId, ConcurrencyBudget>,
+    /// When the next request to each allocator is due.
+    next_request_at: Vec<Micros>,
+    /// Offsets the allocators that get the remainder of a demand that does not divide.
+    remainder_offset: u64,
+}
+
+impl LeaseHolder {
+    /// A process that has no lease yet, of budgets from so many allocators.
+    pub fn new(
+        holder: HolderId,
+        terms: LeaseTerms,
+        allocators: usize,
+        budgets: Vec<BudgetId>,
+        now: Micros,
+    ) -> LeaseHolder {
+        LeaseHolder {
+            leases: LeaseTable::new(holder, terms.clone(), allocators),
+            terms,
+            static_quotas: BudgetLimits::default(),
+            rate_meters: budgets.into_iter().map(|budget| (budget, RateMeter::new(now))).collect(),
+            concurrency_budgets: BTreeMap::new(),
+            next_request_at: vec![now; allocators],
+            remainder_offset: holder >> 16 ^ holder,
+        }
+    }
+
+    /// The same, with static quotas beside the leases.
+    pub fn with_static_quotas(self, static_quotas: BudgetLimits) -> LeaseHolder {
+        LeaseHolder { static_quotas, ..self }
+    }
+
+    /// Registers a budget. Nothing may be spent in its first second, since a process before this one may have spent it
+    /// until now.
+    pub fn register(&mut self, now: Micros, budget: BudgetId) {
+        if self.is_registered(budget)
+            || self.rate_meters.len() + self.concurrency_budgets.len() >= MAX_BUDGETS
+        {
+            return;
+        }
+        if BudgetKind::is_concurrency(budget) {
+            let concurrency = ConcurrencyBudget::new(self.static_quota(budget), self.leases.allocators());
+            self.concurrency_budgets.insert(budget, concurrency);
+        } else {
+            self.rate_meters.insert(budget, RateMeter::new(now));
+        }
+        (0..self.next_request_at.len()).for_each(|allocator| self.request_soon(now, allocator));
+    }
+
+    fn is_registered(&self, budget: BudgetId) -> bool {
+        self.rate_meters.contains_key(&budget) || self.concurrency_budgets.contains_key(&budget)
+    }
+
+    fn static_quota(&self, budget: BudgetId) -> u64 {
+        self.static_quotas.get(budget).unwrap_or(0)
+    }
+
+    /// Brings the next request to an allocator forward to a fraction of the usual interval.
+    fn request_soon(&mut self, now: Micros, allocator: usize) {
+        let soon = now + self.terms.request_interval / SHORT_INTERVAL_DIVISOR;
+        let next = &mut self.next_request_at[allocator];
+        *next = soon.min(*next);
+    }
+
+    /// Forgets the budgets that are not to be kept; a concurrency budget only once nothing of it is in use.
+    pub fn retain(&mut self, is_kept: impl Fn(BudgetId) -> bool) {
+        self.rate_meters.retain(|budget, _| is_kept(*budget));
+        self.concurrency_budgets.retain(|budget, concurrency| concurrency.in_use() > 0 || is_kept(*budget));
+    }
+
+    /// The requests that are due now, each with the allocator that it goes to. Each allocator is asked for an equal
+    /// part of the demand over the allocators in reach: under a network partition the others make up for it.
+    pub fn due_requests(&mut self, now: Micros) -> Vec<(usize, LeaseRequest)> {
+        self.refresh_quotas(now);
+        let reachable = self.leases.reachable_allocators(now).max(1) as u64;
+        let mut requests = Vec::new();
+        for allocator in 0..self.next_request_at.len() {
+            if now < self.next_request_at[allocator] {
+                continue;
+            }
+            self.next_request_at[allocator] = now + self.terms.request_interval;
+            let demand = self.demand(now, allocator, reachable);
+            if let Some(request) = self.request(now, allocator, demand) {
+                requests.push((allocator, request));
+            }
+        }
+        requests
+    }
+
+    /// The part of the demand that one allocator is asked for, of each budget.
+    fn demand(&mut self, now: Micros, allocator: usize, reachable: u64) -> Vec<BudgetAmount> {
+        let allocators = self.next_request_at.len().max(1) as u64;
+        // The remainder goes to other allocators first at each proxy: rounded up everywhere, small quotas would lie
+        // idle by the hundred.
+        let position = (allocator as u64 + self.remainder_offset) % allocators;
+        let part = |demand: u64| demand / reachable + u64::from(position < demand % reachable);
+        let rates = self
+            .rate_meters
+            .iter_mut()
+            .map(|(budget, meter)| BudgetAmount::new(*budget, part(meter.demand(now))));
+        let mut demand: Vec<BudgetAmount> = rates.collect();
+        demand.extend(
+            self.concurrency_budgets
+                .iter()
+                .map(|(budget, concurrency)| BudgetAmount::new(*budget, part(concurrency.demand(now)))),
+        );
+        demand
+    }
+
+    /// Makes a request to an allocator that is sent now, with what is held open of what it counts. `None` where there
+    /// is no such allocator.
+    pub fn request(
+        &mut self,
+        now: Micros,
+        allocator: usize,
+        demand: Vec<BudgetAmount>,
+    ) -> Option<LeaseRequest> {
+        let claims = self
+            .concurrency_budgets
+            .iter()
+            .map(|(budget, concurrency)| BudgetAmount::new(*budget, concurrency.claim(allocator)));
+        let in_use = claims.filter(|claim| claim.amount > 0).collect();
+        self.leases.request(now, allocator, demand, in_use)
+    }
+
+    /// Takes an allocator's answer; whether it changed anything.
+    pub fn on_grant(&mut self, now: Micros, allocator: usize, grant: &LeaseGrant) -> bool {
+        let effect = self.leases.on_grant(now, allocator, grant);
+        match effect {
+            Some(GrantEffect { is_reduced: true, .. }) => self.next_request_at[allocator] = now,
+            Some(GrantEffect { more_available: true, .. }) => self.request_soon(now, allocator),
+            Some(_) | None => {}
+        }
+        self.refresh_quotas(now);
+        effect.is_some()
+    }
+
+    /// Passes the quotas in force on to the meters. This is done at each change, since a quota that was smaller
+    /// meanwhile counts.
+    pub fn refresh_quotas(&mut self, now: Micros) {
+        for (budget, meter) in &mut self.rate_meters {
+            let static_quota = self.static_quotas.get(*budget).unwrap_or(0);
+            meter.set_quota(now, self.leases.quota(now, *budget) + static_quota);
+        }
+        for (budget, concurrency) in &mut self.concurrency_budgets {
+            concurrency.set_quotas(&self.leases.allocator_quotas(now, *budget));
+        }
+    }
+
+    /// Spends a unit of a budget, where its quota allows; a budget that is not registered is not limited.
+    pub fn try_spend(&mut self, now: Micros, budget: BudgetId) -> bool {
+        let quota = self.quota(now, budget);
+        self.rate_meters.get_mut(&budget).is_none_or(|meter| meter.try_spend(now, quota))
+    }
+
+    /// Spends one unit of each budget, or of none. Each records the attempt, and those that are short a denial.
+    pub fn try_spend_all(&mut self, now: Micros, budgets: &[BudgetId]) -> bool {
+        let is_permitted = budgets.iter().all(|budget| self.can_spend(now, *budget));
+        for budget in budgets {
+            if is_permitted || !self.can_spend(now, *budget) {
+                self.try_spend(now, *budget);
+            } else if let Some(meter) = self.rate_meters.get_mut(budget) {
+                meter.record_attempt(now);
+            }
+        }
+        is_permitted
+    }
+
+    /// Whether a unit could be spent now, without spending it.
+    pub fn can_spend(&mut self, now: Micros, budget: BudgetId) -> bool {
+        let quota = self.quota(now, budget);
+        self.rate_meters.get_mut(&budget).is_none_or(|meter| meter.can_spend(now, quota))
+    }
+
+    /// Acquires one more of a concurrency budget, where its quota allows; one that is not registered is not limited.
+    pub fn try_acquire(&mut self, now: Micros, budget: BudgetId) -> bool {
+        let quotas = self.leases.allocator_quotas(now, budget);
+        self.concurrency_budgets.get_mut(&budget).is_none_or(|concurrency| {
+            concurrency.set_quotas(&quotas);
+            concurrency.try_acquire(now)
+        })
+    }
+
+    /// Releases one of a concurrency budget.
+    pub fn release(&mut self, budget: BudgetId) {
+        if let Some(concurrency) = self.concurrency_budgets.get_mut(&budget) {
+            concurrency.release();
+        }
+    }
+
+    /// What is held open of a concurrency budget past its quota.
+    pub fn excess(&mut self, now: Micros, budget: BudgetId) -> Excess {
+        let quotas = self.leases.allocator_quotas(now, budget);
+        let release_grace = (self.terms.release_grace - OVERDUE_LEAD).max(0);
+        let Some(concurrency) = self.concurrency_budgets.get_mut(&budget) else { return Excess::default() };
+        concurrency.set_quotas(&quotas);
+        Excess { over_quota: concurrency.over_quota(), overdue: concurrency.overdue(now, release_grace) }
+    }
+
+    /// The quota in force, leased and static.
+    pub fn quota(&self, now: Micros, budget: BudgetId) -> u64 {
+        self.leases.quota(now, budget) + self.static_quota(budget)
+    }
+
+    /// When [`LeaseHolder::due_requests`] next has something to send.
+    pub fn next_due(&self) -> Micros {
+        self.next_request_at.iter().copied().min().unwrap_or(Micros::MAX)
+    }
+
+    /// When an allocator's newest lease expires or has expired.
+    pub fn lease_expires_at(&self, allocator: usize) -> Micros {
+        self.leases.expires_at(allocator)
+    }
+
+    /// How many allocators have answered within a lease's duration.
+    pub fn reachable_allocators(&self, now: Micros) -> usize {
+        self.leases.reachable_allocators(now)
+    }
+
+    /// A budget's meter.
+    pub fn rate_meter(&self, budget: BudgetId) -> Option<&RateMeter> {
+        self.rate_meters.get(&budget)
+    }
+
+    /// The meters of all budgets of things done in a second.
+    pub fn rate_meters(&self) -> impl Iterator<Item = (BudgetId, &RateMeter)> {
+        self.rate_meters.iter().map(|(budget, meter)| (*budget, meter))
+    }
+
+    /// A concurrency budget.
+    pub fn concurrency_budget(&self, budget: BudgetId) -> Option<&ConcurrencyBudget> {
+        self.concurrency_budgets.get(&budget)
+    }
+
+    /// All concurrency budgets.
+    pub fn concurrency_budgets(&self) -> impl Iterator<Item = (BudgetId, &ConcurrencyBudget)> {
+        self.concurrency_budgets.iter().map(|(budget, concurrency)| (*budget, concurrency))
+    }
+}
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,126 +1,71 @@
-//! Budgets that hold for the whole fleet, divided among its proxies and divided anew as they come and go: the shares in
-//! force never add up to more than the whole. It does no I/O: messages, the time and what is to be spent go in;
-//! messages and permission come out.
+//! Budgets that apply to a whole fleet of proxies, divided among the proxies by leases. The budget is divided anew as
+//! demand moves and as proxies join and leave, and the quotas in force never add up to more than the fleet's limit.
+//! The crate does no I/O: messages, the time and attempts to spend go in; messages and permissions come out.
 //!
-//! Each of a few banks holds a fixed part of every whole, and leases it out by itself: no bank needs another, so a cut
-//! leaves each side with the parts of the banks that it reaches. A lease ends by itself, on the holder's clock before
-//! it does on the bank's, and what a bank has leased out is not free before that end, or before the holder has said
-//! that it uses a newer one. Clocks need not agree, only run alike within [`Terms::drift_ppm`].
+//! Each of a few lease allocators owns a fixed part of every limit and leases it out on its own. No allocator depends
+//! on another, so under a network partition each side keeps the parts of the allocators that it can reach. A lease
+//! expires by itself, on the holder's clock before it does on the allocator's. The allocator does not reuse what it
+//! leased out before that expiry, unless the holder has confirmed that it uses a newer lease. Clocks need not agree;
+//! they only have to run at the same rate within [`LeaseTerms::max_drift_ppm`].
 //!
-//! - [`Bank`]: leases a part out by demand, and never more than it has.
-//! - [`Book`]: the leases that one proxy holds, from all banks.
-//! - [`Meter`]: what may be spent in any second, and how much is wanted.
-//! - [`Held`]: what is held of one budget of things held, as connections, which must be let go before it is another's.
-//! - [`Seat`]: from when on a bank may lease where the set of banks has changed.
-//! - [`Parts`]: what a bank, or each proxy without one, has of every whole.
-//! - [`Holder`]: one proxy's books, meters and when it asks which bank.
+//! - [`LeaseAllocator`]: leases its part out by demand, and never more than it has.
+//! - [`LeaseTable`]: the leases that one proxy holds, from all allocators.
+//! - [`RateMeter`]: enforces a quota per second and estimates the demand.
+//! - [`ConcurrencyBudget`]: what one proxy holds of a budget of things held open, as connections.
+//! - [`TakeoverGuard`]: delays an allocator's leases after the set of allocators has changed.
+//! - [`BudgetLimits`]: the limits of the fleet, of one allocator, or the static quota of one proxy.
+//! - [`LeaseHolder`]: one proxy's lease table and meters, and when it sends requests to which allocator.
 //!
 //! ```
-//! use wharfplank_budget::{Bank, Holder, Terms};
+//! use wharfplank_budget::{LeaseAllocator, LeaseHolder, LeaseTerms};
 //!
-//! let terms = Terms::default();
-//! let mut bank = Bank::new(terms.clone(), [(7, 100)].into(), 0);
-//! let mut holder = Holder::new(1, terms.clone(), 1, [7].into(), 0);
-//! // A bank that has just started leases nothing out before every lease of its forerunner has ended.
-//! let mut now = bank.opens_at();
-//! while holder.share(now, 7) == 0 {
+//! let terms = LeaseTerms::default();
+//! let mut allocator = LeaseAllocator::new(terms.clone(), [(7, 100)].into(), 0);
+//! let mut holder = LeaseHolder::new(1, terms.clone(), 1, [7].into(), 0);
+//! // An allocator that has just started grants nothing before every lease of its predecessor has expired.
+//! let mut now = allocator.opens_at();
+//! while holder.quota(now, 7) == 0 {
 //!     now += 50_000;
-//!     for (_, ask) in holder.tick(now) {
-//!         bank.asked(now, &ask).iter().for_each(|grant| assert!(holder.granted(now, 0, grant)));
+//!     for (_, request) in holder.due_requests(now) {
+//!         let grant = allocator.on_request(now, &request);
+//!         grant.iter().for_each(|grant| assert!(holder.on_grant(now, 0, grant)));
 //!     }
 //! }
-//! // What is new may be spent once it has been in force for a second.
-//! assert!(!holder.spend(now, 7));
-//! assert!(holder.spend(now + 1_000_001, 7));
+//! // A quota that has grown may be spent once it has been in force for a second.
+//! assert!(!holder.try_spend(now, 7));
+//! assert!(holder.try_spend(now + 1_000_001, 7));
 //! ```
 
-mod bank;
-mod book;
-mod division;
-mod held;
-mod holder;
-mod meter;
-mod parts;
-mod seat;
+mod account;
+mod allocator;
+mod concurrency_budget;
+mod fair_division;
+mod kind;
+mod lease_holder;
+mod lease_table;
+mod limits;
+mod messages;
+mod rate_meter;
+mod takeover;
+mod terms;
 
-pub use bank::{Bank, HOLDERS_MOST};
-pub use book::{Book, Taken};
-pub use held::Held;
-pub use holder::{Holder, BUDGETS_MOST};
-pub use meter::Meter;
-pub use parts::{Kind, Parts};
-pub use seat::{Hello, Seat};
-
-use serde::{Deserialize, Serialize};
+pub use allocator::{LeaseAllocator, MAX_HOLDERS};
+pub use concurrency_budget::ConcurrencyBudget;
+pub use fair_division::ROTATION_PERIOD;
+pub use kind::BudgetKind;
+pub use lease_holder::{Excess, LeaseHolder, MAX_BUDGETS};
+pub use lease_table::{AllocatorQuota, GrantEffect, LeaseTable};
+pub use limits::BudgetLimits;
+pub use messages::{BudgetAmount, LeaseGrant, LeaseRequest};
+pub use rate_meter::RateMeter;
+pub use takeover::{EpochAnnouncement, TakeoverGuard};
+pub use terms::LeaseTerms;
 
 /// A time or a span of time, in microseconds, on the caller's own clock.
 pub type Micros = i64;
 
-/// A budget, by its number in the settings.
-pub type Budget = u32;
-
-/// The figures of the leases.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// How long a lease holds, counted by the bank from when it was asked.
-    pub life: Micros,
-    /// How much faster or slower than another a clock may run, in millionths.
-    pub drift_ppm: i64,
-    /// How often a holder asks each bank while all is well; a third of `life` survives two lost messages.
-    pub ask_every: Micros,
-    /// How long after a lease's end its holder may still have what it held by it, as connections in use.
-    pub linger: Micros,
-}
-
-impl Default for Terms {
-    fn default() -> Self {
-        Terms { life: 3_000_000, drift_ppm: 10_000, ask_every: 1_000_000, linger: 5_000_000 }
-    }
-}
-
-impl Terms {
-    /// How long a holder takes a lease to hold from when it asked: shorter by what clocks may differ over its life.
-    pub fn held_for(&self) -> Micros {
-        self.life - self.life * self.drift_ppm / 1_000_000
-    }
-
-    /// How long past a lease's end a bank counts what may be held by it.
-    pub fn lingers(&self) -> Micros {
-        self.linger + self.linger * self.drift_ppm / 1_000_000
-    }
-
-    /// How long a bank that has started waits before it leases: any lease of its forerunner has ended by then.
-    pub fn abstain(&self) -> Micros {
-        self.life + self.life * self.drift_ppm / 1_000_000
-    }
-}
-
-/// A holder asks a bank for leases of all of its budgets.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ask {
-    /// The holder: a number that no other process has, nor had.
-    pub holder: u64,
-    /// Grows with each ask of this holder to this bank.
-    pub number: u64,
-    /// The newest lease that the holder has: it uses none older any more. 0: none.
-    pub uses: u64,
-    /// What it wants, in units a second.
-    pub wants: Vec<(Budget, u64)>,
-    /// What it still holds of budgets of things held, as far as it counts as this bank's.
-    pub holds: Vec<(Budget, u64)>,
-}
+/// The number of a budget, as [`BudgetKind::budget`] makes it.
+pub type BudgetId = u32;
 
-/// A bank's lease.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Grant {
-    /// To whom.
-    pub holder: u64,
-    /// The ask that it answers: the lease counts from when that was sent.
-    pub ask: u64,
-    /// Grows with each lease of the bank's process to this holder.
-    pub number: u64,
-    /// Units a second.
-    pub amounts: Vec<(Budget, u64)>,
-    /// Whether the holder's fair part is more, and will be free soon.
-    pub more: bool,
-}
+/// The number of a lease holder: one process of a proxy. No other process has it, nor ever had it.
+pub type HolderId = u64;
--- a/crates/proxy/src/budgets.rs
+++ b/crates/proxy/src/budgets.rs
@@ -6,7 +6,9 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::rc::Rc;
-use wharfplank_budget::{Bank, Budget, Holder, Kind, Parts, Seat, Terms};
+use wharfplank_budget::{
+    BudgetId, BudgetKind, BudgetLimits, LeaseAllocator, LeaseHolder, LeaseTerms, TakeoverGuard,
+};
 use wharfplank_settings::Budgets as Settings;
 use wharfplank_shared_state::named;
 use wharfplank_transport::budgets::{Budgets, Figure, Said, Setup, RING};
@@ -25,23 +27,24 @@
     };
     let me: SocketAddrV4 = settings.advertise().unwrap_or(bound);
     let skew = settings.clock_skew_ms * 1000;
-    let (terms, wholes, banks) = (Terms::default(), wholes(settings), settings.banks());
+    let (terms, wholes, banks) = (LeaseTerms::default(), wholes(settings), settings.banks());
     let gone: Vec<bool> = banks.iter().map(|bank| settings.gone().contains(bank)).collect();
     // Without banks there is nothing but even shares.
     let percent = if banks.is_empty() { 100 } else { settings.even };
-    let even = wholes.even(percent, settings.proxies);
+    let even = wholes.static_quota(percent, settings.proxies);
     let now = clock.now() + skew;
     let place = banks.iter().position(|bank| *bank == me).filter(|place| !gone[*place]);
     let bank = place.map(|place| {
         let before = gone[..place].iter().filter(|gone| !**gone).count() as u64;
         let live = gone.iter().filter(|gone| !**gone).count() as u64;
-        let part = wholes.bank(&even, settings.proxies, before, live);
-        (place, Bank::new(terms.clone(), part, now), Seat::new(settings.set, place, &gone))
+        let part = wholes.allocator_part(&even, settings.proxies, before, live);
+        (place, LeaseAllocator::new(terms.clone(), part, now), TakeoverGuard::new(settings.set, place, &gone))
     });
     // No other process had this number: its address, and when it started.
     let number = named(&format!("{me} {} {}", clock.now(), std::process::id()));
-    let holder = Holder::new(number, terms.clone(), banks.len(), Vec::new(), now).with_even(even);
-    let figures = named(&format!("{wholes:?} {} {percent}", settings.proxies));
+    let holder =
+        LeaseHolder::new(number, terms.clone(), banks.len(), Vec::new(), now).with_static_quotas(even);
+    let figures = named(&format!("{} {} {percent}", wholes.canonical_text(), settings.proxies));
     let setup = Setup { socket, banks, bank, terms, figures, now: move || clock.now() + skew };
     let rings = duty::start("budgets", RING, move |asks, told| setup.work(asks, told));
     let rings = rings.map_err(|e| format!("budgets: {e}"))?;
@@ -52,18 +55,24 @@
 }
 
 /// The budgets that the settings name.
-fn wholes(settings: &Settings) -> Parts {
-    let one = |kind: Kind, whole: u64| (whole > 0).then_some((kind.budget(0), whole));
+fn wholes(settings: &Settings) -> BudgetLimits {
+    let one = |kind: BudgetKind, whole: u64| (whole > 0).then_some((kind.budget(0), whole));
     let alone = [
-        one(Kind::Requests, settings.requests),
-        one(Kind::Retries, settings.retries),
-        one(Kind::Discovery, settings.discovery),
+        one(BudgetKind::Requests, settings.requests),
+        one(BudgetKind::Retries, settings.retries),
+        one(BudgetKind::DiscoveryCalls, settings.discovery),
     ];
-    let tenants = settings.tenants().into_iter().map(|(group, whole)| (Kind::Tenant.budget(group), whole));
-    let own: BTreeMap<Budget, u64> = alone.into_iter().flatten().chain(tenants).collect();
-    let each =
-        [(Kind::Probes, settings.probes), (Kind::Connects, settings.connects), (Kind::Held, settings.held)];
-    Parts::new(own, each.into_iter().filter(|(_, whole)| *whole > 0).collect())
+    let tenants = settings
+        .tenants()
+        .into_iter()
+        .map(|(group, whole)| (BudgetKind::TenantRequests.budget(group), whole));
+    let own: BTreeMap<BudgetId, u64> = alone.into_iter().flatten().chain(tenants).collect();
+    let each = [
+        (BudgetKind::HealthChecks, settings.probes),
+        (BudgetKind::NewConnections, settings.connects),
+        (BudgetKind::OpenConnections, settings.held),
+    ];
+    BudgetLimits::new(own, each.into_iter().filter(|(_, whole)| *whole > 0).collect())
 }
 
 /// Times are told by the true clock, whatever the budgets' own is ahead.
--- a/crates/rollout/src/bank.rs
+++ b/crates/rollout/src/bank.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Drivers kept at most; past that the one heard longest ago is forgotten.
-const HOLDERS_MOST: usize = wharfplank_budget::HOLDERS_MOST;
+const HOLDERS_MOST: usize = wharfplank_budget::MAX_HOLDERS;
 /// Releases whose course is kept at most; past that the oldest is forgotten.
 pub(crate) const CONTROLS_MOST: usize = 64;
 /// Wants of one ask that are looked at.
--- a/crates/transport/src/budgets/mod.rs
+++ b/crates/transport/src/budgets/mod.rs
@@ -16,7 +16,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_budget::{Ask, Budget, Holder, Kind, Micros, Parts};
+use wharfplank_budget::{BudgetId, BudgetKind, BudgetLimits, LeaseHolder, LeaseRequest, Micros};
 use wharfplank_shared_state::named;
 
 /// Asks and leases that may wait between the two threads.
@@ -28,13 +28,13 @@
 /// The budgets as the serving thread spends them. A budget that the settings do not name is never denied.
 pub struct Budgets {
     /// The wholes, to know which budgets there are.
-    wholes: Parts,
+    wholes: BudgetLimits,
     now: Now,
     spender: RefCell<Spender>,
 }
 
 struct Spender {
-    holder: Holder,
+    holder: LeaseHolder,
     notes: Option<Notes>,
     done: Done,
 }
@@ -42,9 +42,9 @@
 impl Budgets {
     /// Starts with nothing leased. `notes`: each spend and lease is kept to be told.
     pub fn start(
-        wholes: Parts,
-        holder: Holder,
-        (asks, told): (Outbox<(usize, Ask)>, Inbox<Told>),
+        wholes: BudgetLimits,
+        holder: LeaseHolder,
+        (asks, told): (Outbox<(usize, LeaseRequest)>, Inbox<Told>),
         now: Now,
         notes: bool,
         say: impl Fn(Said<'_>) + 'static,
@@ -52,7 +52,7 @@
     ) -> Rc<Budgets> {
         let spender = Spender { holder, notes: notes.then(Notes::default), done: Done::default() };
         let budgets = Rc::new(Budgets { wholes, now, spender: RefCell::new(spender) });
-        for kind in [Kind::Requests, Kind::Retries, Kind::Discovery] {
+        for kind in [BudgetKind::Requests, BudgetKind::Retries, BudgetKind::DiscoveryCalls] {
             budgets.know(kind.budget(0));
         }
         executor.spawn(Rc::clone(&budgets).drive(asks, told, say)).detach();
@@ -60,9 +60,9 @@
     }
 
     /// Knows a budget from now on, where the settings have it.
-    pub fn know(&self, budget: Budget) {
-        if self.wholes.of(budget).is_some() {
-            self.spender.borrow_mut().holder.know((self.now)(), budget);
+    pub fn know(&self, budget: BudgetId) {
+        if self.wholes.get(budget).is_some() {
+            self.spender.borrow_mut().holder.register((self.now)(), budget);
         }
     }
 
@@ -79,35 +79,38 @@
 
     /// Whether a request to this group may be taken.
     pub fn request(&self, group: u64) -> bool {
-        self.spend(&[Kind::Requests.budget(0), Kind::Tenant.budget(group)])
+        self.spend(&[BudgetKind::Requests.budget(0), BudgetKind::TenantRequests.budget(group)])
     }
 
     /// Whether an attempt beyond its request's first may be sent.
     pub fn retry(&self) -> bool {
-        self.spend(&[Kind::Retries.budget(0)])
+        self.spend(&[BudgetKind::Retries.budget(0)])
     }
 
     /// The same, asked beforehand.
     pub fn could_retry(&self) -> bool {
-        self.spender.borrow_mut().holder.could((self.now)(), Kind::Retries.budget(0))
+        self.spender.borrow_mut().holder.can_spend((self.now)(), BudgetKind::Retries.budget(0))
     }
 
     /// Whether a member may be probed.
     pub fn probe(&self, member: &str) -> bool {
-        self.spend(&[Kind::Probes.budget(named(member))])
+        self.spend(&[BudgetKind::HealthChecks.budget(named(member))])
     }
 
     /// Whether discovery may be called.
     pub fn discovery(&self) -> bool {
-        self.spend(&[Kind::Discovery.budget(0)])
+        self.spend(&[BudgetKind::DiscoveryCalls.budget(0)])
     }
 
     /// Whether a connection to a member may be opened; it is held until [`Budgets::let_go`].
     pub fn connect(&self, member: &str) -> bool {
-        let (connects, held) = (Kind::Connects.budget(named(member)), Kind::Held.budget(named(member)));
+        let (connects, held) = (
+            BudgetKind::NewConnections.budget(named(member)),
+            BudgetKind::OpenConnections.budget(named(member)),
+        );
         let now = (self.now)();
-        let could = self.spender.borrow_mut().holder.could(now, connects);
-        if could && !self.spender.borrow_mut().holder.take(now, held) {
+        let could = self.spender.borrow_mut().holder.can_spend(now, connects);
+        if could && !self.spender.borrow_mut().holder.try_acquire(now, held) {
             return false;
         }
         // Where it could not be it is noted as tried.
@@ -118,31 +121,33 @@
 
     /// A connection to a member is closed, or never came up.
     pub fn let_go(&self, member: &str) {
-        let held = Kind::Held.budget(named(member));
-        self.spender.borrow_mut().holder.let_go(held);
+        let held = BudgetKind::OpenConnections.budget(named(member));
+        self.spender.borrow_mut().holder.release(held);
         self.note_held((self.now)(), held);
     }
 
     /// Connections to a member past the share, and how many of these must go now, idle or not.
     pub fn excess(&self, member: &str) -> (u64, u64) {
-        self.spender.borrow_mut().holder.excess((self.now)(), Kind::Held.budget(named(member)))
+        let held = BudgetKind::OpenConnections.budget(named(member));
+        let excess = self.spender.borrow_mut().holder.excess((self.now)(), held);
+        (excess.over_quota, excess.overdue)
     }
 
     /// Spends one of each budget, or of none.
-    fn spend(&self, budgets: &[Budget]) -> bool {
+    fn spend(&self, budgets: &[BudgetId]) -> bool {
         let now = (self.now)();
         let Spender { holder, notes, .. } = &mut *self.spender.borrow_mut();
-        let spent = holder.spend_all(now, budgets);
+        let spent = holder.try_spend_all(now, budgets);
         if let Some(notes) = notes.as_mut().filter(|_| spent) {
-            let known = budgets.iter().filter(|budget| holder.meter(**budget).is_some());
+            let known = budgets.iter().filter(|budget| holder.rate_meter(**budget).is_some());
             known.for_each(|budget| notes.spent(now, *budget));
         }
         spent
     }
 
-    fn note_held(&self, now: Micros, budget: Budget) {
+    fn note_held(&self, now: Micros, budget: BudgetId) {
         let Spender { holder, notes, .. } = &mut *self.spender.borrow_mut();
-        let held = holder.all().1.find(|(of, _)| *of == budget).map(|(_, held)| held.held());
+        let held = holder.concurrency_budget(budget).map(|held| held.in_use());
         if let (Some(notes), Some(held)) = (notes, held) {
             notes.held(now, budget, held);
         }
@@ -151,7 +156,7 @@
     /// Carries asks to the thread and leases from it, and tells what was done.
     async fn drive(
         self: Rc<Self>,
-        mut asks: Outbox<(usize, Ask)>,
+        mut asks: Outbox<(usize, LeaseRequest)>,
         mut told: Inbox<Told>,
         say: impl Fn(Said<'_>),
     ) {
@@ -159,7 +164,7 @@
         let mut ended = false;
         loop {
             let now = (self.now)();
-            let due = self.spender.borrow_mut().holder.tick(now);
+            let due = self.spender.borrow_mut().holder.due_requests(now);
             for ask in due {
                 asks.push(ask);
             }
@@ -183,8 +188,10 @@
                 Some(Some(Told::Grant(bank, grant))) => {
                     let now = (self.now)();
                     let Spender { holder, notes, .. } = &mut *self.spender.borrow_mut();
-                    if holder.granted(now, bank, &grant) {
-                        notes.iter_mut().for_each(|notes| notes.leased(now, bank, holder.ends(bank), &grant));
+                    if holder.on_grant(now, bank, &grant) {
+                        notes
+                            .iter_mut()
+                            .for_each(|notes| notes.leased(now, bank, holder.lease_expires_at(bank), &grant));
                     }
                 }
                 Some(Some(Told::Done(done))) => self.spender.borrow_mut().done = done,
@@ -206,8 +213,8 @@
         }
         *tell_at = now + TELL_EVERY;
         let Spender { holder, done, .. } = &*spender;
-        say(Said::Reached { reached: holder.reached(now), done: *done });
-        for kind in Kind::ALL {
+        say(Said::Reached { reached: holder.reachable_allocators(now), done: *done });
+        for kind in BudgetKind::ALL {
             let figure = Figure::of(holder, now, kind);
             figure.into_iter().for_each(|figure| say(Said::Figure(kind, figure)));
         }
@@ -215,6 +222,7 @@
 }
 
 /// The budgets of a member.
-fn members(name: &str) -> [Budget; 3] {
-    [Kind::Probes, Kind::Connects, Kind::Held].map(|kind| kind.budget(named(name)))
+fn members(name: &str) -> [BudgetId; 3] {
+    [BudgetKind::HealthChecks, BudgetKind::NewConnections, BudgetKind::OpenConnections]
+        .map(|kind| kind.budget(named(name)))
 }
--- a/crates/transport/src/budgets/notes.rs
+++ b/crates/transport/src/budgets/notes.rs
@@ -3,7 +3,7 @@
 
 use super::Done;
 use std::fmt::Write;
-use wharfplank_budget::{Budget, Grant, Holder, Kind, Micros};
+use wharfplank_budget::{BudgetAmount, BudgetId, BudgetKind, LeaseGrant, LeaseHolder, Micros};
 
 /// Notes kept between two lines; further ones are left out.
 const NOTES_MOST: usize = 65_536;
@@ -19,7 +19,7 @@
         done: Done,
     },
     /// What was done of the budgets of one kind.
-    Figure(Kind, Figure),
+    Figure(BudgetKind, Figure),
     /// A lease that is in force from now on: whose, until when, and each budget's amount, as `number=amount,...`.
     Leased {
         /// Its time.
@@ -52,18 +52,17 @@
 
 impl Figure {
     /// The figure of a kind; `None` where there is no budget of it.
-    pub fn of(holder: &Holder, now: Micros, kind: Kind) -> Option<Figure> {
-        let is = |budget: &Budget| Kind::of(*budget) == Some(kind);
-        let (meters, held) = holder.all();
-        let done = meters.filter(|(b, _)| is(b)).map(|(b, m)| Figure {
-            share: holder.share(now, b),
+    pub fn of(holder: &LeaseHolder, now: Micros, kind: BudgetKind) -> Option<Figure> {
+        let is = |budget: &BudgetId| BudgetKind::of(*budget) == Some(kind);
+        let done = holder.rate_meters().filter(|(b, _)| is(b)).map(|(b, m)| Figure {
+            share: holder.quota(now, b),
             spent: m.spent,
             denied: m.denied,
         });
-        let held = held.filter(|(b, _)| is(b)).map(|(b, h)| Figure {
-            share: holder.share(now, b),
-            spent: h.held(),
-            denied: h.excess(),
+        let held = holder.concurrency_budgets().filter(|(b, _)| is(b)).map(|(b, h)| Figure {
+            share: holder.quota(now, b),
+            spent: h.in_use(),
+            denied: h.over_quota(),
         });
         done.chain(held).reduce(|a, b| Figure {
             share: a.share + b.share,
@@ -76,28 +75,28 @@
 /// Leases and spends that are not told yet.
 #[derive(Debug, Default)]
 pub struct Notes {
-    spent: Vec<(Budget, Micros)>,
-    held: Vec<(Budget, Micros, u64)>,
-    leased: Vec<(Micros, usize, Micros, Grant)>,
+    spent: Vec<(BudgetId, Micros)>,
+    held: Vec<(BudgetId, Micros, u64)>,
+    leased: Vec<(Micros, usize, Micros, LeaseGrant)>,
 }
 
 impl Notes {
     /// One was spent.
-    pub fn spent(&mut self, at: Micros, budget: Budget) {
+    pub fn spent(&mut self, at: Micros, budget: BudgetId) {
         if self.spent.len() < NOTES_MOST {
             self.spent.push((budget, at));
         }
     }
 
     /// So many are held from now on.
-    pub fn held(&mut self, at: Micros, budget: Budget, held: u64) {
+    pub fn held(&mut self, at: Micros, budget: BudgetId, held: u64) {
         if self.held.len() < NOTES_MOST {
             self.held.push((budget, at, held));
         }
     }
 
     /// A lease is in force from now on.
-    pub fn leased(&mut self, at: Micros, bank: usize, ends: Micros, grant: &Grant) {
+    pub fn leased(&mut self, at: Micros, bank: usize, ends: Micros, grant: &LeaseGrant) {
         if self.leased.len() < NOTES_MOST {
             self.leased.push((at, bank, ends, grant.clone()));
         }
@@ -106,7 +105,9 @@
     /// Tells all, and forgets it.
     pub fn tell(&mut self, say: &impl Fn(Said<'_>)) {
         for (at, bank, ends, grant) in self.leased.drain(..) {
-            let what = joined(grant.amounts.iter().map(|(budget, amount)| format!("{budget}={amount}")));
+            let what = joined(
+                grant.amounts.iter().map(|BudgetAmount { budget, amount }| format!("{budget}={amount}")),
+            );
             say(Said::Leased { at, bank, ends, what: &what });
         }
         if !self.spent.is_empty() {
--- a/crates/transport/src/budgets/thread.rs
+++ b/crates/transport/src/budgets/thread.rs
@@ -7,7 +7,9 @@
 use serde::{Deserialize, Serialize};
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::time::Duration;
-use wharfplank_budget::{Ask, Bank, Grant, Hello, Micros, Seat, Terms};
+use wharfplank_budget::{
+    EpochAnnouncement, LeaseAllocator, LeaseGrant, LeaseRequest, LeaseTerms, Micros, TakeoverGuard,
+};
 
 /// How often banks greet each other and the serving thread hears of this one.
 const GREET_EVERY: Micros = 1_000_000;
@@ -16,9 +18,9 @@
 /// What proxies say to each other.
 #[derive(Debug, Serialize, Deserialize)]
 enum Word {
-    Ask(Ask),
-    Grant(Grant),
-    Hello(Hello),
+    Ask(LeaseRequest),
+    Grant(LeaseGrant),
+    Hello(EpochAnnouncement),
 }
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -32,7 +34,7 @@
 #[derive(Debug)]
 pub enum Told {
     /// A bank's lease.
-    Grant(usize, Grant),
+    Grant(usize, LeaseGrant),
     /// What the thread did so far.
     Done(Done),
 }
@@ -59,9 +61,9 @@
     /// The banks.
     pub banks: Vec<SocketAddrV4>,
     /// Which of them this proxy is, with its part and its place among the others.
-    pub bank: Option<(usize, Bank, Seat)>,
+    pub bank: Option<(usize, LeaseAllocator, TakeoverGuard)>,
     /// The figures of the leases.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// A hash of all figures of the settings.
     pub figures: u64,
     /// The clock of the budgets.
@@ -69,7 +71,7 @@
 }
 
 enum Woken {
-    Ask(usize, Ask),
+    Ask(usize, LeaseRequest),
     Datagram(usize, SocketAddr),
     Time,
     End,
@@ -77,7 +79,7 @@
 
 impl<Clock: Fn() -> Micros> Setup<Clock> {
     /// Works until the serving thread is gone.
-    pub async fn work(mut self, mut asks: Inbox<(usize, Ask)>, mut told: Outbox<Told>) {
+    pub async fn work(mut self, mut asks: Inbox<(usize, LeaseRequest)>, mut told: Outbox<Told>) {
         let socket = match self.socket.try_clone().and_then(Async::new) {
             Ok(socket) => socket,
             Err(_) => return,
@@ -123,11 +125,11 @@
     }
 
     /// A lease of this proxy's bank, where it may lease.
-    fn lease(&mut self, ask: &Ask) -> Option<Grant> {
+    fn lease(&mut self, request: &LeaseRequest) -> Option<LeaseGrant> {
         let now = (self.now)();
-        let (_, bank, seat) = self.bank.as_mut()?;
-        bank.postpone(seat.opens_at(&self.terms)?);
-        bank.asked(now, ask)
+        let (_, allocator, guard) = self.bank.as_mut()?;
+        allocator.postpone_opening(guard.opens_at(&self.terms)?);
+        allocator.on_request(now, request)
     }
 
     fn heard(&mut self, from: SocketAddr, word: Word, told: &mut Outbox<Told>) {
@@ -143,7 +145,8 @@
             }
             (Word::Hello(hello), Some(place)) => {
                 let now = (self.now)();
-                let answer = self.bank.as_mut().and_then(|(_, _, seat)| seat.heard(now, place, hello));
+                let answer =
+                    self.bank.as_mut().and_then(|(_, _, guard)| guard.on_announcement(now, place, hello));
                 answer.into_iter().for_each(|answer| self.send(place, Word::Hello(answer)));
             }
             (Word::Grant(_) | Word::Hello(_), None) => {}
@@ -151,11 +154,12 @@
     }
 
     fn greet(&mut self, done: &mut Done) {
-        let Some((_, bank, seat)) = &self.bank else { return };
-        let opens = seat.opens_at(&self.terms).map(|at| at.max(bank.opens_at()));
+        let Some((_, allocator, guard)) = &self.bank else { return };
+        let opens = guard.opens_at(&self.terms).map(|at| at.max(allocator.opens_at()));
         done.leases = opens.is_some_and(|opens| opens <= (self.now)());
-        (done.holders, done.ignored) = (bank.holders() as u64, bank.ignored);
-        for (place, hello) in seat.hellos() {
+        done.holders = allocator.holder_count() as u64;
+        done.ignored = allocator.ignored_requests;
+        for (place, hello) in guard.announcements() {
             self.send(place, Word::Hello(hello));
         }
     }
