--- a/crates/proxy/src/broker/roster.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -3,55 +3,55 @@
 use super::*;
 
 impl Broker {
-    pub(super) fn heard(&mut self, news: News, age: Option<Age>) {
+    pub(super) fn heard(&mut self, event: WatchEvent, staleness: Option<Staleness>) {
         // An answer that there is nothing new tells that the list as known stands.
-        self.told |= news.list.is_some() || age == Some(Age::Fresh);
-        if news.doubt.is_some() || age.is_some() {
-            log::list(age.map(Age::name), news.doubt, news.until.len());
-            self.journal.list(age.map(Age::name), news.doubt.map(Doubt::name));
+        self.told |= event.update.is_some() || staleness == Some(Staleness::Fresh);
+        if event.suspect.is_some() || staleness.is_some() {
+            log::list(staleness.map(Staleness::as_str), event.suspect, event.deadlines.len());
+            self.journal.list(staleness.map(Staleness::as_str), event.suspect.map(SuspectReason::as_str));
         }
-        for (name, until) in news.until {
-            let member = self.names.get(&name).and_then(|host| self.members.get(host));
-            member.into_iter().for_each(|m| m.until(self.clock.instant(until)));
+        for SendDeadline { endpoint, until } in event.deadlines {
+            let member = self.names.get(&endpoint).and_then(|host| self.members.get(host));
+            member.into_iter().for_each(|m| m.stop_sends_at(self.clock.instant(until)));
         }
-        if let Some(list) = news.list {
+        if let Some(list) = event.update {
             self.list(list);
         }
     }
 
     /// Takes the list or its changes as discovery tells them.
-    pub(super) fn list(&mut self, catalog: Catalog) {
-        self.seq = catalog.seq;
-        if catalog.whole {
+    pub(super) fn list(&mut self, catalog: EndpointList) {
+        self.seq = catalog.version;
+        if catalog.complete {
             self.listed.clear();
         }
-        for host in &catalog.hosts {
+        for host in &catalog.endpoints {
             match host.health {
-                Health::Left => drop(self.listed.remove(&host.name)),
+                EndpointHealth::Removed => drop(self.listed.remove(&host.name)),
                 _ => drop(self.listed.insert(host.name.clone(), host.clone())),
             }
         }
-        if catalog.whole {
-            self.cordons.retain(|name| self.listed.contains_key(name));
+        if catalog.complete {
+            self.cordons.retain_uncordoned(|name| self.listed.contains_key(name));
         }
-        let hosts = catalog.hosts.iter().map(|host| self.cordons.apply(host)).collect();
-        self.enlist(Catalog { hosts, ..catalog });
+        let hosts = catalog.endpoints.iter().map(|host| self.cordons.apply(host)).collect();
+        self.enlist(EndpointList { endpoints: hosts, ..catalog });
     }
 
     /// Takes entries as they hold together with what operators say.
-    pub(super) fn enlist(&mut self, catalog: Catalog) {
-        if catalog.whole {
-            let named = |m: &Member| catalog.hosts.iter().any(|h| h.name == m.name());
-            self.members.values().filter(|m| !named(m)).for_each(|m| m.want(false, None));
+    pub(super) fn enlist(&mut self, catalog: EndpointList) {
+        if catalog.complete {
+            let named = |m: &MemberPool| catalog.endpoints.iter().any(|h| h.name == m.name());
+            self.members.values().filter(|m| !named(m)).for_each(|m| m.deactivate());
         }
-        let seq = catalog.seq;
-        let entries: Vec<Entry> = catalog.hosts.iter().map(|host| self.entry(seq, host)).collect();
-        let event = if catalog.whole { routing::Event::List } else { routing::Event::ListChange };
+        let seq = catalog.version;
+        let entries: Vec<Entry> = catalog.endpoints.iter().map(|host| self.entry(seq, host)).collect();
+        let event = if catalog.complete { routing::Event::List } else { routing::Event::ListChange };
         self.tell(event(entries));
         // What waits for a connection to a member that takes nothing new must not go out.
-        let stopped = |host: &HostId| self.members.get(host).is_none_or(|m| !m.wanted());
+        let stopped = |host: &HostId| self.members.get(host).is_none_or(|m| !m.is_active());
         let waiting = |(key, f): (&(RequestId, u32), &Flight)| {
-            (f.stage.get() == Stage::Waiting && stopped(&f.host)).then_some(*key)
+            (f.stage.get() == AttemptStage::Queued && stopped(&f.host)).then_some(*key)
         };
         let mut moot: Vec<_> = self.flights.iter().filter_map(waiting).collect();
         moot.sort_unstable();
@@ -59,7 +59,7 @@
             self.end(id, attempt, Ending::Moot);
         }
         self.settle();
-        self.members.retain(|_, m| m.wanted() || !m.unused());
+        self.members.retain(|_, m| m.is_active() || !m.has_no_connections());
         if self.names.len() > NAMES_MOST {
             self.names.retain(|_, host| self.members.contains_key(host));
             let names = &self.names;
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(super) fn entry(&mut self, seq: u64, listed: &Host) -> Entry {
+    pub(super) fn entry(&mut self, seq: u64, listed: &EndpointRecord) -> Entry {
         let known = self.names.contains_key(&listed.name);
         let host = self.host(&listed.name);
         if !known {
@@ -77,12 +77,20 @@
         self.journal.listed(seq, host, listed);
         self.talk.listed(host, listed);
         self.lookups.listed(host, listed);
-        let wanted = listed.health == Health::Active;
-        match (self.members.get(&host), listed.dial) {
-            (Some(member), dial) => member.want(wanted, dial),
+        let wanted = listed.health == EndpointHealth::Active;
+        match (self.members.get(&host), listed.address) {
+            (Some(member), dial) => {
+                if let Some(dial) = dial {
+                    member.relocate(dial);
+                }
+                match wanted {
+                    true => member.activate(),
+                    false => member.deactivate(),
+                }
+            }
             (None, Some(dial)) if wanted => {
-                let member = Member::new(Rc::clone(&self.shared), &listed.name, dial);
-                member.want(true, None);
+                let member = MemberPool::new(Rc::clone(&self.shared), &listed.name, dial);
+                member.activate();
                 self.members.insert(host, member);
             }
             _ => {}
@@ -91,14 +99,14 @@
             host,
             group: GroupId(listed.group),
             listed: match listed.health {
-                Health::Active => Listed::Up,
-                Health::Leaving => Listed::Draining,
-                Health::Left => Listed::Removed,
+                EndpointHealth::Active => Listed::Up,
+                EndpointHealth::Draining => Listed::Draining,
+                EndpointHealth::Removed => Listed::Removed,
             },
             primary: listed.primary,
-            launched: (listed.born_ms > 0).then(|| listed.born_ms.saturating_mul(1000)),
-            local: listed.site == self.terms.zone,
-            zone: zone_number(&listed.site),
+            launched: (listed.started_at_ms > 0).then(|| listed.started_at_ms.saturating_mul(1000)),
+            local: listed.zone == self.terms.zone,
+            zone: zone_number(&listed.zone),
         }
     }
 
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -1,22 +1,22 @@
 //! The broker: it alone owns the router and the tables of requests and attempts. It feeds the drivers'
 //! events to the router and carries its actions out.
 
+mod admin_calls;
 mod attempts;
 mod budgets;
-mod course;
-mod lookups;
-mod operators;
-mod passing;
-mod probes;
-mod replacement;
+mod endpoints;
+mod handover;
+mod health_checks;
+mod lifecycle;
+mod negative_cache;
 mod requests;
-mod roster;
+mod streaming;
 
 use attempts::{Allowed, Flight};
 use budgets::Barred;
-use replacement::Replacement;
+use endpoints::{hash, suspects, zone_number};
+use handover::Replacement;
 use requests::Open;
-use roster::{hash, suspects, zone_number};
 
 use super::clock::Clock;
 use super::config::{Config, SEND_MARGIN};
@@ -36,25 +36,25 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_admin::{Cordons, Succession};
-use wharfplank_discovery::{Age, Doubt, News};
+use wharfplank_admin::Cordons;
+use wharfplank_discovery::{SendDeadline, Staleness, SuspectReason, WatchEvent};
 use wharfplank_pool_policy::Opening;
-use wharfplank_protocol::catalog::{Catalog, Health, Host};
 use wharfplank_protocol::client;
 use wharfplank_protocol::comment::ID_MOST;
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 use wharfplank_protocol::pipeline::{Answer, Ticket};
 use wharfplank_routing::settings::Terms;
 use wharfplank_routing::{
     self as routing, Action, AttemptNo, ClassId, Ending, Entry, GroupId, HostId, Listed, Micros, Outcome,
     Probed, Request, RequestId, Role, Router, SessionKey,
 };
-use wharfplank_transport::admin::Asking;
-use wharfplank_transport::client::Lane;
-use wharfplank_transport::clients::Clients;
+use wharfplank_transport::admin::AdminCall;
+use wharfplank_transport::client_connection::ResponseWriter;
+use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::Watch;
 use wharfplank_transport::fleet::Witness;
-use wharfplank_transport::members::{Member, Report, Shared, Stage};
-use wharfplank_transport::{Asked, Event, Statement};
+use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, MemberPool, PoolContext};
+use wharfplank_transport::{ClientRequest, ProxyEvent, Statement};
 
 /// The client counts its wait from its own send: answers are due this much earlier here.
 const ANSWER_MARGIN: Micros = 5_000;
@@ -69,8 +69,8 @@
 
 /// Why the broker goes on after a wait.
 enum Woken {
-    Operator(Asking),
-    Event(Event),
+    Operator(AdminCall),
+    Event(ProxyEvent),
     Closed,
     Time,
 }
@@ -81,9 +81,9 @@
     router: Router,
     terms: Terms,
     allowed: Allowed,
-    shared: Rc<Shared>,
-    clients: Rc<Clients>,
-    events: Sender<Event>,
+    shared: Rc<PoolContext>,
+    clients: Rc<ClientListener>,
+    events: Sender<ProxyEvent>,
     watch: Watch,
     journal: Journal,
     counts: Counts,
@@ -92,11 +92,11 @@
     /// The ids of open requests, as clients gave them.
     ids: HashSet<String>,
     flights: HashMap<(RequestId, u32), Flight>,
-    passing: passing::Values,
-    members: BTreeMap<HostId, Rc<Member>>,
+    passing: streaming::Values,
+    members: BTreeMap<HostId, Rc<MemberPool>>,
     names: HashMap<String, HostId>,
     /// The list as discovery tells it, without what operators say; and its version.
-    listed: BTreeMap<String, Host>,
+    listed: BTreeMap<String, EndpointRecord>,
     seq: u64,
     cordons: Cordons,
     /// Where this process may be replaced while it serves.
@@ -123,9 +123,9 @@
     pub fn new(
         config: &Config,
         clock: Clock,
-        shared: Rc<Shared>,
-        clients: Rc<Clients>,
-        events: Sender<Event>,
+        shared: Rc<PoolContext>,
+        clients: Rc<ClientListener>,
+        events: Sender<ProxyEvent>,
         watch: Watch,
         journal: Journal,
     ) -> Self {
@@ -145,7 +145,7 @@
             tickets: HashMap::new(),
             ids: HashSet::new(),
             flights: HashMap::new(),
-            passing: passing::Values::new(&config.settings),
+            passing: streaming::Values::new(&config.settings),
             members: BTreeMap::new(),
             names: HashMap::new(),
             listed: BTreeMap::new(),
@@ -180,12 +180,17 @@
     }
 
     /// Works until the process is to end.
-    pub async fn run(mut self, known: Catalog, received: Receiver<Event>, operators: Receiver<Asking>) {
+    pub async fn run(
+        mut self,
+        known: EndpointList,
+        received: Receiver<ProxyEvent>,
+        operators: Receiver<AdminCall>,
+    ) {
         let mut actions = Vec::new();
         self.router.start(&mut actions);
         self.perform(self.clock.now(), actions);
         // The list as last known may be old, but nothing else is known yet: it counts as whole.
-        self.list(Catalog { whole: true, ..known });
+        self.list(EndpointList { complete: true, ..known });
         self.recall();
         loop {
             let wake_at = self.wake_at();
@@ -219,30 +224,30 @@
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn event(&mut self, event: ProxyEvent) {
         match event {
-            Event::Asked(asked) => self.asked(*asked),
-            Event::Gone(ticket) => self.gone(ticket),
-            Event::Cancelled(ticket) => self.cancelled(ticket),
-            Event::Attempt { id, attempt, report } => self.attempt_ended(id, attempt, report),
-            Event::Passed { id, attempt, report } => self.passed(id, attempt, report),
-            Event::Probed { host, report } => self.probed(host, report),
-            Event::Told(news) => {
+            ProxyEvent::RequestReceived(asked) => self.asked(*asked),
+            ProxyEvent::ClientDisconnected(ticket) => self.gone(ticket),
+            ProxyEvent::RequestCancelled(ticket) => self.cancelled(ticket),
+            ProxyEvent::AttemptFinished { id, attempt, report } => self.attempt_ended(id, attempt, report),
+            ProxyEvent::StreamFinished { id, attempt, report } => self.passed(id, attempt, report),
+            ProxyEvent::ProbeFinished { host, report } => self.probed(host, report),
+            ProxyEvent::PeerNews(news) => {
                 let told = self.talk.told(&news, self.clock.now() + AHEAD_MOST);
                 self.tell(routing::Event::Told(told));
             }
-            Event::Heard(news, age) => self.heard(news, age),
-            Event::Shares(shares) => {
+            ProxyEvent::EndpointsChanged(news, age) => self.heard(news, age),
+            ProxyEvent::ZoneShares(shares) => {
                 let shares = shares.iter().map(|(zone, share)| (zone_number(zone), *share)).collect();
                 self.tell(routing::Event::Shares(shares));
             }
-            Event::Factors(factors) => {
+            ProxyEvent::MemberFactors(factors) => {
                 let factors = self.talk.factors(&factors);
                 self.tell(routing::Event::Factors(factors));
             }
-            Event::Other(other) => self.other(other),
-            Event::Reload => self.reload(),
-            Event::Terminate => self.terminate(),
+            ProxyEvent::Handover(other) => self.other(other),
+            ProxyEvent::ReloadRequested => self.reload(),
+            ProxyEvent::ShutdownRequested => self.terminate(),
         }
     }
 }
