--- a/crates/routing/src/api/actions.rs
+++ b/crates/routing/src/api/actions.rs
@@ -80,8 +80,8 @@
         host: HostId,
         /// How long to wait for the answer.
         timeout: Micros,
-        /// The last byte must be sent by this time. Later the member may be too far behind for the read, or may
-        /// no longer recognise the attempt as a repeat of one that has run.
+        /// The last byte must be sent by this time. Later the member may be too far behind for the read, or
+        /// may no longer recognise the attempt as a repeat of one that has run.
         holds_until: Option<Micros>,
     },
     /// Answer the client finally: nothing has run, or a retry is harmless.
--- a/crates/routing/src/api/events.rs
+++ b/crates/routing/src/api/events.rs
@@ -141,8 +141,8 @@
     Timer,
     /// The client disconnected: the request needs no answer any more.
     ClientDisconnected(RequestId),
-    /// The router's process shuts down: nothing is sent any more. [`Event::Shutdown`] follows once the attempts
-    /// that were not completely written have been taken back.
+    /// The router's process shuts down: nothing is sent any more. [`Event::Shutdown`] follows once the
+    /// attempts that were not completely written have been taken back.
     StopSending,
     /// The router's process shuts down: every request that is still open is given up now.
     Shutdown,
@@ -151,9 +151,9 @@
     ZoneReadShares(Vec<(u32, f64)>),
     /// What other routers, or this router's predecessor, observed of members.
     PeerObservations(Vec<PeerObservation>),
-    /// All members that the fleet considers outliers, with the factor by which their latency is multiplied when
-    /// reads are routed; infinity for one that takes no reads. Replaces the previous set. Writes, and reads that
-    /// only the primary can serve, are not bound by it.
+    /// All members that the fleet considers outliers, with the factor by which their latency is multiplied
+    /// when reads are routed; infinity for one that takes no reads. Replaces the previous set. Writes, and
+    /// reads that only the primary can serve, are not bound by it.
     LatencyFactors(Vec<(HostId, f64)>),
     /// Whether the quota of the whole fleet admits retries now.
     RetriesAllowed(bool),
--- a/crates/routing/src/api/settings.rs
+++ b/crates/routing/src/api/settings.rs
@@ -22,8 +22,8 @@
 pub enum Idempotency {
     /// Repeats are harmless.
     Idempotent,
-    /// The request carries an idempotency key: a repeat within `window` of the first send that may have run is
-    /// recognised and not run again.
+    /// The request carries an idempotency key: a repeat within `window` of the first send that may have run
+    /// is recognised and not run again.
     Keyed {
         /// How long a repeat is recognised.
         window: Micros,
@@ -88,7 +88,8 @@
     pub overload_span: Micros,
     /// What members do with reads that they are too far behind for.
     pub stale_reads: StaleReadPolicy,
-    /// Whether a member that the endpoint list drops or reports as removed may still be used; only draining binds.
+    /// Whether a member that the endpoint list drops or reports as removed may still be used; only draining
+    /// binds.
     pub removal_is_advisory: bool,
     /// Whether sessions carry the age of their last write; otherwise the router remembers it.
     pub sessions_carry_tokens: bool,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,6 +1,8 @@
-//! The decision module: which member of a replicated group serves each
-//! request. Reads go to the closest replica whose cached log position is fresh enough, writes to
-//! the primary. It does no I/O: events go in, actions come out, and the caller keeps the clock.
+//! The routing decisions: which member of a replicated group serves each request. Reads go to the closest replica
+//! whose cached log position is fresh enough, writes to the primary.
+//!
+//! A [`Router`] does no I/O and reads no clock. Its caller notifies it of each [`Event`] with the present time, and
+//! carries out the [`Action`]s that it appends. The same events at the same times give the same actions.
 //!
 //! ```
 //! use wharfplank_routing::{
@@ -48,7 +50,7 @@
 //!     id: RequestId([b'a'; 36]),
 //!     class: ClassId(0),
 //!     group: GroupId(1),
-//!     key: None,
+//!     session: None,
 //!     deadline: now + 500_000,
 //!     last_write_age: None,
 //!     may_have_run: false,
--- /dev/null
+++ b/crates/routing/src/policy/membership.rs
@@ -0,0 +1,146 @@
+//! Changes of the endpoint list, and what other routers observed of members.
+
+use super::member::{Member, RelativeLatency};
+use super::outliers::CONNECT_FAILED_SCORE;
+use super::{
+    AnswerRate, ConcurrencyLimit, Endpoint, EndpointStatus, HostId, LearnedTraits, MemberView, Micros,
+    PeerObservation, Router, LISTED_ROLE_AGE,
+};
+use std::collections::BTreeSet;
+
+/// A member that has been off the endpoint list for this long is forgotten.
+const FORGET_AFTER: Micros = 60_000_000;
+
+/// What it means that the endpoint list has a member as removed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum RemovalPolicy {
+    /// It may not be used any more.
+    Binding,
+    /// It may be used as long as it answers, unless it was draining.
+    Advisory,
+}
+
+impl Member {
+    /// Takes note that the endpoint list has it as removed.
+    fn mark_removed(&mut self, policy: RemovalPolicy, now: Micros) {
+        if policy == RemovalPolicy::Binding || self.status != EndpointStatus::Up {
+            self.status = EndpointStatus::Removed;
+        }
+        if self.removed_at == 0 {
+            self.removed_at = now;
+        }
+    }
+
+    /// Whether it has been off the endpoint list and silent for so long that it can be forgotten.
+    fn is_forgettable(&self, now: Micros) -> bool {
+        let last_sign = self.removed_at.max(self.faults.answered_at);
+        self.removed_at != 0 && now - last_sign >= FORGET_AFTER && self.in_flight.is_empty()
+    }
+
+    /// Takes over what the router's predecessor learned.
+    fn adopt(&mut self, traits: &LearnedTraits, now: Micros) {
+        self.concurrency_limit = ConcurrencyLimit::learned(traits.concurrency_limit);
+        self.latency = RelativeLatency::learned(traits.relative_latency, now);
+        self.answer_rate = AnswerRate::new(traits.answer_rate, now);
+        self.roles.primary_at = self.roles.primary_at.max(traits.primary_at);
+        self.roles.replica_at = self.roles.replica_at.max(traits.replica_at);
+    }
+}
+
+impl Router {
+    /// The complete endpoint list arrived.
+    pub(super) fn on_endpoint_list(&mut self, endpoints: &[Endpoint]) {
+        self.remove_absent(endpoints);
+        self.on_endpoints_changed(endpoints);
+    }
+
+    /// Entries of the endpoint list arrived.
+    pub(super) fn on_endpoints_changed(&mut self, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            self.update_endpoint(endpoint);
+        }
+        self.has_endpoint_list = true;
+        self.dispatch_all_queued();
+    }
+
+    /// Marks the members that are absent from a complete list as removed, and forgets those that long have
+    /// been.
+    fn remove_absent(&mut self, endpoints: &[Endpoint]) {
+        let (now, policy) = (self.now, self.removal_policy());
+        let present: BTreeSet<HostId> = endpoints.iter().map(|endpoint| endpoint.host).collect();
+        for (_, member) in self.members.iter_mut().filter(|(host, _)| !present.contains(host)) {
+            member.mark_removed(policy, now);
+        }
+        self.members.retain(|_, member| !member.is_forgettable(now));
+        for group in self.groups.values_mut() {
+            group.members.retain(|host| self.members.contains_key(host));
+        }
+    }
+
+    fn removal_policy(&self) -> RemovalPolicy {
+        if self.settings.removal_is_advisory {
+            RemovalPolicy::Advisory
+        } else {
+            RemovalPolicy::Binding
+        }
+    }
+
+    fn update_endpoint(&mut self, endpoint: &Endpoint) {
+        let (now, policy) = (self.now, self.removal_policy());
+        let is_new = !self.members.contains_key(&endpoint.host);
+        let unknown = || Member { group: endpoint.group, ..Member::default() };
+        let member = self.members.entry(endpoint.host).or_insert_with(unknown);
+        if endpoint.status == EndpointStatus::Removed {
+            return member.mark_removed(policy, now);
+        }
+        member.removed_at = 0;
+        member.status = endpoint.status;
+        member.local = endpoint.local;
+        member.zone = endpoint.zone;
+        // Members of the first list may have run for long; one that joins later has just started.
+        let has_joined = is_new && self.has_endpoint_list;
+        if endpoint.started_at != member.listed_start || has_joined {
+            member.listed_start = endpoint.started_at;
+            let started_at = endpoint.started_at.unwrap_or(now);
+            member.slow_start.restart(started_at, self.settings.seed, endpoint.host.0, now);
+            member.faults.reset();
+            member.latency.reset();
+        }
+        // The list may be old: any answer that said otherwise in the meantime stands.
+        if endpoint.primary && !member.listed_primary {
+            member.roles.primary_at = member.roles.primary_at.max((now - LISTED_ROLE_AGE).max(1));
+        }
+        member.listed_primary = endpoint.primary;
+        self.groups.entry(member.group).or_default().members.insert(endpoint.host);
+    }
+
+    /// Takes what other routers observed. A position is a lower bound and no sign of life; a member that is
+    /// suspected there counts as having refused one connection, unless it has answered here since.
+    pub(super) fn on_peer_observations(&mut self, observations: &[PeerObservation]) {
+        for observation in observations {
+            let Some(member) = self.members.get_mut(&observation.host) else { continue };
+            member.position.raise_to(observation.position, self.now);
+            let is_suspected = observation.suspected_at > member.faults.answered_at;
+            member.faults.raise_to(if is_suspected { CONNECT_FAILED_SCORE } else { 0.0 });
+            if let Some(traits) = &observation.traits {
+                member.adopt(traits, self.now);
+            }
+        }
+        self.dispatch_all_queued();
+    }
+
+    /// The members as the router sees them now.
+    pub fn member_views(&self) -> impl Iterator<Item = MemberView> + '_ {
+        self.members.iter().map(|(host, member)| MemberView {
+            host: *host,
+            group: member.group,
+            primary: self.primary(member.group) == Some(*host),
+            active: member.status == EndpointStatus::Up,
+            position: member.position.newest,
+            position_seen_at: member.position.seen_at,
+            suspected_since: member.faults.suspected_since(),
+            in_flight: member.in_flight.len(),
+            traits: member.learned_traits(self.now),
+        })
+    }
+}
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,116 +1,65 @@
-//! Every decision of the router. Here are its state and the events that change it, beside it a file for each
-//! concern with its tuned values. The interface (settings, events, actions, ids) is in `src/api`.
+//! The routing policy: every decision of a router. This module holds its state and passes each event to the
+//! module that handles it. The interface (settings, events, actions, ids) is in [`api`](super::api).
 //!
-//! Reads go to the closest replica whose cached position is new enough; on a miss one shared probe
-//! asks for that position, and a read still short goes to the primary, as do writes and fresh reads.
+//! Reads go to the closest replica whose cached log position is fresh enough. If none is, one shared probe
+//! asks for a position; a read that still finds no replica goes to the primary, as do writes and strongly
+//! consistent reads.
+//!
+//! Requests:
+//! - [`requests`]: from arrival to final answer: sent, queued, sent again, given up.
+//! - [`attempts`]: what is learned from the end of an attempt, and what becomes of its request.
+//! - [`admission`]: which requests are shed under load.
+//! - [`read_routing`]: the member that serves a read.
+//! - [`primary_discovery`]: the member that serves a write, and the search for the primary.
+//!
+//! Members and groups:
+//! - [`member`], [`group`]: their state.
+//! - [`membership`]: the endpoint list and what other routers observed.
+//! - [`probes`]: load reports.
+//! - [`outliers`]: faults, suspicion and trials.
+//! - [`slow_start`]: how much a member that is warming up may be sent.
+//!
+//! Parts without knowledge of the others: [`answer_rate`], [`concurrency_limit`], [`load_shedder`],
+//! [`sessions`] and [`random`].
 
-mod held;
-mod load;
-mod members;
-mod outcomes;
-mod primary;
-mod reads;
+mod admission;
+mod answer_rate;
+mod attempts;
+mod concurrency_limit;
+mod group;
+mod load_shedder;
+mod member;
+mod membership;
+mod outliers;
+mod primary_discovery;
+mod probes;
+mod random;
+mod read_routing;
+mod requests;
+mod sessions;
+mod slow_start;
 
 use super::api::*;
-use load::{unit, Shed, LIMIT};
-use std::collections::{BTreeMap, BTreeSet};
-
-/// Pauses between looks at what is silent: while anything is held, and otherwise.
-const SWEEP: Micros = 10_000;
-const SWEEP_IDLE: Micros = 30_000;
-/// The router stood still if its timer comes this much late.
-const STOOD_STILL: Micros = 100_000;
-/// How old the list's word on the primary is taken to be.
-const LIST_AGE: Micros = 20_000_000;
-/// Doubt is own work that a silent member has not answered, in usual times; a full member adds `WARY`, a
-/// connection that was not to be had `REFUSED`, one that broke `BROKEN`: single ones break at members that
-/// work, while a dead one refuses the next. From `WARY` on no writes, from `SUSPECT` on trials only.
-const REFUSED: f64 = 2.0;
-const BROKEN: f64 = 0.5;
-const WARY: f64 = 3.0;
-const SUSPECT: f64 = 7.0;
-/// Pause before the first trial of a suspect.
-const TRIAL_FIRST: Micros = 400_000;
-/// µs over which a member's rate of answers is averaged, and over which a group's answers count together.
-const RATE_SPAN: f64 = 4e6;
-const PACE_SPAN: f64 = 1e6;
-
-struct Flight {
-    id: RequestId,
-    attempt: AttemptNo,
-    class: ClassId,
-    /// Kept here: the commit counts for the session also when the client has left.
-    key: Option<SessionKey>,
-    sent: Micros,
-    cancelled: bool,
-}
-
-struct Suspicion {
-    since: Micros,
-    /// Whether connections gave rise to it, not silence, which a position that moves on does not end.
-    broken: bool,
-    tried_at: Micros,
-    trial_at: Micros,
-}
-
-#[derive(Default)]
-struct Member {
-    group: GroupId,
-    status: EndpointStatus,
-    local: bool,
-    zone: u32,
-    started: Option<Micros>,
-    started_at: Option<Micros>,
-    head: bool,
-    position: Micros,
-    seen_at: Micros,
-    lag: Micros,
-    primary_at: Micros,
-    replica_at: Micros,
-    relative_latency: f64,
-    sampled_at: Micros,
-    flights: Vec<Flight>,
-    answered_at: Micros,
-    debt: f64,
-    suspicion: Option<Suspicion>,
-    probe_sent: Option<Micros>,
-    reported_at: Micros,
-    rate: f64,
-    rated_at: Micros,
-    budget: f64,
-    budget_at: Micros,
-    limit: f64,
-    removed_at: Micros,
-    queue: f64,
-}
-
-#[derive(Default)]
-struct Group {
-    members: BTreeSet<HostId>,
-    held: BTreeSet<RequestId>,
-    scout: Option<RequestId>,
-    tried: BTreeSet<HostId>,
-    search_at: Micros,
-    search_pause: Micros,
-    /// Of what goes to replicas, and to the primary.
-    sheds: [Shed; 2],
-    round_at: Micros,
-}
+use admission::ValueDensity;
+use answer_rate::AnswerRate;
+use attempts::LEAST_USUAL_LATENCY;
+use concurrency_limit::ConcurrencyLimit;
+use group::Group;
+use member::{AttemptInFlight, Member};
+use requests::PendingRequest;
+use sessions::SessionCommits;
+use std::collections::BTreeMap;
 
-struct Pending {
-    asked: Request,
-    arrived: Micros,
-    /// When an answer stops being worth anything.
-    until: Micros,
-    attempts: u32,
-    flying: Option<HostId>,
-    /// The first send that may have run.
-    ran_at: Option<Micros>,
-    shunned: BTreeSet<HostId>,
-    probed: Option<(HostId, Micros)>,
-    /// Whether an attempt reached a member.
-    reached: bool,
-}
+/// The timer's interval while requests are queued.
+const QUEUE_CHECK_INTERVAL: Micros = 10_000;
+/// The timer's interval while requests are in flight and none is queued.
+const IN_FLIGHT_CHECK_INTERVAL: Micros = 30_000;
+/// The router stood still if its timer expires this much too late.
+const STALL_THRESHOLD: Micros = 100_000;
+/// The assumed age of what the endpoint list, or a load report without a position, says about roles.
+const LISTED_ROLE_AGE: Micros = 20_000_000;
+/// The usual latency of a class before its first answer, as a part of its latency objective.
+const INITIAL_LATENCY_PART: f64 = 1.0 / 4.0;
 
 /// The decisions of one router.
 #[derive(Default)]
@@ -119,71 +68,95 @@
     now: Micros,
     members: BTreeMap<HostId, Member>,
     groups: BTreeMap<GroupId, Group>,
-    pending: BTreeMap<RequestId, Pending>,
-    commits: BTreeMap<SessionKey, Micros>,
-    commit_floor: Option<Micros>,
-    /// Zones' shares of reads, where the fleet decides them in common; `None` where it does not.
-    shares: Option<BTreeMap<u32, f64>>,
-    /// What the latency of members that the fleet does not hold sound is multiplied by.
-    factors: BTreeMap<HostId, f64>,
-    once: bool,    // A budget bars attempts beyond the first.
-    closing: bool, // Nothing is sent any more.
-    usual: Vec<f64>,
-    /// Usual worth for a microsecond of work.
-    density: f64,
-    listed_once: bool,
-    /// When the timer is due.
-    due: Option<Micros>,
-    /// When the router last stood still until: earlier silence does not count.
-    awake: Micros,
-    out: Vec<Action>,
+    pending: BTreeMap<RequestId, PendingRequest>,
+    session_commits: SessionCommits,
+    /// The part of the reads that each zone may take; `None` where the fleet does not decide on zones in
+    /// common.
+    zone_read_shares: Option<BTreeMap<u32, f64>>,
+    /// By how much the latency of outliers is multiplied.
+    latency_factors: BTreeMap<HostId, f64>,
+    /// A quota of the fleet bars attempts beyond the first.
+    retries_barred: bool,
+    /// The process is shutting down: nothing is sent any more.
+    sending_stopped: bool,
+    /// The usual latency of each class, in µs.
+    usual_latency: Vec<f64>,
+    value_density: ValueDensity,
+    /// Whether the endpoint list has arrived at least once.
+    has_endpoint_list: bool,
+    /// When the timer that is set expires.
+    timer_due: Option<Micros>,
+    /// When the router last resumed after it stood still: earlier silence does not count against members.
+    resumed_at: Micros,
+    /// What is to be done about the present event.
+    actions: Vec<Action>,
 }
 
 impl Router {
-    /// A router that knows nothing yet but its settings.
+    /// A router that knows only its settings.
     pub fn new(settings: Settings) -> Self {
-        let usual = settings.classes.iter().map(|c| (c.latency_objective as f64 / 4.0).max(1e3)).collect();
-        Router { usual, settings, ..Router::default() }
+        let usual =
+            |class: &Class| (class.latency_objective as f64 * INITIAL_LATENCY_PART).max(LEAST_USUAL_LATENCY);
+        let usual_latency = settings.classes.iter().map(usual).collect();
+        Router { usual_latency, settings, ..Router::default() }
     }
 
-    /// What the router does before its first event.
+    /// Appends what is to be done before the first event.
     pub fn start(&mut self, actions: &mut Vec<Action>) {
-        actions.extend(self.settings.must_subscribe.then_some(Action::Subscribe));
+        if self.settings.must_subscribe {
+            actions.push(Action::Subscribe);
+        }
     }
 
-    /// Takes one event and appends what is to be done about it.
+    /// Handles an event and appends what is to be done about it. A `now` before that of an earlier event
+    /// counts as that one.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        // The router stood still: what was silent meanwhile may have answered, silence counts from now.
-        if self.due.is_some_and(|due| self.now - due > STOOD_STILL) {
-            (self.awake, self.due) = (self.now, Some(self.now));
-        }
+        self.detect_stall();
+        self.dispatch_event(event);
+        self.set_timer();
+        actions.append(&mut self.actions);
+    }
+
+    fn dispatch_event(&mut self, event: Event) {
         match event {
-            Event::EndpointList(entries) => self.list(&entries, true),
-            Event::EndpointsChanged(entries) => self.list(&entries, false),
-            Event::SubscriptionLost => self.out.push(Action::Subscribe),
-            Event::Request(request) => self.request(request, true),
-            Event::RequestOverQuota(request) => self.request(request, false),
-            Event::RetriesAllowed(may) => self.once = !may,
-            Event::AttemptFinished(outcome) => self.outcome(&outcome),
-            Event::ProbeFinished(probed) => self.probed(&probed),
-            Event::Timer => self.sweep(),
-            Event::ClientDisconnected(id) => drop(self.finish(id)),
-            Event::ZoneReadShares(shares) => self.shares = Some(shares.into_iter().collect()),
-            Event::PeerObservations(told) => self.told(&told),
-            Event::LatencyFactors(factors) => self.factors = factors.into_iter().collect(),
-            Event::StopSending => self.closing = true,
-            Event::Shutdown => {
-                let open: Vec<RequestId> = self.pending.keys().copied().collect();
-                open.into_iter().for_each(|id| self.give_up(id, RejectReason::ShuttingDown));
+            Event::EndpointList(endpoints) => self.on_endpoint_list(&endpoints),
+            Event::EndpointsChanged(endpoints) => self.on_endpoints_changed(&endpoints),
+            Event::SubscriptionLost => self.actions.push(Action::Subscribe),
+            Event::Request(request) => self.on_request(request),
+            Event::RequestOverQuota(request) => self.on_request_over_quota(request),
+            Event::AttemptFinished(result) => self.on_attempt_finished(&result),
+            Event::ProbeFinished(result) => self.on_probe_finished(&result),
+            Event::Timer => self.on_timer(),
+            Event::ClientDisconnected(id) => {
+                self.remove_pending(id);
             }
+            Event::StopSending => self.sending_stopped = true,
+            Event::Shutdown => self.give_up_all(),
+            Event::ZoneReadShares(shares) => self.zone_read_shares = Some(shares.into_iter().collect()),
+            Event::PeerObservations(observations) => self.on_peer_observations(&observations),
+            Event::LatencyFactors(factors) => self.latency_factors = factors.into_iter().collect(),
+            Event::RetriesAllowed(allowed) => self.retries_barred = !allowed,
+        }
+    }
+
+    /// Notices whether the router stood still: members that seemed silent meanwhile may have answered, so
+    /// silence counts from now.
+    fn detect_stall(&mut self) {
+        if self.timer_due.is_some_and(|due| self.now - due > STALL_THRESHOLD) {
+            self.resumed_at = self.now;
+            self.timer_due = Some(self.now);
         }
-        if self.due.is_none() && !self.pending.is_empty() {
-            let held = self.groups.values().any(|g| !g.held.is_empty());
-            let pause = if held { SWEEP } else { SWEEP_IDLE };
-            self.due = Some(self.now + pause);
-            self.out.push(Action::SetTimer(pause));
+    }
+
+    /// Sets the timer if requests are pending and it is not set.
+    fn set_timer(&mut self) {
+        if self.timer_due.is_some() || self.pending.is_empty() {
+            return;
         }
-        actions.append(&mut self.out);
+        let has_queued = self.groups.values().any(|group| !group.queued.is_empty());
+        let interval = if has_queued { QUEUE_CHECK_INTERVAL } else { IN_FLIGHT_CHECK_INTERVAL };
+        self.timer_due = Some(self.now + interval);
+        self.actions.push(Action::SetTimer(interval));
     }
 }
--- /dev/null
+++ b/crates/routing/src/policy/requests.rs
@@ -0,0 +1,295 @@
+//! The life of a request from its arrival to its final answer: sent, queued and sent again, or given up.
+
+use super::{
+    Action, AttemptInFlight, AttemptNo, Consistency, EndpointStatus, GroupId, HostId, Idempotency, Micros,
+    RejectReason, Request, RequestId, Role, Router, QUEUE_CHECK_INTERVAL,
+};
+use std::cmp::Ordering;
+use std::collections::BTreeSet;
+
+/// The part of its client's patience that a request may be queued for without having reached a member.
+const LONGEST_QUEUED_PART: f64 = 0.47;
+/// The Retry-After span of rejections: overload and failovers last longer than a retry takes.
+const RETRY_AFTER: Micros = 2_000_000;
+
+/// A position probe that a read waits for.
+#[derive(Clone, Copy)]
+pub(super) struct PositionProbe {
+    pub(super) host: HostId,
+    pub(super) sent_at: Micros,
+}
+
+/// A request that has no final answer yet.
+pub(super) struct PendingRequest {
+    pub(super) request: Request,
+    pub(super) arrived_at: Micros,
+    /// When an answer stops being worth anything.
+    useful_until: Micros,
+    pub(super) attempts: u32,
+    /// The member at which an attempt is in flight.
+    pub(super) in_flight_at: Option<HostId>,
+    /// When the first attempt was sent that may have run.
+    pub(super) may_have_run_since: Option<Micros>,
+    /// The members at which attempts failed.
+    pub(super) excluded: BTreeSet<HostId>,
+    pub(super) position_probe: Option<PositionProbe>,
+    /// Whether an attempt reached a member.
+    pub(super) has_reached_member: bool,
+}
+
+impl PendingRequest {
+    /// Until when a repeat of an attempt that may have run is recognised; `None` if nothing may have run, or
+    /// if nothing depends on it.
+    fn repeat_recognised_until(&self, idempotency: Idempotency) -> Option<Micros> {
+        let Idempotency::Keyed { window, .. } = idempotency else { return None };
+        Some(self.may_have_run_since?.saturating_add(window) - QUEUE_CHECK_INTERVAL)
+    }
+
+    /// The part of its client's patience that has passed.
+    fn waited_part(&self, now: Micros) -> f64 {
+        let patience = (self.request.deadline - self.arrived_at).max(1);
+        (now - self.arrived_at) as f64 / patience as f64
+    }
+}
+
+/// A queued request's place in the order in which they are sent.
+struct QueueRank {
+    value_density: f64,
+    arrived_at: Micros,
+    id: RequestId,
+}
+
+impl QueueRank {
+    /// Most value for the work first, then the newest, which has most time left.
+    fn compare(&self, other: &Self) -> Ordering {
+        let by_value = other.value_density.total_cmp(&self.value_density);
+        by_value.then(other.arrived_at.cmp(&self.arrived_at)).then(self.id.cmp(&other.id))
+    }
+}
+
+impl Router {
+    /// A client sent a request.
+    pub(super) fn on_request(&mut self, request: Request) {
+        let id = request.id;
+        if self.accept(request) {
+            self.dispatch(id);
+        }
+    }
+
+    /// A client sent a request that exceeds a quota of the fleet.
+    pub(super) fn on_request_over_quota(&mut self, request: Request) {
+        let id = request.id;
+        if self.accept(request) {
+            self.give_up(id, RejectReason::OverQuota);
+        }
+    }
+
+    /// Records a request as pending. One of an unknown class is rejected at once; then the result is `false`.
+    fn accept(&mut self, request: Request) -> bool {
+        let (id, now) = (request.id, self.now);
+        let Some(class) = self.settings.classes.get(request.class.0) else {
+            self.actions.push(Action::Reject { id, retry_after: 0, reason: RejectReason::UnknownClass });
+            return false;
+        };
+        let objective_ends =
+            if class.late_weight > 0.0 { Micros::MAX } else { now.saturating_add(class.latency_objective) };
+        self.value_density.observe(class.priority_weight / self.usual_latency[request.class.0]);
+        let pending = PendingRequest {
+            arrived_at: now,
+            useful_until: request.deadline.min(objective_ends),
+            attempts: 0,
+            in_flight_at: None,
+            may_have_run_since: request.may_have_run.then_some(now),
+            excluded: BTreeSet::new(),
+            position_probe: None,
+            has_reached_member: false,
+            request,
+        };
+        self.pending.insert(id, pending);
+        true
+    }
+
+    /// Sends a request that is not in flight, queues it, or gives it up if it cannot be served in time.
+    pub(super) fn dispatch(&mut self, id: RequestId) {
+        let Some(pending) = self.pending.get(&id).filter(|pending| pending.in_flight_at.is_none()) else {
+            return;
+        };
+        if let Some(reason) = self.reason_not_to_send(id, pending) {
+            return self.give_up(id, reason);
+        }
+        let group = pending.request.group;
+        match self.choose_member(id, group) {
+            Some(host) => self.send(id, host),
+            None => self.enqueue(id, group),
+        }
+    }
+
+    /// Why the request must be given up instead of being sent or queued.
+    fn reason_not_to_send(&self, id: RequestId, pending: &PendingRequest) -> Option<RejectReason> {
+        let class = &self.settings.classes[pending.request.class.0];
+        if self.sending_stopped {
+            return Some(RejectReason::ShuttingDown);
+        }
+        if class.idempotency == Idempotency::NotIdempotent && pending.may_have_run_since.is_some() {
+            return Some(RejectReason::MayHaveRun);
+        }
+        // A request that no member has seen is rejected while coming back is still worth the client's time.
+        if !pending.has_reached_member && pending.waited_part(self.now) > LONGEST_QUEUED_PART {
+            return Some(RejectReason::QueuedTooLong);
+        }
+        let most_attempts = if self.retries_barred { 1 } else { self.settings.max_attempts };
+        if pending.attempts >= most_attempts {
+            return Some(RejectReason::AttemptsExhausted);
+        }
+        let repeat_ends = pending.repeat_recognised_until(class.idempotency).unwrap_or(Micros::MAX);
+        let time_left = pending.useful_until.min(repeat_ends).saturating_sub(self.now) as f64;
+        if time_left < self.usual_latency[pending.request.class.0] {
+            return Some(RejectReason::DeadlineExceeded);
+        }
+        let role = match class.consistency {
+            Consistency::Write | Consistency::Strong => Role::Primary,
+            _ => Role::Replica,
+        };
+        (!self.admits(id, pending, role, 1.0)).then_some(RejectReason::LoadShed)
+    }
+
+    /// The member to send the request to now.
+    fn choose_member(&mut self, id: RequestId, group: GroupId) -> Option<HostId> {
+        let class = self.pending.get(&id)?.request.class;
+        match self.settings.classes[class.0].consistency {
+            Consistency::Write => self.choose_for_write(id, group),
+            Consistency::Strong => self.choose_primary(id, group),
+            _ => self.choose_for_read(id, group),
+        }
+    }
+
+    fn enqueue(&mut self, id: RequestId, group: GroupId) {
+        match self.groups.get_mut(&group) {
+            Some(group) => {
+                group.queued.insert(id);
+            }
+            None => self.give_up(id, RejectReason::NoMember),
+        }
+    }
+
+    fn send(&mut self, id: RequestId, host: HostId) {
+        let now = self.now;
+        let send_budget = self.send_budget(&self.members[&host]);
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let Some(member) = self.members.get_mut(&host) else { return };
+        member.in_flight.push(AttemptInFlight {
+            id,
+            attempt: AttemptNo(pending.attempts),
+            class: pending.request.class,
+            session: pending.request.session,
+            sent_at: now,
+            cancelled: false,
+        });
+        member.slow_start.spend(send_budget, now);
+        pending.attempts += 1;
+        pending.in_flight_at = Some(host);
+        pending.position_probe = None;
+        let class = &self.settings.classes[pending.request.class.0];
+        // A staleness bound counts from the last byte sent, and the position ages until then; a primary's
+        // does not.
+        let fresh_until = match class.consistency {
+            Consistency::BoundedStaleness(bound) if !member.roles.claims_primary() => {
+                Some(member.position.newest + bound)
+            }
+            _ => None,
+        };
+        let repeat_until = pending.repeat_recognised_until(class.idempotency);
+        let holds_until = fresh_until.into_iter().chain(repeat_until).min();
+        let timeout = (pending.useful_until - now).max(1);
+        self.actions.push(Action::Send { id, host, timeout, holds_until });
+    }
+
+    /// Answers the request finally: rejects it if a retry is harmless, otherwise fails it.
+    pub(super) fn give_up(&mut self, id: RequestId, reason: RejectReason) {
+        let Some(pending) = self.remove_pending(id) else { return };
+        let only_waited = !pending.has_reached_member
+            && matches!(reason, RejectReason::QueuedTooLong | RejectReason::DeadlineExceeded);
+        let lacked = if only_waited { self.lacked_resource(&pending) } else { None };
+        let reason = lacked.unwrap_or(reason);
+        let is_repeatable_anywhere = matches!(
+            self.settings.classes[pending.request.class.0].idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { all_groups: true, .. }
+        );
+        // An attempt may still be in flight, at the process's end, and may run.
+        let has_not_run = pending.may_have_run_since.is_none() && pending.in_flight_at.is_none();
+        self.actions.push(if is_repeatable_anywhere || has_not_run {
+            let retry_after = RETRY_AFTER.min(self.settings.max_retry_after);
+            Action::Reject { id, retry_after, reason }
+        } else {
+            Action::Fail { id, reason }
+        });
+    }
+
+    /// What a request that never reached a member waited for in vain.
+    fn lacked_resource(&self, pending: &PendingRequest) -> Option<RejectReason> {
+        let group = pending.request.group;
+        self.groups.get(&group)?;
+        let primary = self.primary(group);
+        let needed = self.required_position(pending).minimum()?;
+        let consistency = self.settings.classes[pending.request.class.0].consistency;
+        if matches!(consistency, Consistency::Write | Consistency::Strong) {
+            let has_primary = primary.is_some_and(|host| self.members[&host].is_usable());
+            return (!has_primary).then_some(RejectReason::NoPrimary);
+        }
+        let known = self
+            .group_members(group)
+            .filter(|(host, member)| Some(*host) != primary && member.status == EndpointStatus::Up)
+            .map(|(_, member)| member.position.newest)
+            .max()
+            .unwrap_or(0);
+        (known < needed).then_some(RejectReason::TooStale { needed, known })
+    }
+
+    /// Removes the request from those pending, and from the queue.
+    pub(super) fn remove_pending(&mut self, id: RequestId) -> Option<PendingRequest> {
+        let pending = self.pending.remove(&id)?;
+        if let Some(group) = self.groups.get_mut(&pending.request.group) {
+            group.queued.remove(&id);
+        }
+        Some(pending)
+    }
+
+    /// Gives up every pending request, at the process's end.
+    pub(super) fn give_up_all(&mut self) {
+        let ids: Vec<RequestId> = self.pending.keys().copied().collect();
+        for id in ids {
+            self.give_up(id, RejectReason::ShuttingDown);
+        }
+    }
+
+    /// Tries to send the group's queued requests; what still cannot be sent is queued again.
+    pub(super) fn dispatch_queued(&mut self, group: GroupId) {
+        let Some(group) = self.groups.get_mut(&group) else { return };
+        let queued = std::mem::take(&mut group.queued);
+        let mut ranks: Vec<QueueRank> = queued.iter().filter_map(|id| self.queue_rank(*id)).collect();
+        ranks.sort_unstable_by(QueueRank::compare);
+        for rank in ranks {
+            self.dispatch(rank.id);
+        }
+    }
+
+    /// Tries to send the queued requests of all groups.
+    pub(super) fn dispatch_all_queued(&mut self) {
+        let groups: Vec<GroupId> = self.groups.keys().copied().collect();
+        for group in groups {
+            self.dispatch_queued(group);
+        }
+    }
+
+    fn queue_rank(&self, id: RequestId) -> Option<QueueRank> {
+        let pending = self.pending.get(&id)?;
+        let class = &self.settings.classes[pending.request.class.0];
+        let is_in_time = self.now - pending.arrived_at < class.latency_objective;
+        let value_part = if is_in_time { 1.0 } else { class.late_weight };
+        Some(QueueRank {
+            value_density: class.priority_weight * value_part / self.usual_latency[pending.request.class.0],
+            arrived_at: pending.arrived_at,
+            id,
+        })
+    }
+}
--- /dev/null
+++ b/crates/routing/src/policy/sessions.rs
@@ -0,0 +1,39 @@
+//! The commit times that sessions must be able to read, where clients do not carry them.
+
+use super::{Micros, SessionKey};
+use std::collections::BTreeMap;
+
+/// The most sessions whose commits are remembered; beyond them the older half is replaced by one floor.
+const MOST_SESSIONS: usize = 100_000;
+
+/// The last commit of each session, in bounded memory.
+#[derive(Default)]
+pub(super) struct SessionCommits {
+    latest: BTreeMap<SessionKey, Micros>,
+    /// The newest commit that was forgotten: any session may have made it.
+    floor: Option<Micros>,
+}
+
+impl SessionCommits {
+    /// Records that a write of the session committed at this time.
+    pub(super) fn record(&mut self, session: SessionKey, commit: Micros) {
+        self.latest.entry(session).and_modify(|known| *known = commit.max(*known)).or_insert(commit);
+        if self.latest.len() > MOST_SESSIONS {
+            self.forget_older_half();
+        }
+    }
+
+    /// The commit that a read of the session must see, if any.
+    pub(super) fn required_by(&self, session: Option<SessionKey>) -> Option<Micros> {
+        let own = session.and_then(|session| self.latest.get(&session).copied());
+        own.or(self.floor)
+    }
+
+    fn forget_older_half(&mut self) {
+        let mut times: Vec<Micros> = self.latest.values().copied().collect();
+        times.sort_unstable();
+        let floor = times[times.len() / 2];
+        self.latest.retain(|_, at| *at > floor);
+        self.floor = Some(floor);
+    }
+}
