--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -28,7 +28,7 @@
         self.journal.reloaded(read.is_ok());
         match read {
             Ok(config) => {
-                self.watch.move_to(config.discovery);
+                self.watch.set_address(config.discovery);
                 log::reloaded(config.discovery);
             }
             Err(what) => log::kept(&what),
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -51,7 +51,7 @@
 use wharfplank_transport::admin::Asking;
 use wharfplank_transport::client::Lane;
 use wharfplank_transport::clients::Clients;
-use wharfplank_transport::discovery::Watch;
+use wharfplank_transport::discovery::DiscoveryWatch;
 use wharfplank_transport::fleet::Witness;
 use wharfplank_transport::members::{Member, Report, Shared, Stage};
 use wharfplank_transport::{Asked, Event, Statement};
@@ -84,7 +84,7 @@
     shared: Rc<Shared>,
     clients: Rc<Clients>,
     events: Sender<Event>,
-    watch: Watch,
+    watch: DiscoveryWatch,
     journal: Journal,
     counts: Counts,
     requests: HashMap<RequestId, Open>,
@@ -126,7 +126,7 @@
         shared: Rc<Shared>,
         clients: Rc<Clients>,
         events: Sender<Event>,
-        watch: Watch,
+        watch: DiscoveryWatch,
         journal: Journal,
     ) -> Self {
         let now = clock.now();
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -26,7 +26,7 @@
 use wharfplank_settings::Settings;
 use wharfplank_transport::admin::{Admin, PLACES};
 use wharfplank_transport::clients::{self, Clients};
-use wharfplank_transport::discovery::Watch;
+use wharfplank_transport::discovery::{DiscoveryWatch, WatchContext};
 use wharfplank_transport::{handover, members, signals, Ends, Memory, Now};
 
 /// Events that may wait for the broker; past that connections wait.
@@ -108,8 +108,9 @@
     let list = inherited.as_ref().and_then(|inherited| endpoint_list::from_json(&inherited.state.list).ok());
     config.known = list.unwrap_or(config.known);
     let tracker = EndpointTracker::new(schedule, &config.known, clock.now());
-    let watch =
-        Watch::start(Rc::clone(&executor), events.clone(), ends, now, tracker, config.discovery, budgets);
+    let watch_context =
+        WatchContext { executor: Rc::clone(&executor), events: events.clone(), ends, now, budgets };
+    let watch = DiscoveryWatch::start(watch_context, tracker, config.discovery);
     let journal = journal::Journal::start(settings.records.as_ref(), &config, clock)?;
     let mut broker =
         broker::Broker::new(&config, clock, shared, Rc::clone(&clients), events.clone(), watch, journal);
--- a/crates/transport/src/discovery/connection.rs
+++ b/crates/transport/src/discovery/connection.rs
@@ -1,6 +1,6 @@
-//! One connection to discovery, and its line of the log.
+//! One connection to discovery, and its line in the log.
 
-use super::call::Limits;
+use super::poll::Limits;
 use crate::{within, Ended, Ends};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -10,58 +10,123 @@
 use std::time::Instant;
 use wharfplank_protocol::http;
 
-/// A connection to discovery; its line of the log is written when it ends.
+/// Why a connection closed or a poll failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CloseReason {
+    /// The connection could not be opened in time.
+    ConnectFailed,
+    /// The response did not come in time.
+    Timeout,
+    /// The connection was reset, or another error of the socket.
+    Reset,
+    /// Discovery closed the connection.
+    ServerClosed,
+    /// The response had a status other than 200.
+    HttpStatus,
+    /// The response is not valid HTTP.
+    MalformedHttp,
+    /// The body of the response is not a valid endpoint list.
+    MalformedList,
+    /// The hedged poll beside this one, or the one that it hedges, was answered first.
+    Superseded,
+    /// Discovery has another address.
+    Moved,
+    /// The process ends.
+    Shutdown,
+}
+
+impl CloseReason {
+    /// The code in the log.
+    fn code(self) -> &'static str {
+        match self {
+            CloseReason::ConnectFailed => "connect_failed",
+            CloseReason::Timeout => "timeout",
+            CloseReason::Reset => "reset",
+            CloseReason::ServerClosed => "server_closed",
+            CloseReason::HttpStatus => "http_status",
+            CloseReason::MalformedHttp => "malformed_http",
+            CloseReason::MalformedList => "malformed_list",
+            CloseReason::Superseded => "superseded",
+            CloseReason::Moved => "moved",
+            CloseReason::Shutdown => "shutdown",
+        }
+    }
+}
+
+/// A connection to discovery.
 pub(super) struct Connection {
     pub(super) stream: Async<TcpStream>,
     pub(super) reader: http::Reader,
-    pub(super) line: Line,
-    /// Whether a byte of the answer that is waited for has come.
-    pub(super) begun: bool,
+    pub(super) log_entry: LogEntry,
+    /// Whether a byte of the current response has arrived.
+    pub(super) response_begun: bool,
 }
 
-pub(super) struct Line {
+/// The connection's line in the log, written when this is dropped.
+pub(super) struct LogEntry {
     pub(super) ends: Ends,
     pub(super) peer: SocketAddr,
-    pub(super) since: Instant,
-    pub(super) calls: u64,
-    pub(super) reason: Option<&'static str>,
-    pub(super) dropped: Rc<Cell<&'static str>>,
+    pub(super) opened_at: Instant,
+    /// Polls that were answered.
+    pub(super) polls: u64,
+    /// Why the connection closed, where it was not just dropped.
+    pub(super) reason: Option<CloseReason>,
+    /// Why connections are dropped in use.
+    pub(super) drop_reason: Rc<Cell<CloseReason>>,
 }
 
-impl Drop for Line {
+impl Drop for LogEntry {
     fn drop(&mut self) {
-        let reason = self.reason.unwrap_or(self.dropped.get());
-        let (peer, requests, since) = (self.peer, self.calls, self.since);
-        (self.ends)(&Ended { side: "discovery", peer, name: "", reason, requests, since });
+        let reason = self.reason.unwrap_or(self.drop_reason.get());
+        (self.ends)(&Ended {
+            side: "discovery",
+            peer: self.peer,
+            name: "",
+            reason: reason.code(),
+            requests: self.polls,
+            since: self.opened_at,
+        });
     }
 }
 
 impl Connection {
-    /// One exchange, given up by its limits; an answer that keeps coming is read on.
+    /// Sends one request and reads its response within the limits.
     pub(super) async fn exchange(
         &mut self,
         target: &str,
         host: &str,
         limits: Limits,
-    ) -> Result<http::Answer, &'static str> {
-        let Limits { mut until, still, most } = limits;
-        self.begun = false;
-        let asked = within(until, self.stream.write_all(&http::get(target, host))).await;
-        asked.ok_or("timeout")?.map_err(|_| "reset")?;
-        let mut ended = false;
+    ) -> Result<http::Answer, CloseReason> {
+        self.response_begun = false;
+        let request = http::get(target, host);
+        let written = within(limits.first_byte_by, self.stream.write_all(&request)).await;
+        written.ok_or(CloseReason::Timeout)?.map_err(|_| CloseReason::Reset)?;
+        self.read_response(limits).await
+    }
+
+    async fn read_response(&mut self, limits: Limits) -> Result<http::Answer, CloseReason> {
+        let mut next_byte_by = limits.first_byte_by;
+        let mut at_end = false;
         loop {
-            if let Some(answer) = self.reader.advance(ended).map_err(|_| "malformed_http")? {
-                return Ok(answer);
+            let response = self.reader.advance(at_end).map_err(|_| CloseReason::MalformedHttp)?;
+            if let Some(response) = response {
+                return Ok(response);
             }
-            if ended {
-                return Err("server_closed");
+            if at_end {
+                return Err(CloseReason::ServerClosed);
             }
-            let read = within(until, self.stream.read(self.reader.buffer.space())).await;
-            let count = read.ok_or("timeout")?.map_err(|_| "reset")?;
-            self.reader.buffer.filled(count);
-            self.begun |= count > 0;
-            ended = count == 0;
-            until = until.max(Instant::now() + still).min(most);
+            let count = self.read_some(next_byte_by).await?;
+            self.response_begun |= count > 0;
+            at_end = count == 0;
+            next_byte_by = next_byte_by.max(Instant::now() + limits.max_gap).min(limits.complete_by);
         }
     }
+
+    /// Reads into the buffer; 0 where discovery closed the connection.
+    async fn read_some(&mut self, deadline: Instant) -> Result<usize, CloseReason> {
+        let read = within(deadline, self.stream.read(self.reader.buffer.space())).await;
+        let count = read.ok_or(CloseReason::Timeout)?.map_err(|_| CloseReason::Reset)?;
+        self.reader.buffer.filled(count);
+        Ok(count)
+    }
 }
--- /dev/null
+++ b/crates/transport/src/discovery/poll.rs
@@ -0,0 +1,221 @@
+//! One poll of discovery, and the hedged poll beside it.
+
+use super::connection::{CloseReason, Connection, LogEntry};
+use super::Poller;
+use crate::within;
+use async_io::Async;
+use futures_lite::future;
+use std::future::Future;
+use std::net::TcpStream;
+use std::pin::{pin, Pin};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use wharfplank_discovery::{PollKind, PollRequest, PollSchedule};
+use wharfplank_protocol::endpoint_list::{self, EndpointList};
+use wharfplank_protocol::http;
+use wharfplank_routing::Micros;
+
+const STATUS_OK: u16 = 200;
+
+/// The response to a poll.
+pub(super) struct Response {
+    pub(super) list: EndpointList,
+    /// The connection, where it can be used again.
+    pub(super) connection: Option<Connection>,
+}
+
+type PollResult = Result<Response, CloseReason>;
+
+/// When a poll times out.
+#[derive(Clone, Copy)]
+pub(super) struct Limits {
+    /// The limit for the first byte of the response.
+    pub(super) first_byte_by: Instant,
+    /// The longest gap between bytes of the response.
+    pub(super) max_gap: Duration,
+    /// The limit for the complete response.
+    pub(super) complete_by: Instant,
+}
+
+/// A poll on one connection.
+#[derive(Clone, Copy)]
+struct Attempt {
+    kind: PollKind,
+    wait: Micros,
+    connect_timeout: Duration,
+    limits: Limits,
+}
+
+/// A failed exchange on a connection.
+struct ExchangeError {
+    reason: CloseReason,
+    /// Whether the connection closed before the first byte of a response.
+    closed_before_response: bool,
+}
+
+/// Which of two polls had the first response, or the last failure.
+enum Winner {
+    First,
+    Hedge,
+}
+
+impl Attempt {
+    /// The first poll of a request that starts now.
+    fn first(request: &PollRequest, now: Instant) -> Self {
+        let limits = Limits {
+            first_byte_by: now + span(request.response_timeout),
+            max_gap: span(request.response_timeout - request.wait),
+            complete_by: now + span(request.total_timeout),
+        };
+        Attempt {
+            kind: request.kind,
+            wait: request.wait,
+            connect_timeout: span(request.connect_timeout),
+            limits,
+        }
+    }
+
+    /// The hedged poll beside this one that starts now.
+    fn hedge(self, request: &PollRequest, now: Instant) -> Self {
+        let limits = Limits { first_byte_by: now + span(request.hedge.timeout), ..self.limits };
+        Attempt { kind: request.hedge.kind, wait: request.hedge.wait, limits, ..self }
+    }
+
+    fn target(&self) -> String {
+        match self.kind {
+            PollKind::FullList => "/catalog/members".to_string(),
+            PollKind::Watch { version } => {
+                let wait_ms = self.wait / 1000;
+                format!("/catalog/members?index={version}&wait={wait_ms}")
+            }
+        }
+    }
+}
+
+impl Poller {
+    /// Makes a poll, and a hedged one where the first stays silent. The first response counts; the poll fails once both
+    /// have failed.
+    pub(super) async fn poll(&self, idle: Option<Connection>, request: &PollRequest) -> PollResult {
+        let started = Instant::now();
+        let attempt = Attempt::first(request, started);
+        let result = {
+            let mut first = pin!(self.attempt(idle, attempt));
+            let hedge_at = started + span(request.hedge.after);
+            if let Some(result) = within(hedge_at, first.as_mut()).await {
+                return result;
+            }
+            if !self.try_spend_budget() {
+                return first.await;
+            }
+            let mut hedge = pin!(self.attempt(None, attempt.hedge(request, Instant::now())));
+            let (winner, result) = first_response(first.as_mut(), hedge.as_mut()).await;
+            // The log gets this reason for the other poll's connection, which is dropped with this block.
+            self.drop_reason.set(match winner {
+                Winner::First => CloseReason::Superseded,
+                Winner::Hedge => CloseReason::Timeout,
+            });
+            result
+        };
+        self.drop_reason.set(CloseReason::Shutdown);
+        result
+    }
+
+    /// Makes a poll on an idle connection or on a new one. If the idle one turns out to have been closed meanwhile, that
+    /// says nothing about discovery, and the poll is made on a new one.
+    async fn attempt(&self, idle: Option<Connection>, attempt: Attempt) -> PollResult {
+        let target = attempt.target();
+        if let Some(connection) = idle {
+            let started = Instant::now();
+            match self.exchange(connection, &target, attempt.limits).await {
+                Ok(response) => return Ok(response),
+                Err(error) if error.closed_before_response && is_immediate(started) => {}
+                Err(error) => return Err(error.reason),
+            }
+        }
+        let connection = self.connect(Instant::now() + attempt.connect_timeout).await?;
+        self.exchange(connection, &target, attempt.limits).await.map_err(|error| error.reason)
+    }
+
+    /// Makes a poll on this connection, which closes if the poll fails.
+    async fn exchange(
+        &self,
+        mut connection: Connection,
+        target: &str,
+        limits: Limits,
+    ) -> Result<Response, ExchangeError> {
+        let host = self.address.to_string();
+        match connection.exchange(target, &host, limits).await.and_then(read_list) {
+            Ok((list, can_reuse)) => {
+                connection.log_entry.polls += 1;
+                if can_reuse {
+                    return Ok(Response { list, connection: Some(connection) });
+                }
+                connection.log_entry.reason = Some(CloseReason::ServerClosed);
+                Ok(Response { list, connection: None })
+            }
+            Err(reason) => {
+                connection.log_entry.reason = Some(reason);
+                let is_closed = matches!(reason, CloseReason::Reset | CloseReason::ServerClosed);
+                Err(ExchangeError { reason, closed_before_response: is_closed && !connection.response_begun })
+            }
+        }
+    }
+
+    async fn connect(&self, deadline: Instant) -> Result<Connection, CloseReason> {
+        let mut log_entry = LogEntry {
+            ends: Rc::clone(&self.context.ends),
+            peer: self.address,
+            opened_at: Instant::now(),
+            polls: 0,
+            reason: None,
+            drop_reason: Rc::clone(&self.drop_reason),
+        };
+        match within(deadline, Async::<TcpStream>::connect(self.address)).await {
+            Some(Ok(stream)) => {
+                // Without the option polls are slower, and no less correct.
+                let _ = stream.get_ref().set_nodelay(true);
+                Ok(Connection { stream, reader: http::Reader::default(), log_entry, response_begun: false })
+            }
+            Some(Err(_)) | None => {
+                log_entry.reason = Some(CloseReason::ConnectFailed);
+                Err(CloseReason::ConnectFailed)
+            }
+        }
+    }
+}
+
+/// The first response of two polls, or the later failure.
+async fn first_response<First, Hedge>(
+    mut first: Pin<&mut First>,
+    mut hedge: Pin<&mut Hedge>,
+) -> (Winner, PollResult)
+where
+    First: Future<Output = PollResult>,
+    Hedge: Future<Output = PollResult>,
+{
+    let first_done = async { (Winner::First, first.as_mut().await) };
+    let hedge_done = async { (Winner::Hedge, hedge.as_mut().await) };
+    match future::or(first_done, hedge_done).await {
+        (Winner::First, Err(_)) => (Winner::Hedge, hedge.await),
+        (Winner::Hedge, Err(_)) => (Winner::First, first.await),
+        done => done,
+    }
+}
+
+/// The list of a response, and whether its connection can be used again.
+fn read_list(response: http::Answer) -> Result<(EndpointList, bool), CloseReason> {
+    if response.status != STATUS_OK {
+        return Err(CloseReason::HttpStatus);
+    }
+    let list = endpoint_list::parse(&response.body).map_err(|_| CloseReason::MalformedList)?;
+    Ok((list, response.keep))
+}
+
+/// Whether so little time has passed that an idle connection must have been closed before it was used.
+fn is_immediate(started: Instant) -> bool {
+    started.elapsed() < span(PollSchedule::MIN_TIMEOUT)
+}
+
+fn span(micros: Micros) -> Duration {
+    Duration::from_micros(micros.max(0) as u64)
+}
