--- a/crates/proxy/src/budgets.rs
+++ b/crates/proxy/src/budgets.rs
@@ -10,7 +10,7 @@
 use wharfplank_settings::Budgets as Settings;
 use wharfplank_shared_state::named;
 use wharfplank_transport::budgets::{Budgets, Figure, Said, Setup, RING};
-use wharfplank_transport::{duty, Now};
+use wharfplank_transport::{worker, Now};
 
 /// Binds the socket and starts the thread and the serving side.
 pub fn start(
@@ -43,7 +43,7 @@
     let holder = Holder::new(number, terms.clone(), banks.len(), Vec::new(), now).with_even(even);
     let figures = named(&format!("{wholes:?} {} {percent}", settings.proxies));
     let setup = Setup { socket, banks, bank, terms, figures, now: move || clock.now() + skew };
-    let rings = duty::start("budgets", RING, move |asks, told| setup.work(asks, told));
+    let rings = worker::start("budgets", RING, move |asks, told| setup.work(asks, told));
     let rings = rings.map_err(|e| format!("budgets: {e}"))?;
     let now_of: Now = Rc::new(move || clock.now() + skew);
     let notes = tracing::enabled!(tracing::Level::DEBUG);
--- a/crates/proxy/src/release.rs
+++ b/crates/proxy/src/release.rs
@@ -14,15 +14,15 @@
 use wharfplank_routing::{self as routing, ClassId, Ending, HostId, Micros};
 use wharfplank_settings::{Release as ReleaseSettings, Undo};
 use wharfplank_shared_state::named;
-use wharfplank_transport::duty::{Inbox, Outbox};
 use wharfplank_transport::release::{self, Parts};
+use wharfplank_transport::worker::{RingReceiver, RingSender};
 
 /// Members whose sums are kept at most; past that those that are not in the roster go.
 const TRIALS_MOST: usize = 4096;
 
 struct On {
-    views: Outbox<View>,
-    notes: Inbox<Said>,
+    views: RingSender<View>,
+    notes: RingReceiver<Said>,
     /// The roster's members by name.
     ids: BTreeMap<String, u64>,
     names: BTreeMap<u64, String>,
@@ -94,8 +94,8 @@
             Some((*id, look(host, views.get(number), cordons.is_out(name), trial)))
         };
         let members = on.ids.iter().filter_map(look).collect();
-        on.views.push(View { at: now, members });
-        while let Some(said) = on.notes.try_next() {
+        on.views.send(View { at: now, members });
+        while let Some(said) = on.notes.try_recv() {
             note(&said, &on.names);
         }
         if self.trials.len() > TRIALS_MOST {
--- a/crates/transport/src/budgets/mod.rs
+++ b/crates/transport/src/budgets/mod.rs
@@ -9,7 +9,7 @@
 pub use thread::{Done, Setup, Told};
 
 use super::Now;
-use crate::duty::{Inbox, Outbox};
+use crate::worker::{RingReceiver, RingSender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::future;
@@ -44,7 +44,7 @@
     pub fn start(
         wholes: Parts,
         holder: Holder,
-        (asks, told): (Outbox<(usize, Ask)>, Inbox<Told>),
+        (asks, told): (RingSender<(usize, Ask)>, RingReceiver<Told>),
         now: Now,
         notes: bool,
         say: impl Fn(Said<'_>) + 'static,
@@ -151,8 +151,8 @@
     /// Carries asks to the thread and leases from it, and tells what was done.
     async fn drive(
         self: Rc<Self>,
-        mut asks: Outbox<(usize, Ask)>,
-        mut told: Inbox<Told>,
+        mut asks: RingSender<(usize, Ask)>,
+        mut told: RingReceiver<Told>,
         say: impl Fn(Said<'_>),
     ) {
         let mut tell_at = (self.now)() + TELL_EVERY;
@@ -161,7 +161,7 @@
             let now = (self.now)();
             let due = self.spender.borrow_mut().holder.tick(now);
             for ask in due {
-                asks.push(ask);
+                asks.send(ask);
             }
             self.tell(now, &mut tell_at, &say);
             let noting = self.spender.borrow().notes.is_some();
@@ -173,7 +173,7 @@
                 None
             };
             let heard = async {
-                match told.next().await {
+                match told.recv().await {
                     Some(told) => Some(Some(told)),
                     None if ended => future::pending().await,
                     None => Some(None),
--- a/crates/transport/src/budgets/thread.rs
+++ b/crates/transport/src/budgets/thread.rs
@@ -1,7 +1,7 @@
 //! The thread of the budgets: the socket, the bank where this proxy is one, and the coding of datagrams. The leases
 //! themselves are the serving thread's: what is promised not to be used any more, only who spends can promise.
 
-use crate::duty::{Inbox, Outbox};
+use crate::worker::{RingReceiver, RingSender};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use serde::{Deserialize, Serialize};
@@ -77,7 +77,7 @@
 
 impl<Clock: Fn() -> Micros> Setup<Clock> {
     /// Works until the serving thread is gone.
-    pub async fn work(mut self, mut asks: Inbox<(usize, Ask)>, mut told: Outbox<Told>) {
+    pub async fn work(mut self, mut asks: RingReceiver<(usize, Ask)>, mut told: RingSender<Told>) {
         let socket = match self.socket.try_clone().and_then(Async::new) {
             Ok(socket) => socket,
             Err(_) => return,
@@ -85,7 +85,7 @@
         let (mut buffer, mut done, mut greet_at) = (vec![0_u8; DATAGRAM_BYTES], Done::default(), 0);
         loop {
             let pause = Duration::from_micros((greet_at - (self.now)()).clamp(0, GREET_EVERY) as u64);
-            let asked = async { asks.next().await.map_or(Woken::End, |(bank, ask)| Woken::Ask(bank, ask)) };
+            let asked = async { asks.recv().await.map_or(Woken::End, |(bank, ask)| Woken::Ask(bank, ask)) };
             let heard = async {
                 match socket.recv_from(&mut buffer).await {
                     Ok((count, from)) => Woken::Datagram(count, from),
@@ -103,7 +103,7 @@
                     false => self.send(bank, Word::Ask(ask)),
                     true => {
                         if let Some(grant) = self.lease(&ask) {
-                            told.push(Told::Grant(bank, grant));
+                            told.send(Told::Grant(bank, grant));
                         }
                     }
                 },
@@ -117,7 +117,7 @@
             if (self.now)() >= greet_at {
                 greet_at = (self.now)() + GREET_EVERY;
                 self.greet(&mut done);
-                told.push(Told::Done(done));
+                told.send(Told::Done(done));
             }
         }
     }
@@ -130,7 +130,7 @@
         bank.asked(now, ask)
     }
 
-    fn heard(&mut self, from: SocketAddr, word: Word, told: &mut Outbox<Told>) {
+    fn heard(&mut self, from: SocketAddr, word: Word, told: &mut RingSender<Told>) {
         let place = self.banks.iter().position(|bank| SocketAddr::V4(*bank) == from);
         match (word, place) {
             (Word::Ask(ask), _) => {
@@ -139,7 +139,7 @@
             }
             // What does not fit is lost as a datagram is: the lease before it ends by itself.
             (Word::Grant(grant), Some(place)) => {
-                told.push(Told::Grant(place, grant));
+                told.send(Told::Grant(place, grant));
             }
             (Word::Hello(hello), Some(place)) => {
                 let now = (self.now)();
--- a/crates/transport/src/fleet/drive.rs
+++ b/crates/transport/src/fleet/drive.rs
@@ -2,7 +2,7 @@
 
 use super::judge::judge;
 use super::{key, Fact, Parts, Said, Told, Turns};
-use crate::duty::{Inbox, Outbox};
+use crate::worker::{RingReceiver, RingSender};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 /// What the loop keeps besides the parts.
 struct Course {
     /// The broker's ring.
-    told: Outbox<Told>,
+    told: RingSender<Told>,
     /// The shares that the broker was told last.
     shares: BTreeMap<String, f64>,
     tell_at: Micros,
@@ -49,8 +49,8 @@
 pub(super) async fn drive(
     mut parts: Parts,
     socket: UdpSocket,
-    mut facts: Inbox<Fact>,
-    told: Outbox<Told>,
+    mut facts: RingReceiver<Fact>,
+    told: RingSender<Told>,
     turns: Arc<Turns>,
 ) {
     // A socket that the reactor does not take is one that hears nothing: this proxy then decides alone.
@@ -60,7 +60,7 @@
     let (shares, tell_at, keep_at) = (BTreeMap::new(), now + TELL_EVERY, now + KEEP_EVERY);
     let mut course = Course { told, shares, tell_at, digest: 0, digest_at: now, keep_at };
     // The router hears at once that zones are decided in common: near members win among ties from now on.
-    course.told.push(Told::Shares(Vec::new()));
+    course.told.send(Told::Shares(Vec::new()));
     parts.peers.join(&parts.seeds, now);
     let mut buffer = vec![0_u8; 65_536];
     loop {
@@ -70,7 +70,7 @@
                 async {
                     socket.recv_from(&mut buffer).await.map_or(Woken::Time, |(n, at)| Woken::Datagram(n, at))
                 },
-                async { facts.next().await.map_or(Woken::Closed, Woken::Fact) },
+                async { facts.recv().await.map_or(Woken::Closed, Woken::Fact) },
             ),
             async {
                 Timer::after(pause).await;
@@ -96,7 +96,7 @@
                 return;
             }
         }
-        while let Some(fact) = facts.try_next() {
+        while let Some(fact) = facts.try_recv() {
             take(&mut parts, now, fact);
         }
         turn(&mut parts, &mut course, now, facts.dropped());
@@ -138,14 +138,14 @@
     }
     hear(parts, now);
     if let Some(factors) = judge(parts, now) {
-        course.told.push(Told::Factors(factors));
+        course.told.send(Told::Factors(factors));
     }
     if let Some(replica) = &mut parts.replica {
         replica.alive(now, parts.peers.alive().map(|peer| peer.addr));
         replica.tick(now);
-        let news = if course.told.room() > NEWS_ROOM { replica.take_news() } else { Vec::new() };
+        let news = if course.told.free_slots() > NEWS_ROOM { replica.take_news() } else { Vec::new() };
         if !news.is_empty() {
-            course.told.push(Told::News(news));
+            course.told.send(Told::News(news));
         }
     }
     if parts.zones.decide(now) || !course.shares.is_empty() {
@@ -213,7 +213,7 @@
         }
     }
     // What does not fit is told with the next turn.
-    if course.told.push(Told::Shares(shares.clone().into_iter().collect())) {
+    if course.told.send(Told::Shares(shares.clone().into_iter().collect())) {
         course.shares = shares;
     }
 }
--- a/crates/transport/src/fleet/heard.rs
+++ b/crates/transport/src/fleet/heard.rs
@@ -2,7 +2,7 @@
 //! takes the place of the older. Writes in doubt never wait for the broker: they are merged when they are asked about.
 
 use super::Said;
-use crate::duty::Inbox;
+use crate::worker::RingReceiver;
 use crate::Event;
 use async_channel::Sender;
 use std::cell::RefCell;
@@ -28,7 +28,7 @@
 
 /// The serving thread's end.
 pub(super) struct Heard {
-    told: Inbox<Told>,
+    told: RingReceiver<Told>,
     doubts: Doubts,
     shares: Option<Vec<(String, f64)>>,
     factors: Option<Vec<(u64, f64)>>,
@@ -37,7 +37,7 @@
 
 impl Heard {
     /// Nothing heard yet but the writes in doubt that a snapshot brought.
-    pub(super) fn new(told: Inbox<Told>, known: Vec<(u64, Doubt, Micros)>) -> Heard {
+    pub(super) fn new(told: RingReceiver<Told>, known: Vec<(u64, Doubt, Micros)>) -> Heard {
         let mut doubts = Doubts::bounded(ENTRIES_MOST);
         known.into_iter().for_each(|(write, doubt, at)| doubts.merge(write, doubt, at));
         Heard { told, doubts, shares: None, factors: None, news: Vec::new() }
@@ -51,7 +51,7 @@
 
     /// Whether a write may have run, by all that the fleet's thread has told until now.
     pub(super) fn in_doubt(&mut self, write: u64) -> bool {
-        while let Some(told) = self.told.try_next() {
+        while let Some(told) = self.told.try_recv() {
             self.take(told);
         }
         self.doubts.has(write)
@@ -73,7 +73,7 @@
     /// The next event for the broker; `None` once the thread has ended.
     fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<Option<Event>> {
         let ended = loop {
-            match self.told.poll_next(cx) {
+            match self.told.poll_recv(cx) {
                 Poll::Ready(Some(told)) => self.take(told),
                 Poll::Ready(None) => break true,
                 Poll::Pending => break false,
@@ -98,7 +98,7 @@
     while let Some(event) = poll_fn(|cx| heard.borrow_mut().poll_event(cx)).await {
         let _ = events.send(event).await;
     }
-    if heard.borrow().told.failed() {
+    if heard.borrow().told.has_panicked() {
         say(Said::Failed);
         for event in [Event::Shares(Vec::new()), Event::Factors(Vec::new())] {
             let _ = events.send(event).await;
@@ -109,7 +109,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::duty::ring;
+    use crate::worker::ring;
     use futures_lite::future::{block_on, poll_once};
 
     fn doubt(write: u64) -> News {
@@ -120,12 +120,12 @@
     fn a_doubt_holds_as_soon_as_it_is_told_and_the_broker_still_hears_the_rest() {
         let (mut told, inbox) = ring(8);
         let mut heard = Heard::new(inbox, vec![(1, Doubt::Ran, 1)]);
-        told.push(Told::Shares(vec![("a".to_string(), 0.0)]));
-        told.push(Told::News(vec![doubt(2), News::Suspected { member: 7, at: 3 }]));
+        told.send(Told::Shares(vec![("a".to_string(), 0.0)]));
+        told.send(Told::News(vec![doubt(2), News::Suspected { member: 7, at: 3 }]));
         assert!(heard.in_doubt(1) && heard.in_doubt(2) && !heard.in_doubt(3));
         heard.doubt(5, 3, Doubt::Open);
         assert!(heard.in_doubt(3));
-        told.push(Told::Shares(vec![("a".to_string(), 1.0)]));
+        told.send(Told::Shares(vec![("a".to_string(), 1.0)]));
         drop(told);
         let events: Vec<Option<Event>> =
             (0..3).map(|_| block_on(poll_fn(|cx| heard.poll_event(cx)))).collect();
@@ -140,7 +140,7 @@
         let (mut told, inbox) = ring(8);
         let mut heard = Heard::new(inbox, Vec::new());
         for nth in 0..3 * NEWS_MOST as u64 {
-            told.push(Told::News(vec![News::Suspected { member: nth, at: 1 }]));
+            told.send(Told::News(vec![News::Suspected { member: nth, at: 1 }]));
             assert!(!heard.in_doubt(9));
         }
         assert_eq!((heard.news.len(), told.dropped()), (NEWS_MOST, 0));
@@ -156,7 +156,7 @@
         let heard = Rc::new(RefCell::new(Heard::new(inbox, Vec::new())));
         let (events, received) = async_channel::bounded(8);
         let failing = std::thread::spawn(move || {
-            told.push(Told::Shares(vec![("a".to_string(), 0.0)]));
+            told.send(Told::Shares(vec![("a".to_string(), 0.0)]));
             panic!("as the test wants it");
         });
         assert!(failing.join().is_err());
--- a/crates/transport/src/fleet/mod.rs
+++ b/crates/transport/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 pub use turns::{Turns, GAP, WAKING};
 pub use witness::{Fact, Seen, Witness};
 
-use super::{duty, Event, Now};
+use super::{worker, Event, Now};
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use heard::Heard;
@@ -91,7 +91,7 @@
     let turns = Arc::new(Turns::new(side.now));
     let at = Arc::clone(&turns);
     let work = move |facts, told| drive::drive(parts(), socket, facts, told, at);
-    let (facts, told) = duty::start("fleet", RING, work)?;
+    let (facts, told) = worker::start("fleet", RING, work)?;
     let replicated = side.doubts.is_some();
     let heard = Rc::new(RefCell::new(Heard::new(told, side.doubts.unwrap_or_default())));
     let witness = Witness {
--- a/crates/transport/src/fleet/witness.rs
+++ b/crates/transport/src/fleet/witness.rs
@@ -2,7 +2,7 @@
 
 use super::heard::Heard;
 use super::Turns;
-use crate::duty::Outbox;
+use crate::worker::RingSender;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -50,7 +50,7 @@
 
 /// Where the broker's facts go; where the ring is full they are dropped and counted.
 pub struct Witness {
-    pub(super) facts: RefCell<Outbox<Fact>>,
+    pub(super) facts: RefCell<RingSender<Fact>>,
     /// What the fleet's thread tells, where the replicated state is on.
     pub(super) heard: Option<Rc<RefCell<Heard>>>,
     pub(super) turns: Arc<Turns>,
@@ -101,7 +101,7 @@
     /// Whether this write may have run as far as any proxy said, or the fleet's thread is behind and cannot tell.
     pub fn in_doubt(&self, now: Micros, write: u64) -> bool {
         let Some(heard) = &self.heard else { return false };
-        let behind = self.turns.behind(now + self.skew) && !self.facts.borrow().is_ended();
+        let behind = self.turns.behind(now + self.skew) && !self.facts.borrow().is_closed();
         behind || heard.borrow_mut().in_doubt(write)
     }
 
@@ -135,10 +135,10 @@
     }
 
     fn push(&self, fact: Fact) {
-        self.facts.borrow_mut().push(fact);
+        self.facts.borrow_mut().send(fact);
     }
 
     fn leave(&self, fact: Fact) {
-        self.facts.borrow_mut().leave(fact);
+        self.facts.borrow_mut().send_lazy(fact);
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -6,7 +6,6 @@
 pub mod client;
 pub mod clients;
 pub mod discovery;
-pub mod duty;
 pub mod fleet;
 mod flow;
 pub mod handover;
@@ -14,6 +13,7 @@
 pub mod missing;
 pub mod release;
 pub mod signals;
+pub mod worker;
 
 use futures_lite::future;
 use std::cell::Cell;
--- a/crates/transport/src/missing.rs
+++ b/crates/transport/src/missing.rs
@@ -1,7 +1,7 @@
 //! The driver of what is known to be missing. The facts stay on the serving thread, which asks them for each read; the
 //! socket has a thread of its own, joined by rings of datagrams. It decides nothing itself, and serving never waits.
 
-use super::duty::{self, Inbox, Outbox};
+use super::worker::{self, RingReceiver, RingSender};
 use super::Now;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -31,7 +31,7 @@
 ) -> std::io::Result<()> {
     socket.set_nonblocking(true)?;
     let carry = move |sends, heard| carry(socket, sends, heard);
-    let (sends, heard) = duty::start("missing", RING, carry)?;
+    let (sends, heard) = worker::start("missing", RING, carry)?;
     executor.spawn(drive(node, sends, heard, now, say)).detach();
     Ok(())
 }
@@ -44,7 +44,7 @@
 }
 
 /// The socket's thread: what comes goes up, what is to be sent goes out.
-async fn carry(socket: UdpSocket, mut sends: Inbox<Datagram>, mut heard: Outbox<Datagram>) {
+async fn carry(socket: UdpSocket, mut sends: RingReceiver<Datagram>, mut heard: RingSender<Datagram>) {
     let Ok(socket) = Async::new(socket) else { return };
     let mut buffer = vec![0_u8; 65_536];
     loop {
@@ -54,9 +54,9 @@
                 _ => Woken::Skip,
             }
         };
-        let send = async { sends.next().await.map_or(Woken::Ended, Woken::Send) };
+        let send = async { sends.recv().await.map_or(Woken::Ended, Woken::Send) };
         match future::or(datagram, send).await {
-            Woken::Heard(datagram) => drop(heard.push(datagram)),
+            Woken::Heard(datagram) => drop(heard.send(datagram)),
             // A message that cannot go is as one lost on the wire: it goes again, or costs look-ups.
             Woken::Send((to, bytes)) => drop(socket.send_to(&bytes, to).await),
             Woken::Skip => {}
@@ -67,8 +67,8 @@
 
 async fn drive(
     node: Rc<RefCell<Node>>,
-    mut sends: Outbox<Datagram>,
-    mut heard: Inbox<Datagram>,
+    mut sends: RingSender<Datagram>,
+    mut heard: RingReceiver<Datagram>,
     now: Now,
     say: impl Fn(&Node, i64, u64),
 ) {
@@ -77,7 +77,7 @@
         let due = node.borrow().next_due();
         let pause = Duration::from_micros((due - now()).clamp(0, 1_000_000) as u64);
         let datagram = async {
-            match heard.next().await {
+            match heard.recv().await {
                 Some(datagram) => Some(datagram),
                 // A thread that failed is a silent network: leave ends, facts last for their bound.
                 None => future::pending().await,
@@ -92,11 +92,11 @@
         let mut node = node.borrow_mut();
         while let Some((from, bytes)) = next {
             node.received(at, from, &bytes);
-            next = heard.try_next();
+            next = heard.try_recv();
         }
         node.tick(at);
         for datagram in node.take_sends() {
-            sends.push(datagram);
+            sends.send(datagram);
         }
         if at >= tell_at {
             tell_at = at + TELL_EVERY;
--- a/crates/transport/src/release.rs
+++ b/crates/transport/src/release.rs
@@ -2,7 +2,7 @@
 //! [`Desk`]. It carries datagrams, files and the time to that and decides nothing itself. Serving never waits for it:
 //! the broker's views come over a ring, and what was done goes back over another.
 
-use crate::duty::{self, Inbox, Outbox};
+use crate::worker::{self, RingReceiver, RingSender};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::fs::File;
@@ -47,14 +47,14 @@
 pub fn start<Now, Say>(
     parts: Parts<Now, Say>,
     desk: impl FnOnce(Option<Ledger>) -> Desk + Send + 'static,
-) -> std::io::Result<(Outbox<View>, Inbox<Said>)>
+) -> std::io::Result<(RingSender<View>, RingReceiver<Said>)>
 where
     Now: Fn() -> Micros + Send + 'static,
     Say: Fn(Told<'_>) + Send + 'static,
 {
     parts.socket.set_nonblocking(true)?;
     let ledger = parts.ledger.as_deref().and_then(|path| kept(path, &parts.say));
-    duty::start("release", RING, move |views, notes| async move {
+    worker::start("release", RING, move |views, notes| async move {
         let Ok(socket) = Async::new(parts.socket) else { return };
         let files = Files { ledger: parts.ledger, signal: parts.signal, ..Files::default() };
         drive(desk(ledger), socket, files, parts.now, parts.say, (views, notes)).await;
@@ -78,7 +78,7 @@
     mut files: Files,
     now: impl Fn() -> Micros,
     say: impl Fn(Told<'_>),
-    (mut views, mut notes): (Inbox<View>, Outbox<Said>),
+    (mut views, mut notes): (RingReceiver<View>, RingSender<Said>),
 ) {
     let mut buffer = vec![0_u8; 65_536];
     enum Woken {
@@ -90,7 +90,7 @@
         let datagram = async {
             socket.recv_from(&mut buffer).await.map_or(Woken::Time, |(n, at)| Woken::Datagram(n, at))
         };
-        let view = async { Woken::View(views.next().await) };
+        let view = async { Woken::View(views.recv().await) };
         let time = async {
             Timer::after(TICK).await;
             Woken::Time
@@ -117,7 +117,7 @@
         files.keep(&mut desk, at, &say);
         for said in desk.take_said() {
             say(Told::Said(&said));
-            notes.leave(said);
+            notes.send_lazy(said);
         }
     }
 }
