--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -36,25 +36,25 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_admin::{Cordons, Succession};
+use wharfplank_admin::Cordons;
 use wharfplank_discovery::{SendDeadline, Staleness, SuspectReason, WatchEvent};
 use wharfplank_pool_policy::Opening;
 use wharfplank_protocol::client;
 use wharfplank_protocol::comment::ID_MOST;
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 use wharfplank_protocol::pipeline::{Answer, Ticket};
-use wharfplank_routing::settings::Terms;
+use wharfplank_routing::settings::ProxyParameters;
 use wharfplank_routing::{
-    self as routing, Action, AttemptNo, ClassId, Ending, Entry, GroupId, HostId, Listed, Micros, Outcome,
-    Probed, Request, RequestId, Role, Router, SessionKey,
+    self as routing, Action, AttemptNo, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointStatus,
+    GroupId, HostId, Micros, ProbeResult, Request, RequestId, Role, Router, SessionKey,
 };
-use wharfplank_transport::admin::Asking;
-use wharfplank_transport::client::Lane;
-use wharfplank_transport::clients::Clients;
+use wharfplank_transport::admin::AdminCall;
+use wharfplank_transport::client_connection::ResponseWriter;
+use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::DiscoveryWatch;
 use wharfplank_transport::fleet::Witness;
-use wharfplank_transport::members::{Member, Report, Shared, Stage};
-use wharfplank_transport::{Asked, Event, Statement};
+use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, MemberPool, PoolContext};
+use wharfplank_transport::{ClientRequest, ProxyEvent, Statement};
 
 /// The client counts its wait from its own send: answers are due this much earlier here.
 const ANSWER_MARGIN: Micros = 5_000;
@@ -69,8 +69,8 @@
 
 /// Why the broker goes on after a wait.
 enum Woken {
-    Operator(Asking),
-    Event(Event),
+    Operator(AdminCall),
+    Event(ProxyEvent),
     Closed,
     Time,
 }
@@ -79,11 +79,11 @@
 pub struct Broker {
     clock: Clock,
     router: Router,
-    terms: Terms,
+    terms: ProxyParameters,
     allowed: Allowed,
-    shared: Rc<Shared>,
-    clients: Rc<Clients>,
-    events: Sender<Event>,
+    shared: Rc<PoolContext>,
+    clients: Rc<ClientListener>,
+    events: Sender<ProxyEvent>,
     watch: DiscoveryWatch,
     journal: Journal,
     counts: Counts,
@@ -93,7 +93,7 @@
     ids: HashSet<String>,
     flights: HashMap<(RequestId, u32), Flight>,
     passing: streaming::Values,
-    members: BTreeMap<HostId, Rc<Member>>,
+    members: BTreeMap<HostId, Rc<MemberPool>>,
     names: HashMap<String, HostId>,
     /// The list as discovery tells it, without what operators say; and its version.
     listed: BTreeMap<String, EndpointRecord>,
@@ -107,7 +107,7 @@
     barred: Barred,
     timers: BinaryHeap<Reverse<Micros>>,
     /// Outcomes that are known at once; the router hears of them after the event in hand.
-    ended: VecDeque<(RequestId, u32, HostId, Micros, Ending)>,
+    ended: VecDeque<(RequestId, u32, HostId, Micros, AttemptOutcome)>,
     started: Micros,
     told: bool,
     ready: bool,
@@ -123,9 +123,9 @@
     pub fn new(
         config: &Config,
         clock: Clock,
-        shared: Rc<Shared>,
-        clients: Rc<Clients>,
-        events: Sender<Event>,
+        shared: Rc<PoolContext>,
+        clients: Rc<ClientListener>,
+        events: Sender<ProxyEvent>,
         watch: DiscoveryWatch,
         journal: Journal,
     ) -> Self {
@@ -180,7 +180,12 @@
     }
 
     /// Works until the process is to end.
-    pub async fn run(mut self, known: EndpointList, received: Receiver<Event>, operators: Receiver<Asking>) {
+    pub async fn run(
+        mut self,
+        known: EndpointList,
+        received: Receiver<ProxyEvent>,
+        operators: Receiver<AdminCall>,
+    ) {
         let mut actions = Vec::new();
         self.router.start(&mut actions);
         self.perform(self.clock.now(), actions);
@@ -219,30 +224,30 @@
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn event(&mut self, event: ProxyEvent) {
         match event {
-            Event::Asked(asked) => self.asked(*asked),
-            Event::Gone(ticket) => self.gone(ticket),
-            Event::Cancelled(ticket) => self.cancelled(ticket),
-            Event::Attempt { id, attempt, report } => self.attempt_ended(id, attempt, report),
-            Event::Passed { id, attempt, report } => self.passed(id, attempt, report),
-            Event::Probed { host, report } => self.probed(host, report),
-            Event::Told(news) => {
+            ProxyEvent::RequestReceived(asked) => self.asked(*asked),
+            ProxyEvent::ClientDisconnected(ticket) => self.gone(ticket),
+            ProxyEvent::RequestCancelled(ticket) => self.cancelled(ticket),
+            ProxyEvent::AttemptFinished { id, attempt, report } => self.attempt_ended(id, attempt, report),
+            ProxyEvent::StreamFinished { id, attempt, report } => self.passed(id, attempt, report),
+            ProxyEvent::ProbeFinished { host, report } => self.probed(host, report),
+            ProxyEvent::PeerNews(news) => {
                 let told = self.talk.told(&news, self.clock.now() + AHEAD_MOST);
-                self.tell(routing::Event::Told(told));
+                self.tell(routing::Event::PeerObservations(told));
             }
-            Event::Heard(news, age) => self.heard(news, age),
-            Event::Shares(shares) => {
+            ProxyEvent::EndpointsChanged(news, age) => self.heard(news, age),
+            ProxyEvent::ZoneShares(shares) => {
                 let shares = shares.iter().map(|(zone, share)| (zone_number(zone), *share)).collect();
-                self.tell(routing::Event::Shares(shares));
+                self.tell(routing::Event::ZoneReadShares(shares));
             }
-            Event::Factors(factors) => {
+            ProxyEvent::MemberFactors(factors) => {
                 let factors = self.talk.factors(&factors);
-                self.tell(routing::Event::Factors(factors));
+                self.tell(routing::Event::LatencyFactors(factors));
             }
-            Event::Other(other) => self.other(other),
-            Event::Reload => self.reload(),
-            Event::Terminate => self.terminate(),
+            ProxyEvent::Handover(other) => self.other(other),
+            ProxyEvent::ReloadRequested => self.reload(),
+            ProxyEvent::ShutdownRequested => self.terminate(),
         }
     }
 }
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -1,13 +1,13 @@
 //! Long values that pass through: what the router hears of them when, and their end.
 
 use super::*;
-use wharfplank_routing::{Class, Consistency, Settings, Told};
+use wharfplank_routing::{Class, Consistency, PeerObservation, Settings};
 
 /// An attempt whose answer has begun.
 struct Passing {
     flight: Flight,
     /// What the router is told at the end, where that is later.
-    begun: Option<Outcome>,
+    begun: Option<AttemptResult>,
 }
 
 /// The attempts whose long value passes through; their requests stay in the broker's tables to its end.
@@ -19,7 +19,8 @@
 
 impl Values {
     pub(super) fn new(settings: &Settings) -> Self {
-        let remembered = |class: &Class| class.consistency == Consistency::Write && !settings.tokens_carried;
+        let remembered =
+            |class: &Class| class.consistency == Consistency::Write && !settings.sessions_carry_tokens;
         Values { open: HashMap::new(), marks: settings.classes.iter().map(remembered).collect() }
     }
 
@@ -45,33 +46,33 @@
     /// with the time that the first bytes took, since neither the rest of them nor a client that takes them slowly
     /// tells anything of the member's load. Only a write whose commit sessions must remember is heard of at its
     /// end, where the commit stands.
-    pub(super) fn began(&mut self, id: RequestId, attempt: u32, mut report: Report) {
+    pub(super) fn began(&mut self, id: RequestId, attempt: u32, mut report: AttemptReport) {
         let Some(flight) = self.flights.remove(&(id, attempt)) else { return };
-        if let Some((open, flow)) = self.requests.get(&id).zip(report.flow.take()) {
-            open.lane.begin(open.ticket, flow);
+        if let Some((open, flow)) = self.requests.get(&id).zip(report.stream.take()) {
+            open.response_writer.begin_stream(open.ticket, flow);
         }
         let outcome = self.outcome(id, attempt, flight.host, flight.sent, &report);
-        let routing::Event::Outcome(outcome) = outcome else { return };
+        let routing::Event::AttemptFinished(outcome) = outcome else { return };
         let class = self.requests.get(&id).map(|open| open.class);
         let marks = class.is_some_and(|class| self.passing.marks.get(class.0) == Some(&true));
         let later = marks.then(|| outcome.clone());
         self.passing.open.insert((id, attempt), Passing { flight, begun: later });
         if !marks {
-            self.tell(routing::Event::Outcome(outcome));
+            self.tell(routing::Event::AttemptFinished(outcome));
         }
     }
 
     /// A value that passed through is over.
-    pub(super) fn passed(&mut self, id: RequestId, attempt: u32, report: Report) {
+    pub(super) fn passed(&mut self, id: RequestId, attempt: u32, report: AttemptReport) {
         let Some(Passing { flight, begun }) = self.passing.open.remove(&(id, attempt)) else { return };
-        self.talk.ended(self.clock.now(), id, report.ending);
-        self.lookups.ended(self.clock.now(), (id, attempt), report.ending);
-        self.talk.saw(flight.host, flight.sent, report.ending);
-        self.counts.one("attempt", counts::ending(report.ending), "");
+        self.talk.ended(self.clock.now(), id, report.outcome);
+        self.lookups.ended(self.clock.now(), (id, attempt), report.outcome);
+        self.talk.saw(flight.host, flight.sent, report.outcome);
+        self.counts.one("attempt", counts::ending(report.outcome), "");
         // Where the client left meanwhile, nothing more is owed or counted.
         if self.requests.contains_key(&id) {
             let primary = report.answer.as_ref().is_some_and(|a| a.primary == Some(true));
-            let answer = if report.ending == Ending::Ok {
+            let answer = if report.outcome == AttemptOutcome::Ok {
                 let member = Some(flight.host);
                 self.count(id, "served", if primary { "primary" } else { "replica" });
                 self.note_end(id, |journal, ended| journal.served(Ended { member, ..ended }));
@@ -83,22 +84,22 @@
             self.ended(id, &answer);
         }
         let heard = self.outcome(id, attempt, flight.host, flight.sent, &report);
-        let routing::Event::Outcome(heard) = heard else { return };
+        let routing::Event::AttemptFinished(heard) = heard else { return };
         self.talk.learned(self.clock.now(), flight.host, heard.position);
         match begun {
             Some(begun) => {
                 let (role, position) = (heard.role, heard.position);
-                self.tell(routing::Event::Outcome(Outcome { role, position, ..begun }));
+                self.tell(routing::Event::AttemptFinished(AttemptResult { role, position, ..begun }));
             }
             // What it told at its end is a position that it has reached, and no more.
             None => {
-                let told = heard.position.map(|position| Told {
+                let told = heard.position.map(|position| PeerObservation {
                     host: flight.host,
                     position,
                     suspected_at: 0,
                     traits: None,
                 });
-                self.tell(routing::Event::Told(told.into_iter().collect()));
+                self.tell(routing::Event::PeerObservations(told.into_iter().collect()));
             }
         }
     }
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -5,7 +5,7 @@
 mod poll;
 
 use super::budgets::Budgets;
-use super::{within, Ends, Event, Now};
+use super::{with_deadline, ConnectionEndObserver, Now, ProxyEvent};
 use async_channel::{SendError, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
@@ -28,9 +28,9 @@
     /// Runs the watch.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Takes the watch's events.
-    pub events: Sender<Event>,
+    pub events: Sender<ProxyEvent>,
     /// Logs the end of each connection.
-    pub ends: Ends,
+    pub ends: ConnectionEndObserver,
     /// The clock of the tracker.
     pub now: Now,
     /// The fleet's budgets, which limit polls, if there are any.
@@ -137,8 +137,12 @@
         self.context.budgets.as_ref().is_none_or(|budgets| budgets.discovery())
     }
 
-    async fn report(&self, event: WatchEvent, staleness: Option<Staleness>) -> Result<(), SendError<Event>> {
-        self.context.events.send(Event::Heard(event, staleness)).await
+    async fn report(
+        &self,
+        event: WatchEvent,
+        staleness: Option<Staleness>,
+    ) -> Result<(), SendError<ProxyEvent>> {
+        self.context.events.send(ProxyEvent::EndpointsChanged(event, staleness)).await
     }
 
     /// Runs `work`, and meanwhile expires the tracker's deadlines when they are due.
@@ -148,7 +152,7 @@
             let next_deadline = self.tracker.borrow().next_deadline();
             let Some(deadline) = next_deadline else { return work.await };
             let expires_at = Instant::now() + self.delay_until(deadline);
-            if let Some(output) = within(expires_at, work.as_mut()).await {
+            if let Some(output) = with_deadline(expires_at, work.as_mut()).await {
                 return output;
             }
             let event = self.tracker.borrow_mut().expire_deadlines(self.now());
--- a/crates/transport/src/discovery/connection.rs
+++ b/crates/transport/src/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to discovery, and its line in the log.
 
 use super::poll::Limits;
-use crate::{within, Ended, Ends};
+use crate::{with_deadline, ConnectionEnd, ConnectionEndObserver};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::cell::Cell;
@@ -64,7 +64,7 @@
 
 /// The connection's line in the log, written when this is dropped.
 pub(super) struct LogEntry {
-    pub(super) ends: Ends,
+    pub(super) ends: ConnectionEndObserver,
     pub(super) peer: SocketAddr,
     pub(super) opened_at: Instant,
     /// Polls that were answered.
@@ -78,7 +78,7 @@
 impl Drop for LogEntry {
     fn drop(&mut self) {
         let reason = self.reason.unwrap_or(self.drop_reason.get());
-        (self.ends)(&Ended {
+        (self.ends)(&ConnectionEnd {
             side: "discovery",
             peer: self.peer,
             name: "",
@@ -99,7 +99,7 @@
     ) -> Result<http::Answer, CloseReason> {
         self.response_begun = false;
         let request = http::get(target, host);
-        let written = within(limits.first_byte_by, self.stream.write_all(&request)).await;
+        let written = with_deadline(limits.first_byte_by, self.stream.write_all(&request)).await;
         written.ok_or(CloseReason::Timeout)?.map_err(|_| CloseReason::Reset)?;
         self.read_response(limits).await
     }
@@ -124,7 +124,7 @@
 
     /// Reads into the buffer; 0 where discovery closed the connection.
     async fn read_some(&mut self, deadline: Instant) -> Result<usize, CloseReason> {
-        let read = within(deadline, self.stream.read(self.reader.buffer.space())).await;
+        let read = with_deadline(deadline, self.stream.read(self.reader.buffer.space())).await;
         let count = read.ok_or(CloseReason::Timeout)?.map_err(|_| CloseReason::Reset)?;
         self.reader.buffer.filled(count);
         Ok(count)
--- a/crates/transport/src/discovery/poll.rs
+++ b/crates/transport/src/discovery/poll.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{CloseReason, Connection, LogEntry};
 use super::Poller;
-use crate::within;
+use crate::with_deadline;
 use async_io::Async;
 use futures_lite::future;
 use std::future::Future;
@@ -101,7 +101,7 @@
         let result = {
             let mut first = pin!(self.attempt(idle, attempt));
             let hedge_at = started + span(request.hedge.after);
-            if let Some(result) = within(hedge_at, first.as_mut()).await {
+            if let Some(result) = with_deadline(hedge_at, first.as_mut()).await {
                 return result;
             }
             if !self.try_spend_budget() {
@@ -170,7 +170,7 @@
             reason: None,
             drop_reason: Rc::clone(&self.drop_reason),
         };
-        match within(deadline, Async::<TcpStream>::connect(self.address)).await {
+        match with_deadline(deadline, Async::<TcpStream>::connect(self.address)).await {
             Some(Ok(stream)) => {
                 // Without the option polls are slower, and no less correct.
                 let _ = stream.get_ref().set_nodelay(true);
