--- a/crates/proxy/src/broker/admin_calls.rs
+++ b/crates/proxy/src/broker/admin_calls.rs
@@ -1,69 +1,87 @@
-//! Operators' calls: members taken out and called back, and the figures.
+//! Operators' calls: health and metrics of the process, and cordons on members.
 
 use super::*;
+use std::collections::HashMap;
 use wharfplank_admin::{Avoided, Call, Gauges, Refusal};
 use wharfplank_routing::View;
 
 impl Broker {
-    /// Carries a call out at once, and words its answer. What a yes promises holds before it is written: no member
-    /// that is out gets a first byte from then on.
-    pub(super) fn operate(&mut self, call: &Call) -> String {
+    /// Carries a call out at once, and returns the text of its answer. What a positive answer promises holds before
+    /// it is written: a member that is cordoned gets no first byte from then on.
+    pub(super) fn perform_admin_call(&mut self, call: &Call) -> String {
         match call {
-            Call::Health => match (self.leaving_at.is_some(), self.ready) {
-                (true, _) => "fail leaving\n".to_string(),
-                (false, true) => "ok ready\n".to_string(),
-                (false, false) => "fail starting\n".to_string(),
-            },
+            Call::Health => self.health_text().to_string(),
             Call::Counters => {
-                if self.counts.on() {
-                    let avoided = self.avoided().map(|(id, why)| format!("{id}:{}", why.name()));
-                    log::avoided(&avoided.collect::<Vec<_>>().join(","));
-                }
-                format!("{}\neof\n", self.shared.figures.line(self.gauges()))
+                self.log_avoided_members();
+                format!("{}\neof\n", self.pools.figures.line(self.gauges()))
             }
             Call::Cordon(id) => {
-                let listed = self.listed.contains_key(id);
-                let done = self.cordons.cordon(id, listed);
-                self.cordoned(id, done)
+                let is_listed = self.endpoints.records.contains_key(id);
+                let result = self.endpoints.cordons.cordon(id, is_listed);
+                self.apply_cordon(id, result)
             }
             Call::Uncordon(id) => {
-                let (listed, now) = (self.listed.contains_key(id), self.clock.now());
-                let done = self.cordons.uncordon(id, listed, now);
-                self.cordoned(id, done)
+                let is_listed = self.endpoints.records.contains_key(id);
+                let result = self.endpoints.cordons.uncordon(id, is_listed, self.clock.now());
+                self.apply_cordon(id, result)
             }
         }
     }
 
-    /// Puts a call on a member into force, if it is none of those that are answered no.
-    pub(super) fn cordoned(&mut self, id: &str, done: Result<(), Refusal>) -> String {
-        if let Err(refusal) = done {
+    fn health_text(&self) -> &'static str {
+        if self.lifecycle.is_shutting_down() {
+            "fail leaving\n"
+        } else if self.lifecycle.is_ready() {
+            "ok ready\n"
+        } else {
+            "fail starting\n"
+        }
+    }
+
+    /// Applies the changed cordon of a member to the router and the pools, unless it was refused; returns the text of
+    /// the answer.
+    pub(super) fn apply_cordon(&mut self, id: &str, result: Result<(), Refusal>) -> String {
+        if let Err(refusal) = result {
             log::operator(id, refusal.name());
             return format!("fail {}\n", refusal.name());
         }
-        let out = self.cordons.is_out(id);
-        log::operator(id, if out { "cordoned" } else { "uncordoned" });
-        if let Some(host) = self.listed.get(id).map(|host| self.cordons.apply(host)) {
-            self.enlist(EndpointList { version: self.seq, complete: false, endpoints: vec![host] });
+        let is_cordoned = self.endpoints.cordons.is_out(id);
+        let state = if is_cordoned { "cordoned" } else { "uncordoned" };
+        log::operator(id, state);
+        let record = self.endpoints.records.get(id).map(|record| self.endpoints.cordons.apply(record));
+        if let Some(record) = record {
+            let version = self.endpoints.version;
+            self.apply_effective_list(&EndpointList { version, complete: false, endpoints: vec![record] });
+        }
+        format!("ok {state}\n")
+    }
+
+    fn log_avoided_members(&self) {
+        if self.counts.on() {
+            let avoided = self.avoided_members().map(|(id, reason)| format!("{id}:{}", reason.name()));
+            log::avoided(&avoided.collect::<Vec<_>>().join(","));
         }
-        format!("ok {}\n", if out { "cordoned" } else { "uncordoned" })
     }
 
-    /// The members of the list that are left out, and why.
-    fn avoided(&self) -> impl Iterator<Item = (&str, Avoided)> {
+    /// The listed members that get no requests, and why.
+    fn avoided_members(&self) -> impl Iterator<Item = (&str, Avoided)> {
         let now = self.clock.now();
-        let since = |view: View| Some((view.host, view.suspected?));
-        let suspects: HashMap<HostId, Micros> = self.router.view().filter_map(since).collect();
-        self.listed.iter().filter_map(move |(id, host)| {
-            let since = self.names.get(id).and_then(|host| suspects.get(host)).copied();
-            Some((id.as_str(), Avoided::why(host.health, self.cordons.is_out(id), since, now)?))
+        let suspected_since = |view: View| Some((view.host, view.suspected?));
+        let suspected: HashMap<HostId, Micros> = self.router.view().filter_map(suspected_since).collect();
+        let endpoints = &self.endpoints;
+        endpoints.records.iter().filter_map(move |(id, record)| {
+            let since = endpoints.ids.get(id).and_then(|host| suspected.get(host)).copied();
+            let is_cordoned = endpoints.cordons.is_out(id);
+            let reason = Avoided::why(record.health, is_cordoned, since, now)?;
+            Some((id.as_str(), reason))
         })
     }
 
     fn gauges(&self) -> Gauges {
         Gauges {
             concurrent: self.requests.len(),
-            targets: self.listed.len(),
-            targets_disabled: self.avoided().count(),
+            targets: self.endpoints.records.len(),
+            targets_disabled: self.avoided_members().count(),
         }
     }
 }
--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -1,231 +1,197 @@
-//! The router's actions, and the attempts and probes that come of them.
+//! The life of an attempt: sending it, ending it from this side, and handling the driver's report.
 
 use super::health_checks::role;
 use super::*;
+use std::cell::Cell;
+use std::time::Instant;
+use wharfplank_transport::members::Member;
 
-/// What is left of a send's margin when its last byte must be out.
+/// How long before the end of [`SEND_MARGIN`] the last byte of a request must be written.
 const WRITE_MARGIN: Micros = 500;
 
-/// An attempt that is out.
-pub(super) struct Flight {
-    pub(super) host: HostId,
-    pub(super) sent: Micros,
-    /// What its member had told before.
-    pub(super) position: Option<Micros>,
-    pub(super) stage: Rc<Cell<Stage>>,
-    /// Dropping it closes the attempt's connection.
-    pub(super) task: Task<()>,
-}
-
-/// What the settings allow of attempts.
-pub(super) struct Allowed {
-    /// The most of one request.
-    pub(super) attempts: u32,
-    /// Whether one that has begun may be given up.
-    pub(super) cancels: bool,
-}
-
-impl Allowed {
-    pub(super) fn by(settings: &routing::Settings) -> Self {
-        Allowed { attempts: settings.max_attempts, cancels: settings.may_cancel }
-    }
+/// The time bounds of an attempt.
+struct AttemptDeadlines {
+    /// When the attempt times out.
+    answer: Instant,
+    /// When its last byte must have been written, if that is bounded.
+    last_byte: Option<Instant>,
 }
 
 impl Broker {
-    /// Tells the router, carries out what it does, and tells it what that ends at once.
-    pub(super) fn tell(&mut self, event: routing::Event) {
-        self.tell_at(self.clock.now(), event);
-    }
-
-    pub(super) fn tell_at(&mut self, now: Micros, event: routing::Event) {
-        self.route(now, event);
-        self.settle();
-    }
-
-    pub(super) fn route(&mut self, now: Micros, event: routing::Event) {
-        let mut actions = Vec::new();
-        self.bar_retries(now, &mut actions);
-        self.router.handle(now, event, &mut actions);
-        self.perform(now, actions);
+    /// Sends an attempt that the router decided on at `now`, which all its deadlines count from. An attempt that may
+    /// not be sent any more is reported as not sent.
+    pub(super) fn send_attempt(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        host: HostId,
+        timeout: Micros,
+        holds_until: Option<Micros>,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let key = AttemptKey::new(id, request.attempts);
+        request.attempts += 1;
+        let Some(member) = self.sendable_member(key, host) else {
+            return self.report_not_sent(now, key, host);
+        };
+        let Some(request) = self.requests.get(id) else { return };
+        let write = self.negative_cache.begin(now, key.into(), request.class, request.touched_key.as_ref());
+        let Ok(write_until) = write else {
+            return self.report_not_sent(now, key, host);
+        };
+        let bound = holds_until.map(|until| until + SEND_MARGIN - WRITE_MARGIN);
+        let last_byte = bound.into_iter().chain(write_until).min();
+        let deadlines = AttemptDeadlines {
+            answer: self.clock.instant(now.saturating_add(timeout)),
+            last_byte: last_byte.map(|until| self.clock.instant(until)),
+        };
+        self.spawn_attempt(now, key, host, &member, deadlines);
     }
 
-    /// Tells the router of the attempts that ended at once, until none is left.
-    pub(super) fn settle(&mut self) {
-        while let Some((id, attempt, host, sent, ending)) = self.ended.pop_front() {
-            if self.counts.on() {
-                self.keep_ending(id, host, ending);
-            }
-            self.talk.saw(host, sent, ending);
-            self.close_left(id);
-            let outcome = self.outcome(id, attempt, host, sent, &Report::bare(ending));
-            self.route(self.clock.now(), outcome);
-            self.settle_probes();
-        }
-        self.settle_probes();
+    /// The member to send an attempt to, unless the attempt is one too many, a budget denies the retry, the client
+    /// has gone, or the member has no connection pool.
+    fn sendable_member(&self, key: AttemptKey, host: HostId) -> Option<Rc<Member>> {
+        let request = self.requests.get(key.request)?;
+        let is_retry = key.number > 0;
+        // A retry takes from the budget even where it is then not sent for another reason.
+        let is_denied = is_retry && self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.retry());
+        let may_send = key.number < self.attempt_limits.max_attempts
+            && !is_denied
+            && request.responses.awaits(request.ticket);
+        self.endpoints.members.get(&host).filter(|_| may_send).cloned()
     }
 
-    /// Carries out what the router decided at this time.
-    pub(super) fn perform(&mut self, now: Micros, actions: Vec<Action>) {
-        for action in actions {
-            match action {
-                Action::Send { id, host, timeout, holds_until } => {
-                    self.send(now, (id, host), timeout, holds_until)
-                }
-                Action::Refuse { id, retry_after, reason } => {
-                    self.count(id, "refused", recorded(reason).name());
-                    self.note_end(id, |journal, ended| journal.given_up(ended, true, reason));
-                    self.answer(id, Answer::Refused((retry_after + 999) / 1000))
-                }
-                Action::Fail(id, reason) => {
-                    if let Some(open) = self.requests.get(&id) {
-                        self.talk.failed(self.clock.now(), open.class, open.attempts, &open.name);
-                    }
-                    self.count(id, "failed", recorded(reason).name());
-                    self.note_end(id, |journal, ended| journal.given_up(ended, false, reason));
-                    self.answer(id, Answer::Failed)
-                }
-                Action::Cancel { id, attempt } => self.end(id, attempt.0, Ending::Cancelled),
-                Action::Probe(host, why) => {
-                    self.counts.one("probe", counts::why(why), "");
-                    self.probe(host);
-                }
-                Action::Timer(span) => self.timers.push(Reverse(self.clock.now() + span)),
-                // The watch on discovery always runs.
-                Action::Follow => {}
-            }
-        }
+    fn report_not_sent(&mut self, now: Micros, key: AttemptKey, host: HostId) {
+        self.attempts.push_finished(FinishedAttempt { key, host, sent_at: now, outcome: Ending::Moot });
     }
 
-    /// Begins an attempt that was decided at `now`: all its times count from then.
-    fn send(
+    /// Spawns the task that runs an attempt and reports its end, and a streamed answer's end, as events.
+    fn spawn_attempt(
         &mut self,
         now: Micros,
-        (id, host): (RequestId, HostId),
-        timeout: Micros,
-        holds_until: Option<Micros>,
+        key: AttemptKey,
+        host: HostId,
+        member: &Rc<Member>,
+        deadlines: AttemptDeadlines,
     ) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let attempt = open.attempts;
-        open.attempts += 1;
-        let barred = attempt > 0 && self.shared.budgets.as_ref().is_some_and(|budgets| !budgets.retry());
-        let wanted = attempt < self.allowed.attempts && !barred && open.lane.awaits(open.ticket);
-        let member = self.members.get(&host).filter(|_| wanted);
-        let Some(member) = member else {
-            self.ended.push_back((id, attempt, host, now, Ending::Moot));
-            return;
-        };
-        let Ok(leave) = self.lookups.begin(now, (id, attempt), open.class, open.touch.as_ref()) else {
-            self.ended.push_back((id, attempt, host, now, Ending::Moot));
-            return;
-        };
+        let Some(request) = self.requests.get(key.request) else { return };
         let stage: Rc<Cell<Stage>> = Rc::default();
-        let holds = holds_until.map(|until| until + SEND_MARGIN - WRITE_MARGIN);
-        let holds = holds.into_iter().chain(leave).min().map(|until| self.clock.instant(until));
-        let deadline = self.clock.instant(now.saturating_add(timeout));
-        let (member, statement) = (Rc::clone(member), Rc::clone(&open.statement));
-        let (lane, ticket) = (Rc::clone(&open.lane), open.ticket);
-        let wanted = move || lane.awaits_now(ticket);
-        let work = member.attempt(statement, Rc::clone(&stage), deadline, holds, wanted);
-        let (events, done) = (self.events.clone(), Rc::clone(&stage));
-        let task = self.shared.executor.spawn(async move {
+        let responses = Rc::clone(&request.responses);
+        let ticket = request.ticket;
+        let is_awaited = move || responses.awaits_now(ticket);
+        let work = Rc::clone(member).attempt(
+            Rc::clone(&request.statement),
+            Rc::clone(&stage),
+            deadlines.answer,
+            deadlines.last_byte,
+            is_awaited,
+        );
+        let events = self.events.clone();
+        let task_stage = Rc::clone(&stage);
+        let AttemptKey { request: id, number: attempt } = key;
+        let task = self.pools.executor.spawn(async move {
             let (report, stream) = work.await;
-            done.set(Stage::Done);
+            task_stage.set(Stage::Done);
             let _ = events.send(Event::Attempt { id, attempt, report }).await;
             if let Some(stream) = stream {
                 let report = stream.pass().await;
                 let _ = events.send(Event::Passed { id, attempt, report }).await;
             }
         });
-        let position = self.lookups.position(host);
-        self.flights.insert((id, attempt), Flight { host, sent: now, position, stage, task });
+        let position_at_send = self.negative_cache.position(host);
+        self.attempts.insert(key, InFlightAttempt { host, sent_at: now, position_at_send, stage, task });
     }
 
-    /// Ends an attempt from this side: its connection closes. One whose report is on the way keeps it: a
-    /// value that has arrived is not thrown away. One that was not written whole never ran.
-    pub(super) fn end(&mut self, id: RequestId, attempt: u32, ending: Ending) {
-        let stage = self.flights.get(&(id, attempt)).map(|f| f.stage.get());
-        let ending = match stage {
+    /// Ends an attempt from this side by closing its connection. An attempt whose report is already queued goes on:
+    /// an answer that has arrived is not thrown away. One that was not written completely never ran.
+    pub(super) fn end_attempt(&mut self, key: AttemptKey, outcome: Ending) {
+        let outcome = match self.attempts.stage(key) {
             Some(Stage::Done) => return,
             Some(Stage::Waiting | Stage::Begun) => Ending::Moot,
-            _ => ending,
+            _ => outcome,
         };
-        if let Some(flight) = self.flights.remove(&(id, attempt)) {
-            drop(flight.task);
-            self.counts.one("attempt", counts::ending(ending), "");
-            self.talk.ended(self.clock.now(), id, ending);
-            self.lookups.ended(self.clock.now(), (id, attempt), ending);
-            self.ended.push_back((id, attempt, flight.host, flight.sent, ending));
-        }
+        let Some(attempt) = self.attempts.remove(key) else { return };
+        drop(attempt.task);
+        self.counts.one("attempt", counts::ending(outcome), "");
+        self.note_attempt_ended(key, outcome);
+        self.attempts.push_finished(FinishedAttempt {
+            key,
+            host: attempt.host,
+            sent_at: attempt.sent_at,
+            outcome,
+        });
     }
 
-    /// Gives up all that is open, at the process's end. Attempts that were not written whole are taken back first:
-    /// they never ran, so their requests are refused.
-    pub(super) fn give_up(&mut self) {
-        self.tell(routing::Event::Closing);
-        let unsent =
-            self.flights.iter().filter(|(_, f)| matches!(f.stage.get(), Stage::Waiting | Stage::Begun));
-        let mut unsent: Vec<_> = unsent.map(|(key, _)| *key).collect();
-        unsent.sort_unstable();
-        unsent.into_iter().for_each(|(id, attempt)| self.end(id, attempt, Ending::Moot));
-        self.settle();
-        self.tell(routing::Event::Close);
+    /// Tells gossip and the negative cache how an attempt ended: a write may now be settled, or in doubt.
+    pub(super) fn note_attempt_ended(&mut self, key: AttemptKey, outcome: Ending) {
+        self.gossip.ended(self.clock.now(), key.request, outcome);
+        self.negative_cache.ended(self.clock.now(), key.into(), outcome);
     }
 
-    pub(super) fn attempt_ended(&mut self, id: RequestId, attempt: u32, mut report: Report) {
+    /// Handles the driver's report of an attempt: the complete answer, its first bytes, or the failure.
+    pub(super) fn on_attempt_report(&mut self, key: AttemptKey, report: Report) {
         if report.flow.is_some() {
-            return self.began(id, attempt, report);
+            self.on_stream_started(key, report);
+        } else {
+            self.on_attempt_finished(key, report);
         }
-        self.note_left(id);
-        let Some(flight) = self.flights.remove(&(id, attempt)) else { return };
-        self.talk.ended(self.clock.now(), id, report.ending);
-        self.lookups.ended(self.clock.now(), (id, attempt), report.ending);
-        if let Some(open) = self.requests.get(&id) {
-            self.talk.tried(self.clock.now(), flight.host, open.class, flight.sent, report.ending);
-            self.releases.ended(flight.host, open.class, self.clock.now() - flight.sent, report.ending);
-        }
-        if report.ending == Ending::Ok {
-            if let Some(answer) = &mut report.answer {
-                self.looked_up(id, flight.position, answer);
-                let member = Some(flight.host);
-                self.count(id, "served", if answer.primary == Some(true) { "primary" } else { "replica" });
-                self.note_end(id, |journal, ended| journal.served(Ended { member, ..ended }));
-                self.answer(id, Answer::Served(std::mem::take(&mut answer.messages)));
-            }
-        }
-        self.counts.one("attempt", counts::ending(report.ending), "");
-        if self.counts.on() {
-            self.keep_ending(id, flight.host, report.ending);
-        }
-        self.talk.saw(flight.host, flight.sent, report.ending);
-        let outcome = self.outcome(id, attempt, flight.host, flight.sent, &report);
-        if let routing::Event::Outcome(outcome) = &outcome {
-            self.talk.learned(self.clock.now(), flight.host, outcome.position);
-            self.lookups.learned(flight.host, outcome.position);
+    }
+
+    fn on_attempt_finished(&mut self, key: AttemptKey, mut report: Report) {
+        self.notice_client_left(key.request);
+        let Some(attempt) = self.attempts.remove(key) else { return };
+        let outcome = report.ending;
+        self.note_attempt_ended(key, outcome);
+        self.report_attempt_latency(key.request, &attempt, outcome);
+        if outcome == Ending::Ok {
+            self.serve_answer(key.request, &attempt, &mut report);
         }
-        self.tell(outcome);
+        self.counts.one("attempt", counts::ending(outcome), "");
+        self.note_attempt_outcome(key.request, attempt.host, outcome);
+        self.gossip.saw(attempt.host, attempt.sent_at, outcome);
+        let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
+        self.gossip.learned(self.clock.now(), attempt.host, result.position);
+        self.negative_cache.learned(attempt.host, result.position);
+        self.notify_router(routing::Event::Outcome(result));
+    }
+
+    /// Reports an attempt's latency and outcome to the health check of the fleet and to a release under way.
+    fn report_attempt_latency(&mut self, id: RequestId, attempt: &InFlightAttempt, outcome: Ending) {
+        let Some(request) = self.requests.get(id) else { return };
+        let now = self.clock.now();
+        self.gossip.tried(now, attempt.host, request.class, attempt.sent_at, outcome);
+        self.releases.ended(attempt.host, request.class, now - attempt.sent_at, outcome);
+    }
+
+    /// Answers a request with the complete answer of a member.
+    fn serve_answer(&mut self, id: RequestId, attempt: &InFlightAttempt, report: &mut Report) {
+        let Some(answer) = &mut report.answer else { return };
+        self.update_negative_cache(id, attempt.position_at_send, answer);
+        self.record_served(id, attempt.host, answer.primary);
+        self.answer(id, Answer::Served(std::mem::take(&mut answer.messages)));
     }
 
-    pub(super) fn outcome(
+    /// The result of an attempt as the router takes it. A position that is ahead of the clock is left out.
+    pub(super) fn attempt_result(
         &self,
-        id: RequestId,
-        attempt: u32,
+        key: AttemptKey,
         host: HostId,
-        sent: Micros,
-        r: &Report,
-    ) -> routing::Event {
-        let primary = r.answer.as_ref().and_then(|a| a.primary);
-        let position = r.answer.as_ref().and_then(|a| a.applied_ms);
-        let position = position.map(|ms| ms.saturating_mul(1000));
-        let latest = self.clock.now() + AHEAD_MOST;
-        routing::Event::Outcome(Outcome {
-            id,
-            attempt: AttemptNo(attempt),
+        sent_at: Micros,
+        report: &Report,
+    ) -> Outcome {
+        let now = self.clock.now();
+        let answer = report.answer.as_ref();
+        let position = answer.and_then(|answer| answer.applied_ms).map(|ms| ms.saturating_mul(1000));
+        let valid_positions = 1..=now + MAX_POSITION_AHEAD;
+        Outcome {
+            id: key.request,
+            attempt: AttemptNo(key.number),
             host,
-            ending: r.ending,
-            terminal: !self.requests.contains_key(&id),
-            latency: self.clock.now() - sent,
-            role: primary.map(role),
-            position: position.filter(|at| (1..=latest).contains(at)),
-        })
+            ending: report.ending,
+            terminal: !self.requests.contains(key.request),
+            latency: now - sent_at,
+            role: answer.and_then(|answer| answer.primary).map(role),
+            position: position.filter(|position| valid_positions.contains(position)),
+        }
     }
 }
--- a/crates/proxy/src/broker/budgets.rs
+++ b/crates/proxy/src/broker/budgets.rs
@@ -1,61 +1,83 @@
-//! The fleet's budgets on a request's way: what they do not allow is told to the router, whose call it stays.
+//! The fleet's budgets, applied to requests, retries, health checks and connections. What a budget denies is reported
+//! to the router, which decides what follows.
 
 use super::*;
+use std::collections::VecDeque;
 
-/// What budgets did not allow.
+/// What the budgets have denied.
 #[derive(Default)]
-pub(super) struct Barred {
-    /// Whether the router was told that no attempt beyond the first may be sent.
+pub(super) struct BudgetDenials {
+    /// Whether the router was told that no retries may be sent.
     retries: bool,
-    /// Members that were not probed; the router hears of them after the event in hand.
-    pub(super) probes: VecDeque<HostId>,
+    /// Members whose health check was denied; the router hears of them after the event in hand.
+    health_checks: VecDeque<HostId>,
+}
+
+impl BudgetDenials {
+    pub(super) fn push_health_check(&mut self, host: HostId) {
+        self.health_checks.push_back(host);
+    }
 }
 
 impl Broker {
-    /// Whether a budget has no room for one more request of this group.
-    pub(super) fn denied(&mut self, group: GroupId) -> bool {
-        let denied = self.shared.budgets.as_ref().is_some_and(|budgets| !budgets.request(group.0));
-        if denied {
+    /// Takes one more request of this group from the budgets; true where they have no capacity for it.
+    pub(super) fn is_over_budget(&mut self, group: GroupId) -> bool {
+        let is_denied = self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.request(group.0));
+        if is_denied {
             self.counts.one("budget", "denied", "");
         }
-        denied
+        is_denied
     }
 
-    /// Tells the router whether attempts beyond the first may be sent, where that has changed.
-    pub(super) fn bar_retries(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let barred = self.shared.budgets.as_ref().is_some_and(|budgets| !budgets.could_retry());
-        if barred != std::mem::replace(&mut self.barred.retries, barred) {
-            self.router.handle(now, routing::Event::Retries(!barred), actions);
+    /// Tells the router whether retries may be sent, where that has changed.
+    pub(super) fn update_retry_permission(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let is_denied = self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.could_retry());
+        if is_denied != self.budget_denials.retries {
+            self.budget_denials.retries = is_denied;
+            self.router.handle(now, routing::Event::Retries(!is_denied), actions);
         }
     }
 
-    /// Tells the router of probes that no budget allowed: it decides without their reports, and no member is blamed.
-    pub(super) fn settle_probes(&mut self) {
-        while let Some(host) = self.barred.probes.pop_front() {
+    /// Tells the router of health checks that a budget denied: it decides without their results, and no member is
+    /// taken for faulty.
+    pub(super) fn report_denied_health_checks(&mut self) {
+        while let Some(host) = self.budget_denials.health_checks.pop_front() {
             self.counts.one("probed", "denied", "");
-            let probed = Probed { host, ok: false, role: None, position: None, queue: None };
-            self.route(self.clock.now(), routing::Event::Probed(probed));
+            let result = routing::Probed { host, ok: false, role: None, position: None, queue: None };
+            self.route(self.clock.now(), routing::Event::Probed(result));
         }
     }
 
-    /// Breaks attempts off whose connections must go since the fleet's budget has none for them any more, the oldest
-    /// first; what is idle goes as pools are tended.
-    pub(super) fn break_off(&mut self) {
-        let over: Vec<(HostId, u64)> = self.members.iter().map(|(host, m)| (*host, m.excess().1)).collect();
-        for (host, overdue) in over.into_iter().filter(|(_, overdue)| *overdue > 0) {
-            let here = |f: &Flight| f.host == host && matches!(f.stage.get(), Stage::Begun | Stage::Written);
-            let out = self.flights.iter().filter(|(_, f)| here(f)).map(|(key, f)| (f.sent, *key));
-            let mut out: Vec<_> = out.collect();
-            out.extend(self.passing.at(host));
-            out.sort_unstable();
-            for (_, (id, attempt)) in out.into_iter().take(overdue as usize) {
-                self.counts.one("budget", "broken_off", "");
-                match self.passing.has(&(id, attempt)) {
-                    true => self.passed(id, attempt, Report::bare(Ending::Cancelled)),
-                    false => self.end(id, attempt, Ending::Cancelled),
-                }
+    /// Cancels attempts, the oldest first, whose connections the fleet's budget no longer allows. Idle connections
+    /// over the budget are closed as the pools are maintained.
+    pub(super) fn cancel_attempts_over_budget(&mut self) {
+        for (host, overdue) in self.overdue_connections() {
+            for key in self.oldest_begun_attempts(host, overdue) {
+                self.cancel_over_budget(key);
             }
         }
-        self.settle();
+        self.report_finished_attempts();
+    }
+
+    /// The members with connections that must close now even though they are in use, and the number of these.
+    fn overdue_connections(&self) -> Vec<(HostId, usize)> {
+        let excess = self.endpoints.members.iter().map(|(host, member)| (*host, member.excess().1 as usize));
+        excess.filter(|(_, overdue)| *overdue > 0).collect()
+    }
+
+    fn oldest_begun_attempts(&self, host: HostId, count: usize) -> Vec<AttemptKey> {
+        let mut begun: Vec<(Micros, AttemptKey)> = self.attempts.begun_at(host).collect();
+        begun.extend(self.streaming.sent_to(host));
+        begun.sort_unstable();
+        begun.into_iter().take(count).map(|(_, key)| key).collect()
+    }
+
+    fn cancel_over_budget(&mut self, key: AttemptKey) {
+        self.counts.one("budget", "broken_off", "");
+        if self.streaming.contains(key) {
+            self.on_stream_finished(key, Report::bare(Ending::Cancelled));
+        } else {
+            self.end_attempt(key, Ending::Cancelled);
+        }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/broker/endpoint_table.rs
@@ -0,0 +1,101 @@
+//! The table of members: their records from discovery, their numeric ids, their connection pools and their cordons.
+
+use super::*;
+use std::collections::{BTreeMap, HashMap};
+use wharfplank_admin::Cordons;
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
+use wharfplank_transport::members::Member;
+
+/// Past so many known names, those of members without a connection pool are forgotten.
+const MAX_NAMES: usize = 4096;
+
+/// All members that this process knows.
+#[derive(Default)]
+pub(super) struct EndpointTable {
+    /// The members with a connection pool.
+    pub(super) members: BTreeMap<HostId, Rc<Member>>,
+    /// The ids of members by name; also those of members that have left the list.
+    pub(super) ids: HashMap<String, HostId>,
+    /// The list as discovery has it, without the effect of cordons.
+    pub(super) records: BTreeMap<String, EndpointRecord>,
+    /// The version of the list.
+    pub(super) version: u64,
+    /// The members that operators have taken out of service.
+    pub(super) cordons: Cordons,
+}
+
+impl EndpointTable {
+    /// Applies a list, or the changes to one, as discovery sends it.
+    pub(super) fn apply_records(&mut self, list: &EndpointList) {
+        self.version = list.version;
+        if list.complete {
+            self.records.clear();
+        }
+        for record in &list.endpoints {
+            if record.health == EndpointHealth::Removed {
+                self.records.remove(&record.name);
+            } else {
+                self.records.insert(record.name.clone(), record.clone());
+            }
+        }
+        if list.complete {
+            let records = &self.records;
+            self.cordons.retain(|name| records.contains_key(name));
+        }
+    }
+
+    /// The connection pool of the member of this name.
+    pub(super) fn member_named(&self, name: &str) -> Option<&Rc<Member>> {
+        self.ids.get(name).and_then(|host| self.members.get(host))
+    }
+
+    /// The names of members by id.
+    pub(super) fn names_by_id(&self) -> HashMap<HostId, &str> {
+        self.ids.iter().map(|(name, host)| (*host, name.as_str())).collect()
+    }
+
+    /// The id of a member, assigned if the name is new: a hash of the name, incremented where two names collide.
+    pub(super) fn assign_id(&mut self, name: &str) -> HostId {
+        if let Some(host) = self.ids.get(name) {
+            return *host;
+        }
+        let mut number = fnv1a(name.as_bytes()) as u32;
+        while self.ids.values().any(|host| host.0 == number) {
+            number = number.wrapping_add(1);
+        }
+        self.ids.insert(name.to_string(), HostId(number));
+        HostId(number)
+    }
+
+    /// Drops the connection pools that are neither in service nor in use.
+    pub(super) fn drop_unused_members(&mut self) {
+        self.members.retain(|_, member| member.wanted() || !member.unused());
+    }
+
+    /// Forgets the names of members without a connection pool where too many are known; true where it did.
+    pub(super) fn forget_old_names(&mut self) -> bool {
+        if self.ids.len() <= MAX_NAMES {
+            return false;
+        }
+        let members = &self.members;
+        self.ids.retain(|_, host| members.contains_key(host));
+        true
+    }
+
+    /// Whether a name is known for this id.
+    pub(super) fn knows(&self, host: &HostId) -> bool {
+        self.ids.values().any(|known| known == host)
+    }
+}
+
+/// The router's id of a zone: a hash of its name.
+pub(super) fn zone_id(zone: &str) -> u32 {
+    fnv1a(zone.as_bytes()) as u32
+}
+
+/// The 64-bit FNV-1a hash.
+pub(super) fn fnv1a(bytes: &[u8]) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x100_0000_01b3;
+    bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
+}
--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -1,137 +1,120 @@
-//! The list of members, as discovery tells it, on its way to the router and to the pools of connections.
+//! Changes of the endpoint list on their way from discovery and operators to the router and the connection pools.
 
 use super::*;
+use std::net::SocketAddr;
+use wharfplank_discovery::{Age, Doubt, News};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
+use wharfplank_routing::{Entry, Listed};
+use wharfplank_transport::members::Member;
 
 impl Broker {
-    pub(super) fn heard(&mut self, news: News, age: Option<Age>) {
-        // An answer that there is nothing new tells that the list as known stands.
-        self.told |= news.list.is_some() || age == Some(Age::Fresh);
-        if news.doubt.is_some() || age.is_some() {
-            log::list(age.map(Age::name), news.doubt, news.until.len());
-            self.journal.list(age.map(Age::name), news.doubt.map(Doubt::name));
+    /// Handles a watch event of discovery: a new list, a change of the list's staleness, or both.
+    pub(super) fn on_watch_event(&mut self, event: News, staleness: Option<Age>) {
+        // An answer that there is nothing new confirms the list that is known.
+        if event.list.is_some() || staleness == Some(Age::Fresh) {
+            self.lifecycle.confirm_list();
         }
-        for (name, until) in news.until {
-            let member = self.names.get(&name).and_then(|host| self.members.get(host));
-            member.into_iter().for_each(|m| m.until(self.clock.instant(until)));
+        if event.doubt.is_some() || staleness.is_some() {
+            log::list(staleness.map(Age::name), event.doubt, event.until.len());
+            self.journal.list(staleness.map(Age::name), event.doubt.map(Doubt::name));
         }
-        if let Some(list) = news.list {
-            self.list(list);
-        }
-    }
-
-    /// Takes the list or its changes as discovery tells them.
-    pub(super) fn list(&mut self, catalog: EndpointList) {
-        self.seq = catalog.version;
-        if catalog.complete {
-            self.listed.clear();
-        }
-        for host in &catalog.endpoints {
-            match host.health {
-                EndpointHealth::Removed => drop(self.listed.remove(&host.name)),
-                _ => drop(self.listed.insert(host.name.clone(), host.clone())),
+        for (name, until) in event.until {
+            if let Some(member) = self.endpoints.member_named(&name) {
+                member.until(self.clock.instant(until));
             }
         }
-        if catalog.complete {
-            self.cordons.retain(|name| self.listed.contains_key(name));
+        if let Some(list) = event.list {
+            self.apply_endpoint_list(list);
         }
-        let hosts = catalog.endpoints.iter().map(|host| self.cordons.apply(host)).collect();
-        self.enlist(EndpointList { endpoints: hosts, ..catalog });
     }
 
-    /// Takes entries as they hold together with what operators say.
-    pub(super) fn enlist(&mut self, catalog: EndpointList) {
-        if catalog.complete {
-            let named = |m: &Member| catalog.endpoints.iter().any(|h| h.name == m.name());
-            self.members.values().filter(|m| !named(m)).for_each(|m| m.want(false, None));
-        }
-        let seq = catalog.version;
-        let entries: Vec<Entry> = catalog.endpoints.iter().map(|host| self.entry(seq, host)).collect();
-        let event = if catalog.complete { routing::Event::List } else { routing::Event::ListChange };
-        self.tell(event(entries));
-        // What waits for a connection to a member that takes nothing new must not go out.
-        let stopped = |host: &HostId| self.members.get(host).is_none_or(|m| !m.wanted());
-        let waiting = |(key, f): (&(RequestId, u32), &Flight)| {
-            (f.stage.get() == Stage::Waiting && stopped(&f.host)).then_some(*key)
-        };
-        let mut moot: Vec<_> = self.flights.iter().filter_map(waiting).collect();
-        moot.sort_unstable();
-        for (id, attempt) in moot {
-            self.end(id, attempt, Ending::Moot);
+    /// Applies a list, or the changes to one, as discovery sends it.
+    pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
+        self.endpoints.apply_records(&list);
+        let cordons = &self.endpoints.cordons;
+        let endpoints = list.endpoints.iter().map(|record| cordons.apply(record)).collect();
+        self.apply_effective_list(&EndpointList { endpoints, ..list });
+    }
+
+    /// Applies records in which the cordons have taken effect: to the pools, the router and the queued attempts.
+    pub(super) fn apply_effective_list(&mut self, list: &EndpointList) {
+        if list.complete {
+            self.retire_members_not_in(list);
         }
-        self.settle();
-        self.members.retain(|_, m| m.wanted() || !m.unused());
-        if self.names.len() > NAMES_MOST {
-            self.names.retain(|_, host| self.members.contains_key(host));
-            let names = &self.names;
-            self.talk.retain(|host| names.values().any(|h| h == host));
-            self.lookups.retain(|host| names.values().any(|h| h == host));
+        let records = list.endpoints.iter();
+        let entries: Vec<Entry> = records.map(|record| self.apply_record(list.version, record)).collect();
+        let event = if list.complete { routing::Event::List } else { routing::Event::ListChange };
+        self.notify_router(event(entries));
+        self.end_attempts_queued_for_retired_members();
+        self.endpoints.drop_unused_members();
+        self.forget_old_names();
+    }
+
+    fn retire_members_not_in(&self, list: &EndpointList) {
+        let is_listed = |member: &Member| list.endpoints.iter().any(|record| record.name == member.name());
+        self.endpoints.members.values().filter(|m| !is_listed(m)).for_each(|m| m.want(false, None));
+    }
+
+    /// Ends the attempts that are queued for a connection to a member which takes nothing new.
+    fn end_attempts_queued_for_retired_members(&mut self) {
+        let members = &self.endpoints.members;
+        let is_retired = |host: &HostId| members.get(host).is_none_or(|member| !member.wanted());
+        let is_queued = |attempt: &InFlightAttempt| attempt.stage.get() == Stage::Waiting;
+        let queued = self.attempts.keys_where(|attempt| is_queued(attempt) && is_retired(&attempt.host));
+        for key in queued {
+            self.end_attempt(key, Ending::Moot);
         }
+        self.report_finished_attempts();
     }
 
-    pub(super) fn entry(&mut self, seq: u64, listed: &EndpointRecord) -> Entry {
-        let known = self.names.contains_key(&listed.name);
-        let host = self.host(&listed.name);
-        if !known {
-            self.journal.named(host, listed);
+    fn forget_old_names(&mut self) {
+        if self.endpoints.forget_old_names() {
+            let endpoints = &self.endpoints;
+            self.gossip.retain(|host| endpoints.knows(host));
+            self.negative_cache.retain(|host| endpoints.knows(host));
         }
-        self.journal.listed(seq, host, listed);
-        self.talk.listed(host, listed);
-        self.lookups.listed(host, listed);
-        let wanted = listed.health == EndpointHealth::Active;
-        match (self.members.get(&host), listed.address) {
-            (Some(member), dial) => member.want(wanted, dial),
-            (None, Some(dial)) if wanted => {
-                let member = Member::new(Rc::clone(&self.shared), &listed.name, dial);
-                member.want(true, None);
-                self.members.insert(host, member);
-            }
-            _ => {}
+    }
+
+    /// Passes one record on to records, gossip, the negative cache and the member's pool; returns it as the router
+    /// takes it.
+    fn apply_record(&mut self, version: u64, record: &EndpointRecord) -> Entry {
+        let is_new = !self.endpoints.ids.contains_key(&record.name);
+        let host = self.endpoints.assign_id(&record.name);
+        if is_new {
+            self.journal.named(host, record);
         }
+        self.journal.listed(version, host, record);
+        self.gossip.listed(host, record);
+        self.negative_cache.listed(host, record);
+        self.update_pool(host, record);
         Entry {
             host,
-            group: GroupId(listed.group),
-            listed: match listed.health {
+            group: GroupId(record.group),
+            listed: match record.health {
                 EndpointHealth::Active => Listed::Up,
                 EndpointHealth::Draining => Listed::Draining,
                 EndpointHealth::Removed => Listed::Removed,
             },
-            primary: listed.primary,
-            launched: (listed.started_at_ms > 0).then(|| listed.started_at_ms.saturating_mul(1000)),
-            local: listed.zone == self.terms.zone,
-            zone: zone_number(&listed.zone),
+            primary: record.primary,
+            launched: (record.started_at_ms > 0).then(|| record.started_at_ms.saturating_mul(1000)),
+            local: record.zone == self.terms.zone,
+            zone: zone_id(&record.zone),
         }
     }
 
-    /// The names of members by their numbers.
-    pub(super) fn by_host(&self) -> HashMap<HostId, &str> {
-        self.names.iter().map(|(name, host)| (*host, name.as_str())).collect()
-    }
-
-    /// The module's number of a member: a hash of its name, moved on where two names share one.
-    pub(super) fn host(&mut self, name: &str) -> HostId {
-        if let Some(host) = self.names.get(name) {
-            return *host;
-        }
-        let mut number = hash(name.as_bytes()) as u32;
-        while self.names.values().any(|host| host.0 == number) {
-            number = number.wrapping_add(1);
+    /// Puts a member's pool in or out of service; an active member without a pool gets one.
+    fn update_pool(&mut self, host: HostId, record: &EndpointRecord) {
+        let is_active = record.health == EndpointHealth::Active;
+        if let Some(member) = self.endpoints.members.get(&host) {
+            member.want(is_active, record.address);
+        } else if let Some(address) = record.address.filter(|_| is_active) {
+            self.add_pool(host, &record.name, address);
         }
-        self.names.insert(name.to_string(), HostId(number));
-        HostId(number)
     }
-}
 
-/// The members that the router suspects.
-pub(super) fn suspects(router: &Router) -> impl Iterator<Item = HostId> + '_ {
-    router.view().filter(|view| view.suspected.is_some()).map(|view| view.host)
-}
-
-/// The module's number of a zone: all members of the zone share it.
-pub(super) fn zone_number(site: &str) -> u32 {
-    hash(site.as_bytes()) as u32
-}
-
-/// FNV-1a.
-pub(super) fn hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3))
+    fn add_pool(&mut self, host: HostId, name: &str, address: SocketAddr) {
+        let member = Member::new(Rc::clone(&self.pools), name, address);
+        member.want(true, None);
+        self.endpoints.members.insert(host, member);
+    }
 }
--- /dev/null
+++ b/crates/proxy/src/broker/handover/mod.rs
@@ -0,0 +1,211 @@
+//! The handover between an old process and the new one that replaces it while both serve: together they form one
+//! proxy, share the listening socket and the connection limits, and keep the same cordons.
+
+mod peer;
+mod state;
+
+use super::*;
+use async_executor::Task;
+use async_io::Async;
+use std::net::TcpListener;
+use std::path::{Path, PathBuf};
+use wharfplank_admin::{Call, Cordons, Holds, Learned, Succession, Word};
+use wharfplank_transport::handover::{Inherited, Link, Post};
+
+/// How often the new process is told how many connections the old one holds.
+const REPORT_INTERVAL: Micros = 100_000;
+
+/// This process's side of a handover that may happen, or is under way.
+pub(super) struct HandoverController {
+    /// Where the next process looks for this one.
+    socket_path: PathBuf,
+    /// Listens at the path. Dropping it ends that, so that one process listens at a time however many successors die.
+    socket_task: Option<Task<()>>,
+    /// The socket that clients connect to, until this process accepts no connections any more: it closes then, unless
+    /// the other process has it too.
+    listener: Option<Rc<Async<TcpListener>>>,
+    /// What both processes may hold together.
+    total_limits: Holds,
+    state: Succession,
+    /// The connection to the other process, if there is one.
+    link: Option<Link>,
+    pending_calls: Vec<PendingCall>,
+    /// What the old process had learned of members, until the router has been told.
+    inherited_observations: Vec<Learned>,
+    last_reported: Holds,
+    next_report_at: Micros,
+    /// Whether this process accepts clients: from the start where it replaces none, and otherwise once it is ready.
+    is_serving: bool,
+}
+
+/// An admin call whose answer waits until the other process has confirmed it.
+struct PendingCall {
+    number: u64,
+    call: Asking,
+    answer: String,
+}
+
+impl HandoverController {
+    fn new(
+        socket_path: PathBuf,
+        listener: Rc<Async<TcpListener>>,
+        total_limits: Holds,
+        is_serving: bool,
+    ) -> Self {
+        HandoverController {
+            socket_path,
+            socket_task: None,
+            listener: Some(listener),
+            total_limits,
+            state: Succession::default(),
+            link: None,
+            pending_calls: Vec::new(),
+            inherited_observations: Vec::new(),
+            last_reported: Holds::default(),
+            next_report_at: 0,
+            is_serving,
+        }
+    }
+
+    /// Sends a message to the other process; false where there is none, or it takes no more.
+    fn send(&self, message: Word) -> bool {
+        self.link.as_ref().is_some_and(|link| link.say(message))
+    }
+
+    /// Reports the connections of this process to the new one, where they changed and the interval has passed.
+    fn report_connections(&mut self, now: Micros, held: Holds) {
+        if self.state.tells_holds() && now >= self.next_report_at && held != self.last_reported {
+            self.next_report_at = now + REPORT_INTERVAL;
+            self.last_reported = held;
+            self.send(Word::Holds(held));
+        }
+    }
+
+    /// Answers the pending calls of these numbers.
+    fn answer_calls(&mut self, numbers: &[u64]) {
+        let pending = std::mem::take(&mut self.pending_calls);
+        let is_answered = |pending: &PendingCall| numbers.contains(&pending.number);
+        let (answered, waiting): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_answered);
+        self.pending_calls = waiting;
+        for PendingCall { call, answer, .. } in answered {
+            call.answer(answer);
+        }
+    }
+}
+
+impl Broker {
+    /// Allows another process to take over from this one from now on. `total_limits` is what both may hold together,
+    /// and `inherited` what this process took over from the one before it.
+    pub fn enable_handover(
+        &mut self,
+        socket_path: PathBuf,
+        listener: Rc<Async<TcpListener>>,
+        total_limits: Holds,
+        inherited: Option<Inherited>,
+    ) {
+        let mut handover = HandoverController::new(socket_path, listener, total_limits, inherited.is_none());
+        match inherited {
+            Some(inherited) => self.take_over(&mut handover, inherited),
+            None => handover.socket_task = self.open_handover_socket(&handover.socket_path),
+        }
+        self.handover = Some(handover);
+        self.apply_connection_limits();
+    }
+
+    /// Continues with the state of the process that this one replaces.
+    fn take_over(&mut self, handover: &mut HandoverController, inherited: Inherited) {
+        let state = inherited.state.clone();
+        log::replacement("replaces another", state.out.len());
+        self.endpoints.cordons = Cordons::new(state.out, state.back);
+        handover.inherited_observations = state.learned;
+        handover.state = Succession::younger(state.holds);
+        handover.link = Some(inherited.link(&self.pools.executor, self.events.clone()));
+    }
+
+    /// Listens where the next process looks for this one. On failure this process cannot be replaced, and serves on.
+    fn open_handover_socket(&self, path: &Path) -> Option<Task<()>> {
+        match Post::open(path) {
+            Ok(socket) => Some(self.pools.executor.spawn(socket.listen(self.events.clone()))),
+            Err(error) => {
+                log::replacement(&format!("cannot be replaced: {}: {error}", path.display()), 0);
+                None
+            }
+        }
+    }
+
+    /// Puts this process's socket at the path, whoever listens there.
+    fn claim_handover_socket(&mut self) {
+        let Some(handover) = &self.handover else { return };
+        let socket_task = self.open_handover_socket(&handover.socket_path);
+        if let Some(handover) = &mut self.handover {
+            handover.socket_task = socket_task;
+        }
+    }
+
+    /// Gives up the listening socket, and the socket where the next process would ask for it.
+    pub(super) fn release_listener(&mut self) {
+        if let Some(handover) = &mut self.handover {
+            handover.listener = None;
+            handover.socket_task = None;
+        }
+    }
+
+    /// Carries out an operator's call, and answers it once the other process, if there is one, has confirmed it too.
+    pub(super) fn on_admin_call(&mut self, call: Asking) {
+        let answer = self.perform_admin_call(&call.call);
+        let (id, out) = match &call.call {
+            Call::Cordon(id) => (id.clone(), true),
+            Call::Uncordon(id) => (id.clone(), false),
+            Call::Health | Call::Counters => return call.answer(answer),
+        };
+        let at = self.clock.now();
+        let Some(handover) = self.handover.as_mut().filter(|_| answer.starts_with("ok")) else {
+            return call.answer(answer);
+        };
+        match handover.state.call(at) {
+            Some(number) if handover.send(Word::Cordon { number, id, out, at }) => {
+                handover.pending_calls.push(PendingCall { number, call, answer })
+            }
+            _ => call.answer(answer),
+        }
+    }
+
+    /// Does what is due by the clock between the two processes.
+    pub(super) fn run_handover_timers(&mut self) {
+        let now = self.clock.now();
+        let held = self.connections_held();
+        let is_ready = self.lifecycle.is_ready();
+        let Some(handover) = &mut self.handover else { return };
+        let overdue_calls = handover.state.overdue(now);
+        handover.report_connections(now, held);
+        if is_ready && !handover.is_serving {
+            handover.is_serving = true;
+            handover.send(Word::Serving);
+            self.claim_handover_socket();
+            self.apply_connection_limits();
+        }
+        if let Some(handover) = &mut self.handover {
+            handover.answer_calls(&overdue_calls);
+        }
+    }
+
+    /// When [`Broker::run_handover_timers`] has something to do although no event arrives.
+    pub(super) fn next_handover_timer(&self) -> Option<Micros> {
+        let handover = self.handover.as_ref()?;
+        let report = handover.state.tells_holds().then(|| self.clock.now() + REPORT_INTERVAL);
+        report.into_iter().chain(handover.state.due()).min()
+    }
+
+    fn connections_held(&self) -> Holds {
+        Holds { clients: self.clients.open(), members: self.pools.open.get() }
+    }
+
+    /// Puts this process's part of the connection limits into force.
+    fn apply_connection_limits(&mut self) {
+        let Some(handover) = &self.handover else { return };
+        let limits = handover.state.most(handover.total_limits);
+        self.clients.limit(limits.clients);
+        self.pools.most.set(limits.members);
+        self.clients.take_new(handover.state.takes(self.lifecycle.is_ready()));
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/broker/handover/peer.rs
@@ -0,0 +1,84 @@
+//! The messages of the other process of a handover.
+
+use super::*;
+use async_io::Async;
+use std::os::unix::net::UnixStream;
+use wharfplank_transport::handover::{turn_away, Other};
+
+impl Broker {
+    /// Handles what the other process does: it asks to take over, sends a message, or ends.
+    pub(in crate::broker) fn on_handover_event(&mut self, event: Other) {
+        if self.handover.is_none() {
+            return;
+        }
+        match event {
+            Other::Asks(stream) => self.on_takeover_request(stream),
+            Other::Says(message) => self.on_peer_message(message),
+            Other::Lost => self.on_peer_lost(),
+        }
+        self.apply_connection_limits();
+    }
+
+    /// Another process asks to replace this one. It gets the listening socket and the state, unless a handover is
+    /// under way already.
+    fn on_takeover_request(&mut self, stream: Async<UnixStream>) {
+        let held = self.connections_held();
+        let Some(handover) = &mut self.handover else { return };
+        // Without a socket to hand over the request goes unanswered, as if there were no process.
+        let Some(listener) = handover.listener.clone() else { return };
+        if !handover.state.asked(held) {
+            return self.pools.executor.spawn(turn_away(stream)).detach();
+        }
+        let state = self.handover_state(held);
+        log::replacement("is being replaced", state.out.len());
+        let link = Link::give(&self.pools.executor, stream, listener, &state, self.events.clone());
+        if let Some(handover) = &mut self.handover {
+            handover.link = Some(link);
+        }
+    }
+
+    fn on_peer_message(&mut self, message: Word) {
+        let Some(handover) = &mut self.handover else { return };
+        match message {
+            Word::Serving => {
+                log::replacement("the other serves", 0);
+                handover.state.relieved();
+            }
+            Word::Holds(holds) => handover.state.holds(holds),
+            Word::Heard(number) => {
+                if handover.state.heard(number) {
+                    handover.answer_calls(&[number]);
+                }
+            }
+            Word::Cordon { number, id, out, at } => {
+                self.apply_peer_cordon(&id, out, at);
+                if let Some(handover) = &self.handover {
+                    handover.send(Word::Heard(number));
+                }
+            }
+        }
+    }
+
+    /// Applies a cordon, or its end, that an operator ordered at the other process. That process has checked that the
+    /// member is listed: it is listed here too, or about to be.
+    fn apply_peer_cordon(&mut self, id: &str, out: bool, at: Micros) {
+        let cordons = &mut self.endpoints.cordons;
+        let result = if out { cordons.cordon(id, true) } else { cordons.uncordon(id, true, at) };
+        self.apply_cordon(id, result);
+    }
+
+    fn on_peer_lost(&mut self) {
+        log::replacement("the other is gone", 0);
+        let Some(handover) = &mut self.handover else { return };
+        handover.link = None;
+        let was_replaced = handover.state.tells_holds();
+        let unconfirmed_calls = handover.state.lost();
+        // The successor may have put its own socket in the place of this one's.
+        if was_replaced && handover.listener.is_some() {
+            self.claim_handover_socket();
+        }
+        if let Some(handover) = &mut self.handover {
+            handover.answer_calls(&unconfirmed_calls);
+        }
+    }
+}
--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -1,53 +1,69 @@
-//! Probes of members, and what their reports tell.
+//! Health checks of members: starting them, and reading their load reports.
 
 use super::*;
+use wharfplank_protocol::client;
+use wharfplank_routing::Probed;
 
-const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// From this value on a report's role column stands for the primary.
+const PRIMARY_THRESHOLD: f64 = 0.5;
 
 impl Broker {
-    pub(super) fn probe(&mut self, host: HostId) {
-        let Some(member) = self.members.get(&host) else { return };
-        if self.shared.budgets.as_ref().is_some_and(|budgets| !budgets.probe(member.name())) {
-            return self.barred.probes.push_back(host);
+    /// Starts a health check of a member, unless a budget denies it.
+    pub(super) fn start_health_check(&mut self, host: HostId) {
+        let Some(member) = self.endpoints.members.get(&host) else { return };
+        let budgets = self.pools.budgets.as_ref();
+        if budgets.is_some_and(|budgets| !budgets.probe(member.name())) {
+            return self.budget_denials.push_health_check(host);
         }
-        let (member, events) = (Rc::clone(member), self.events.clone());
+        let member = Rc::clone(member);
+        let events = self.events.clone();
         let task = async move {
-            let report = member.probe(PROBE_TIMEOUT).await;
+            let report = member.probe(HEALTH_CHECK_TIMEOUT).await;
             let _ = events.send(Event::Probed { host, report }).await;
         };
-        self.shared.executor.spawn(task).detach();
+        self.pools.executor.spawn(task).detach();
+    }
+
+    /// Handles the end of a health check. Without a report, or with one that is invalid, the check has failed.
+    pub(super) fn on_health_check_result(&mut self, host: HostId, report: Option<String>) {
+        let result = self.read_load_report(host, report.as_deref());
+        self.counts.one("probed", if result.ok { "ok" } else { "failed" }, "");
+        self.journal.probed(host, result.ok);
+        let position = result.position.filter(|_| result.ok);
+        self.gossip.learned(self.clock.now(), host, position);
+        self.negative_cache.learned(host, position);
+        let sent_at = self.clock.now() - HEALTH_CHECK_TIMEOUT.as_micros() as Micros;
+        self.gossip.saw(host, sent_at, if result.ok { Ending::Ok } else { Ending::Timeout });
+        self.notify_router(routing::Event::Probed(result));
     }
 
-    pub(super) fn probed(&mut self, host: HostId, report: Option<String>) {
-        // A report that cannot be read, or is ahead of the clock, counts as none.
-        let values = report.as_deref().and_then(|text| client::report(text, &self.terms.columns));
-        let ok = values.is_some();
-        let mut probed = Probed { host, ok, role: None, position: None, queue: None };
-        for (name, value) in values.unwrap_or_default() {
+    /// Reads the columns of a load report. A report that cannot be read, or whose position is ahead of the clock,
+    /// counts as a failed check.
+    fn read_load_report(&self, host: HostId, report: Option<&str>) -> Probed {
+        let columns = report.and_then(|text| client::report(text, &self.terms.columns));
+        let mut result = Probed { host, ok: columns.is_some(), role: None, position: None, queue: None };
+        for (name, value) in columns.unwrap_or_default() {
             match name {
                 "x0" => {
-                    let at = client::seconds(value);
-                    probed.ok &= at.is_some_and(|at| at <= self.clock.now() + AHEAD_MOST);
-                    probed.position = at.filter(|at| *at > 0);
+                    let position = client::seconds(value);
+                    let latest = self.clock.now() + MAX_POSITION_AHEAD;
+                    result.ok &= position.is_some_and(|position| position <= latest);
+                    result.position = position.filter(|position| *position > 0);
                 }
-                "x1" => probed.role = value.parse().ok().map(|v: f64| role(v >= 0.5)),
-                "q" | "queue" => probed.queue = value.parse().ok(),
+                "x1" => result.role = value.parse().ok().map(|v: f64| role(v >= PRIMARY_THRESHOLD)),
+                "q" | "queue" => result.queue = value.parse().ok(),
                 _ => {}
             }
         }
-        self.counts.one("probed", if probed.ok { "ok" } else { "failed" }, "");
-        self.journal.probed(host, probed.ok);
-        let told = probed.position.filter(|_| probed.ok);
-        self.talk.learned(self.clock.now(), host, told);
-        self.lookups.learned(host, told);
-        let sent = self.clock.now() - PROBE_TIMEOUT.as_micros() as Micros;
-        self.talk.saw(host, sent, if probed.ok { Ending::Ok } else { Ending::Timeout });
-        self.tell(routing::Event::Probed(probed));
+        result
     }
 }
 
-pub(super) fn role(primary: bool) -> Role {
-    if primary {
+/// The role of a member that states whether it is the primary.
+pub(super) fn role(is_primary: bool) -> Role {
+    if is_primary {
         Role::Primary
     } else {
         Role::Replica
--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -1,141 +1,107 @@
-//! The process's own course: its start, its regular work, a new configuration and its end.
+//! The life of the process: its start, readiness and configuration reloads.
 
+use super::shutdown::Shutdown;
 use super::*;
+use wharfplank_pool_policy::Opening;
 
-/// The front is told that queries can be served once discovery has answered, there is a list and a member is
-/// connected, or after these times: a proxy that is cut off, or has no list at all, still answers.
+/// How long readiness waits for discovery to confirm the endpoint list: a proxy that cannot reach discovery still
+/// serves from the list that it has.
 const DISCOVERY_WAIT: Micros = 500_000;
+/// How long readiness waits for an endpoint list and a connection to a member: a proxy that has neither still answers.
 const READY_WAIT: Micros = 3_000_000;
-/// After the signal to end: new connections are taken for the first, and what is open after the second
-/// is given up, or sooner where deadlines are short.
-const CLOSE_AFTER: Micros = 700_000;
-const GIVE_UP_AFTER: Micros = 3_200_000;
+/// How often readiness is checked until it is reached.
+const READINESS_CHECK_INTERVAL: Micros = 10_000;
 
-/// How long after the signal to end what is open is given up. SIGKILL comes no sooner than the longest deadline and
-/// `CLOSE_AFTER` later, and what it finds of requests that came after `CLOSE_AFTER` is lost.
-fn give_up_after(longest: Micros) -> Micros {
-    if longest == 0 {
-        return GIVE_UP_AFTER;
-    }
-    GIVE_UP_AFTER.min(longest.saturating_add(CLOSE_AFTER - 2 * LAST_WORDS))
+/// The stage of the process's life.
+pub(super) struct Lifecycle {
+    started_at: Micros,
+    /// Whether discovery has sent a list, or confirmed the one that is known.
+    list_confirmed: bool,
+    is_ready: bool,
+    /// Chooses the members that a starting proxy connects to.
+    first_connection: Opening,
+    /// Present from SIGTERM on.
+    pub(super) shutdown: Option<Shutdown>,
 }
 
-impl Broker {
-    /// Reads the configuration anew.
-    pub(super) fn reload(&mut self) {
-        let read = Config::anew();
-        self.shared.figures.reloaded(read.is_ok());
-        self.journal.reloaded(read.is_ok());
-        match read {
-            Ok(config) => {
-                self.watch.move_to(config.discovery);
-                log::reloaded(config.discovery);
-            }
-            Err(what) => log::kept(&what),
+impl Lifecycle {
+    /// A process that starts now. `seed` varies the order in which proxies connect to members.
+    pub(super) fn new(now: Micros, seed: u64, connect_timeout: Micros) -> Self {
+        Lifecycle {
+            started_at: now,
+            list_confirmed: false,
+            is_ready: false,
+            first_connection: Opening::new(seed, connect_timeout),
+            shutdown: None,
         }
     }
 
-    /// Begins the end.
-    pub(super) fn terminate(&mut self) {
-        if self.leaving_at.is_none() {
-            self.leaving_at = Some(self.clock.now());
-            self.journal.stopping();
-            self.clients.leave();
-        }
+    pub(super) fn confirm_list(&mut self) {
+        self.list_confirmed = true;
     }
 
-    /// When there is something to do although nothing happens.
-    pub(super) fn wake_at(&self) -> Micros {
-        let timer = self.timers.peek().map_or(Micros::MAX, |Reverse(at)| *at);
-        let stage = match self.leaving_at {
-            // Values that still pass through are waited for past that, step by step.
-            Some(at) if self.closed && !self.gave_up => {
-                (at + give_up_after(self.terms.longest)).min(self.clock.now() + LAST_WORDS / 4)
-            }
-            Some(_) if self.closed => self.clock.now() + LAST_WORDS / 4,
-            Some(at) => at + CLOSE_AFTER,
-            None => Micros::MAX,
-        };
-        let ready = if self.ready { Micros::MAX } else { self.clock.now() + 10_000 };
-        timer.min(stage).min(ready).min(self.tend_at).min(self.attends_at())
+    /// Whether the process can serve queries.
+    pub(super) fn is_ready(&self) -> bool {
+        self.is_ready
     }
 
-    /// What the clock alone brings about.
-    pub(super) fn due(&mut self) {
-        let now = self.clock.now();
-        while self.timers.peek().is_some_and(|Reverse(at)| *at <= now) {
-            self.timers.pop();
-            self.tell(routing::Event::Timer);
-        }
-        if now >= self.tend_at {
-            self.tend_at = now + TEND;
-            self.counts.add("connections", "open", "", self.shared.open.get() as u64);
-            if let Some(what) = self.counts.take() {
-                log::counts(now as u64 / 1000, &what);
-            }
-            self.shared.relax();
-            self.talk.suspicions(now, suspects(&self.router));
-            self.break_off();
-            self.members.values().for_each(|m| m.tend());
-            let (views, journal) = (self.router.view(), &self.journal);
-            self.releases.tell(now, &self.listed, &self.cordons, &self.names, views, |said, names| {
-                journal.released(said, names)
-            });
-            if self.journal.records() {
-                self.router.view().for_each(|view| self.journal.seen(&view));
-                self.journal.hand_over();
-            }
-        }
-        if !self.ready {
-            let age = now - self.started;
-            let told = self.told || age >= DISCOVERY_WAIT;
-            let late = age >= READY_WAIT;
-            let warm = late || self.members.values().any(|m| m.warm());
-            let wanted = self.members.iter().filter(|(_, m)| !warm && m.wanted()).map(|(host, _)| *host);
-            let knock = self.opening.next(now, wanted);
-            knock.and_then(|host| self.members.get(&host)).into_iter().for_each(|m| m.knock());
-            if told && warm && (late || !self.listed.is_empty()) {
-                self.ready = true;
-                self.clients.ready();
-            }
-        }
-        let Some(leaving_at) = self.leaving_at else { return };
-        if !self.closed && now >= leaving_at + CLOSE_AFTER {
-            self.closed = true;
-            self.lookups.end();
-            self.clients.close();
-            self.leave_socket();
-        }
-        if !self.gave_up && now >= leaving_at + give_up_after(self.terms.longest) {
-            self.gave_up = true;
-            // A process that stood still gives up late: the answers have their time to be written all the same.
-            self.leaving_at = Some(now - give_up_after(self.terms.longest));
-            self.give_up();
-        }
+    /// Whether SIGTERM has been received.
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.shutdown.is_some()
+    }
+
+    /// Whether a shutdown has given up the open requests.
+    pub(super) fn has_given_up(&self) -> bool {
+        self.shutdown.as_ref().is_some_and(|shutdown| shutdown.has_given_up)
     }
 
-    /// Whether the process may end.
-    pub(super) fn over(&self) -> bool {
-        let Some(leaving_at) = self.leaving_at else { return false };
-        let done = self.requests.is_empty() && self.clients.over();
-        // What still passes through ends by itself, or with the process.
-        let late = self.clock.now() >= leaving_at + give_up_after(self.terms.longest) + LAST_WORDS;
-        (self.closed && done) || (late && self.passing.none())
+    /// When readiness is to be checked next.
+    pub(super) fn next_readiness_check(&self, now: Micros) -> Option<Micros> {
+        (!self.is_ready).then_some(now + READINESS_CHECK_INTERVAL)
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+impl Broker {
+    /// Reads the configuration file again and applies the address of discovery. An invalid file changes nothing.
+    pub(super) fn reload_configuration(&mut self) {
+        let config = Config::anew();
+        self.pools.figures.reloaded(config.is_ok());
+        self.journal.reloaded(config.is_ok());
+        match config {
+            Ok(config) => {
+                self.discovery.move_to(config.discovery);
+                log::reloaded(config.discovery);
+            }
+            Err(error) => log::kept(&error),
+        }
+    }
+
+    /// Opens a first connection to a member, and declares the process ready once discovery has confirmed the list and
+    /// a member is connected, or the waits for them have passed.
+    pub(super) fn check_readiness(&mut self, now: Micros) {
+        if self.lifecycle.is_ready {
+            return;
+        }
+        let age = now - self.lifecycle.started_at;
+        let is_list_confirmed = self.lifecycle.list_confirmed || age >= DISCOVERY_WAIT;
+        let is_overdue = age >= READY_WAIT;
+        let is_connected = is_overdue || self.endpoints.members.values().any(|member| member.warm());
+        self.open_first_connection(now, is_connected);
+        let has_list = is_overdue || !self.endpoints.records.is_empty();
+        if is_list_confirmed && is_connected && has_list {
+            self.lifecycle.is_ready = true;
+            self.clients.ready();
+        }
+    }
 
-    /// Guards against an end that SIGKILL overtakes: it comes no sooner than the longest deadline, counted as 3 s
-    /// where it is longer, and 0.7 s more after SIGTERM.
-    #[test]
-    fn what_is_open_is_given_up_before_the_process_is_killed() {
-        for longest in [1, 300_000, 1_000_000, 2_900_000, 3_000_000, 15_000_000, Micros::MAX] {
-            let kill = longest.min(3_000_000) + CLOSE_AFTER;
-            assert!(give_up_after(longest) + LAST_WORDS < kill, "longest deadline {longest} us");
+    /// Connects to the next member in turn. Once a member is connected there are no candidates, and the order starts
+    /// over.
+    fn open_first_connection(&mut self, now: Micros, is_connected: bool) {
+        let members = self.endpoints.members.iter();
+        let candidates = members.filter(|(_, member)| !is_connected && member.wanted());
+        let next = self.lifecycle.first_connection.next(now, candidates.map(|(host, _)| *host));
+        if let Some(member) = next.and_then(|host| self.endpoints.members.get(&host)) {
+            member.knock();
         }
-        assert_eq!(give_up_after(0), GIVE_UP_AFTER, "no deadline is named");
     }
 }
--- /dev/null
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -0,0 +1,112 @@
+//! Work that is due by the clock: the router's timers, and the maintenance of pools, logs and records each second.
+
+use super::*;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+/// The interval of the maintenance.
+const MAINTENANCE_INTERVAL: Micros = 1_000_000;
+
+/// The times at which the broker has work to do although no event arrives.
+pub(super) struct MaintenanceTimers {
+    router_timers: BinaryHeap<Reverse<Micros>>,
+    next_maintenance_at: Micros,
+}
+
+impl MaintenanceTimers {
+    pub(super) fn new(now: Micros) -> Self {
+        MaintenanceTimers {
+            router_timers: BinaryHeap::new(),
+            next_maintenance_at: now + MAINTENANCE_INTERVAL,
+        }
+    }
+
+    /// Schedules a timer event for the router.
+    pub(super) fn schedule_router_timer(&mut self, at: Micros) {
+        self.router_timers.push(Reverse(at));
+    }
+
+    /// Removes a router timer that has expired, if there is one.
+    fn pop_expired_router_timer(&mut self, now: Micros) -> Option<Micros> {
+        let Reverse(at) = *self.router_timers.peek()?;
+        if at > now {
+            return None;
+        }
+        self.router_timers.pop();
+        Some(at)
+    }
+
+    fn next_router_timer(&self) -> Option<Micros> {
+        self.router_timers.peek().map(|Reverse(at)| *at)
+    }
+}
+
+impl Broker {
+    /// When the event loop has something to do although no event arrives.
+    pub(super) fn next_wakeup_at(&self) -> Micros {
+        let now = self.clock.now();
+        let wakeups = [
+            self.timers.next_router_timer(),
+            self.next_shutdown_step(now),
+            self.lifecycle.next_readiness_check(now),
+            self.next_handover_timer(),
+        ];
+        wakeups.into_iter().flatten().fold(self.timers.next_maintenance_at, Micros::min)
+    }
+
+    /// Does the work that is due at this time.
+    pub(super) fn run_due_work(&mut self) {
+        let now = self.clock.now();
+        while self.timers.pop_expired_router_timer(now).is_some() {
+            self.notify_router(routing::Event::Timer);
+        }
+        if now >= self.timers.next_maintenance_at {
+            self.timers.next_maintenance_at = now + MAINTENANCE_INTERVAL;
+            self.run_maintenance(now);
+        }
+        self.check_readiness(now);
+        self.advance_shutdown(now);
+    }
+
+    fn run_maintenance(&mut self, now: Micros) {
+        self.log_counts(now);
+        self.pools.relax();
+        self.gossip.suspicions(now, suspected_members(&self.router));
+        self.cancel_attempts_over_budget();
+        self.endpoints.members.values().for_each(|member| member.tend());
+        self.report_to_releases(now);
+        self.record_members();
+    }
+
+    fn log_counts(&mut self, now: Micros) {
+        self.counts.add("connections", "open", "", self.pools.open.get() as u64);
+        if let Some(counts) = self.counts.take() {
+            log::counts(now as u64 / 1000, &counts);
+        }
+    }
+
+    fn report_to_releases(&mut self, now: Micros) {
+        let endpoints = &self.endpoints;
+        let journal = &self.journal;
+        self.releases.tell(
+            now,
+            &endpoints.records,
+            &endpoints.cordons,
+            &endpoints.ids,
+            self.router.view(),
+            |action, names| journal.released(action, names),
+        );
+    }
+
+    fn record_members(&self) {
+        if self.journal.records() {
+            self.router.view().for_each(|view| self.journal.seen(&view));
+            self.journal.hand_over();
+        }
+    }
+}
+
+/// The members that the router suspects of a fault.
+fn suspected_members(router: &Router) -> impl Iterator<Item = HostId> + '_ {
+    router.view().filter(|view| view.suspected.is_some()).map(|view| view.host)
+}
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -1,22 +1,36 @@
-//! The broker: it alone owns the router and the tables of requests and attempts. It feeds the drivers'
-//! events to the router and carries its actions out.
+//! The broker: the single owner of the router and of the tables of requests, attempts and endpoints.
+//!
+//! It feeds the events of the I/O drivers to the router and carries out the router's actions. All of it runs on one
+//! thread, in one event loop ([`Broker::run`]); each submodule implements one concern of that loop.
 
 mod admin_calls;
+mod attempt_table;
 mod attempts;
 mod budgets;
+mod endpoint_table;
 mod endpoints;
 mod handover;
 mod health_checks;
 mod lifecycle;
+mod maintenance;
 mod negative_cache;
+mod request_log;
+mod request_table;
 mod requests;
+mod router_actions;
+mod shutdown;
+pub mod shutdown_timing;
 mod streaming;
 
-use attempts::{Allowed, Flight};
-use budgets::Barred;
-use endpoints::{hash, suspects, zone_number};
-use handover::Replacement;
-use requests::Open;
+use attempt_table::{AttemptKey, AttemptLimits, AttemptTable, FinishedAttempt, InFlightAttempt};
+use budgets::BudgetDenials;
+use endpoint_table::{fnv1a, zone_id, EndpointTable};
+use handover::HandoverController;
+use lifecycle::Lifecycle;
+use maintenance::MaintenanceTimers;
+use request_log::Disposition;
+use request_table::{OpenRequest, RequestTable};
+use streaming::StreamingAttempts;
 
 use super::clock::Clock;
 use super::config::{Config, SEND_MARGIN};
@@ -27,106 +41,74 @@
 use super::release::Releases;
 use super::talk::Talk;
 use async_channel::{Receiver, Sender};
-use async_executor::Task;
-use async_io::{Async, Timer};
+use async_io::Timer;
 use futures_lite::future;
-use std::cell::Cell;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
-use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_admin::{Cordons, Succession};
-use wharfplank_discovery::{Age, Doubt, News};
-use wharfplank_pool_policy::Opening;
-use wharfplank_protocol::client;
-use wharfplank_protocol::comment::ID_MOST;
-use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
-use wharfplank_protocol::pipeline::{Answer, Ticket};
+use wharfplank_protocol::endpoint_list::EndpointList;
+use wharfplank_protocol::pipeline::Answer;
 use wharfplank_routing::settings::Terms;
 use wharfplank_routing::{
-    self as routing, Action, AttemptNo, ClassId, Ending, Entry, GroupId, HostId, Listed, Micros, Outcome,
-    Probed, Request, RequestId, Role, Router, SessionKey,
+    self as routing, Action, AttemptNo, ClassId, Ending, GroupId, HostId, Micros, Outcome, RequestId, Role,
+    Router,
 };
 use wharfplank_transport::admin::Asking;
-use wharfplank_transport::client::Lane;
 use wharfplank_transport::clients::Clients;
 use wharfplank_transport::discovery::Watch;
 use wharfplank_transport::fleet::Witness;
-use wharfplank_transport::members::{Member, Report, Shared, Stage};
-use wharfplank_transport::{Asked, Event, Statement};
+use wharfplank_transport::members::{Report, Shared, Stage};
+use wharfplank_transport::Event;
 
-/// The client counts its wait from its own send: answers are due this much earlier here.
-const ANSWER_MARGIN: Micros = 5_000;
-/// Pools are tended at this pace.
-const TEND: Micros = 1_000_000;
-/// Names past which those of members long gone are forgotten.
-const NAMES_MOST: usize = 4096;
-/// A position further ahead of the clock than this is none: all machines read one clock.
-const AHEAD_MOST: Micros = 50_000;
-/// Time for the last answers to be written.
-const LAST_WORDS: Micros = 100_000;
+/// How far a log position may be ahead of this process's clock before it is discarded as invalid: all machines read
+/// one clock.
+const MAX_POSITION_AHEAD: Micros = 50_000;
 
-/// Why the broker goes on after a wait.
-enum Woken {
-    Operator(Asking),
+/// Why the event loop continues after a wait.
+enum Wakeup {
+    AdminCall(Asking),
     Event(Event),
-    Closed,
-    Time,
+    EventsClosed,
+    TimerExpired,
 }
 
-/// The broker.
+/// The event loop's state: the router, the tables and the handles of the I/O drivers.
 pub struct Broker {
     clock: Clock,
     router: Router,
     terms: Terms,
-    allowed: Allowed,
-    shared: Rc<Shared>,
+    attempt_limits: AttemptLimits,
+    /// What the connection pools of all members share.
+    pools: Rc<Shared>,
     clients: Rc<Clients>,
+    /// Where spawned tasks send their results; the event loop receives at the other end.
     events: Sender<Event>,
-    watch: Watch,
+    discovery: Watch,
     journal: Journal,
     counts: Counts,
-    requests: HashMap<RequestId, Open>,
-    tickets: HashMap<Ticket, RequestId>,
-    /// The ids of open requests, as clients gave them.
-    ids: HashSet<String>,
-    flights: HashMap<(RequestId, u32), Flight>,
-    passing: streaming::Values,
-    members: BTreeMap<HostId, Rc<Member>>,
-    names: HashMap<String, HostId>,
-    /// The list as discovery tells it, without what operators say; and its version.
-    listed: BTreeMap<String, EndpointRecord>,
-    seq: u64,
-    cordons: Cordons,
-    /// Where this process may be replaced while it serves.
-    replacement: Option<Replacement>,
-    talk: Talk,
-    lookups: Lookups,
+    requests: RequestTable,
+    attempts: AttemptTable,
+    streaming: StreamingAttempts,
+    endpoints: EndpointTable,
+    lifecycle: Lifecycle,
+    timers: MaintenanceTimers,
+    budget_denials: BudgetDenials,
+    /// Present where another process may take over from this one while it serves.
+    handover: Option<HandoverController>,
+    gossip: Talk,
+    negative_cache: Lookups,
     releases: Releases,
-    barred: Barred,
-    timers: BinaryHeap<Reverse<Micros>>,
-    /// Outcomes that are known at once; the router hears of them after the event in hand.
-    ended: VecDeque<(RequestId, u32, HostId, Micros, Ending)>,
-    started: Micros,
-    told: bool,
-    ready: bool,
-    opening: Opening,
-    tend_at: Micros,
-    leaving_at: Option<Micros>,
-    closed: bool,
-    gave_up: bool,
 }
 
 impl Broker {
-    /// A broker with nothing in its tables.
+    /// Creates a broker with empty tables. Gossip, the negative cache, releases and handover are off until the
+    /// `enable_` methods are called.
     pub fn new(
         config: &Config,
         clock: Clock,
-        shared: Rc<Shared>,
+        pools: Rc<Shared>,
         clients: Rc<Clients>,
         events: Sender<Event>,
-        watch: Watch,
+        discovery: Watch,
         journal: Journal,
     ) -> Self {
         let now = clock.now();
@@ -134,115 +116,117 @@
             clock,
             router: Router::new(config.settings.clone()),
             terms: config.terms.clone(),
-            allowed: Allowed::by(&config.settings),
-            shared,
+            attempt_limits: AttemptLimits::new(&config.settings),
+            pools,
             clients,
             events,
-            watch,
+            discovery,
             journal,
             counts: Counts::start(),
-            requests: HashMap::new(),
-            tickets: HashMap::new(),
-            ids: HashSet::new(),
-            flights: HashMap::new(),
-            passing: streaming::Values::new(&config.settings),
-            members: BTreeMap::new(),
-            names: HashMap::new(),
-            listed: BTreeMap::new(),
-            seq: 0,
-            cordons: Cordons::default(),
-            replacement: None,
-            talk: Talk::new(&config.settings.classes),
-            lookups: Lookups::default(),
+            requests: RequestTable::default(),
+            attempts: AttemptTable::default(),
+            streaming: StreamingAttempts::new(&config.settings),
+            endpoints: EndpointTable::default(),
+            lifecycle: Lifecycle::new(now, config.settings.seed, config.terms.connect_timeout),
+            timers: MaintenanceTimers::new(now),
+            budget_denials: BudgetDenials::default(),
+            handover: None,
+            gossip: Talk::new(&config.settings.classes),
+            negative_cache: Lookups::default(),
             releases: Releases::default(),
-            barred: Barred::default(),
-            timers: BinaryHeap::new(),
-            ended: VecDeque::new(),
-            started: now,
-            told: false,
-            ready: false,
-            opening: Opening::new(config.settings.seed, config.terms.connect_timeout),
-            tend_at: now + TEND,
-            leaving_at: None,
-            closed: false,
-            gave_up: false,
         }
     }
 
-    /// Passes what members do on to the fleet's talk from now on.
-    pub fn witness(&mut self, witness: Witness) {
-        self.talk.start(witness);
+    /// Reports what members do to the gossip thread from now on.
+    pub fn enable_gossip(&mut self, witness: Witness) {
+        self.gossip.start(witness);
     }
 
-    /// Tells the release's thread of members from now on.
-    pub fn releases(&mut self, releases: Releases) {
+    /// Reports the state of members to the release thread from now on.
+    pub fn enable_releases(&mut self, releases: Releases) {
         self.releases = releases;
     }
 
-    /// Works until the process is to end.
-    pub async fn run(mut self, known: EndpointList, received: Receiver<Event>, operators: Receiver<Asking>) {
-        let mut actions = Vec::new();
-        self.router.start(&mut actions);
-        self.perform(self.clock.now(), actions);
-        // The list as last known may be old, but nothing else is known yet: it counts as whole.
-        self.list(EndpointList { complete: true, ..known });
-        self.recall();
+    /// Answers reads of missing keys from the negative cache, and requires a lease for writes, from now on.
+    pub fn enable_negative_cache(&mut self, negative_cache: Lookups) {
+        self.negative_cache = negative_cache;
+    }
+
+    /// Runs the event loop until the process is to exit. `known` is the endpoint list that the process starts from.
+    pub async fn run(mut self, known: EndpointList, events: Receiver<Event>, admin_calls: Receiver<Asking>) {
+        self.start(known);
         loop {
-            let wake_at = self.wake_at();
-            let pause = Duration::from_micros((wake_at - self.clock.now()).max(0) as u64);
-            let timer = async {
-                Timer::after(pause).await;
-                Woken::Time
-            };
-            let event = async { received.recv().await.map_or(Woken::Closed, Woken::Event) };
-            let work = future::or(event, timer);
-            // Operators come first: their answers are due whatever waits behind them.
-            let call = async {
-                match operators.recv().await {
-                    Ok(asking) => Woken::Operator(asking),
-                    Err(_) => future::pending().await,
-                }
-            };
-            let woken = future::or(call, work).await;
-            self.talk.runs(self.clock.now());
-            match woken {
-                Woken::Operator(asking) => self.operator(asking),
-                Woken::Event(event) => self.event(event),
-                Woken::Closed => return,
-                Woken::Time => {}
+            let wakeup = self.wait_for_wakeup(&events, &admin_calls).await;
+            self.gossip.runs(self.clock.now());
+            match wakeup {
+                Wakeup::AdminCall(call) => self.on_admin_call(call),
+                Wakeup::Event(event) => self.on_event(event),
+                Wakeup::EventsClosed => return,
+                Wakeup::TimerExpired => {}
             }
-            self.due();
-            self.attend();
-            if self.over() {
+            self.run_due_work();
+            self.run_handover_timers();
+            if self.can_exit() {
                 return;
             }
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn start(&mut self, known: EndpointList) {
+        let mut actions = Vec::new();
+        self.router.start(&mut actions);
+        self.perform(self.clock.now(), actions);
+        // The stored list may be old, but nothing else is known yet: it counts as complete.
+        self.apply_endpoint_list(EndpointList { complete: true, ..known });
+        self.restore_inherited_observations();
+    }
+
+    /// Waits for the next admin call, event or timer. Admin calls take precedence: their answers are due whatever
+    /// events are queued.
+    async fn wait_for_wakeup(&self, events: &Receiver<Event>, admin_calls: &Receiver<Asking>) -> Wakeup {
+        let wait = Duration::from_micros((self.next_wakeup_at() - self.clock.now()).max(0) as u64);
+        let timer = async {
+            Timer::after(wait).await;
+            Wakeup::TimerExpired
+        };
+        let event = async { events.recv().await.map_or(Wakeup::EventsClosed, Wakeup::Event) };
+        let admin_call = async {
+            match admin_calls.recv().await {
+                Ok(call) => Wakeup::AdminCall(call),
+                Err(_) => future::pending().await,
+            }
+        };
+        future::or(admin_call, future::or(event, timer)).await
+    }
+
+    fn on_event(&mut self, event: Event) {
         match event {
-            Event::Asked(asked) => self.asked(*asked),
-            Event::Gone(ticket) => self.gone(ticket),
-            Event::Cancelled(ticket) => self.cancelled(ticket),
-            Event::Attempt { id, attempt, report } => self.attempt_ended(id, attempt, report),
-            Event::Passed { id, attempt, report } => self.passed(id, attempt, report),
-            Event::Probed { host, report } => self.probed(host, report),
-            Event::Told(news) => {
-                let told = self.talk.told(&news, self.clock.now() + AHEAD_MOST);
-                self.tell(routing::Event::Told(told));
+            Event::Asked(request) => self.on_client_request(*request),
+            Event::Gone(ticket) => self.on_client_disconnected(ticket),
+            Event::Cancelled(ticket) => self.on_request_cancelled(ticket),
+            Event::Attempt { id, attempt, report } => {
+                self.on_attempt_report(AttemptKey::new(id, attempt), report)
+            }
+            Event::Passed { id, attempt, report } => {
+                self.on_stream_finished(AttemptKey::new(id, attempt), report)
+            }
+            Event::Probed { host, report } => self.on_health_check_result(host, report),
+            Event::Told(updates) => {
+                let observations = self.gossip.told(&updates, self.clock.now() + MAX_POSITION_AHEAD);
+                self.notify_router(routing::Event::Told(observations));
             }
-            Event::Heard(news, age) => self.heard(news, age),
+            Event::Heard(event, staleness) => self.on_watch_event(event, staleness),
             Event::Shares(shares) => {
-                let shares = shares.iter().map(|(zone, share)| (zone_number(zone), *share)).collect();
-                self.tell(routing::Event::Shares(shares));
+                let shares = shares.iter().map(|(zone, share)| (zone_id(zone), *share)).collect();
+                self.notify_router(routing::Event::Shares(shares));
             }
             Event::Factors(factors) => {
-                let factors = self.talk.factors(&factors);
-                self.tell(routing::Event::Factors(factors));
+                let factors = self.gossip.factors(&factors);
+                self.notify_router(routing::Event::Factors(factors));
             }
-            Event::Other(other) => self.other(other),
-            Event::Reload => self.reload(),
-            Event::Terminate => self.terminate(),
+            Event::Other(event) => self.on_handover_event(event),
+            Event::Reload => self.reload_configuration(),
+            Event::Terminate => self.begin_shutdown(),
         }
     }
 }
--- a/crates/proxy/src/broker/negative_cache.rs
+++ b/crates/proxy/src/broker/negative_cache.rs
@@ -1,40 +1,49 @@
-//! What is known to be missing, on a request's way: it may answer a read at once, and a write needs leave.
+//! The negative cache in the request path: it may answer a read of a missing key at once, and a write needs a lease.
 
 use super::*;
+use wharfplank_protocol::client;
 
-/// When a client whose write found no leave is to come back: a bank answers within this, or is away.
-const LEAVE_MS: i64 = 500;
+/// The Retry-After of a write that was rejected for lack of a lease, in milliseconds: a lease server answers within
+/// this time, or is down.
+const LEASE_RETRY_AFTER_MS: i64 = 500;
 
 impl Broker {
-    /// Asks what is known to be missing from now on.
-    pub fn remembers(&mut self, lookups: Lookups) {
-        self.lookups = lookups;
-    }
-
-    /// Answers a request that has just been taken, where no member needs to be asked or none may be.
-    pub(super) fn settled_at_once(&mut self, id: RequestId, now: Micros, after_ms: Option<i64>) -> bool {
-        let Some(open) = self.requests.get(&id) else { return false };
-        let class = open.class;
-        let known = open.touch.as_ref().and_then(|asked| self.lookups.answer(now, class, asked, after_ms));
-        if let Some(messages) = known {
-            self.count(id, "served", "missing");
-            self.note_end(id, |journal, ended| journal.served(ended));
+    /// Answers a request that has just been opened, where the negative cache knows the answer to a read, or holds no
+    /// lease for a write. True where the request is answered.
+    pub(super) fn answer_from_negative_cache(
+        &mut self,
+        id: RequestId,
+        now: Micros,
+        after_ms: Option<i64>,
+    ) -> bool {
+        let Some(request) = self.requests.get(id) else { return false };
+        let class = request.class;
+        let key = request.touched_key.as_ref();
+        let cached = key.and_then(|key| self.negative_cache.answer(now, class, key, after_ms));
+        if let Some(messages) = cached {
+            self.count_request(id, Disposition::Served, "missing");
+            self.record_request(id, |journal, ended| journal.served(ended));
             self.answer(id, Answer::Served(messages));
             return true;
         }
-        if self.lookups.may_send(now, class) {
+        if self.negative_cache.may_send(now, class) {
             return false;
         }
-        self.count(id, "refused", "no_leave");
-        self.answer(id, Answer::Refused(LEAVE_MS));
+        self.count_request(id, Disposition::Rejected, "no_leave");
+        self.answer(id, Answer::Refused(LEASE_RETRY_AFTER_MS));
         true
     }
 
-    /// A member's whole answer has come: what it tells of the key that was asked for.
-    pub(super) fn looked_up(&self, id: RequestId, position: Option<Micros>, answer: &client::Answer) {
-        let open = self.requests.get(&id);
-        if let Some((open, asked)) = open.and_then(|open| Some((open, open.touch.as_ref()?))) {
-            self.lookups.heard(self.clock.now(), open.class, asked, position, answer);
-        }
+    /// Updates the cache with a member's complete answer to the read of a key. `position_at_send` is the member's
+    /// newest known log position when the read was sent.
+    pub(super) fn update_negative_cache(
+        &self,
+        id: RequestId,
+        position_at_send: Option<Micros>,
+        answer: &client::Answer,
+    ) {
+        let Some(request) = self.requests.get(id) else { return };
+        let Some(key) = &request.touched_key else { return };
+        self.negative_cache.heard(self.clock.now(), request.class, key, position_at_send, answer);
     }
 }
--- /dev/null
+++ b/crates/proxy/src/broker/request_log.rs
@@ -0,0 +1,86 @@
+//! How requests end, for the counters, the debug log and the records.
+
+use super::request_table::AttemptOutcomeAt;
+use super::*;
+
+/// How a request was answered, as the counters name it.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Disposition {
+    Served,
+    Rejected,
+    Failed,
+}
+
+impl Disposition {
+    fn name(self) -> &'static str {
+        match self {
+            Disposition::Served => "served",
+            Disposition::Rejected => "refused",
+            Disposition::Failed => "failed",
+        }
+    }
+}
+
+impl Broker {
+    /// Counts how an open request is answered, and why. One that is not served gets a log line of its own, by which
+    /// the client's id can be followed through the logs of all proxies.
+    pub(super) fn count_request(&mut self, id: RequestId, disposition: Disposition, why: &'static str) {
+        if !self.counts.on() {
+            return;
+        }
+        let Some(request) = self.requests.get(id) else { return };
+        if let Some(class) = self.terms.names.get(request.class.0) {
+            self.counts.one(disposition.name(), why, class);
+        }
+        if disposition != Disposition::Served {
+            self.log_unserved(request, disposition, why);
+        }
+    }
+
+    fn log_unserved(&self, request: &OpenRequest, disposition: Disposition, why: &'static str) {
+        let names = self.endpoints.names_by_id();
+        let outcomes = request.attempt_outcomes.iter().map(|AttemptOutcomeAt { host, outcome }| {
+            format!("{}:{}", names.get(host).unwrap_or(&"-"), counts::ending(*outcome))
+        });
+        let outcomes = outcomes.collect::<Vec<_>>().join(",");
+        let took_ms = (self.clock.now() - request.arrived_at) / 1000;
+        let class = self.terms.names.get(request.class.0).map_or("-", String::as_str);
+        let how = (disposition.name(), why);
+        log::given_up(&request.client_id, class, request.group.0, how, took_ms, &outcomes);
+    }
+
+    /// Keeps how an attempt ended, for the log line of a request that is not served.
+    pub(super) fn note_attempt_outcome(&mut self, id: RequestId, host: HostId, outcome: Ending) {
+        if !self.counts.on() {
+            return;
+        }
+        let max_outcomes = self.attempt_limits.max_attempts as usize;
+        let Some(request) = self.requests.get_mut(id) else { return };
+        if request.attempt_outcomes.len() < max_outcomes {
+            request.attempt_outcomes.push(AttemptOutcomeAt { host, outcome });
+        }
+    }
+
+    /// Counts and records an open request that a member's answer serves; `primary` is the role that the answer states.
+    pub(super) fn record_served(&mut self, id: RequestId, host: HostId, primary: Option<bool>) {
+        let role = if primary == Some(true) { "primary" } else { "replica" };
+        self.count_request(id, Disposition::Served, role);
+        self.record_request(id, |journal, ended| journal.served(Ended { member: Some(host), ..ended }));
+    }
+
+    /// Records the end of an open request, where the settings ask for records.
+    pub(super) fn record_request(&self, id: RequestId, record: impl FnOnce(&Journal, Ended)) {
+        if !self.journal.records() {
+            return;
+        }
+        let Some(request) = self.requests.get(id) else { return };
+        let ended = Ended {
+            class: request.class,
+            group: request.group,
+            member: None,
+            attempts: request.attempts,
+            took: self.clock.now() - request.arrived_at,
+        };
+        record(&self.journal, ended);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/broker/request_table.rs
@@ -0,0 +1,86 @@
+//! The table of open requests, indexed by the router's request id, the connection's ticket and the client's id.
+
+use super::*;
+use std::collections::{HashMap, HashSet};
+use wharfplank_protocol::pipeline::Ticket;
+use wharfplank_transport::client::Lane;
+use wharfplank_transport::Statement;
+
+/// A request that has no final answer yet.
+pub(super) struct OpenRequest {
+    pub(super) ticket: Ticket,
+    /// The id that the client gave the request.
+    pub(super) client_id: String,
+    pub(super) statement: Rc<Statement>,
+    /// Takes the final answer.
+    pub(super) responses: Rc<Lane>,
+    /// The number of attempts that the router has asked for.
+    pub(super) attempts: u32,
+    pub(super) class: ClassId,
+    pub(super) group: GroupId,
+    /// The key that the request reads or writes, where the negative cache needs it.
+    pub(super) touched_key: Option<wharfplank_negative_cache::Asked>,
+    pub(super) arrived_at: Micros,
+    /// How the attempts ended, where the log counts requests: at most `max_attempts` entries.
+    pub(super) attempt_outcomes: Vec<AttemptOutcomeAt>,
+}
+
+/// How an attempt ended, and at which member.
+#[derive(Clone, Copy)]
+pub(super) struct AttemptOutcomeAt {
+    pub(super) host: HostId,
+    pub(super) outcome: Ending,
+}
+
+/// All open requests.
+#[derive(Default)]
+pub(super) struct RequestTable {
+    requests: HashMap<RequestId, OpenRequest>,
+    ids_by_ticket: HashMap<Ticket, RequestId>,
+    client_ids: HashSet<String>,
+}
+
+impl RequestTable {
+    /// Reserves the id that a client gave a request; false where another open request has it.
+    pub(super) fn reserve_client_id(&mut self, client_id: &str) -> bool {
+        self.client_ids.insert(client_id.to_string())
+    }
+
+    /// Adds a request whose client id has been reserved.
+    pub(super) fn insert(&mut self, id: RequestId, request: OpenRequest) {
+        self.ids_by_ticket.insert(request.ticket, id);
+        self.requests.insert(id, request);
+    }
+
+    /// Removes a request from all indexes.
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<OpenRequest> {
+        let request = self.requests.remove(&id)?;
+        self.ids_by_ticket.remove(&request.ticket);
+        self.client_ids.remove(&request.client_id);
+        Some(request)
+    }
+
+    pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
+        self.requests.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
+        self.requests.get_mut(&id)
+    }
+
+    pub(super) fn contains(&self, id: RequestId) -> bool {
+        self.requests.contains_key(&id)
+    }
+
+    pub(super) fn id_of(&self, ticket: Ticket) -> Option<RequestId> {
+        self.ids_by_ticket.get(&ticket).copied()
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.requests.is_empty()
+    }
+}
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -1,214 +1,196 @@
-//! Requests in the broker's tables, from a client's word to the final answer.
+//! The life of a request, from its arrival to its one final answer.
 
 use super::*;
 use wharfplank_admin::End;
+use wharfplank_protocol::comment::ID_MOST;
+use wharfplank_protocol::pipeline::Ticket;
+use wharfplank_routing::{Request, SessionKey};
+use wharfplank_transport::Asked;
 
-/// A request that is open.
-pub(super) struct Open {
-    pub(super) ticket: Ticket,
-    /// The id that the client gave it.
-    pub(super) name: String,
-    pub(super) statement: Rc<Statement>,
-    pub(super) lane: Rc<Lane>,
-    pub(super) attempts: u32,
-    pub(super) class: ClassId,
-    pub(super) group: GroupId,
-    /// The key that it asks for or touches, where that matters.
-    pub(super) touch: Option<wharfplank_negative_cache::Asked>,
-    pub(super) arrived: Micros,
-    /// How its attempts ended, and where, where the log counts: at most `max_attempts`.
-    pub(super) endings: Vec<(HostId, Ending)>,
+/// The client counts its wait from its own send: answers are due this much earlier here.
+const ANSWER_MARGIN: Micros = 5_000;
+
+/// What becomes of the attempts that have begun when their request is closed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum BegunAttempts {
+    /// They run to their end, whose outcome the router still learns from.
+    Continue,
+    /// They are cancelled.
+    Cancel,
 }
 
 impl Broker {
-    pub(super) fn asked(&mut self, asked: Asked) {
-        // Its client went away, or cancelled it, before it got here: it has its answer, or needs none.
+    /// Takes a request that a client connection has read: answers it at once where it is invalid, over budget or
+    /// known from the negative cache, and hands it to the router otherwise.
+    pub(super) fn on_client_request(&mut self, asked: Asked) {
+        // The client disconnected or cancelled before the request got here: it has its answer, or needs none.
         if !asked.lane.awaits(asked.ticket) {
             return;
         }
-        let Some(class) = self.terms.names.iter().position(|name| *name == asked.class) else {
+        let Some(class) = self.class_id(&asked.class) else {
             asked.lane.give(asked.ticket, Answer::Malformed("the class is not in the settings"));
             return;
         };
         // Members tell requests apart by their ids: a second one would be taken for a copy of the first.
-        if !self.ids.insert(asked.id.clone()) {
+        if !self.requests.reserve_client_id(&asked.id) {
             asked.lane.give(asked.ticket, Answer::Malformed("the id is in use by another open request"));
             return;
         }
         let now = self.clock.now();
-        let id = request_id(asked.ticket, &asked.id);
-        let (group, arrived) = (GroupId(asked.group), self.clock.at(asked.arrived));
-        let touch = self.lookups.asked(ClassId(class), group, asked.key.as_deref(), &asked.statement);
-        let request = Request {
-            id,
-            class: ClassId(class),
-            group,
-            key: asked.key.map(|key| SessionKey(hash(key.as_bytes()))),
-            // Its time runs from its last byte, however long it stood behind others.
-            give_up_at: arrived + (Micros::from(asked.wait_ms) * 1000 - ANSWER_MARGIN).max(1),
-            doubted: self.talk.in_doubt(now, &asked.id),
+        let after_ms = asked.after_ms;
+        let request = self.router_request(now, class, &asked);
+        self.open_request(&request, asked);
+        self.admit(now, request, after_ms);
+    }
+
+    fn class_id(&self, name: &str) -> Option<ClassId> {
+        self.terms.names.iter().position(|known| known == name).map(ClassId)
+    }
+
+    /// The request as the router takes it.
+    fn router_request(&self, now: Micros, class: ClassId, asked: &Asked) -> Request {
+        let arrived_at = self.clock.at(asked.arrived);
+        Request {
+            id: request_id(asked.ticket, &asked.id),
+            class,
+            group: GroupId(asked.group),
+            key: asked.key.as_ref().map(|key| SessionKey(fnv1a(key.as_bytes()))),
+            // The wait runs from the request's last byte, however long it was queued behind others.
+            give_up_at: arrived_at + (Micros::from(asked.wait_ms) * 1000 - ANSWER_MARGIN).max(1),
+            doubted: self.gossip.in_doubt(now, &asked.id),
             write_age: asked.after_ms.map(|ms| now - ms.saturating_mul(1000)),
+        }
+    }
+
+    fn open_request(&mut self, request: &Request, asked: Asked) {
+        let touched_key =
+            self.negative_cache.asked(request.class, request.group, asked.key.as_deref(), &asked.statement);
+        let open = OpenRequest {
+            ticket: asked.ticket,
+            client_id: asked.id,
+            statement: asked.statement,
+            responses: asked.lane,
+            attempts: 0,
+            class: request.class,
+            group: request.group,
+            touched_key,
+            arrived_at: self.clock.at(asked.arrived),
+            attempt_outcomes: Vec::new(),
         };
-        let Asked { ticket, statement, lane, id: name, after_ms, .. } = asked;
-        self.tickets.insert(ticket, id);
-        self.requests.insert(
-            id,
-            Open {
-                ticket,
-                name,
-                statement,
-                lane,
-                attempts: 0,
-                class: ClassId(class),
-                group,
-                touch,
-                arrived,
-                endings: Vec::new(),
-            },
-        );
-        if self.denied(group) {
-            return self.tell_at(now, routing::Event::Denied(request));
+        self.requests.insert(request.id, open);
+    }
+
+    /// Hands an open request to the router, unless a budget denies it or the negative cache settles it.
+    fn admit(&mut self, now: Micros, request: Request, after_ms: Option<i64>) {
+        if self.is_over_budget(request.group) {
+            return self.notify_router_at(now, routing::Event::Denied(request));
         }
-        if self.settled_at_once(id, now, after_ms) {
+        if self.answer_from_negative_cache(request.id, now, after_ms) {
             return;
         }
         // The age of the session's write counts from the very time that the router takes the request at:
         // a later one would ask for a position some microseconds past the commit.
-        self.tell_at(now, routing::Event::Request(request));
-        // What was taken so late that the rest has been given up already is answered all the same.
-        if self.gave_up {
-            self.tell(routing::Event::Close);
-        }
-    }
-
-    /// A client cancelled a request, and its connection has answered it: none of its attempts goes on.
-    pub(super) fn cancelled(&mut self, ticket: Ticket) {
-        if let Some(id) = self.tickets.get(&ticket).copied() {
-            self.count(id, "failed", "cancelled");
-            let attempts = self.ended(id, &Answer::Cancelled).map_or(0, |open| open.attempts);
-            self.withdraw(id, attempts, self.allowed.cancels);
-            self.tell(routing::Event::Gone(id));
+        self.notify_router_at(now, routing::Event::Request(request));
+        // A request taken after shutdown has given up the others is answered all the same.
+        if self.lifecycle.has_given_up() {
+            self.notify_router(routing::Event::Close);
         }
     }
 
-    /// An attempt has ended. Where the client has gone and the event that says so is still on its way, that comes
-    /// first: nothing more is tried or looked for.
-    pub(super) fn note_left(&mut self, id: RequestId) {
-        let left = self.requests.get(&id).filter(|open| open.lane.has_left()).map(|open| open.ticket);
-        left.into_iter().for_each(|ticket| self.gone(ticket));
+    /// A client cancelled a request, which its connection has answered: none of its attempts continues.
+    pub(super) fn on_request_cancelled(&mut self, ticket: Ticket) {
+        let Some(id) = self.requests.id_of(ticket) else { return };
+        self.count_request(id, Disposition::Failed, "cancelled");
+        let attempts = self.finish(id, &Answer::Cancelled).map_or(0, |request| request.attempts);
+        let begun = match self.attempt_limits.may_cancel {
+            true => BegunAttempts::Cancel,
+            false => BegunAttempts::Continue,
+        };
+        self.withdraw_attempts(id, attempts, begun);
+        self.notify_router(routing::Event::Gone(id));
     }
 
-    /// One that was not sent since its client has gone is over.
-    pub(super) fn close_left(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|open| open.lane.has_left()) {
-            self.close(id);
-        }
+    /// A client disconnected: its request needs no answer any more.
+    pub(super) fn on_client_disconnected(&mut self, ticket: Ticket) {
+        let Some(id) = self.requests.id_of(ticket) else { return };
+        self.note_abandoned_write(id);
+        let attempts = self.close(id).map_or(0, |request| request.attempts);
+        self.withdraw_attempts(id, attempts, BegunAttempts::Continue);
+        self.notify_router(routing::Event::Gone(id));
     }
 
-    /// Ends the attempts of a request that nobody waits for any more: one that waits for its connection never begins,
-    /// and one that has begun is given up where that is wanted.
-    fn withdraw(&mut self, id: RequestId, attempts: u32, begun: bool) {
-        for attempt in 0..attempts {
-            match self.flights.get(&(id, attempt)).map(|flight| flight.stage.get()) {
-                Some(Stage::Waiting) => self.end(id, attempt, Ending::Moot),
-                Some(Stage::Begun | Stage::Written) if begun => self.end(id, attempt, Ending::Cancelled),
-                _ => {}
-            }
+    /// Reports to gossip a request whose client disconnected while its last attempt was in flight: it may still run.
+    fn note_abandoned_write(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else { return };
+        let last_attempt = AttemptKey::new(id, request.attempts.saturating_sub(1));
+        if self.attempts.contains(last_attempt) || self.streaming.contains(last_attempt) {
+            self.gossip.gone(self.clock.now(), id, request.class, &request.client_id);
         }
     }
 
-    /// A client went away: nothing more is owed.
-    pub(super) fn gone(&mut self, ticket: Ticket) {
-        if let Some(id) = self.tickets.get(&ticket).copied() {
-            let open = self.requests.get(&id);
-            let out = |o: &&Open| {
-                let last = (id, o.attempts.saturating_sub(1));
-                self.flights.contains_key(&last) || self.passing.has(&last)
-            };
-            if let Some(open) = open.filter(out) {
-                self.talk.gone(self.clock.now(), id, open.class, &open.name);
-            }
-            let attempts = self.close(id).map_or(0, |open| open.attempts);
-            self.withdraw(id, attempts, false);
-            self.tell(routing::Event::Gone(id));
+    /// Called when an attempt has ended. Where its client has disconnected and the event that says so is still queued,
+    /// that event is handled first, so that nothing more is sent or looked up.
+    pub(super) fn notice_client_left(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else { return };
+        if request.responses.has_left() {
+            self.on_client_disconnected(request.ticket);
         }
     }
 
-    /// Takes a request out of all tables.
-    pub(super) fn close(&mut self, id: RequestId) -> Option<Open> {
-        let open = self.requests.remove(&id)?;
-        self.tickets.remove(&open.ticket);
-        self.ids.remove(&open.name);
-        Some(open)
-    }
-
-    /// Records the end of a request that is still open.
-    pub(super) fn note_end(&self, id: RequestId, note: impl FnOnce(&Journal, Ended)) {
-        if let Some(open) = self.requests.get(&id).filter(|_| self.journal.records()) {
-            let (class, group, attempts) = (open.class, open.group, open.attempts);
-            let took = self.clock.now() - open.arrived;
-            note(&self.journal, Ended { class, group, member: None, attempts, took });
+    /// Closes a request whose attempt was not sent since its client has disconnected.
+    pub(super) fn close_if_client_left(&mut self, id: RequestId) {
+        if self.requests.get(id).is_some_and(|request| request.responses.has_left()) {
+            self.close(id);
         }
     }
 
-    /// Counts something of a request that is still open; one given up gets a line of its own, by which its id
-    /// can be followed through the logs of all proxies.
-    pub(super) fn count(&mut self, id: RequestId, what: &'static str, how: &'static str) {
-        let open = self.requests.get(&id).filter(|_| self.counts.on());
-        let class = open.and_then(|open| self.terms.names.get(open.class.0));
-        class.into_iter().for_each(|class| self.counts.one(what, how, class));
-        if let Some(open) = open.filter(|_| what != "served") {
-            let names = self.by_host();
-            let endings = open.endings.iter().map(|(host, ending)| {
-                format!("{}:{}", names.get(host).unwrap_or(&"-"), counts::ending(*ending))
-            });
-            let took_ms = (self.clock.now() - open.arrived) / 1000;
-            let class = self.terms.names.get(open.class.0).map_or("-", String::as_str);
-            log::given_up(
-                &open.name,
-                class,
-                open.group.0,
-                (what, how),
-                took_ms,
-                &endings.collect::<Vec<_>>().join(","),
-            );
+    /// Ends the attempts of a request that needs no answer any more. One that is queued for a connection never begins;
+    /// `begun` says what becomes of the others.
+    fn withdraw_attempts(&mut self, id: RequestId, attempts: u32, begun: BegunAttempts) {
+        for number in 0..attempts {
+            let key = AttemptKey::new(id, number);
+            match self.attempts.stage(key) {
+                Some(Stage::Waiting) => self.end_attempt(key, Ending::Moot),
+                Some(Stage::Begun | Stage::Written) if begun == BegunAttempts::Cancel => {
+                    self.end_attempt(key, Ending::Cancelled)
+                }
+                _ => {}
+            }
         }
     }
 
-    /// Keeps how an attempt ended, for the line of a request that is given up.
-    pub(super) fn keep_ending(&mut self, id: RequestId, host: HostId, ending: Ending) {
-        let most = self.allowed.attempts as usize;
-        if let Some(open) = self.requests.get_mut(&id).filter(|o| o.endings.len() < most) {
-            open.endings.push((host, ending));
-        }
+    /// Removes a request from the tables without an answer.
+    fn close(&mut self, id: RequestId) -> Option<OpenRequest> {
+        self.requests.remove(id)
     }
 
-    /// Gives the one final answer, and counts it: nothing else answers a request that was taken.
+    /// Gives a request its one final answer.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(open) = self.ended(id, &answer) {
-            open.lane.give(open.ticket, answer);
+        if let Some(request) = self.finish(id, &answer) {
+            request.responses.give(request.ticket, answer);
         }
     }
 
-    /// Counts the one final answer of a request that is still open, and takes it out of all tables.
-    pub(super) fn ended(&mut self, id: RequestId, answer: &Answer) -> Option<Open> {
-        self.talk.answered(self.clock.now(), answer);
-        let open = self.close(id)?;
+    /// Counts the one final answer of an open request, and removes the request from the tables.
+    pub(super) fn finish(&mut self, id: RequestId, answer: &Answer) -> Option<OpenRequest> {
+        self.gossip.answered(self.clock.now(), answer);
+        let request = self.close(id)?;
         let end = match answer {
             Answer::Served(_) => End::Success,
             Answer::Refused(_) => End::Overload,
             Answer::Failed | Answer::Cancelled | Answer::Malformed(_) => End::Error,
         };
-        self.shared.figures.ended(open.class.0, end);
-        Some(open)
+        self.pools.figures.ended(request.class.0, end);
+        Some(request)
     }
 }
 
-/// The module's id: the ticket, which keeps equal ids of clients apart, and the client's id.
-fn request_id(ticket: Ticket, id: &str) -> RequestId {
+/// The router's id of a request: the ticket, which keeps equal ids of several clients apart, and the client's id.
+fn request_id(ticket: Ticket, client_id: &str) -> RequestId {
+    const TICKET_DIGITS: usize = 16;
     let mut bytes = [b'.'; 36];
-    bytes[..16].copy_from_slice(format!("{:016x}", ticket.0).as_bytes());
-    let id = &id.as_bytes()[..id.len().min(ID_MOST)];
-    bytes[16..16 + id.len()].copy_from_slice(id);
+    bytes[..TICKET_DIGITS].copy_from_slice(format!("{:016x}", ticket.0).as_bytes());
+    let client_id = &client_id.as_bytes()[..client_id.len().min(ID_MOST)];
+    bytes[TICKET_DIGITS..TICKET_DIGITS + client_id.len()].copy_from_slice(client_id);
     RequestId(bytes)
 }
--- /dev/null
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -0,0 +1,86 @@
+//! Delivers events to the router and carries out the actions that it returns.
+
+use super::*;
+
+impl Broker {
+    /// Delivers an event to the router, carries out its actions, and reports the attempts that end by these at once.
+    pub(super) fn notify_router(&mut self, event: routing::Event) {
+        self.notify_router_at(self.clock.now(), event);
+    }
+
+    /// The same, for an event that was observed at `now`.
+    pub(super) fn notify_router_at(&mut self, now: Micros, event: routing::Event) {
+        self.route(now, event);
+        self.report_finished_attempts();
+    }
+
+    /// Delivers one event and carries out its actions. Outcomes that these produce stay queued.
+    pub(super) fn route(&mut self, now: Micros, event: routing::Event) {
+        let mut actions = Vec::new();
+        self.update_retry_permission(now, &mut actions);
+        self.router.handle(now, event, &mut actions);
+        self.perform(now, actions);
+    }
+
+    /// Reports the queued outcomes to the router until none is left; each report may queue further ones.
+    pub(super) fn report_finished_attempts(&mut self) {
+        while let Some(finished) = self.attempts.pop_finished() {
+            self.report_finished_attempt(&finished);
+            self.report_denied_health_checks();
+        }
+        self.report_denied_health_checks();
+    }
+
+    fn report_finished_attempt(&mut self, finished: &FinishedAttempt) {
+        let FinishedAttempt { key, host, sent_at, outcome } = *finished;
+        self.note_attempt_outcome(key.request, host, outcome);
+        self.gossip.saw(host, sent_at, outcome);
+        self.close_if_client_left(key.request);
+        let result = self.attempt_result(key, host, sent_at, &Report::bare(outcome));
+        self.route(self.clock.now(), routing::Event::Outcome(result));
+    }
+
+    /// Carries out the actions that the router decided on at `now`.
+    pub(super) fn perform(&mut self, now: Micros, actions: Vec<Action>) {
+        for action in actions {
+            self.perform_action(now, action);
+        }
+    }
+
+    fn perform_action(&mut self, now: Micros, action: Action) {
+        match action {
+            Action::Send { id, host, timeout, holds_until } => {
+                self.send_attempt(now, id, host, timeout, holds_until)
+            }
+            Action::Refuse { id, retry_after, reason } => self.reject(id, retry_after, reason),
+            Action::Fail(id, reason) => self.fail(id, reason),
+            Action::Cancel { id, attempt } => {
+                self.end_attempt(AttemptKey::new(id, attempt.0), Ending::Cancelled)
+            }
+            Action::Probe(host, why) => {
+                self.counts.one("probe", counts::why(why), "");
+                self.start_health_check(host);
+            }
+            Action::Timer(delay) => self.timers.schedule_router_timer(self.clock.now() + delay),
+            // The watch on discovery always runs.
+            Action::Follow => {}
+        }
+    }
+
+    /// Answers a request that the router sheds. The wait until a retry is rounded up to whole milliseconds.
+    fn reject(&mut self, id: RequestId, retry_after: Micros, reason: routing::Reason) {
+        self.count_request(id, Disposition::Rejected, recorded(reason).name());
+        self.record_request(id, |journal, ended| journal.given_up(ended, true, reason));
+        self.answer(id, Answer::Refused((retry_after + 999) / 1000));
+    }
+
+    /// Answers a request that the router has given up.
+    fn fail(&mut self, id: RequestId, reason: routing::Reason) {
+        if let Some(request) = self.requests.get(id) {
+            self.gossip.failed(self.clock.now(), request.class, request.attempts, &request.client_id);
+        }
+        self.count_request(id, Disposition::Failed, recorded(reason).name());
+        self.record_request(id, |journal, ended| journal.given_up(ended, false, reason));
+        self.answer(id, Answer::Failed);
+    }
+}
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -1,105 +1,110 @@
-//! Long values that pass through: what the router hears of them when, and their end.
+//! Streaming responses: answers whose first bytes are passed on to the client while the rest still arrives.
 
 use super::*;
+use std::collections::HashMap;
 use wharfplank_routing::{Class, Consistency, Settings, Told};
 
-/// An attempt whose answer has begun.
-struct Passing {
-    flight: Flight,
-    /// What the router is told at the end, where that is later.
-    begun: Option<Outcome>,
+/// An attempt whose answer is being streamed.
+struct StreamingAttempt {
+    attempt: InFlightAttempt,
+    /// The result that the router gets when the stream ends, where it has not had it at the beginning.
+    deferred_result: Option<Outcome>,
 }
 
-/// The attempts whose long value passes through; their requests stay in the broker's tables to its end.
-pub(super) struct Values {
-    open: HashMap<(RequestId, u32), Passing>,
-    /// Classes of writes whose commits the router must remember for their sessions.
-    marks: Vec<bool>,
+/// The attempts whose answer is being streamed; their requests stay open until the stream ends.
+pub(super) struct StreamingAttempts {
+    streams: HashMap<AttemptKey, StreamingAttempt>,
+    /// By class: whether the router must remember the commit positions of its writes for their sessions.
+    remembers_commits: Vec<bool>,
 }
 
-impl Values {
+impl StreamingAttempts {
     pub(super) fn new(settings: &Settings) -> Self {
-        let remembered = |class: &Class| class.consistency == Consistency::Write && !settings.tokens_carried;
-        Values { open: HashMap::new(), marks: settings.classes.iter().map(remembered).collect() }
+        let remembers = |class: &Class| class.consistency == Consistency::Write && !settings.tokens_carried;
+        StreamingAttempts {
+            streams: HashMap::new(),
+            remembers_commits: settings.classes.iter().map(remembers).collect(),
+        }
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.streams.is_empty()
     }
 
-    /// Whether there is none.
-    pub(super) fn none(&self) -> bool {
-        self.open.is_empty()
+    pub(super) fn contains(&self, key: AttemptKey) -> bool {
+        self.streams.contains_key(&key)
     }
 
-    /// Whether this attempt's does.
-    pub(super) fn has(&self, attempt: &(RequestId, u32)) -> bool {
-        self.open.contains_key(attempt)
+    /// The streams from a member, with the time when each attempt was sent.
+    pub(super) fn sent_to(&self, host: HostId) -> impl Iterator<Item = (Micros, AttemptKey)> + '_ {
+        let streams = self.streams.iter().filter(move |(_, stream)| stream.attempt.host == host);
+        streams.map(|(key, stream)| (stream.attempt.sent_at, *key))
     }
 
-    /// Those of a member, and when they were sent.
-    pub(super) fn at(&self, host: HostId) -> impl Iterator<Item = (Micros, (RequestId, u32))> + '_ {
-        let here = self.open.iter().filter(move |(_, passing)| passing.flight.host == host);
-        here.map(|(key, passing)| (passing.flight.sent, *key))
+    fn remembers_commit(&self, class: ClassId) -> bool {
+        self.remembers_commits.get(class.0) == Some(&true)
     }
 }
 
 impl Broker {
-    /// A long value has begun, and passes on from here. Its member has done the work: the router hears of it now,
-    /// with the time that the first bytes took, since neither the rest of them nor a client that takes them slowly
-    /// tells anything of the member's load. Only a write whose commit sessions must remember is heard of at its
-    /// end, where the commit stands.
-    pub(super) fn began(&mut self, id: RequestId, attempt: u32, mut report: Report) {
-        let Some(flight) = self.flights.remove(&(id, attempt)) else { return };
-        if let Some((open, flow)) = self.requests.get(&id).zip(report.flow.take()) {
-            open.lane.begin(open.ticket, flow);
+    /// A long answer has begun, and is streamed from here on. Its member has done the work: the router hears of it
+    /// now, with the latency of the first bytes, since neither the rest of them nor a client that reads slowly tells
+    /// anything of the member's load. Only for a write whose commit sessions must remember the result is deferred to
+    /// the end of the stream, where the commit position stands.
+    pub(super) fn on_stream_started(&mut self, key: AttemptKey, mut report: Report) {
+        let Some(attempt) = self.attempts.remove(key) else { return };
+        let request = self.requests.get(key.request);
+        if let Some((request, flow)) = request.zip(report.flow.take()) {
+            request.responses.begin(request.ticket, flow);
         }
-        let outcome = self.outcome(id, attempt, flight.host, flight.sent, &report);
-        let routing::Event::Outcome(outcome) = outcome else { return };
-        let class = self.requests.get(&id).map(|open| open.class);
-        let marks = class.is_some_and(|class| self.passing.marks.get(class.0) == Some(&true));
-        let later = marks.then(|| outcome.clone());
-        self.passing.open.insert((id, attempt), Passing { flight, begun: later });
-        if !marks {
-            self.tell(routing::Event::Outcome(outcome));
+        let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
+        let request = self.requests.get(key.request);
+        let is_deferred = request.is_some_and(|request| self.streaming.remembers_commit(request.class));
+        let deferred_result = is_deferred.then(|| result.clone());
+        self.streaming.streams.insert(key, StreamingAttempt { attempt, deferred_result });
+        if !is_deferred {
+            self.notify_router(routing::Event::Outcome(result));
         }
     }
 
-    /// A value that passed through is over.
-    pub(super) fn passed(&mut self, id: RequestId, attempt: u32, report: Report) {
-        let Some(Passing { flight, begun }) = self.passing.open.remove(&(id, attempt)) else { return };
-        self.talk.ended(self.clock.now(), id, report.ending);
-        self.lookups.ended(self.clock.now(), (id, attempt), report.ending);
-        self.talk.saw(flight.host, flight.sent, report.ending);
+    /// A streamed answer has ended, completely or not.
+    pub(super) fn on_stream_finished(&mut self, key: AttemptKey, report: Report) {
+        let Some(stream) = self.streaming.streams.remove(&key) else { return };
+        let StreamingAttempt { attempt, deferred_result } = stream;
+        self.note_attempt_ended(key, report.ending);
+        self.gossip.saw(attempt.host, attempt.sent_at, report.ending);
         self.counts.one("attempt", counts::ending(report.ending), "");
-        // Where the client left meanwhile, nothing more is owed or counted.
-        if self.requests.contains_key(&id) {
-            let primary = report.answer.as_ref().is_some_and(|a| a.primary == Some(true));
-            let answer = if report.ending == Ending::Ok {
-                let member = Some(flight.host);
-                self.count(id, "served", if primary { "primary" } else { "replica" });
-                self.note_end(id, |journal, ended| journal.served(Ended { member, ..ended }));
-                Answer::Served(Vec::new())
-            } else {
-                self.count(id, "failed", "cut_off");
-                Answer::Failed
-            };
-            self.ended(id, &answer);
+        // Where the client left meanwhile, there is nothing more to answer or count.
+        if self.requests.contains(key.request) {
+            self.finish_streamed_request(key.request, attempt.host, &report);
         }
-        let heard = self.outcome(id, attempt, flight.host, flight.sent, &report);
-        let routing::Event::Outcome(heard) = heard else { return };
-        self.talk.learned(self.clock.now(), flight.host, heard.position);
-        match begun {
-            Some(begun) => {
-                let (role, position) = (heard.role, heard.position);
-                self.tell(routing::Event::Outcome(Outcome { role, position, ..begun }));
-            }
-            // What it told at its end is a position that it has reached, and no more.
-            None => {
-                let told = heard.position.map(|position| Told {
-                    host: flight.host,
-                    position,
-                    suspected_at: 0,
-                    traits: None,
-                });
-                self.tell(routing::Event::Told(told.into_iter().collect()));
+        let final_result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
+        self.gossip.learned(self.clock.now(), attempt.host, final_result.position);
+        match deferred_result {
+            Some(deferred) => {
+                let result = Outcome { role: final_result.role, position: final_result.position, ..deferred };
+                self.notify_router(routing::Event::Outcome(result));
             }
+            None => self.report_stream_position(attempt.host, final_result.position),
         }
     }
+
+    /// Counts the end of a request whose answer the client connection has already written.
+    fn finish_streamed_request(&mut self, id: RequestId, host: HostId, report: &Report) {
+        if report.ending == Ending::Ok {
+            let primary = report.answer.as_ref().and_then(|answer| answer.primary);
+            self.record_served(id, host, primary);
+            self.finish(id, &Answer::Served(Vec::new()));
+        } else {
+            self.count_request(id, Disposition::Failed, "cut_off");
+            self.finish(id, &Answer::Failed);
+        }
+    }
+
+    /// Tells the router the position that a member stated at the end of a stream. It is a position that the member has
+    /// reached, and says nothing of its load.
+    fn report_stream_position(&mut self, host: HostId, position: Option<Micros>) {
+        let observation = |position| Told { host, position, suspected_at: 0, traits: None };
+        self.notify_router(routing::Event::Told(position.map(observation).into_iter().collect()));
+    }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -12,6 +12,8 @@
 mod release;
 mod talk;
 
+pub use broker::shutdown_timing;
+
 use async_executor::LocalExecutor;
 use async_io::Async;
 use clock::Clock;
@@ -118,14 +120,14 @@
         let (replica, health) = (settings.replica.as_ref(), settings.health.is_some());
         let (witness, ended) =
             fleet::start(peers, replica, health, &config, clock, events.clone(), &executor)?;
-        broker.witness(witness);
+        broker.enable_gossip(witness);
         farewell = Some(ended);
     }
     if let Some(missing) = &settings.missing {
-        broker.remembers(missing::Lookups::start(missing, &config, clock, &executor)?);
+        broker.enable_negative_cache(missing::Lookups::start(missing, &config, clock, &executor)?);
     }
     if let Some(release) = &settings.release {
-        broker.releases(release::Releases::start(release, &config, clock)?);
+        broker.enable_releases(release::Releases::start(release, &config, clock)?);
     }
 
     let (calls, operators) = async_channel::bounded(CALLS);
@@ -135,7 +137,7 @@
     }
     if let Some(post) = post {
         let all = Holds { clients: to_clients, members: to_members };
-        broker.replaceable(post, Rc::clone(&listener), all, inherited.take());
+        broker.enable_handover(post, Rc::clone(&listener), all, inherited.take());
     }
     executor.spawn(Rc::clone(&clients).listen(listener)).detach();
     async_io::block_on(executor.run(async {
