--- a/crates/proxy/src/broker/admin_calls.rs
+++ b/crates/proxy/src/broker/admin_calls.rs
@@ -2,25 +2,25 @@
 
 use super::*;
 use std::collections::HashMap;
-use wharfplank_admin::{Avoided, Call, Gauges, Refusal};
+use wharfplank_admin::{Command, CordonError, Exclusion, Gauges};
 use wharfplank_routing::View;
 
 impl Broker {
     /// Carries a call out at once, and returns the text of its answer. What a positive answer promises holds before
     /// it is written: a member that is cordoned gets no first byte from then on.
-    pub(super) fn perform_admin_call(&mut self, call: &Call) -> String {
-        match call {
-            Call::Health => self.health_text().to_string(),
-            Call::Counters => {
+    pub(super) fn perform_admin_call(&mut self, command: &Command) -> String {
+        match command {
+            Command::Health => self.health_text().to_string(),
+            Command::Counters => {
                 self.log_avoided_members();
-                format!("{}\neof\n", self.pools.figures.line(self.gauges()))
+                format!("{}\neof\n", self.pools.metrics.to_json(self.gauges()))
             }
-            Call::Cordon(id) => {
+            Command::Cordon(id) => {
                 let is_listed = self.endpoints.records.contains_key(id);
                 let result = self.endpoints.cordons.cordon(id, is_listed);
                 self.apply_cordon(id, result)
             }
-            Call::Uncordon(id) => {
+            Command::Uncordon(id) => {
                 let is_listed = self.endpoints.records.contains_key(id);
                 let result = self.endpoints.cordons.uncordon(id, is_listed, self.clock.now());
                 self.apply_cordon(id, result)
@@ -40,12 +40,12 @@
 
     /// Applies the changed cordon of a member to the router and the pools, unless it was refused; returns the text of
     /// the answer.
-    pub(super) fn apply_cordon(&mut self, id: &str, result: Result<(), Refusal>) -> String {
-        if let Err(refusal) = result {
-            log::operator(id, refusal.name());
-            return format!("fail {}\n", refusal.name());
+    pub(super) fn apply_cordon(&mut self, id: &str, result: Result<(), CordonError>) -> String {
+        if let Err(error) = result {
+            log::operator(id, &error.to_string());
+            return format!("fail {error}\n");
         }
-        let is_cordoned = self.endpoints.cordons.is_out(id);
+        let is_cordoned = self.endpoints.cordons.is_cordoned(id);
         let state = if is_cordoned { "cordoned" } else { "uncordoned" };
         log::operator(id, state);
         let record = self.endpoints.records.get(id).map(|record| self.endpoints.cordons.apply(record));
@@ -58,21 +58,21 @@
 
     fn log_avoided_members(&self) {
         if self.counts.on() {
-            let avoided = self.avoided_members().map(|(id, reason)| format!("{id}:{}", reason.name()));
+            let avoided = self.avoided_members().map(|(id, reason)| format!("{id}:{}", reason.as_str()));
             log::avoided(&avoided.collect::<Vec<_>>().join(","));
         }
     }
 
     /// The listed members that get no requests, and why.
-    fn avoided_members(&self) -> impl Iterator<Item = (&str, Avoided)> {
+    fn avoided_members(&self) -> impl Iterator<Item = (&str, Exclusion)> {
         let now = self.clock.now();
         let suspected_since = |view: View| Some((view.host, view.suspected?));
         let suspected: HashMap<HostId, Micros> = self.router.view().filter_map(suspected_since).collect();
         let endpoints = &self.endpoints;
         endpoints.records.iter().filter_map(move |(id, record)| {
             let since = endpoints.ids.get(id).and_then(|host| suspected.get(host)).copied();
-            let is_cordoned = endpoints.cordons.is_out(id);
-            let reason = Avoided::why(record.health, is_cordoned, since, now)?;
+            let is_cordoned = endpoints.cordons.is_cordoned(id);
+            let reason = Exclusion::of(record.health, is_cordoned, since, now)?;
             Some((id.as_str(), reason))
         })
     }
--- a/crates/proxy/src/broker/attempt_table.rs
+++ b/crates/proxy/src/broker/attempt_table.rs
@@ -31,7 +31,7 @@
     /// The member's newest known log position when the attempt was sent.
     pub(super) position_at_send: Option<Micros>,
     /// How far the attempt has come; the task that runs it updates this.
-    pub(super) stage: Rc<Cell<Stage>>,
+    pub(super) stage: Rc<Cell<AttemptStage>>,
     /// The task that runs the attempt. Dropping it closes the attempt's connection.
     pub(super) task: Task<()>,
 }
@@ -80,7 +80,7 @@
     }
 
     /// How far an attempt in flight has come.
-    pub(super) fn stage(&self, key: AttemptKey) -> Option<Stage> {
+    pub(super) fn stage(&self, key: AttemptKey) -> Option<AttemptStage> {
         self.in_flight.get(&key).map(|attempt| attempt.stage.get())
     }
 
@@ -95,7 +95,8 @@
     /// The attempts at a member that have begun to be written, with the time when each was sent.
     pub(super) fn begun_at(&self, host: HostId) -> impl Iterator<Item = (Micros, AttemptKey)> + '_ {
         let begun = self.in_flight.iter().filter(move |(_, attempt)| {
-            attempt.host == host && matches!(attempt.stage.get(), Stage::Begun | Stage::Written)
+            attempt.host == host
+                && matches!(attempt.stage.get(), AttemptStage::Writing | AttemptStage::Written)
         });
         begun.map(|(key, attempt)| (attempt.sent_at, *key))
     }
--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -4,7 +4,7 @@
 use super::*;
 use std::cell::Cell;
 use std::time::Instant;
-use wharfplank_transport::members::Member;
+use wharfplank_transport::member_pool::MemberPool;
 
 /// How long before the end of [`SEND_MARGIN`] the last byte of a request must be written.
 const WRITE_MARGIN: Micros = 500;
@@ -50,14 +50,14 @@
 
     /// The member to send an attempt to, unless the attempt is one too many, a budget denies the retry, the client
     /// has gone, or the member has no connection pool.
-    fn sendable_member(&self, key: AttemptKey, host: HostId) -> Option<Rc<Member>> {
+    fn sendable_member(&self, key: AttemptKey, host: HostId) -> Option<Rc<MemberPool>> {
         let request = self.requests.get(key.request)?;
         let is_retry = key.number > 0;
         // A retry takes from the budget even where it is then not sent for another reason.
         let is_denied = is_retry && self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.retry());
         let may_send = key.number < self.attempt_limits.max_attempts
             && !is_denied
-            && request.responses.awaits(request.ticket);
+            && request.responses.is_awaited(request.ticket);
         self.endpoints.members.get(&host).filter(|_| may_send).cloned()
     }
 
@@ -71,14 +71,14 @@
         now: Micros,
         key: AttemptKey,
         host: HostId,
-        member: &Rc<Member>,
+        member: &Rc<MemberPool>,
         deadlines: AttemptDeadlines,
     ) {
         let Some(request) = self.requests.get(key.request) else { return };
-        let stage: Rc<Cell<Stage>> = Rc::default();
+        let stage: Rc<Cell<AttemptStage>> = Rc::default();
         let responses = Rc::clone(&request.responses);
         let ticket = request.ticket;
-        let is_awaited = move || responses.awaits_now(ticket);
+        let is_awaited = move || responses.is_awaited_now(ticket);
         let work = Rc::clone(member).attempt(
             Rc::clone(&request.statement),
             Rc::clone(&stage),
@@ -91,11 +91,11 @@
         let AttemptKey { request: id, number: attempt } = key;
         let task = self.pools.executor.spawn(async move {
             let (report, stream) = work.await;
-            task_stage.set(Stage::Done);
-            let _ = events.send(Event::Attempt { id, attempt, report }).await;
+            task_stage.set(AttemptStage::Finished);
+            let _ = events.send(ProxyEvent::AttemptFinished { id, attempt, report }).await;
             if let Some(stream) = stream {
                 let report = stream.pass().await;
-                let _ = events.send(Event::Passed { id, attempt, report }).await;
+                let _ = events.send(ProxyEvent::StreamFinished { id, attempt, report }).await;
             }
         });
         let position_at_send = self.negative_cache.position(host);
@@ -106,8 +106,8 @@
     /// an answer that has arrived is not thrown away. One that was not written completely never ran.
     pub(super) fn end_attempt(&mut self, key: AttemptKey, outcome: Ending) {
         let outcome = match self.attempts.stage(key) {
-            Some(Stage::Done) => return,
-            Some(Stage::Waiting | Stage::Begun) => Ending::Moot,
+            Some(AttemptStage::Finished) => return,
+            Some(AttemptStage::Queued | AttemptStage::Writing) => Ending::Moot,
             _ => outcome,
         };
         let Some(attempt) = self.attempts.remove(key) else { return };
@@ -129,18 +129,18 @@
     }
 
     /// Handles the driver's report of an attempt: the complete answer, its first bytes, or the failure.
-    pub(super) fn on_attempt_report(&mut self, key: AttemptKey, report: Report) {
-        if report.flow.is_some() {
+    pub(super) fn on_attempt_report(&mut self, key: AttemptKey, report: AttemptReport) {
+        if report.stream.is_some() {
             self.on_stream_started(key, report);
         } else {
             self.on_attempt_finished(key, report);
         }
     }
 
-    fn on_attempt_finished(&mut self, key: AttemptKey, mut report: Report) {
+    fn on_attempt_finished(&mut self, key: AttemptKey, mut report: AttemptReport) {
         self.notice_client_left(key.request);
         let Some(attempt) = self.attempts.remove(key) else { return };
-        let outcome = report.ending;
+        let outcome = report.outcome;
         self.note_attempt_ended(key, outcome);
         self.report_attempt_latency(key.request, &attempt, outcome);
         if outcome == Ending::Ok {
@@ -164,7 +164,7 @@
     }
 
     /// Answers a request with the complete answer of a member.
-    fn serve_answer(&mut self, id: RequestId, attempt: &InFlightAttempt, report: &mut Report) {
+    fn serve_answer(&mut self, id: RequestId, attempt: &InFlightAttempt, report: &mut AttemptReport) {
         let Some(answer) = &mut report.answer else { return };
         self.update_negative_cache(id, attempt.position_at_send, answer);
         self.record_served(id, attempt.host, answer.primary);
@@ -177,7 +177,7 @@
         key: AttemptKey,
         host: HostId,
         sent_at: Micros,
-        report: &Report,
+        report: &AttemptReport,
     ) -> Outcome {
         let now = self.clock.now();
         let answer = report.answer.as_ref();
@@ -187,7 +187,7 @@
             id: key.request,
             attempt: AttemptNo(key.number),
             host,
-            ending: report.ending,
+            ending: report.outcome,
             terminal: !self.requests.contains(key.request),
             latency: now - sent_at,
             role: answer.and_then(|answer| answer.primary).map(role),
--- a/crates/proxy/src/broker/budgets.rs
+++ b/crates/proxy/src/broker/budgets.rs
@@ -61,7 +61,8 @@
 
     /// The members with connections that must close now even though they are in use, and the number of these.
     fn overdue_connections(&self) -> Vec<(HostId, usize)> {
-        let excess = self.endpoints.members.iter().map(|(host, member)| (*host, member.excess().1 as usize));
+        let excess =
+            self.endpoints.members.iter().map(|(host, member)| (*host, member.excess().overdue as usize));
         excess.filter(|(_, overdue)| *overdue > 0).collect()
     }
 
@@ -75,7 +76,7 @@
     fn cancel_over_budget(&mut self, key: AttemptKey) {
         self.counts.one("budget", "broken_off", "");
         if self.streaming.contains(key) {
-            self.on_stream_finished(key, Report::bare(Ending::Cancelled));
+            self.on_stream_finished(key, AttemptReport::without_answer(Ending::Cancelled));
         } else {
             self.end_attempt(key, Ending::Cancelled);
         }
--- a/crates/proxy/src/broker/endpoint_table.rs
+++ b/crates/proxy/src/broker/endpoint_table.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use wharfplank_admin::Cordons;
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
-use wharfplank_transport::members::Member;
+use wharfplank_transport::member_pool::MemberPool;
 
 /// Past so many known names, those of members without a connection pool are forgotten.
 const MAX_NAMES: usize = 4096;
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub(super) struct EndpointTable {
     /// The members with a connection pool.
-    pub(super) members: BTreeMap<HostId, Rc<Member>>,
+    pub(super) members: BTreeMap<HostId, Rc<MemberPool>>,
     /// The ids of members by name; also those of members that have left the list.
     pub(super) ids: HashMap<String, HostId>,
     /// The list as discovery has it, without the effect of cordons.
@@ -40,12 +40,12 @@
         }
         if list.complete {
             let records = &self.records;
-            self.cordons.retain(|name| records.contains_key(name));
+            self.cordons.retain_uncordoned(|name| records.contains_key(name));
         }
     }
 
     /// The connection pool of the member of this name.
-    pub(super) fn member_named(&self, name: &str) -> Option<&Rc<Member>> {
+    pub(super) fn member_named(&self, name: &str) -> Option<&Rc<MemberPool>> {
         self.ids.get(name).and_then(|host| self.members.get(host))
     }
 
@@ -69,7 +69,7 @@
 
     /// Drops the connection pools that are neither in service nor in use.
     pub(super) fn drop_unused_members(&mut self) {
-        self.members.retain(|_, member| member.wanted() || !member.unused());
+        self.members.retain(|_, member| member.is_active() || !member.has_no_connections());
     }
 
     /// Forgets the names of members without a connection pool where too many are known; true where it did.
--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -2,28 +2,28 @@
 
 use super::*;
 use std::net::SocketAddr;
-use wharfplank_discovery::{Age, Doubt, News};
+use wharfplank_discovery::{SendDeadline, Staleness, SuspectReason, WatchEvent};
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 use wharfplank_routing::{Entry, Listed};
-use wharfplank_transport::members::Member;
+use wharfplank_transport::member_pool::MemberPool;
 
 impl Broker {
     /// Handles a watch event of discovery: a new list, a change of the list's staleness, or both.
-    pub(super) fn on_watch_event(&mut self, event: News, staleness: Option<Age>) {
+    pub(super) fn on_watch_event(&mut self, event: WatchEvent, staleness: Option<Staleness>) {
         // An answer that there is nothing new confirms the list that is known.
-        if event.list.is_some() || staleness == Some(Age::Fresh) {
+        if event.update.is_some() || staleness == Some(Staleness::Fresh) {
             self.lifecycle.confirm_list();
         }
-        if event.doubt.is_some() || staleness.is_some() {
-            log::list(staleness.map(Age::name), event.doubt, event.until.len());
-            self.journal.list(staleness.map(Age::name), event.doubt.map(Doubt::name));
+        if event.suspect.is_some() || staleness.is_some() {
+            log::list(staleness.map(Staleness::as_str), event.suspect, event.deadlines.len());
+            self.journal.list(staleness.map(Staleness::as_str), event.suspect.map(SuspectReason::as_str));
         }
-        for (name, until) in event.until {
-            if let Some(member) = self.endpoints.member_named(&name) {
-                member.until(self.clock.instant(until));
+        for SendDeadline { endpoint, until } in event.deadlines {
+            if let Some(member) = self.endpoints.member_named(&endpoint) {
+                member.stop_sends_at(self.clock.instant(until));
             }
         }
-        if let Some(list) = event.list {
+        if let Some(list) = event.update {
             self.apply_endpoint_list(list);
         }
     }
@@ -51,15 +51,16 @@
     }
 
     fn retire_members_not_in(&self, list: &EndpointList) {
-        let is_listed = |member: &Member| list.endpoints.iter().any(|record| record.name == member.name());
-        self.endpoints.members.values().filter(|m| !is_listed(m)).for_each(|m| m.want(false, None));
+        let is_listed =
+            |member: &MemberPool| list.endpoints.iter().any(|record| record.name == member.name());
+        self.endpoints.members.values().filter(|m| !is_listed(m)).for_each(|m| m.deactivate());
     }
 
     /// Ends the attempts that are queued for a connection to a member which takes nothing new.
     fn end_attempts_queued_for_retired_members(&mut self) {
         let members = &self.endpoints.members;
-        let is_retired = |host: &HostId| members.get(host).is_none_or(|member| !member.wanted());
-        let is_queued = |attempt: &InFlightAttempt| attempt.stage.get() == Stage::Waiting;
+        let is_retired = |host: &HostId| members.get(host).is_none_or(|member| !member.is_active());
+        let is_queued = |attempt: &InFlightAttempt| attempt.stage.get() == AttemptStage::Queued;
         let queued = self.attempts.keys_where(|attempt| is_queued(attempt) && is_retired(&attempt.host));
         for key in queued {
             self.end_attempt(key, Ending::Moot);
@@ -106,15 +107,22 @@
     fn update_pool(&mut self, host: HostId, record: &EndpointRecord) {
         let is_active = record.health == EndpointHealth::Active;
         if let Some(member) = self.endpoints.members.get(&host) {
-            member.want(is_active, record.address);
+            if let Some(address) = record.address {
+                member.relocate(address);
+            }
+            if is_active {
+                member.activate();
+            } else {
+                member.deactivate();
+            }
         } else if let Some(address) = record.address.filter(|_| is_active) {
             self.add_pool(host, &record.name, address);
         }
     }
 
     fn add_pool(&mut self, host: HostId, name: &str, address: SocketAddr) {
-        let member = Member::new(Rc::clone(&self.pools), name, address);
-        member.want(true, None);
+        let member = MemberPool::new(Rc::clone(&self.pools), name, address);
+        member.activate();
         self.endpoints.members.insert(host, member);
     }
 }
--- a/crates/proxy/src/broker/handover/mod.rs
+++ b/crates/proxy/src/broker/handover/mod.rs
@@ -9,7 +9,9 @@
 use async_io::Async;
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
-use wharfplank_admin::{Call, Cordons, Holds, Learned, Succession, Word};
+use wharfplank_admin::{
+    Command, CommandId, ConnectionCounts, Cordons, Handover, HandoverMessage, MemberKnowledge,
+};
 use wharfplank_transport::handover::{Inherited, Link, Post};
 
 /// How often the new process is told how many connections the old one holds.
@@ -25,14 +27,14 @@
     /// the other process has it too.
     listener: Option<Rc<Async<TcpListener>>>,
     /// What both processes may hold together.
-    total_limits: Holds,
-    state: Succession,
+    total_limits: ConnectionCounts,
+    state: Handover,
     /// The connection to the other process, if there is one.
     link: Option<Link>,
     pending_calls: Vec<PendingCall>,
     /// What the old process had learned of members, until the router has been told.
-    inherited_observations: Vec<Learned>,
-    last_reported: Holds,
+    inherited_observations: Vec<MemberKnowledge>,
+    last_reported: ConnectionCounts,
     next_report_at: Micros,
     /// Whether this process accepts clients: from the start where it replaces none, and otherwise once it is ready.
     is_serving: bool,
@@ -40,8 +42,8 @@
 
 /// An admin call whose answer waits until the other process has confirmed it.
 struct PendingCall {
-    number: u64,
-    call: Asking,
+    number: CommandId,
+    call: AdminCall,
     answer: String,
 }
 
@@ -49,7 +51,7 @@
     fn new(
         socket_path: PathBuf,
         listener: Rc<Async<TcpListener>>,
-        total_limits: Holds,
+        total_limits: ConnectionCounts,
         is_serving: bool,
     ) -> Self {
         HandoverController {
@@ -57,32 +59,32 @@
             socket_task: None,
             listener: Some(listener),
             total_limits,
-            state: Succession::default(),
+            state: Handover::default(),
             link: None,
             pending_calls: Vec::new(),
             inherited_observations: Vec::new(),
-            last_reported: Holds::default(),
+            last_reported: ConnectionCounts::default(),
             next_report_at: 0,
             is_serving,
         }
     }
 
     /// Sends a message to the other process; false where there is none, or it takes no more.
-    fn send(&self, message: Word) -> bool {
+    fn send(&self, message: HandoverMessage) -> bool {
         self.link.as_ref().is_some_and(|link| link.say(message))
     }
 
     /// Reports the connections of this process to the new one, where they changed and the interval has passed.
-    fn report_connections(&mut self, now: Micros, held: Holds) {
-        if self.state.tells_holds() && now >= self.next_report_at && held != self.last_reported {
+    fn report_connections(&mut self, now: Micros, held: ConnectionCounts) {
+        if self.state.is_predecessor() && now >= self.next_report_at && held != self.last_reported {
             self.next_report_at = now + REPORT_INTERVAL;
             self.last_reported = held;
-            self.send(Word::Holds(held));
+            self.send(HandoverMessage::Connections(held));
         }
     }
 
     /// Answers the pending calls of these numbers.
-    fn answer_calls(&mut self, numbers: &[u64]) {
+    fn answer_calls(&mut self, numbers: &[CommandId]) {
         let pending = std::mem::take(&mut self.pending_calls);
         let is_answered = |pending: &PendingCall| numbers.contains(&pending.number);
         let (answered, waiting): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_answered);
@@ -100,7 +102,7 @@
         &mut self,
         socket_path: PathBuf,
         listener: Rc<Async<TcpListener>>,
-        total_limits: Holds,
+        total_limits: ConnectionCounts,
         inherited: Option<Inherited>,
     ) {
         let mut handover = HandoverController::new(socket_path, listener, total_limits, inherited.is_none());
@@ -115,10 +117,10 @@
     /// Continues with the state of the process that this one replaces.
     fn take_over(&mut self, handover: &mut HandoverController, inherited: Inherited) {
         let state = inherited.state.clone();
-        log::replacement("replaces another", state.out.len());
-        self.endpoints.cordons = Cordons::new(state.out, state.back);
-        handover.inherited_observations = state.learned;
-        handover.state = Succession::younger(state.holds);
+        log::replacement("replaces another", state.cordoned.len());
+        self.endpoints.cordons = Cordons::restore(state.cordoned, state.uncordoned_at);
+        handover.inherited_observations = state.members;
+        handover.state = Handover::successor_of(state.connections);
         handover.link = Some(inherited.link(&self.pools.executor, self.events.clone()));
     }
 
@@ -151,19 +153,19 @@
     }
 
     /// Carries out an operator's call, and answers it once the other process, if there is one, has confirmed it too.
-    pub(super) fn on_admin_call(&mut self, call: Asking) {
-        let answer = self.perform_admin_call(&call.call);
-        let (id, out) = match &call.call {
-            Call::Cordon(id) => (id.clone(), true),
-            Call::Uncordon(id) => (id.clone(), false),
-            Call::Health | Call::Counters => return call.answer(answer),
+    pub(super) fn on_admin_call(&mut self, call: AdminCall) {
+        let answer = self.perform_admin_call(&call.command);
+        let (id, is_cordoned) = match &call.command {
+            Command::Cordon(id) => (id.clone(), true),
+            Command::Uncordon(id) => (id.clone(), false),
+            Command::Health | Command::Counters => return call.answer(answer),
         };
         let at = self.clock.now();
         let Some(handover) = self.handover.as_mut().filter(|_| answer.starts_with("ok")) else {
             return call.answer(answer);
         };
-        match handover.state.call(at) {
-            Some(number) if handover.send(Word::Cordon { number, id, out, at }) => {
+        match handover.state.register_command(at) {
+            Some(number) if handover.send(HandoverMessage::Cordon { number, id, is_cordoned, at }) => {
                 handover.pending_calls.push(PendingCall { number, call, answer })
             }
             _ => call.answer(answer),
@@ -176,11 +178,11 @@
         let held = self.connections_held();
         let is_ready = self.lifecycle.is_ready();
         let Some(handover) = &mut self.handover else { return };
-        let overdue_calls = handover.state.overdue(now);
+        let overdue_calls = handover.state.expire_commands(now);
         handover.report_connections(now, held);
         if is_ready && !handover.is_serving {
             handover.is_serving = true;
-            handover.send(Word::Serving);
+            handover.send(HandoverMessage::Serving);
             self.claim_handover_socket();
             self.apply_connection_limits();
         }
@@ -192,20 +194,23 @@
     /// When [`Broker::run_handover_timers`] has something to do although no event arrives.
     pub(super) fn next_handover_timer(&self) -> Option<Micros> {
         let handover = self.handover.as_ref()?;
-        let report = handover.state.tells_holds().then(|| self.clock.now() + REPORT_INTERVAL);
-        report.into_iter().chain(handover.state.due()).min()
+        let report = handover.state.is_predecessor().then(|| self.clock.now() + REPORT_INTERVAL);
+        report.into_iter().chain(handover.state.next_deadline()).min()
     }
 
-    fn connections_held(&self) -> Holds {
-        Holds { clients: self.clients.open(), members: self.pools.open.get() }
+    fn connections_held(&self) -> ConnectionCounts {
+        ConnectionCounts {
+            clients: self.clients.open_connections(),
+            members: self.pools.open_connections.get(),
+        }
     }
 
     /// Puts this process's part of the connection limits into force.
     fn apply_connection_limits(&mut self) {
         let Some(handover) = &self.handover else { return };
-        let limits = handover.state.most(handover.total_limits);
-        self.clients.limit(limits.clients);
-        self.pools.most.set(limits.members);
-        self.clients.take_new(handover.state.takes(self.lifecycle.is_ready()));
+        let limits = handover.state.connection_limit(handover.total_limits);
+        self.clients.set_max_connections(limits.clients);
+        self.pools.max_connections.set(limits.members);
+        self.clients.set_accepting(handover.state.accepts_connections(self.lifecycle.is_ready()));
     }
 }
--- a/crates/proxy/src/broker/handover/peer.rs
+++ b/crates/proxy/src/broker/handover/peer.rs
@@ -26,34 +26,34 @@
         let Some(handover) = &mut self.handover else { return };
         // Without a socket to hand over the request goes unanswered, as if there were no process.
         let Some(listener) = handover.listener.clone() else { return };
-        if !handover.state.asked(held) {
+        if !handover.state.begin(held) {
             return self.pools.executor.spawn(turn_away(stream)).detach();
         }
         let state = self.handover_state(held);
-        log::replacement("is being replaced", state.out.len());
+        log::replacement("is being replaced", state.cordoned.len());
         let link = Link::give(&self.pools.executor, stream, listener, &state, self.events.clone());
         if let Some(handover) = &mut self.handover {
             handover.link = Some(link);
         }
     }
 
-    fn on_peer_message(&mut self, message: Word) {
+    fn on_peer_message(&mut self, message: HandoverMessage) {
         let Some(handover) = &mut self.handover else { return };
         match message {
-            Word::Serving => {
+            HandoverMessage::Serving => {
                 log::replacement("the other serves", 0);
-                handover.state.relieved();
+                handover.state.on_successor_serving();
             }
-            Word::Holds(holds) => handover.state.holds(holds),
-            Word::Heard(number) => {
-                if handover.state.heard(number) {
+            HandoverMessage::Connections(holds) => handover.state.on_predecessor_connections(holds),
+            HandoverMessage::CordonApplied(number) => {
+                if handover.state.confirm_command(number) {
                     handover.answer_calls(&[number]);
                 }
             }
-            Word::Cordon { number, id, out, at } => {
-                self.apply_peer_cordon(&id, out, at);
+            HandoverMessage::Cordon { number, id, is_cordoned, at } => {
+                self.apply_peer_cordon(&id, is_cordoned, at);
                 if let Some(handover) = &self.handover {
-                    handover.send(Word::Heard(number));
+                    handover.send(HandoverMessage::CordonApplied(number));
                 }
             }
         }
@@ -61,9 +61,9 @@
 
     /// Applies a cordon, or its end, that an operator ordered at the other process. That process has checked that the
     /// member is listed: it is listed here too, or about to be.
-    fn apply_peer_cordon(&mut self, id: &str, out: bool, at: Micros) {
+    fn apply_peer_cordon(&mut self, id: &str, is_cordoned: bool, at: Micros) {
         let cordons = &mut self.endpoints.cordons;
-        let result = if out { cordons.cordon(id, true) } else { cordons.uncordon(id, true, at) };
+        let result = if is_cordoned { cordons.cordon(id, true) } else { cordons.uncordon(id, true, at) };
         self.apply_cordon(id, result);
     }
 
@@ -71,8 +71,8 @@
         log::replacement("the other is gone", 0);
         let Some(handover) = &mut self.handover else { return };
         handover.link = None;
-        let was_replaced = handover.state.tells_holds();
-        let unconfirmed_calls = handover.state.lost();
+        let was_replaced = handover.state.is_predecessor();
+        let unconfirmed_calls = handover.state.on_peer_lost();
         // The successor may have put its own socket in the place of this one's.
         if was_replaced && handover.listener.is_some() {
             self.claim_handover_socket();
--- a/crates/proxy/src/broker/handover/state.rs
+++ b/crates/proxy/src/broker/handover/state.rs
@@ -1,7 +1,7 @@
 //! The state that an old process hands over to the new one.
 
 use super::*;
-use wharfplank_admin::{State, Ways};
+use wharfplank_admin::{HandoverState, MemberTraits};
 use wharfplank_protocol::endpoint_list;
 use wharfplank_routing::{Told, View};
 
@@ -16,7 +16,7 @@
                 host: *self.endpoints.ids.get(&member.id)?,
                 position: member.position,
                 suspected_at: member.suspected_at,
-                traits: member.ways.map(|ways| ways.traits(now)),
+                traits: member.traits.map(|traits| traits.to_learned(now)),
             })
         });
         let observations: Vec<Told> = observations.collect();
@@ -27,30 +27,30 @@
 
     /// What the new process starts from: the endpoint list, the cordons, what is known of members, and the connections
     /// that this process holds.
-    pub(super) fn handover_state(&self, holds: Holds) -> State {
+    pub(super) fn handover_state(&self, holds: ConnectionCounts) -> HandoverState {
         let cordons = &self.endpoints.cordons;
-        State {
-            version: wharfplank_admin::succession::VERSION,
-            list: endpoint_list::to_json(&EndpointList {
+        HandoverState {
+            version: wharfplank_admin::handover::PROTOCOL_VERSION,
+            endpoint_list: endpoint_list::to_json(&EndpointList {
                 version: self.endpoints.version,
                 complete: true,
                 endpoints: self.endpoints.records.values().cloned().collect(),
             }),
-            out: cordons.out().map(str::to_string).collect(),
-            back: cordons.back().map(|(id, at)| (id.to_string(), at)).collect(),
-            learned: self.learned_of_members(),
-            holds,
+            cordoned: cordons.cordoned().map(str::to_string).collect(),
+            uncordoned_at: cordons.uncordoned_at().map(|(id, at)| (id.to_string(), at)).collect(),
+            members: self.learned_of_members(),
+            connections: holds,
         }
     }
 
-    fn learned_of_members(&self) -> Vec<Learned> {
+    fn learned_of_members(&self) -> Vec<MemberKnowledge> {
         let names = self.endpoints.names_by_id();
         let learned = |view: View| {
-            Some(Learned {
+            Some(MemberKnowledge {
                 id: names.get(&view.host)?.to_string(),
                 position: view.position,
                 suspected_at: view.suspected.unwrap_or(0),
-                ways: Some(Ways::of(view.traits)),
+                traits: Some(MemberTraits::from(view.traits)),
             })
         };
         self.router.view().filter_map(learned).collect()
--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -21,7 +21,7 @@
         let events = self.events.clone();
         let task = async move {
             let report = member.probe(HEALTH_CHECK_TIMEOUT).await;
-            let _ = events.send(Event::Probed { host, report }).await;
+            let _ = events.send(ProxyEvent::ProbeFinished { host, report }).await;
         };
         self.pools.executor.spawn(task).detach();
     }
--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -2,6 +2,7 @@
 
 use super::shutdown::Shutdown;
 use super::*;
+use wharfplank_admin::ReloadResult;
 use wharfplank_pool_policy::Opening;
 
 /// How long readiness waits for discovery to confirm the endpoint list: a proxy that cannot reach discovery still
@@ -65,7 +66,10 @@
     /// Reads the configuration file again and applies the address of discovery. An invalid file changes nothing.
     pub(super) fn reload_configuration(&mut self) {
         let config = Config::anew();
-        self.pools.figures.reloaded(config.is_ok());
+        self.pools.metrics.record_reload(match config {
+            Ok(_) => ReloadResult::Applied,
+            Err(_) => ReloadResult::Failed,
+        });
         self.journal.reloaded(config.is_ok());
         match config {
             Ok(config) => {
@@ -85,12 +89,13 @@
         let age = now - self.lifecycle.started_at;
         let is_list_confirmed = self.lifecycle.list_confirmed || age >= DISCOVERY_WAIT;
         let is_overdue = age >= READY_WAIT;
-        let is_connected = is_overdue || self.endpoints.members.values().any(|member| member.warm());
+        let is_connected =
+            is_overdue || self.endpoints.members.values().any(|member| member.has_idle_connection());
         self.open_first_connection(now, is_connected);
         let has_list = is_overdue || !self.endpoints.records.is_empty();
         if is_list_confirmed && is_connected && has_list {
             self.lifecycle.is_ready = true;
-            self.clients.ready();
+            self.clients.set_ready();
         }
     }
 
@@ -98,10 +103,10 @@
     /// over.
     fn open_first_connection(&mut self, now: Micros, is_connected: bool) {
         let members = self.endpoints.members.iter();
-        let candidates = members.filter(|(_, member)| !is_connected && member.wanted());
+        let candidates = members.filter(|(_, member)| !is_connected && member.is_active());
         let next = self.lifecycle.first_connection.next(now, candidates.map(|(host, _)| *host));
         if let Some(member) = next.and_then(|host| self.endpoints.members.get(&host)) {
-            member.knock();
+            member.connect_if_unused();
         }
     }
 }
--- a/crates/proxy/src/broker/maintenance.rs
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -70,16 +70,16 @@
 
     fn run_maintenance(&mut self, now: Micros) {
         self.log_counts(now);
-        self.pools.relax();
+        self.pools.relax_liveness_check();
         self.gossip.suspicions(now, suspected_members(&self.router));
         self.cancel_attempts_over_budget();
-        self.endpoints.members.values().for_each(|member| member.tend());
+        self.endpoints.members.values().for_each(|member| member.maintain());
         self.report_to_releases(now);
         self.record_members();
     }
 
     fn log_counts(&mut self, now: Micros) {
-        self.counts.add("connections", "open", "", self.pools.open.get() as u64);
+        self.counts.add("connections", "open", "", self.pools.open_connections.get() as u64);
         if let Some(counts) = self.counts.take() {
             log::counts(now as u64 / 1000, &counts);
         }
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -52,12 +52,12 @@
     self as routing, Action, AttemptNo, ClassId, Ending, GroupId, HostId, Micros, Outcome, RequestId, Role,
     Router,
 };
-use wharfplank_transport::admin::Asking;
-use wharfplank_transport::clients::Clients;
+use wharfplank_transport::admin::AdminCall;
+use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::Watch;
 use wharfplank_transport::fleet::Witness;
-use wharfplank_transport::members::{Report, Shared, Stage};
-use wharfplank_transport::Event;
+use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, PoolContext};
+use wharfplank_transport::ProxyEvent;
 
 /// How far a log position may be ahead of this process's clock before it is discarded as invalid: all machines read
 /// one clock.
@@ -65,8 +65,8 @@
 
 /// Why the event loop continues after a wait.
 enum Wakeup {
-    AdminCall(Asking),
-    Event(Event),
+    AdminCall(AdminCall),
+    Event(ProxyEvent),
     EventsClosed,
     TimerExpired,
 }
@@ -78,10 +78,10 @@
     terms: Terms,
     attempt_limits: AttemptLimits,
     /// What the connection pools of all members share.
-    pools: Rc<Shared>,
-    clients: Rc<Clients>,
+    pools: Rc<PoolContext>,
+    clients: Rc<ClientListener>,
     /// Where spawned tasks send their results; the event loop receives at the other end.
-    events: Sender<Event>,
+    events: Sender<ProxyEvent>,
     discovery: Watch,
     journal: Journal,
     counts: Counts,
@@ -105,9 +105,9 @@
     pub fn new(
         config: &Config,
         clock: Clock,
-        pools: Rc<Shared>,
-        clients: Rc<Clients>,
-        events: Sender<Event>,
+        pools: Rc<PoolContext>,
+        clients: Rc<ClientListener>,
+        events: Sender<ProxyEvent>,
         discovery: Watch,
         journal: Journal,
     ) -> Self {
@@ -153,7 +153,12 @@
     }
 
     /// Runs the event loop until the process is to exit. `known` is the endpoint list that the process starts from.
-    pub async fn run(mut self, known: EndpointList, events: Receiver<Event>, admin_calls: Receiver<Asking>) {
+    pub async fn run(
+        mut self,
+        known: EndpointList,
+        events: Receiver<ProxyEvent>,
+        admin_calls: Receiver<AdminCall>,
+    ) {
         self.start(known);
         loop {
             let wakeup = self.wait_for_wakeup(&events, &admin_calls).await;
@@ -183,7 +188,11 @@
 
     /// Waits for the next admin call, event or timer. Admin calls take precedence: their answers are due whatever
     /// events are queued.
-    async fn wait_for_wakeup(&self, events: &Receiver<Event>, admin_calls: &Receiver<Asking>) -> Wakeup {
+    async fn wait_for_wakeup(
+        &self,
+        events: &Receiver<ProxyEvent>,
+        admin_calls: &Receiver<AdminCall>,
+    ) -> Wakeup {
         let wait = Duration::from_micros((self.next_wakeup_at() - self.clock.now()).max(0) as u64);
         let timer = async {
             Timer::after(wait).await;
@@ -199,34 +208,34 @@
         future::or(admin_call, future::or(event, timer)).await
     }
 
-    fn on_event(&mut self, event: Event) {
+    fn on_event(&mut self, event: ProxyEvent) {
         match event {
-            Event::Asked(request) => self.on_client_request(*request),
-            Event::Gone(ticket) => self.on_client_disconnected(ticket),
-            Event::Cancelled(ticket) => self.on_request_cancelled(ticket),
-            Event::Attempt { id, attempt, report } => {
+            ProxyEvent::RequestReceived(request) => self.on_client_request(*request),
+            ProxyEvent::ClientDisconnected(ticket) => self.on_client_disconnected(ticket),
+            ProxyEvent::RequestCancelled(ticket) => self.on_request_cancelled(ticket),
+            ProxyEvent::AttemptFinished { id, attempt, report } => {
                 self.on_attempt_report(AttemptKey::new(id, attempt), report)
             }
-            Event::Passed { id, attempt, report } => {
+            ProxyEvent::StreamFinished { id, attempt, report } => {
                 self.on_stream_finished(AttemptKey::new(id, attempt), report)
             }
-            Event::Probed { host, report } => self.on_health_check_result(host, report),
-            Event::Told(updates) => {
+            ProxyEvent::ProbeFinished { host, report } => self.on_health_check_result(host, report),
+            ProxyEvent::PeerNews(updates) => {
                 let observations = self.gossip.told(&updates, self.clock.now() + MAX_POSITION_AHEAD);
                 self.notify_router(routing::Event::Told(observations));
             }
-            Event::Heard(event, staleness) => self.on_watch_event(event, staleness),
-            Event::Shares(shares) => {
+            ProxyEvent::EndpointsChanged(event, staleness) => self.on_watch_event(event, staleness),
+            ProxyEvent::ZoneShares(shares) => {
                 let shares = shares.iter().map(|(zone, share)| (zone_id(zone), *share)).collect();
                 self.notify_router(routing::Event::Shares(shares));
             }
-            Event::Factors(factors) => {
+            ProxyEvent::MemberFactors(factors) => {
                 let factors = self.gossip.factors(&factors);
                 self.notify_router(routing::Event::Factors(factors));
             }
-            Event::Other(event) => self.on_handover_event(event),
-            Event::Reload => self.reload_configuration(),
-            Event::Terminate => self.begin_shutdown(),
+            ProxyEvent::Handover(event) => self.on_handover_event(event),
+            ProxyEvent::ReloadRequested => self.reload_configuration(),
+            ProxyEvent::ShutdownRequested => self.begin_shutdown(),
         }
     }
 }
--- a/crates/proxy/src/broker/negative_cache.rs
+++ b/crates/proxy/src/broker/negative_cache.rs
@@ -14,12 +14,12 @@
         &mut self,
         id: RequestId,
         now: Micros,
-        after_ms: Option<i64>,
+        min_position_ms: Option<i64>,
     ) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let class = request.class;
         let key = request.touched_key.as_ref();
-        let cached = key.and_then(|key| self.negative_cache.answer(now, class, key, after_ms));
+        let cached = key.and_then(|key| self.negative_cache.answer(now, class, key, min_position_ms));
         if let Some(messages) = cached {
             self.count_request(id, Disposition::Served, "missing");
             self.record_request(id, |journal, ended| journal.served(ended));
--- a/crates/proxy/src/broker/request_table.rs
+++ b/crates/proxy/src/broker/request_table.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::collections::{HashMap, HashSet};
 use wharfplank_protocol::pipeline::Ticket;
-use wharfplank_transport::client::Lane;
+use wharfplank_transport::client_connection::ResponseWriter;
 use wharfplank_transport::Statement;
 
 /// A request that has no final answer yet.
@@ -13,7 +13,7 @@
     pub(super) client_id: String,
     pub(super) statement: Rc<Statement>,
     /// Takes the final answer.
-    pub(super) responses: Rc<Lane>,
+    pub(super) responses: Rc<ResponseWriter>,
     /// The number of attempts that the router has asked for.
     pub(super) attempts: u32,
     pub(super) class: ClassId,
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -1,11 +1,11 @@
 //! The life of a request, from its arrival to its one final answer.
 
 use super::*;
-use wharfplank_admin::End;
+use wharfplank_admin::ReplyStatus;
 use wharfplank_protocol::comment::ID_MOST;
 use wharfplank_protocol::pipeline::Ticket;
 use wharfplank_routing::{Request, SessionKey};
-use wharfplank_transport::Asked;
+use wharfplank_transport::ClientRequest;
 
 /// The client counts its wait from its own send: answers are due this much earlier here.
 const ANSWER_MARGIN: Micros = 5_000;
@@ -22,25 +22,29 @@
 impl Broker {
     /// Takes a request that a client connection has read: answers it at once where it is invalid, over budget or
     /// known from the negative cache, and hands it to the router otherwise.
-    pub(super) fn on_client_request(&mut self, asked: Asked) {
+    pub(super) fn on_client_request(&mut self, asked: ClientRequest) {
         // The client disconnected or cancelled before the request got here: it has its answer, or needs none.
-        if !asked.lane.awaits(asked.ticket) {
+        if !asked.response_writer.is_awaited(asked.ticket) {
             return;
         }
         let Some(class) = self.class_id(&asked.class) else {
-            asked.lane.give(asked.ticket, Answer::Malformed("the class is not in the settings"));
+            asked
+                .response_writer
+                .respond(asked.ticket, Answer::Malformed("the class is not in the settings"));
             return;
         };
         // Members tell requests apart by their ids: a second one would be taken for a copy of the first.
         if !self.requests.reserve_client_id(&asked.id) {
-            asked.lane.give(asked.ticket, Answer::Malformed("the id is in use by another open request"));
+            asked
+                .response_writer
+                .respond(asked.ticket, Answer::Malformed("the id is in use by another open request"));
             return;
         }
         let now = self.clock.now();
-        let after_ms = asked.after_ms;
+        let min_position_ms = asked.min_position_ms;
         let request = self.router_request(now, class, &asked);
         self.open_request(&request, asked);
-        self.admit(now, request, after_ms);
+        self.admit(now, request, min_position_ms);
     }
 
     fn class_id(&self, name: &str) -> Option<ClassId> {
@@ -48,44 +52,48 @@
     }
 
     /// The request as the router takes it.
-    fn router_request(&self, now: Micros, class: ClassId, asked: &Asked) -> Request {
-        let arrived_at = self.clock.at(asked.arrived);
+    fn router_request(&self, now: Micros, class: ClassId, asked: &ClientRequest) -> Request {
+        let arrived_at = self.clock.at(asked.arrived_at);
         Request {
             id: request_id(asked.ticket, &asked.id),
             class,
             group: GroupId(asked.group),
-            key: asked.key.as_ref().map(|key| SessionKey(fnv1a(key.as_bytes()))),
+            key: asked.session_key.as_ref().map(|key| SessionKey(fnv1a(key.as_bytes()))),
             // The wait runs from the request's last byte, however long it was queued behind others.
-            give_up_at: arrived_at + (Micros::from(asked.wait_ms) * 1000 - ANSWER_MARGIN).max(1),
+            give_up_at: arrived_at + (Micros::from(asked.timeout_ms) * 1000 - ANSWER_MARGIN).max(1),
             doubted: self.gossip.in_doubt(now, &asked.id),
-            write_age: asked.after_ms.map(|ms| now - ms.saturating_mul(1000)),
+            write_age: asked.min_position_ms.map(|ms| now - ms.saturating_mul(1000)),
         }
     }
 
-    fn open_request(&mut self, request: &Request, asked: Asked) {
-        let touched_key =
-            self.negative_cache.asked(request.class, request.group, asked.key.as_deref(), &asked.statement);
+    fn open_request(&mut self, request: &Request, asked: ClientRequest) {
+        let touched_key = self.negative_cache.asked(
+            request.class,
+            request.group,
+            asked.session_key.as_deref(),
+            &asked.statement,
+        );
         let open = OpenRequest {
             ticket: asked.ticket,
             client_id: asked.id,
             statement: asked.statement,
-            responses: asked.lane,
+            responses: asked.response_writer,
             attempts: 0,
             class: request.class,
             group: request.group,
             touched_key,
-            arrived_at: self.clock.at(asked.arrived),
+            arrived_at: self.clock.at(asked.arrived_at),
             attempt_outcomes: Vec::new(),
         };
         self.requests.insert(request.id, open);
     }
 
     /// Hands an open request to the router, unless a budget denies it or the negative cache settles it.
-    fn admit(&mut self, now: Micros, request: Request, after_ms: Option<i64>) {
+    fn admit(&mut self, now: Micros, request: Request, min_position_ms: Option<i64>) {
         if self.is_over_budget(request.group) {
             return self.notify_router_at(now, routing::Event::Denied(request));
         }
-        if self.answer_from_negative_cache(request.id, now, after_ms) {
+        if self.answer_from_negative_cache(request.id, now, min_position_ms) {
             return;
         }
         // The age of the session's write counts from the very time that the router takes the request at:
@@ -132,14 +140,14 @@
     /// that event is handled first, so that nothing more is sent or looked up.
     pub(super) fn notice_client_left(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
-        if request.responses.has_left() {
+        if request.responses.is_disconnected() {
             self.on_client_disconnected(request.ticket);
         }
     }
 
     /// Closes a request whose attempt was not sent since its client has disconnected.
     pub(super) fn close_if_client_left(&mut self, id: RequestId) {
-        if self.requests.get(id).is_some_and(|request| request.responses.has_left()) {
+        if self.requests.get(id).is_some_and(|request| request.responses.is_disconnected()) {
             self.close(id);
         }
     }
@@ -150,8 +158,8 @@
         for number in 0..attempts {
             let key = AttemptKey::new(id, number);
             match self.attempts.stage(key) {
-                Some(Stage::Waiting) => self.end_attempt(key, Ending::Moot),
-                Some(Stage::Begun | Stage::Written) if begun == BegunAttempts::Cancel => {
+                Some(AttemptStage::Queued) => self.end_attempt(key, Ending::Moot),
+                Some(AttemptStage::Writing | AttemptStage::Written) if begun == BegunAttempts::Cancel => {
                     self.end_attempt(key, Ending::Cancelled)
                 }
                 _ => {}
@@ -167,7 +175,7 @@
     /// Gives a request its one final answer.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(request) = self.finish(id, &answer) {
-            request.responses.give(request.ticket, answer);
+            request.responses.respond(request.ticket, answer);
         }
     }
 
@@ -176,11 +184,11 @@
         self.gossip.answered(self.clock.now(), answer);
         let request = self.close(id)?;
         let end = match answer {
-            Answer::Served(_) => End::Success,
-            Answer::Refused(_) => End::Overload,
-            Answer::Failed | Answer::Cancelled | Answer::Malformed(_) => End::Error,
+            Answer::Served(_) => ReplyStatus::Success,
+            Answer::Refused(_) => ReplyStatus::Overload,
+            Answer::Failed | Answer::Cancelled | Answer::Malformed(_) => ReplyStatus::Error,
         };
-        self.pools.figures.ended(request.class.0, end);
+        self.pools.metrics.record_reply(request.class.0, end);
         Some(request)
     }
 }
--- a/crates/proxy/src/broker/shutdown.rs
+++ b/crates/proxy/src/broker/shutdown.rs
@@ -24,7 +24,7 @@
         let shutdown = Shutdown { began_at, is_listener_closed: false, has_given_up: false };
         self.lifecycle.shutdown = Some(shutdown);
         self.journal.stopping();
-        self.clients.leave();
+        self.clients.begin_draining();
     }
 
     /// Takes the steps of the shutdown that are due.
@@ -45,7 +45,7 @@
             shutdown.is_listener_closed = true;
         }
         self.negative_cache.end();
-        self.clients.close();
+        self.clients.stop_accepting();
         self.release_listener();
     }
 
@@ -59,7 +59,9 @@
             shutdown.began_at = now - delay;
         }
         self.notify_router(routing::Event::Closing);
-        let unsent = |attempt: &InFlightAttempt| matches!(attempt.stage.get(), Stage::Waiting | Stage::Begun);
+        let unsent = |attempt: &InFlightAttempt| {
+            matches!(attempt.stage.get(), AttemptStage::Queued | AttemptStage::Writing)
+        };
         for key in self.attempts.keys_where(unsent) {
             self.end_attempt(key, Ending::Moot);
         }
@@ -82,7 +84,7 @@
     /// Whether the process may exit.
     pub(super) fn can_exit(&self) -> bool {
         let Some(shutdown) = &self.lifecycle.shutdown else { return false };
-        let is_drained = self.requests.is_empty() && self.clients.over();
+        let is_drained = self.requests.is_empty() && self.clients.is_finished();
         // Answers that are still streamed end by themselves, or with the process.
         let exit_at = shutdown.began_at + self.give_up_delay() + FINAL_WRITE_TIME;
         let is_overdue = self.clock.now() >= exit_at;
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -51,11 +51,11 @@
     /// now, with the latency of the first bytes, since neither the rest of them nor a client that reads slowly tells
     /// anything of the member's load. Only for a write whose commit sessions must remember the result is deferred to
     /// the end of the stream, where the commit position stands.
-    pub(super) fn on_stream_started(&mut self, key: AttemptKey, mut report: Report) {
+    pub(super) fn on_stream_started(&mut self, key: AttemptKey, mut report: AttemptReport) {
         let Some(attempt) = self.attempts.remove(key) else { return };
         let request = self.requests.get(key.request);
-        if let Some((request, flow)) = request.zip(report.flow.take()) {
-            request.responses.begin(request.ticket, flow);
+        if let Some((request, flow)) = request.zip(report.stream.take()) {
+            request.responses.begin_stream(request.ticket, flow);
         }
         let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
         let request = self.requests.get(key.request);
@@ -68,12 +68,12 @@
     }
 
     /// A streamed answer has ended, completely or not.
-    pub(super) fn on_stream_finished(&mut self, key: AttemptKey, report: Report) {
+    pub(super) fn on_stream_finished(&mut self, key: AttemptKey, report: AttemptReport) {
         let Some(stream) = self.streaming.streams.remove(&key) else { return };
         let StreamingAttempt { attempt, deferred_result } = stream;
-        self.note_attempt_ended(key, report.ending);
-        self.gossip.saw(attempt.host, attempt.sent_at, report.ending);
-        self.counts.one("attempt", counts::ending(report.ending), "");
+        self.note_attempt_ended(key, report.outcome);
+        self.gossip.saw(attempt.host, attempt.sent_at, report.outcome);
+        self.counts.one("attempt", counts::ending(report.outcome), "");
         // Where the client left meanwhile, there is nothing more to answer or count.
         if self.requests.contains(key.request) {
             self.finish_streamed_request(key.request, attempt.host, &report);
@@ -90,8 +90,8 @@
     }
 
     /// Counts the end of a request whose answer the client connection has already written.
-    fn finish_streamed_request(&mut self, id: RequestId, host: HostId, report: &Report) {
-        if report.ending == Ending::Ok {
+    fn finish_streamed_request(&mut self, id: RequestId, host: HostId, report: &AttemptReport) {
+        if report.outcome == Ending::Ok {
             let primary = report.answer.as_ref().and_then(|answer| answer.primary);
             self.record_served(id, host, primary);
             self.finish(id, &Answer::Served(Vec::new()));
