--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -122,18 +122,19 @@
         let stage: Rc<Cell<AttemptStage>> = Rc::default();
         let holds = holds_until.map(|until| until + SEND_MARGIN - WRITE_MARGIN);
         let holds = holds.into_iter().chain(leave).min().map(|until| self.clock.instant(until));
-        let deadline = self.clock.instant(now.saturating_add(timeout));
+        let limits =
+            AttemptLimits { deadline: self.clock.instant(now.saturating_add(timeout)), send_by: holds };
         let (member, statement) = (Rc::clone(member), Rc::clone(&open.statement));
         let (response_writer, ticket) = (Rc::clone(&open.response_writer), open.ticket);
         let wanted = move || response_writer.is_awaited_now(ticket);
-        let work = member.attempt(statement, Rc::clone(&stage), deadline, holds, wanted);
+        let work = member.attempt(statement, Rc::clone(&stage), limits, wanted);
         let (events, done) = (self.events.clone(), Rc::clone(&stage));
         let task = self.shared.executor.spawn(async move {
-            let (report, stream) = work.await;
+            let AttemptCompletion { report, forwarder } = work.await;
             done.set(AttemptStage::Finished);
             let _ = events.send(ProxyEvent::AttemptFinished { id, attempt, report }).await;
-            if let Some(stream) = stream {
-                let report = stream.pass().await;
+            if let Some(forwarder) = forwarder {
+                let report = forwarder.forward().await;
                 let _ = events.send(ProxyEvent::StreamFinished { id, attempt, report }).await;
             }
         });
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -53,7 +53,9 @@
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::Watch;
 use wharfplank_transport::fleet::Witness;
-use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, MemberPool, PoolContext};
+use wharfplank_transport::member_pool::{
+    AttemptCompletion, AttemptLimits, AttemptReport, AttemptStage, MemberPool, PoolContext,
+};
 use wharfplank_transport::{ClientRequest, ProxyEvent, Statement};
 
 /// The client counts its wait from its own send: answers are due this much earlier here.
--- a/crates/transport/src/client_connection.rs
+++ b/crates/transport/src/client_connection.rs
@@ -10,7 +10,7 @@
 pub use response_writer::ResponseWriter;
 
 use super::client_listener::{ClientListener, Peer};
-use super::response_stream::Piece;
+use super::response_stream::StreamPiece;
 use super::{ClientRequest, ProxyEvent, Statement};
 use async_io::Async;
 use output::Passing;
@@ -72,7 +72,7 @@
 /// Why a connection goes on after a wait.
 enum Wake {
     Read(usize),
-    Given(Piece),
+    Given(StreamPiece),
     Rung,
     Due,
 }
--- a/crates/transport/src/client_connection/output.rs
+++ b/crates/transport/src/client_connection/output.rs
@@ -2,7 +2,7 @@
 
 use super::{Connection, Reason, FLUSH_MOST, GATHER, LINGER, WRITE_WAIT};
 use crate::client_listener::{ClientListener, Leaving};
-use crate::response_stream::{Piece, ResponseStream};
+use crate::response_stream::{ResponseStream, StreamPiece};
 use crate::with_deadline;
 use async_channel::{Receiver, TryRecvError};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -18,7 +18,7 @@
     /// Whether the client was given any of it.
     begun: bool,
     /// A piece that came while the connection waited.
-    pub(super) next: Option<Piece>,
+    pub(super) next: Option<StreamPiece>,
 }
 
 /// What there was of an answer that passes through.
@@ -40,8 +40,8 @@
 }
 
 impl Passing {
-    pub(super) fn pieces(&self) -> Receiver<Piece> {
-        self.flow.pieces.clone()
+    pub(super) fn pieces(&self) -> Receiver<StreamPiece> {
+        self.flow.pieces()
     }
 }
 
@@ -111,26 +111,26 @@
         let passing = self.passing.insert(passing);
         let out = &mut self.server.out;
         if !passing.begun {
-            if passing.flow.is_cut() {
+            if passing.flow.is_cut_off() {
                 return Ok(Passed::Cut(None));
             }
             passing.begun = true;
             out.append(&mut passing.flow.first);
             return Ok(Passed::Some);
         }
-        let next = passing.next.take().map_or_else(|| passing.flow.pieces.try_recv(), Ok);
+        let next = passing.next.take().map_or_else(|| passing.flow.try_next(), Ok);
         match next {
-            Ok(Piece::Row(mut bytes, _part)) => {
-                passing.flow.left = passing.flow.left.saturating_sub(bytes.len());
-                out.append(&mut bytes);
+            Ok(StreamPiece::Row(mut row)) => {
+                passing.flow.remaining = passing.flow.remaining.saturating_sub(row.bytes.len());
+                out.append(&mut row.bytes);
             }
-            Ok(Piece::End(mut rest)) => {
+            Ok(StreamPiece::End(mut rest)) => {
                 out.append(&mut rest);
                 self.server.ready();
                 self.over();
             }
             Err(TryRecvError::Empty) => return Ok(Passed::Nothing),
-            Err(TryRecvError::Closed) => return Ok(Passed::Cut(Some(passing.flow.left))),
+            Err(TryRecvError::Closed) => return Ok(Passed::Cut(Some(passing.flow.remaining))),
         }
         Ok(Passed::Some)
     }
--- a/crates/transport/src/client_connection/wait.rs
+++ b/crates/transport/src/client_connection/wait.rs
@@ -101,7 +101,7 @@
 }
 
 impl Connection {
-    /// ConnectionEndObserver a connection on which nothing is open, unless something has just arrived. A client that sends many
+    /// Ends a connection on which nothing is open, unless something has just arrived. A client that sends many
     /// requests at once loses all but the first where its write crosses the close, and a process that must share its
     /// core may stand still between any two steps: so nothing lies between this look and the end.
     fn hangs_up(&self) -> bool {
--- a/crates/transport/src/member_pool.rs
+++ b/crates/transport/src/member_pool.rs
@@ -1,250 +1,151 @@
-//! Connections to members: a pool for each, attempts and probes on them.
+//! Connection pools to members: one per member, with the attempts and health checks that use it.
 //!
-//! A connection carries one query at a time. An attempt takes an idle one or waits for one; openers
-//! run apart from the attempts, and keep as many spare as `standby` finds that the member's use is worth.
+//! A connection carries one query at a time. An attempt takes an idle connection or waits for one. Connections are
+//! opened apart from the attempts, in tasks of their own, and the pool keeps as many spare ones as its use justifies.
+//!
+//! - [`MemberPool`]: the connections to one member, and whether it is sent anything.
+//! - [`PoolContext`]: limits and services that all pools share.
+//! - [`AttemptReport`] and [`AttemptStage`]: the result and the progress of an attempt.
+//! - [`StreamForwarder`]: forwards a long response after its attempt was reported.
 
 mod attempt;
+mod checkout;
 mod connection;
 mod connection_budget;
-mod connections;
+mod context;
+mod end_reason;
+mod forwarder;
+mod idle;
+mod opening;
+mod report;
+
+pub use attempt::{AttemptCompletion, AttemptLimits};
+pub use connection_budget::ConnectionExcess;
+pub use context::{PoolContext, CHECK_AFTER};
+pub use forwarder::StreamForwarder;
+pub use report::{AttemptReport, AttemptStage};
 
-use super::budgets::Budgets;
-use super::response_stream::ResponseStream;
-use super::{ConnectionEndObserver, MemoryBudget};
 use async_channel::Sender;
-use async_executor::LocalExecutor;
-use connection::{Connection, IDLE};
+use connection::MemberConnection;
+use end_reason::EndReason;
+use opening::OpenFailed;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
-use wharfplank_admin::Metrics;
+use std::time::Instant;
 use wharfplank_pool_policy::Demand;
-use wharfplank_protocol::client::Answer;
-use wharfplank_routing::AttemptOutcome;
-
-/// The most connections to a member that open at one time.
-const OPENING_MOST: usize = 6;
-/// After a failure no spare connection is opened for so long: attempts show whether it works again.
-const PAUSE: Duration = Duration::from_millis(500);
-/// How long a connection is listened to after an answer before it carries the next request: a second copy
-/// of the answer, or noise behind it, would be read as the answer to that.
-const REST: Duration = Duration::from_millis(3);
-/// A connection that stood idle for this long is asked an empty query before it carries a request: one that has
-/// been dropped without a word would take the request with it. Where connections die sooner the span shrinks to
-/// half of what the dead one stood, and grows back by a tenth each second.
-pub const CHECK_AFTER: Duration = Duration::from_millis(500);
-const CHECK_LEAST: Duration = Duration::from_millis(5);
-
-pub use connection_budget::ConnectionExcess;
-
-type Reason = &'static str;
-
-/// How an attempt ended.
-#[derive(Debug)]
-pub struct AttemptReport {
-    /// In the module's words.
-    pub outcome: AttemptOutcome,
-    /// The member's answer, if it gave one.
-    pub answer: Option<Answer>,
-    /// A served answer that has only begun: it passes through, and ends with a report of its own.
-    pub stream: Option<ResponseStream>,
-}
-
-impl AttemptReport {
-    /// An end without an answer.
-    pub fn without_answer(outcome: AttemptOutcome) -> Self {
-        AttemptReport { outcome, answer: None, stream: None }
-    }
-}
-
-/// How far an attempt has come; the first byte is what drains count from.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum AttemptStage {
-    /// Nothing is written yet.
-    #[default]
-    Queued,
-    /// Some of it may be written, but not its last byte: closed now, it never runs.
-    Writing,
-    /// All of it is written: it may have run.
-    Written,
-    /// It has ended, and its report is on the way.
-    Finished,
-}
-
-/// What the pools share.
-pub struct PoolContext {
-    /// Runs the openers.
-    pub executor: Rc<LocalExecutor<'static>>,
-    /// Where ended connections are noted.
-    pub on_connection_end: ConnectionEndObserver,
-    /// A connection that is not up after this time never comes up.
-    pub connect_timeout: Duration,
-    /// Idle connections are retired after this time, well before the member closes them.
-    pub idle_timeout: Duration,
-    /// The most connections to all members, and to one.
-    pub max_connections: Cell<usize>,
-    /// The most connections to one member.
-    pub max_connections_per_member: usize,
-    /// Connections to all members that are up or coming up.
-    pub open_connections: Cell<usize>,
-    /// What the answers of all members may fill.
-    pub memory_budget: Rc<MemoryBudget>,
-    /// Whether members may answer that there is no row.
-    pub allow_empty_result: bool,
-    /// See [`CHECK_AFTER`].
-    pub liveness_check_after: Cell<Duration>,
-    /// The caller's clock.
-    pub now: super::Now,
-    /// Counts requests that ended, and attempts written whole.
-    pub metrics: Metrics,
-    /// The fleet's budgets, where the settings have them.
-    pub budgets: Option<Rc<Budgets>>,
-}
-
-impl PoolContext {
-    /// Learns that a connection was dead that had stood idle for so long.
-    fn died(&self, idle: Duration) {
-        if idle >= CHECK_LEAST {
-            self.liveness_check_after.set(self.liveness_check_after.get().min(idle / 2).max(CHECK_LEAST));
-        }
-    }
 
-    /// What was learnt of idle connections wears off.
-    pub fn relax_liveness_check(&self) {
-        self.liveness_check_after.set((self.liveness_check_after.get() * 11 / 10).min(CHECK_AFTER));
-    }
-}
+/// How a waiting attempt is handed a connection, or told that opening one failed.
+type ConnectionWaiter = Sender<Result<MemberConnection, OpenFailed>>;
 
-/// A member as this proxy reaches it.
+/// The connections to one member.
 pub struct MemberPool {
-    shared: Rc<PoolContext>,
+    context: Rc<PoolContext>,
     name: String,
     address: Cell<SocketAddr>,
+    /// Whether the endpoint list has the member take work.
     active: Cell<bool>,
-    /// When sends must have ended, where the list takes it out of use but is in doubt.
-    stop_sends_at: Cell<Option<Instant>>,
-    idle: RefCell<Vec<Connection>>,
-    waiters: RefCell<VecDeque<Sender<Option<Connection>>>>,
+    /// Until when sends may begin, where the member was removed from an endpoint list that is in doubt.
+    send_until: Cell<Option<Instant>>,
+    /// Idle connections; the one used last is at the end.
+    idle: RefCell<Vec<MemberConnection>>,
+    /// Attempts that wait for a connection; the one that has waited longest is at the front.
+    waiters: RefCell<VecDeque<ConnectionWaiter>>,
+    /// Connections that are being opened.
     opening: Cell<usize>,
-    /// Connections that are listened to after their answer.
-    resting: Cell<usize>,
+    /// Connections that are watched for unsolicited bytes after a response.
+    settling: Cell<usize>,
+    /// Connections that are established.
     open: Cell<usize>,
-    heard: Cell<Instant>,
-    pause_until: Cell<Option<Instant>>,
+    /// When the member last sent a response, or a part of one.
+    last_response: Cell<Instant>,
+    /// Until when no spare connection is opened, after opening one failed.
+    backoff_until: Cell<Option<Instant>>,
     demand: Cell<Demand>,
 }
 
 impl MemberPool {
-    /// A member at an address. No connection is opened before [`MemberPool::activate`].
-    pub fn new(shared: Rc<PoolContext>, name: &str, address: SocketAddr) -> Rc<Self> {
-        shared.budgets.iter().for_each(|budgets| budgets.member(name));
+    /// Creates the pool of a member. No connection is opened before [`MemberPool::activate`].
+    pub fn new(context: Rc<PoolContext>, name: &str, address: SocketAddr) -> Rc<Self> {
+        if let Some(budgets) = &context.budgets {
+            budgets.member(name);
+        }
         Rc::new(MemberPool {
-            shared,
+            context,
             name: name.to_string(),
             address: Cell::new(address),
             active: Cell::new(false),
-            stop_sends_at: Cell::new(None),
+            send_until: Cell::new(None),
             idle: RefCell::default(),
             waiters: RefCell::default(),
             opening: Cell::new(0),
-            resting: Cell::new(0),
+            settling: Cell::new(0),
             open: Cell::new(0),
-            heard: Cell::new(Instant::now()),
-            pause_until: Cell::new(None),
+            last_response: Cell::new(Instant::now()),
+            backoff_until: Cell::new(None),
             demand: Cell::default(),
         })
     }
 
-    /// Its name.
+    /// The member's name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Whether it takes work, as far as the list tells.
+    /// Whether the member takes work according to the endpoint list.
     pub fn is_active(&self) -> bool {
         self.active.get()
     }
 
-    /// Nothing may be begun from then on, unless a list says otherwise before.
-    pub fn stop_sends_at(&self, until: Instant) {
-        self.stop_sends_at.set(Some(until));
-    }
-
-    /// Whether something may be sent to it now. ClientRequest just before a first byte, which is what drains count from:
-    /// between the decision and there lie a wait for a connection and a check whether it still works.
-    fn open_for_work(&self) -> bool {
-        self.active.get() && self.stop_sends_at.get().is_none_or(|until| Instant::now() < until)
-    }
-
-    /// Whether a connection to it stands ready.
+    /// Whether an idle connection is ready.
     pub fn has_idle_connection(&self) -> bool {
         !self.idle.borrow().is_empty()
     }
 
-    /// Whether nothing holds a connection to it.
+    /// Whether no connection is open or being opened.
     pub fn has_no_connections(&self) -> bool {
         self.open.get() == 0 && self.opening.get() == 0
     }
 
-    /// Connects to it, so that it is seen whether it can be reached.
+    /// Lets nothing be sent from `until` on, unless [`MemberPool::activate`] or [`MemberPool::deactivate`] is called
+    /// before.
+    pub fn stop_sends_at(&self, until: Instant) {
+        self.send_until.set(Some(until));
+    }
+
+    /// Opens a connection if there is none, to show whether the member can be reached.
     pub fn connect_if_unused(self: &Rc<Self>) {
-        if self.active.get() && self.has_no_connections() && self.may_open() {
-            self.open_one();
+        if self.active.get() && self.has_no_connections() && self.reserve_connection() {
+            self.start_opening();
         }
     }
 
     /// Connects to this address from now on. Idle connections to a former address are closed.
     pub fn relocate(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
-            self.close_idle("moved", |_| true);
+            self.close_idle(EndReason::Relocated, |_| true);
         }
     }
 
     /// Sends attempts to the member from now on, and keeps connections ready.
     pub fn activate(self: &Rc<Self>) {
         self.active.set(true);
-        self.stop_sends_at.set(None);
+        self.send_until.set(None);
         self.open_missing_connections();
     }
 
     /// Sends nothing to the member from now on, and closes its idle connections.
     pub fn deactivate(&self) {
         self.active.set(false);
-        self.stop_sends_at.set(None);
-        self.close_idle("left", |_| true);
-    }
-
-    /// Retires what stood idle for long, drops what has died, and opens spares.
-    pub fn maintain(self: &Rc<Self>) {
-        let now = Instant::now();
-        let mut idle = std::mem::take(&mut *self.idle.borrow_mut());
-        idle.retain_mut(|c| {
-            let old = now - c.used >= self.shared.idle_timeout;
-            let quiet = c.quiet();
-            c.reason = match (old, quiet) {
-                (true, _) => "retired",
-                (_, false) => "member_closed",
-                _ => IDLE,
-            };
-            quiet && !old
-        });
-        // What is held past the fleet's budget goes first where it is idle, longest first.
-        let excess = idle.len().min(self.excess().held as usize);
-        idle.drain(..excess).for_each(|connection| connection.end("over_budget"));
-        // The borrow is over before a dropped connection's line is noted.
-        self.idle.borrow_mut().splice(0..0, idle);
-        if self.active.get() {
-            self.open_missing_connections();
-        }
+        self.send_until.set(None);
+        self.close_idle(EndReason::Deactivated, |_| true);
     }
 
-    fn close_idle(&self, reason: &'static str, which: impl Fn(&Connection) -> bool) {
-        let idle = std::mem::take(&mut *self.idle.borrow_mut());
-        let (closed, kept): (Vec<_>, Vec<_>) = idle.into_iter().partition(which);
-        // The borrow is over before a dropped connection's line is noted.
-        self.idle.borrow_mut().extend(kept);
-        closed.into_iter().for_each(|connection| connection.end(reason));
+    /// Whether something may be sent to the member now. It is checked just before a first byte, which is what the
+    /// time limit of draining counts from: between the decision and the first byte lie a wait for a connection and a
+    /// check whether it still works.
+    fn accepts_sends(&self) -> bool {
+        self.active.get() && self.send_until.get().is_none_or(|until| Instant::now() < until)
     }
 }
--- a/crates/transport/src/member_pool/attempt.rs
+++ b/crates/transport/src/member_pool/attempt.rs
@@ -1,216 +1,245 @@
-//! Attempts and probes: a statement goes out on a connection, and what comes back is told.
+//! Attempts and health checks: a query is sent on a connection, and the response is read.
 
-use super::connection::{Connection, IN_USE, MALFORMED, OUT_OF_MEMORY, STALLED};
+use super::connection::MemberConnection;
+use super::end_reason::{EndReason, ReadError};
+use super::forwarder::StreamForwarder;
 use super::{AttemptReport, AttemptStage, MemberPool};
-use crate::response_stream::{ResponseStream, ResponseStreamSender};
+use crate::response_stream;
 use crate::{with_deadline, Statement};
 use futures_lite::AsyncWriteExt;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_admin::Metrics;
-use wharfplank_protocol::client::{self, Answer, Step, Verdict};
+use wharfplank_protocol::client::{self, Step, Verdict};
 use wharfplank_routing::AttemptOutcome;
 
-/// A value that passes through has come to its end by then, however slowly it is given and taken.
-const PASS_MOST: Duration = Duration::from_secs(60);
+/// The query for a member's load report.
+const LOAD_REPORT_QUERY: &[u8] = b"SHOW load";
+
+/// The points in time that limit an attempt. They count from the decision, however late the attempt starts or finds a
+/// connection.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptLimits {
+    /// Until when the response must come. For a streamed response that is its first bytes.
+    pub deadline: Instant,
+    /// Until when the statement must be written, if that is sooner: later the reason for the attempt holds no more.
+    pub send_by: Option<Instant>,
+}
+
+impl AttemptLimits {
+    /// Until when the statement must be written.
+    fn send_until(&self) -> Instant {
+        self.send_by.map_or(self.deadline, |at| self.deadline.min(at))
+    }
+}
+
+/// What an attempt led to.
+pub struct AttemptCompletion {
+    /// The result, or the beginning of a streamed response.
+    pub report: AttemptReport,
+    /// Forwards the rest of a streamed response once the report was delivered.
+    pub forwarder: Option<StreamForwarder>,
+}
+
+impl From<AttemptReport> for AttemptCompletion {
+    fn from(report: AttemptReport) -> Self {
+        AttemptCompletion { report, forwarder: None }
+    }
+}
+
+impl From<AttemptOutcome> for AttemptCompletion {
+    fn from(outcome: AttemptOutcome) -> Self {
+        AttemptReport::without_answer(outcome).into()
+    }
+}
+
+/// Why a query was not written completely. It never runs then.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum SendError {
+    /// The connection broke.
+    #[error("the connection was reset before the last byte")]
+    Reset,
+    /// The time to write it was over.
+    #[error("the query was not written in time")]
+    Expired,
+}
+
+impl SendError {
+    fn attempt_outcome(self) -> AttemptOutcome {
+        match self {
+            SendError::Reset => AttemptOutcome::ConnectFailed,
+            SendError::Expired => AttemptOutcome::NotSent,
+        }
+    }
+}
+
+/// Whose query an exchange sends.
+#[derive(Clone, Copy)]
+enum Sender<'a> {
+    /// A client's, whose attempts are counted. It is not sent if the client does not await it any more.
+    Client { is_awaited: &'a dyn Fn() -> bool },
+    /// A health check of this proxy.
+    HealthCheck,
+}
 
 impl MemberPool {
-    /// Sends a statement and waits for its answer until `deadline`, which is told to the member as what is left of
-    /// it. The reason for the send holds until `holds`: what is not written by then is ended as never sent, and so is
-    /// what is not `wanted` just before its first byte. Both are points in time and count from the decision, however
-    /// late the attempt starts or finds a connection.
+    /// Sends a statement and waits for its response. The member is told how much time is left until the deadline.
     ///
-    /// Of a long value the report tells as soon as it has begun: the deadline covers its first bytes, and the
-    /// [`Stream`] is to be passed on after the report.
+    /// An attempt that is not written by `send_by`, or that `is_awaited` declines just before its first byte, ends as
+    /// never sent. A long response is reported as soon as it has begun, and the forwarder in the result has to be run
+    /// after the report.
     pub async fn attempt(
         self: Rc<Self>,
         statement: Rc<Statement>,
         stage: Rc<Cell<AttemptStage>>,
-        deadline: Instant,
-        holds: Option<Instant>,
-        wanted: impl Fn() -> bool,
-    ) -> (AttemptReport, Option<Stream>) {
-        let write = |out: &mut Vec<u8>| {
-            let left = deadline.saturating_duration_since(Instant::now()).as_millis().max(1);
-            statement.write_with_timeout(out, left as i64);
+        limits: AttemptLimits,
+        is_awaited: impl Fn() -> bool,
+    ) -> AttemptCompletion {
+        let write_query = |out: &mut Vec<u8>| {
+            let remaining = limits.deadline.saturating_duration_since(Instant::now());
+            statement.write_with_timeout(out, remaining.as_millis().max(1) as i64);
         };
-        self.ask(write, &stage, deadline, holds, Some((&self.shared.metrics, &wanted))).await
+        let sender = Sender::Client { is_awaited: &is_awaited };
+        self.exchange(write_query, &stage, limits, sender).await
     }
 
-    /// Asks for the load report.
+    /// Requests the member's load report. Returns `None` if it does not come within `timeout`.
     pub async fn probe(self: Rc<Self>, timeout: Duration) -> Option<String> {
+        let write_query = |out: &mut Vec<u8>| out.extend_from_slice(LOAD_REPORT_QUERY);
+        let limits = AttemptLimits { deadline: Instant::now() + timeout, send_by: None };
         let stage = Cell::default();
-        let show = |out: &mut Vec<u8>| out.extend_from_slice(b"SHOW load");
-        let (report, _) = self.ask(show, &stage, Instant::now() + timeout, None, None).await;
-        let answer = report.answer.filter(|answer| answer.verdict == Verdict::Row)?;
+        let completion = self.exchange(write_query, &stage, limits, Sender::HealthCheck).await;
+        let answer = completion.report.answer.filter(|answer| answer.verdict == Verdict::Row)?;
         String::from_utf8(answer.messages.get(answer.value)?.to_vec()).ok()
     }
 
-    async fn ask(
+    /// Sends a query on a connection of the pool and reads the response.
+    async fn exchange(
         self: &Rc<Self>,
-        write: impl FnOnce(&mut Vec<u8>),
+        write_query: impl FnOnce(&mut Vec<u8>),
         stage: &Cell<AttemptStage>,
-        deadline: Instant,
-        holds: Option<Instant>,
-        client: Option<(&Metrics, &dyn Fn() -> bool)>,
-    ) -> (AttemptReport, Option<Stream>) {
-        let start = Instant::now();
-        let until = holds.map_or(deadline, |at| deadline.min(at));
-        let mut connection = match self.have(start, until).await {
+        limits: AttemptLimits,
+        sender: Sender<'_>,
+    ) -> AttemptCompletion {
+        let started = Instant::now();
+        let send_until = limits.send_until();
+        let mut connection = match self.acquire_until(started, send_until).await {
             Ok(connection) => connection,
-            Err(ending) => return bare(ending),
+            Err(outcome) => return outcome.into(),
         };
-        if client.is_some_and(|(_, wanted)| !wanted()) {
-            self.put(connection);
-            return bare(AttemptOutcome::NotSent);
+        if matches!(sender, Sender::Client { is_awaited } if !is_awaited()) {
+            self.release(connection);
+            return AttemptOutcome::NotSent.into();
         }
         stage.set(AttemptStage::Writing);
-        connection.reason = IN_USE;
-        connection.requests += 1;
-        let idle = connection.used.elapsed();
-        let message = client::query(write);
-        match with_deadline(until, connection.stream.write_all(&message)).await {
-            Some(Ok(())) => {
-                stage.set(AttemptStage::Written);
-                client.into_iter().for_each(|(metrics, _)| metrics.record_dispatch());
-            }
-            // Broken before the last byte: it never ran. Cut off by the clock: it was never whole.
-            Some(Err(_)) => {
-                connection.reason = "reset";
-                return bare(AttemptOutcome::ConnectFailed);
-            }
-            None => return bare(AttemptOutcome::NotSent),
+        let idle_time = connection.begin_request();
+        if let Err(error) = connection.send_query(client::query(write_query), send_until).await {
+            return error.attempt_outcome().into();
         }
-        drop(message);
-        match with_deadline(deadline, connection.step()).await {
-            Some(Ok(Step::Whole(answer))) => (connection.over(answer), None),
-            Some(Ok(Step::Begun(first, left))) => {
-                self.heard.set(Instant::now());
-                let (flow, source) = ResponseStream::new(first, left, &self.shared.memory_budget);
-                let report = AttemptReport { outcome: AttemptOutcome::Ok, answer: None, stream: Some(flow) };
-                (report, Some(Stream { connection, source }))
-            }
-            // Nothing passes through that has not begun.
-            Some(Ok(Step::Piece(_))) => bare(AttemptOutcome::Error),
-            Some(Err(reason)) => {
-                connection.reason = reason;
-                if !connection.client.begun() {
-                    self.shared.died(idle);
-                }
-                bare(failed(reason))
-            }
-            None => {
-                connection.reason = "timeout";
-                // A member that said nothing at all since then may be cut off: what stands idle would
-                // be reset with the next request on it, which a new connection shows without harm.
-                if self.heard.get() < start {
-                    self.close_idle("silent", |_| true);
-                }
-                bare(AttemptOutcome::Timeout)
-            }
+        stage.set(AttemptStage::Written);
+        if let Sender::Client { .. } = sender {
+            self.context.metrics.record_dispatch();
+        }
+        match with_deadline(limits.deadline, connection.read_step()).await {
+            Some(Ok(Step::Whole(answer))) => connection.complete(answer).into(),
+            Some(Ok(Step::Begun(first, remaining))) => self.begin_stream(connection, first, remaining),
+            // Nothing is streamed that has not begun.
+            Some(Ok(Step::Piece(_))) => AttemptOutcome::Error.into(),
+            Some(Err(error)) => self.on_read_failed(connection, error, idle_time),
+            None => self.on_response_timeout(connection, started),
         }
     }
 
-    /// A connection to send on at once, by `until`; or how the attempt ends without one.
-    async fn have(self: &Rc<Self>, start: Instant, until: Instant) -> Result<Connection, AttemptOutcome> {
-        let connect_by = start + self.shared.connect_timeout;
-        if !self.open_for_work() {
+    /// Takes a connection that can be sent on at once, by `send_until`.
+    ///
+    /// # Errors
+    ///
+    /// Returns how the attempt ends without a connection.
+    async fn acquire_until(
+        self: &Rc<Self>,
+        started: Instant,
+        send_until: Instant,
+    ) -> Result<MemberConnection, AttemptOutcome> {
+        if !self.accepts_sends() {
             return Err(AttemptOutcome::NotSent);
         }
-        let connection = match with_deadline(until.min(connect_by), self.take()).await {
-            Some(Some(connection)) => connection,
-            Some(None) if !self.open_for_work() => return Err(AttemptOutcome::NotSent),
-            Some(None) => return Err(AttemptOutcome::ConnectFailed),
-            None if connect_by <= until && self.opening.get() > 0 => {
-                return Err(AttemptOutcome::ConnectFailed)
+        let connect_until = started + self.context.connect_timeout;
+        let acquired = with_deadline(send_until.min(connect_until), self.acquire()).await;
+        let connection = match acquired {
+            Some(Ok(connection)) => connection,
+            // A failure says nothing of a member that takes no work any more.
+            Some(Err(_)) if !self.accepts_sends() => return Err(AttemptOutcome::NotSent),
+            Some(Err(_)) => return Err(AttemptOutcome::ConnectFailed),
+            None if connect_until <= send_until && self.opening.get() > 0 => {
+                return Err(AttemptOutcome::ConnectFailed);
             }
             None => return Err(AttemptOutcome::NotSent),
         };
-        // A pause between the decision and here ages the decision too, and what the list says may have changed.
-        if Instant::now() >= until || !self.open_for_work() {
-            self.put(connection);
+        // A pause of the process between the decision and here ages the decision too, and the endpoint list may have
+        // changed.
+        if Instant::now() >= send_until || !self.accepts_sends() {
+            self.release(connection);
             return Err(AttemptOutcome::NotSent);
         }
         Ok(connection)
     }
-}
 
-fn bare(ending: AttemptOutcome) -> (AttemptReport, Option<Stream>) {
-    (AttemptReport::without_answer(ending), None)
-}
+    /// Reports a long response that has begun, and prepares the forwarding of the rest.
+    fn begin_stream(
+        &self,
+        connection: MemberConnection,
+        first: Vec<u8>,
+        remaining: usize,
+    ) -> AttemptCompletion {
+        self.last_response.set(Instant::now());
+        let (stream, sender) = response_stream::channel(first, remaining, &self.context.memory_budget);
+        AttemptCompletion {
+            report: AttemptReport { outcome: AttemptOutcome::Ok, answer: None, stream: Some(stream) },
+            forwarder: Some(StreamForwarder::new(connection, sender)),
+        }
+    }
 
-/// How an attempt ended whose connection ended for this reason.
-fn failed(reason: &str) -> AttemptOutcome {
-    match reason {
-        // What cannot be read is an answer all the same: the member works, and the request may have run.
-        MALFORMED | STALLED | OUT_OF_MEMORY => AttemptOutcome::Error,
-        _ => AttemptOutcome::Reset,
+    fn on_read_failed(
+        &self,
+        mut connection: MemberConnection,
+        error: ReadError,
+        idle_time: Duration,
+    ) -> AttemptCompletion {
+        connection.end_reason = error.into();
+        if !connection.client.begun() {
+            self.context.on_dead_connection(idle_time);
+        }
+        error.attempt_outcome().into()
     }
-}
 
-impl Connection {
-    /// Takes a whole answer's meaning, and gives the connection back.
-    fn over(mut self, answer: Answer) -> AttemptReport {
-        let now = Instant::now();
-        self.member.heard.set(now);
-        self.used = now;
-        let outcome = match answer.verdict {
-            Verdict::Row | Verdict::NoRow => AttemptOutcome::Ok,
-            Verdict::Miss => AttemptOutcome::Misrouted,
-            Verdict::Full => AttemptOutcome::Overloaded,
-            Verdict::NotReady | Verdict::Done | Verdict::Error => AttemptOutcome::Error,
-        };
-        if self.reason == IN_USE {
-            self.client.buffer.release();
-            self.memory.resize(0);
-            let member = Rc::clone(&self.member);
-            member.rest(self);
+    fn on_response_timeout(&self, mut connection: MemberConnection, started: Instant) -> AttemptCompletion {
+        connection.end_reason = EndReason::Timeout;
+        // A member that has sent nothing at all since then may be cut off: idle connections would be reset with the
+        // next request on them, while opening a new one shows it without harm.
+        if self.last_response.get() < started {
+            self.close_idle(EndReason::Silent, |_| true);
         }
-        AttemptReport { outcome, answer: Some(answer), stream: None }
+        AttemptOutcome::Timeout.into()
     }
 }
 
-/// A long value that a member has begun to give.
-pub struct Stream {
-    connection: Connection,
-    source: ResponseStreamSender,
-}
+impl MemberConnection {
+    /// Counts a request that is about to be sent. Returns for how long the connection was idle.
+    fn begin_request(&mut self) -> Duration {
+        self.end_reason = EndReason::Abandoned;
+        self.requests += 1;
+        self.last_used.elapsed()
+    }
 
-impl Stream {
-    /// Passes it on as it comes and as the client takes it, to its end, which is told. Without a whole end the
-    /// client's connection sees the flow end early.
-    pub async fn pass(mut self) -> AttemptReport {
-        let until = Instant::now() + PASS_MOST;
-        loop {
-            let step = match with_deadline(until, self.connection.step()).await {
-                Some(step) => step,
-                None => Err(STALLED),
-            };
-            let answer = match step {
-                Ok(Step::Piece(bytes)) => {
-                    self.connection.member.heard.set(Instant::now());
-                    match self.source.give(bytes).await {
-                        true => continue,
-                        // The client has gone.
-                        false => return AttemptReport::without_answer(AttemptOutcome::Cancelled),
-                    }
-                }
-                Ok(Step::Whole(answer)) => answer,
-                Ok(Step::Begun(..)) => return AttemptReport::without_answer(AttemptOutcome::Error),
-                Err(reason) => {
-                    self.connection.reason = reason;
-                    return AttemptReport::without_answer(failed(reason));
-                }
-            };
-            let mut report = self.connection.over(answer);
-            let rest = report.answer.as_mut().map(|a| std::mem::take(&mut a.messages));
-            if report.outcome == AttemptOutcome::Ok {
-                self.source.end(rest.unwrap_or_default()).await;
-            } else {
-                report.outcome = AttemptOutcome::Error;
+    /// Writes a query by `send_until`.
+    async fn send_query(&mut self, message: Vec<u8>, send_until: Instant) -> Result<(), SendError> {
+        match with_deadline(send_until, self.stream.write_all(&message)).await {
+            Some(Ok(())) => Ok(()),
+            Some(Err(_)) => {
+                self.end_reason = EndReason::RESET;
+                Err(SendError::Reset)
             }
-            return report;
+            None => Err(SendError::Expired),
         }
     }
 }
--- /dev/null
+++ b/crates/transport/src/member_pool/checkout.rs
@@ -0,0 +1,173 @@
+//! How connections are taken out of the pool and returned to it.
+
+use super::connection::{Liveness, MemberConnection};
+use super::end_reason::EndReason;
+use super::opening::OpenFailed;
+use super::MemberPool;
+use crate::with_deadline;
+use async_channel::bounded;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// How long a connection is watched after a response before it carries the next request: a duplicate of the
+/// response, or noise behind it, would be read as the response to that request.
+const SETTLE_TIME: Duration = Duration::from_millis(3);
+
+/// Why no connection could be taken out of the pool.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum AcquireError {
+    /// No connection could be opened.
+    #[error(transparent)]
+    Open(#[from] OpenFailed),
+    /// The member closed the connection right after the startup. What would be written to it then may have run, for
+    /// all that can be known.
+    #[error("the member closed the new connection")]
+    Closed,
+    /// The member did not respond on an idle connection.
+    #[error("the member did not respond to a liveness check")]
+    Silent,
+    /// The member takes no work any more.
+    #[error("the member takes no work any more")]
+    Inactive,
+}
+
+impl MemberPool {
+    /// Takes a connection out of the pool: an idle one that works, or else the next one that is opened or returned.
+    pub(super) async fn acquire(self: &Rc<Self>) -> Result<MemberConnection, AcquireError> {
+        self.record_demand();
+        while let Some(connection) = self.pop_idle() {
+            if let Some(usable) = self.check_idle(connection).await? {
+                return Ok(usable);
+            }
+        }
+        self.wait_for_connection().await
+    }
+
+    fn record_demand(&self) {
+        let mut demand = self.demand.get();
+        demand.used((self.context.now)());
+        self.demand.set(demand);
+    }
+
+    /// The idle connection that was used last.
+    fn pop_idle(&self) -> Option<MemberConnection> {
+        self.idle.borrow_mut().pop()
+    }
+
+    /// Checks whether an idle connection can carry a request. Returns `None`, and closes it, if another one is to be
+    /// tried.
+    async fn check_idle(
+        self: &Rc<Self>,
+        mut connection: MemberConnection,
+    ) -> Result<Option<MemberConnection>, AcquireError> {
+        if !connection.is_quiet() {
+            connection.close(EndReason::MEMBER_CLOSED);
+            return Ok(None);
+        }
+        let last_used = connection.last_used;
+        let idle_time = last_used.elapsed();
+        // Pools are maintained only now and then, and a member may close the connection before the next time.
+        if idle_time >= self.context.idle_timeout {
+            connection.close(EndReason::Retired);
+            return Ok(None);
+        }
+        self.open_missing_connections();
+        if idle_time < self.context.liveness_check_after.get() {
+            return Ok(Some(connection));
+        }
+        if !self.accepts_sends() {
+            connection.close(EndReason::Deactivated);
+            return Err(AcquireError::Inactive);
+        }
+        connection.end_reason = EndReason::Abandoned;
+        match connection.check_liveness().await {
+            Liveness::Alive => Ok(Some(connection)),
+            Liveness::Dead => {
+                connection.close(EndReason::Stale);
+                self.context.on_dead_connection(idle_time);
+                // Connections that have been idle for longer are no better.
+                self.close_idle(EndReason::Stale, |other| other.last_used <= last_used);
+                Ok(None)
+            }
+            Liveness::Silent => {
+                connection.close(EndReason::Silent);
+                self.close_idle(EndReason::Silent, |_| true);
+                Err(AcquireError::Silent)
+            }
+        }
+    }
+
+    /// Waits for the next connection that is opened or returned.
+    async fn wait_for_connection(self: &Rc<Self>) -> Result<MemberConnection, AcquireError> {
+        let (waiter, handed_over) = bounded(1);
+        self.waiters.borrow_mut().retain(|waiter| !waiter.is_closed());
+        self.waiters.borrow_mut().push_back(waiter);
+        self.open_missing_connections();
+        let connection = handed_over.recv().await.unwrap_or(Err(OpenFailed))?;
+        if !connection.is_quiet() {
+            connection.close(EndReason::MEMBER_CLOSED);
+            return Err(AcquireError::Closed);
+        }
+        Ok(connection)
+    }
+
+    /// Returns a connection to the pool, or hands it to the attempt that has waited longest.
+    pub(super) fn release(self: &Rc<Self>, connection: MemberConnection) {
+        if self.excess().over_quota > 0 {
+            return connection.close(EndReason::OverBudget);
+        }
+        // The member was relocated meanwhile: another one may listen at the old address by now.
+        if connection.peer != self.address.get() {
+            connection.close(EndReason::Relocated);
+            return self.open_missing_connections();
+        }
+        match self.hand_to_waiter(connection) {
+            Some(unclaimed) => self.store_idle(unclaimed),
+            None => self.open_missing_connections(),
+        }
+    }
+
+    /// Hands a connection to the attempt that has waited longest. Returns it if no attempt waits.
+    fn hand_to_waiter(&self, connection: MemberConnection) -> Option<MemberConnection> {
+        let mut offered = Ok(connection);
+        loop {
+            let waiter = self.waiters.borrow_mut().pop_front();
+            let Some(waiter) = waiter else { return offered.ok() };
+            match waiter.try_send(offered) {
+                Ok(()) => return None,
+                Err(rejected) => offered = rejected.into_inner(),
+            }
+        }
+    }
+
+    /// Stores a connection as idle if the member takes work, and closes it otherwise.
+    fn store_idle(&self, mut connection: MemberConnection) {
+        connection.client.buffer.release();
+        if self.active.get() {
+            connection.end_reason = EndReason::Shutdown;
+            self.idle.borrow_mut().push(connection);
+        } else {
+            connection.close(EndReason::Deactivated);
+        }
+    }
+
+    /// Watches a connection for a moment after a response, then returns it to the pool if nothing more came.
+    pub(super) fn settle_and_release(self: &Rc<Self>, connection: MemberConnection) {
+        self.settling.set(self.settling.get() + 1);
+        let pool = Rc::clone(self);
+        let task = async move {
+            if !connection.client.begun() {
+                with_deadline(Instant::now() + SETTLE_TIME, connection.stream.readable()).await;
+            }
+            pool.settling.set(pool.settling.get() - 1);
+            if connection.is_quiet() {
+                return pool.release(connection);
+            }
+            let reason =
+                if connection.has_unread_bytes() { EndReason::Unsolicited } else { EndReason::MEMBER_CLOSED };
+            connection.close(reason);
+            pool.open_missing_connections();
+        };
+        self.context.executor.spawn(task).detach();
+    }
+}
--- a/crates/transport/src/member_pool/connection.rs
+++ b/crates/transport/src/member_pool/connection.rs
@@ -1,129 +1,217 @@
-//! One connection to a member: what it is used for, and what the member gives on it.
+//! One connection to a member: its state, and reading what the member sends on it.
 
-use super::{MemberPool, Reason};
+use super::end_reason::{EndReason, ReadError};
+use super::{AttemptReport, MemberPool};
 use crate::{with_deadline, ConnectionEnd, MemoryReservation};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wharfplank_protocol::client::{self, Answer, Broken, Client, Step, Verdict};
+use wharfplank_routing::AttemptOutcome;
 
-/// An empty query is answered at once.
-const CHECK_WAIT: Duration = Duration::from_millis(100);
-/// A short answer that has begun to arrive and stands still for so long has no end: another member may still serve
-/// its request. Days of slow members and pieces know no pause as long within one, silent ones many.
-const STALL: Duration = Duration::from_millis(150);
-/// A row that passes through may stand still for longer, since there is nothing else to do for its request.
-const PASS_STALL: Duration = Duration::from_secs(5);
-/// What is read of such a row at a time, where there is memory for it.
-const PASS_READ: usize = 64 * 1024;
+/// How long the response to an empty query may take; a member sends it at once.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(100);
+/// A short response that has begun to arrive and pauses for so long is taken as broken off: another member may still
+/// serve its request. Slow members and split writes were seen to pause for less, silent members for more.
+const STALL_TIMEOUT: Duration = Duration::from_millis(150);
+/// A streamed row may pause for longer, since its request cannot be retried any more.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// The bytes of a streamed row that are read at a time, where there is memory for them.
+const STREAM_READ_SIZE: usize = 64 * 1024;
 
-/// The reason code of a connection in use; it stands when its attempt is dropped.
-pub(super) const IN_USE: Reason = "given_up";
-pub(super) const IDLE: Reason = "shutdown";
-pub(super) const MALFORMED: Reason = "malformed";
-pub(super) const OUT_OF_MEMORY: Reason = "out_of_memory";
-/// It stood still half-way.
-pub(super) const STALLED: Reason = "stalled";
+/// Whether a connection that was idle still works.
+pub(super) enum Liveness {
+    /// The member responded to an empty query.
+    Alive,
+    /// The connection is broken.
+    Dead,
+    /// The member did not respond in time.
+    Silent,
+}
 
-pub(super) struct Connection {
+/// An established connection to a member. Dropping it closes it, releases its place and reports its end.
+pub(super) struct MemberConnection {
     pub(super) stream: Async<TcpStream>,
     pub(super) client: Client,
     pub(super) peer: SocketAddr,
-    pub(super) member: Rc<MemberPool>,
-    pub(super) since: Instant,
-    pub(super) used: Instant,
+    pub(super) pool: Rc<MemberPool>,
+    pub(super) opened_at: Instant,
+    /// When a response was last complete, or the connection was opened.
+    pub(super) last_used: Instant,
     pub(super) requests: u64,
     pub(super) memory: MemoryReservation,
-    /// Why it ends, should it end now.
-    pub(super) reason: Reason,
+    /// The reason that is reported if the connection is dropped now.
+    pub(super) end_reason: EndReason,
 }
 
-impl Drop for Connection {
+impl Drop for MemberConnection {
     fn drop(&mut self) {
-        self.member.open.set(self.member.open.get() - 1);
-        self.member.closed();
-        (self.member.shared.on_connection_end)(&ConnectionEnd {
+        self.pool.open.set(self.pool.open.get() - 1);
+        self.pool.release_reservation();
+        (self.pool.context.on_connection_end)(&ConnectionEnd {
             side: "member",
             peer: self.peer,
-            name: &self.member.name,
-            reason: self.reason,
+            name: &self.pool.name,
+            reason: self.end_reason.as_str(),
             requests: self.requests,
-            since: self.since,
+            since: self.opened_at,
         });
     }
 }
 
-impl Connection {
-    pub(super) fn end(mut self, reason: Reason) {
-        self.reason = reason;
+impl MemberConnection {
+    /// Wraps an established stream and counts it in its pool.
+    pub(super) fn new(
+        pool: Rc<MemberPool>,
+        peer: SocketAddr,
+        stream: Async<TcpStream>,
+        client: Client,
+    ) -> Self {
+        pool.open.set(pool.open.get() + 1);
+        let now = Instant::now();
+        let memory = MemoryReservation::new(&pool.context.memory_budget);
+        MemberConnection {
+            stream,
+            client,
+            peer,
+            pool,
+            opened_at: now,
+            last_used: now,
+            requests: 0,
+            memory,
+            end_reason: EndReason::Shutdown,
+        }
     }
 
-    /// Whether the member has neither closed it nor said something unasked.
-    pub(super) fn quiet(&self) -> bool {
+    /// Closes the connection for this reason.
+    pub(super) fn close(mut self, reason: EndReason) {
+        self.end_reason = reason;
+    }
+
+    /// Whether the member has neither closed the connection nor sent anything without a request.
+    pub(super) fn is_quiet(&self) -> bool {
         if self.client.begun() {
             return false;
         }
         let peeked = self.stream.get_ref().peek(&mut [0]);
-        matches!(peeked, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
+        matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
+    }
+
+    /// Whether the member has sent something that was not consumed yet.
+    pub(super) fn has_unread_bytes(&self) -> bool {
+        self.client.begun() || matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..))
     }
 
-    /// Whether the member answers an empty query; `None` when it says nothing.
-    pub(super) async fn alive(&mut self) -> Option<bool> {
-        let ask = async {
-            let written = self.stream.write_all(&client::query(|_| {})).await;
-            let answer = if written.is_ok() { self.answer().await.ok() } else { None };
-            answer.is_some_and(|a| a.verdict == Verdict::Done)
+    /// Checks with an empty query whether the connection works.
+    pub(super) async fn check_liveness(&mut self) -> Liveness {
+        let deadline = Instant::now() + LIVENESS_TIMEOUT;
+        let Some(responded) = with_deadline(deadline, self.exchange_empty_query()).await else {
+            return Liveness::Silent;
         };
-        let alive = with_deadline(Instant::now() + CHECK_WAIT, ask).await?;
-        self.used = Instant::now();
-        Some(alive && self.quiet())
+        self.last_used = Instant::now();
+        if responded && self.is_quiet() {
+            Liveness::Alive
+        } else {
+            Liveness::Dead
+        }
     }
 
-    /// The next whole answer; one with a row that passes through is none.
-    pub(super) async fn answer(&mut self) -> Result<Answer, Reason> {
-        match self.step().await? {
-            Step::Whole(answer) => Ok(answer),
-            Step::Begun(..) | Step::Piece(_) => Err(MALFORMED),
+    /// Whether the member responds to an empty query as it should.
+    async fn exchange_empty_query(&mut self) -> bool {
+        if self.stream.write_all(&client::query(|_| {})).await.is_err() {
+            return false;
         }
+        let response = self.read_step().await;
+        matches!(response, Ok(Step::Whole(answer)) if answer.verdict == Verdict::Done)
     }
 
-    /// What the member gives next.
-    pub(super) async fn step(&mut self) -> Result<Step, Reason> {
-        // Why no more bytes will come, once that is so.
-        let mut over = None;
+    /// Reads the next part of a response, or all of it.
+    ///
+    /// # Errors
+    ///
+    /// Returns why nothing more can be read. What the member sent completely before it closed the connection, or
+    /// before the connection broke, is returned first.
+    pub(super) async fn read_step(&mut self) -> Result<Step, ReadError> {
+        let mut ended: Option<ReadError> = None;
         loop {
-            match (self.client.advance(over.is_some()), over) {
-                (Ok(Some(step)), _) => {
-                    self.reason = over.unwrap_or(self.reason);
+            let step = self.client.advance(ended.is_some()).map_err(|Broken| ReadError::Malformed)?;
+            match (step, ended) {
+                (Some(step), ended) => {
+                    if let Some(error) = ended {
+                        self.end_reason = error.into();
+                    }
                     return Ok(step);
                 }
-                (Ok(None), Some(reason)) => return Err(reason),
-                (Ok(None), None) => {}
-                (Err(Broken), _) => return Err(MALFORMED),
+                (None, Some(error)) => return Err(error),
+                (None, None) => {}
             }
-            let passing = self.client.passing();
-            let least = if passing && self.memory.budget().available() >= PASS_READ { PASS_READ } else { 0 };
-            let holds = self.memory.resize(self.client.buffer.next_capacity(least));
-            if !holds && !passing {
-                // What there is of a row passes on, so that no memory is needed for the rest.
-                match self.client.hurry() {
-                    true => continue,
-                    false => return Err(OUT_OF_MEMORY),
+            let streaming = self.client.passing();
+            let min_capacity = self.min_read_capacity(streaming);
+            let fits = self.memory.resize(self.client.buffer.next_capacity(min_capacity));
+            if !fits && !streaming {
+                // What there is of a row is streamed, so that no memory is needed for the rest.
+                if !self.client.hurry() {
+                    return Err(ReadError::OutOfMemory);
                 }
+                continue;
             }
-            let stall = if passing { PASS_STALL } else { STALL };
-            let begun = self.client.begun();
-            let read = self.stream.read(self.client.buffer.space_of(least));
-            let read =
-                if begun { with_deadline(Instant::now() + stall, read).await } else { Some(read.await) };
-            match read {
-                Some(Ok(0)) => over = Some("member_closed"),
-                Some(Ok(count)) => self.client.buffer.filled(count),
-                Some(Err(_)) => over = Some("reset"),
-                None => return Err(STALLED),
+            match self.read_into_buffer(streaming, min_capacity).await {
+                Ok(()) => {}
+                Err(ReadError::Stalled) => return Err(ReadError::Stalled),
+                Err(error) => ended = Some(error),
+            }
+        }
+    }
+
+    /// The least capacity of the buffer that is read into.
+    fn min_read_capacity(&self, streaming: bool) -> usize {
+        if streaming && self.memory.budget().available() >= STREAM_READ_SIZE {
+            STREAM_READ_SIZE
+        } else {
+            0
+        }
+    }
+
+    /// Reads once. A response that has begun may pause only for a limited time.
+    async fn read_into_buffer(&mut self, streaming: bool, min_capacity: usize) -> Result<(), ReadError> {
+        let stall_timeout = if streaming { STREAM_STALL_TIMEOUT } else { STALL_TIMEOUT };
+        let begun = self.client.begun();
+        let read = self.stream.read(self.client.buffer.space_of(min_capacity));
+        let result = if begun {
+            with_deadline(Instant::now() + stall_timeout, read).await.ok_or(ReadError::Stalled)?
+        } else {
+            read.await
+        };
+        match result {
+            Ok(0) => Err(ReadError::Closed),
+            Ok(count) => {
+                self.client.buffer.filled(count);
+                Ok(())
             }
+            Err(_) => Err(ReadError::Reset),
+        }
+    }
+
+    /// Evaluates a complete response, and returns the connection to its pool if it is still usable.
+    pub(super) fn complete(mut self, answer: Answer) -> AttemptReport {
+        let now = Instant::now();
+        self.pool.last_response.set(now);
+        self.last_used = now;
+        let outcome = match answer.verdict {
+            Verdict::Row | Verdict::NoRow => AttemptOutcome::Ok,
+            Verdict::Miss => AttemptOutcome::Misrouted,
+            Verdict::Full => AttemptOutcome::Overloaded,
+            Verdict::NotReady | Verdict::Done | Verdict::Error => AttemptOutcome::Error,
+        };
+        if self.end_reason == EndReason::Abandoned {
+            self.client.buffer.release();
+            self.memory.resize(0);
+            let pool = Rc::clone(&self.pool);
+            pool.settle_and_release(self);
         }
+        AttemptReport { outcome, answer: Some(answer), stream: None }
     }
 }
--- /dev/null
+++ b/crates/transport/src/member_pool/forwarder.rs
@@ -0,0 +1,60 @@
+//! Forwarding of a long response, as it comes from the member and as its client takes it.
+
+use super::connection::MemberConnection;
+use super::end_reason::ReadError;
+use super::AttemptReport;
+use crate::response_stream::ResponseStreamSender;
+use crate::with_deadline;
+use std::time::{Duration, Instant};
+use wharfplank_protocol::client::{Answer, Step};
+use wharfplank_routing::AttemptOutcome;
+
+/// A streamed response is broken off after this time, however slowly it is sent and taken.
+const STREAM_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// The member's side of a streamed response.
+pub struct StreamForwarder {
+    connection: MemberConnection,
+    sender: ResponseStreamSender,
+}
+
+impl StreamForwarder {
+    pub(super) fn new(connection: MemberConnection, sender: ResponseStreamSender) -> Self {
+        StreamForwarder { connection, sender }
+    }
+
+    /// Forwards the response to its end. Without a complete end the client's connection sees the stream cut off.
+    pub async fn forward(mut self) -> AttemptReport {
+        let deadline = Instant::now() + STREAM_TIMEOUT;
+        loop {
+            let step = with_deadline(deadline, self.connection.read_step()).await;
+            match step.unwrap_or(Err(ReadError::Stalled)) {
+                Ok(Step::Piece(bytes)) => {
+                    self.connection.pool.last_response.set(Instant::now());
+                    if !self.sender.send(bytes).await {
+                        // The client has disconnected.
+                        return AttemptReport::without_answer(AttemptOutcome::Cancelled);
+                    }
+                }
+                Ok(Step::Whole(answer)) => return self.finish(answer).await,
+                Ok(Step::Begun(..)) => return AttemptReport::without_answer(AttemptOutcome::Error),
+                Err(error) => {
+                    self.connection.end_reason = error.into();
+                    return AttemptReport::without_answer(error.attempt_outcome());
+                }
+            }
+        }
+    }
+
+    /// Forwards what follows the row.
+    async fn finish(self, answer: Answer) -> AttemptReport {
+        let mut report = self.connection.complete(answer);
+        let rest = report.answer.as_mut().map(|answer| std::mem::take(&mut answer.messages));
+        if report.outcome == AttemptOutcome::Ok {
+            self.sender.finish(rest.unwrap_or_default()).await;
+        } else {
+            report.outcome = AttemptOutcome::Error;
+        }
+        report
+    }
+}
--- /dev/null
+++ b/crates/transport/src/member_pool/opening.rs
@@ -0,0 +1,152 @@
+//! Opening of connections, apart from the attempts that wait for them.
+
+use super::connection::MemberConnection;
+use super::end_reason::EndReason;
+use super::MemberPool;
+use crate::{with_deadline, ConnectionEnd};
+use async_io::Async;
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use wharfplank_protocol::client::{self, Client, Step, Verdict};
+
+/// The most connections to a member that are opened at the same time.
+const MAX_OPENING: usize = 6;
+/// No spare connection is opened for so long after a failure; attempts show whether the member works again.
+const BACKOFF: Duration = Duration::from_millis(500);
+/// The user and the database of the startup message.
+const USER: &str = "web";
+const DATABASE: &str = "orders";
+
+/// No connection could be opened for an attempt that waited for one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no connection could be opened")]
+pub(super) struct OpenFailed;
+
+/// Why a connection could not be established.
+#[derive(Debug, thiserror::Error)]
+enum ConnectError {
+    /// The connection could not be made, or broke.
+    #[error("the connection failed: {0}")]
+    Io(#[from] io::Error),
+    /// The member closed the connection before it was ready.
+    #[error("the member closed the connection during startup")]
+    Closed,
+    /// The member did not accept the startup message.
+    #[error("the member did not accept the startup message")]
+    Rejected,
+    /// The member was not ready in time.
+    #[error("the connection was not established in time")]
+    Timeout,
+}
+
+impl From<&ConnectError> for EndReason {
+    fn from(error: &ConnectError) -> Self {
+        match error {
+            ConnectError::Timeout => EndReason::ConnectTimeout,
+            ConnectError::Io(_) | ConnectError::Closed | ConnectError::Rejected => EndReason::ConnectFailed,
+        }
+    }
+}
+
+impl MemberPool {
+    /// Opens connections for the attempts that wait and as spares, as far as the limits allow.
+    pub(super) fn open_missing_connections(self: &Rc<Self>) {
+        let missing = self.missing_connections();
+        while self.opening.get() < missing && self.may_open_another() {
+            self.start_opening();
+        }
+    }
+
+    /// How many connections should be in the process of being opened.
+    fn missing_connections(&self) -> usize {
+        let now = Instant::now();
+        let in_backoff = self.backoff_until.get().is_some_and(|until| now < until);
+        let spares =
+            if in_backoff || !self.active.get() { 0 } else { self.demand.get().spares((self.context.now)()) };
+        let waiting = self.waiters.borrow().iter().filter(|waiter| !waiter.is_closed()).count();
+        let available = self.idle.borrow().len() + self.settling.get();
+        (waiting + spares).saturating_sub(available).min(MAX_OPENING)
+    }
+
+    /// Whether the limits allow one more connection. If so, it is reserved in the fleet's budget.
+    fn may_open_another(&self) -> bool {
+        self.open.get() + self.opening.get() < self.context.max_connections_per_member
+            && self.context.open_connections.get() < self.context.max_connections.get()
+            && self.reserve_connection()
+    }
+
+    /// Starts a task that opens one connection, which has been reserved.
+    pub(super) fn start_opening(self: &Rc<Self>) {
+        self.opening.set(self.opening.get() + 1);
+        let open_connections = &self.context.open_connections;
+        open_connections.set(open_connections.get() + 1);
+        let pool = Rc::clone(self);
+        self.context.executor.spawn(async move { pool.open_connection().await }).detach();
+    }
+
+    /// Opens one connection and hands it out. A failure is reported to the attempt that has waited longest.
+    async fn open_connection(self: Rc<Self>) {
+        let peer = self.address.get();
+        let started = Instant::now();
+        let deadline = started + self.context.connect_timeout;
+        let connected = with_deadline(deadline, self.connect(peer)).await;
+        self.opening.set(self.opening.get() - 1);
+        match connected.unwrap_or(Err(ConnectError::Timeout)) {
+            Ok(connection) => {
+                self.backoff_until.set(None);
+                self.release(connection);
+            }
+            Err(error) => self.on_open_failed(peer, started, &error),
+        }
+    }
+
+    fn on_open_failed(self: &Rc<Self>, peer: SocketAddr, started: Instant, error: &ConnectError) {
+        self.release_reservation();
+        (self.context.on_connection_end)(&ConnectionEnd {
+            side: "member",
+            peer,
+            name: &self.name,
+            reason: EndReason::from(error).as_str(),
+            requests: 0,
+            since: started,
+        });
+        self.backoff_until.set(Some(Instant::now() + BACKOFF));
+        self.fail_first_waiter();
+        self.open_missing_connections();
+    }
+
+    /// Reports a failure to the attempt that has waited longest and still waits.
+    fn fail_first_waiter(&self) {
+        loop {
+            let waiter = self.waiters.borrow_mut().pop_front();
+            let Some(waiter) = waiter else { return };
+            if waiter.try_send(Err(OpenFailed)).is_ok() {
+                return;
+            }
+        }
+    }
+
+    /// Connects and exchanges the startup messages.
+    async fn connect(self: &Rc<Self>, peer: SocketAddr) -> Result<MemberConnection, ConnectError> {
+        let mut stream = Async::<TcpStream>::connect(peer).await?;
+        let _ = stream.get_ref().set_nodelay(true);
+        stream.write_all(&client::startup(USER, DATABASE)).await?;
+        let mut client = Client::default();
+        client.rowless = self.context.allow_empty_result;
+        loop {
+            match client.advance(false) {
+                Ok(Some(Step::Whole(answer))) if answer.verdict == Verdict::Done => break,
+                Ok(Some(_)) | Err(_) => return Err(ConnectError::Rejected),
+                Ok(None) => {}
+            }
+            match stream.read(client.buffer.space()).await? {
+                0 => return Err(ConnectError::Closed),
+                count => client.buffer.filled(count),
+            }
+        }
+        Ok(MemberConnection::new(Rc::clone(self), peer, stream, client))
+    }
+}
--- a/crates/transport/src/response_stream.rs
+++ b/crates/transport/src/response_stream.rs
@@ -1,132 +1,105 @@
-//! A long value on its way from a member to a client: pieces in a bounded queue between the two connections. What the
-//! client does not take stays with the member, beyond a few pieces.
+//! A long response on its way from a member to a client: pieces in a bounded queue between the two connections.
+//!
+//! What the client does not take stays with the member, beyond a few pieces.
 
-use super::{MemoryBudget, MemoryReservation};
-use async_channel::{bounded, Receiver, Sender};
+use crate::{MemoryBudget, MemoryReservation};
+use async_channel::{bounded, Receiver, Sender, TryRecvError};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Pieces that wait: while memory is left they are of 64 KiB, so that a slow client keeps a member's connection only
-/// with what is past a quarter of a megabyte; later ones are of 16 KiB.
-const PIECES: usize = 4;
+/// The most pieces that are queued. While memory is left they are of 64 KiB, so that a slow client keeps a member's
+/// connection only with what is past a quarter of a megabyte; later ones are of 16 KiB.
+pub const MAX_QUEUED_PIECES: usize = 4;
 
-/// A part of an answer.
-pub(super) enum Piece {
+/// A part of a streamed response.
+pub enum StreamPiece {
     /// Bytes of the row.
-    Row(Vec<u8>, MemoryReservation),
-    /// What follows the row: the answer is whole.
+    Row(RowBytes),
+    /// What follows the row: the response is complete.
     End(Vec<u8>),
 }
 
-/// The client's end of it. Pieces that stop without an end were cut off.
+/// Bytes of a row, which count towards the memory budget until they are dropped.
+pub struct RowBytes {
+    /// The bytes.
+    pub bytes: Vec<u8>,
+    _reservation: MemoryReservation,
+}
+
+/// The client's side of a streamed response. If its pieces stop without an end, it was cut off.
 pub struct ResponseStream {
     /// The row's description and the first bytes of the row.
-    pub(super) first: Vec<u8>,
-    /// Bytes of the row that are to come after those.
-    pub(super) left: usize,
-    pub(super) pieces: Receiver<Piece>,
-    /// Whether its end has been handed on.
-    whole: Rc<Cell<bool>>,
-    _part: MemoryReservation,
+    pub(crate) first: Vec<u8>,
+    /// Bytes of the row that follow those.
+    pub(crate) remaining: usize,
+    pieces: Receiver<StreamPiece>,
+    /// Whether the end of the response was sent.
+    finished: Rc<Cell<bool>>,
+    _reservation: MemoryReservation,
 }
 
-impl std::fmt::Debug for ResponseStream {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "ResponseStream({} to come)", self.left)
-    }
+/// The member's side of a streamed response.
+pub struct ResponseStreamSender {
+    pieces: Sender<StreamPiece>,
+    finished: Rc<Cell<bool>>,
+    budget: Rc<MemoryBudget>,
 }
 
-/// The member's end of it.
-pub(super) struct ResponseStreamSender {
-    pieces: Sender<Piece>,
-    whole: Rc<Cell<bool>>,
-    memory: Rc<MemoryBudget>,
+/// Creates both sides of a response that has begun with `first`, and of whose row `remaining` bytes are to come.
+pub fn channel(
+    first: Vec<u8>,
+    remaining: usize,
+    budget: &Rc<MemoryBudget>,
+) -> (ResponseStream, ResponseStreamSender) {
+    let (sender, pieces) = bounded(MAX_QUEUED_PIECES);
+    let mut reservation = MemoryReservation::new(budget);
+    reservation.resize(first.len());
+    let finished: Rc<Cell<bool>> = Rc::default();
+    let sender =
+        ResponseStreamSender { pieces: sender, finished: Rc::clone(&finished), budget: Rc::clone(budget) };
+    let stream = ResponseStream { first, remaining, pieces, finished, _reservation: reservation };
+    (stream, sender)
 }
 
-impl ResponseStream {
-    /// Both ends of a value that has begun.
-    pub(super) fn new(
-        first: Vec<u8>,
-        left: usize,
-        memory: &Rc<MemoryBudget>,
-    ) -> (ResponseStream, ResponseStreamSender) {
-        let (sender, pieces) = bounded(PIECES);
-        let mut part = MemoryReservation::new(memory);
-        part.resize(first.len());
-        let whole: Rc<Cell<bool>> = Rc::default();
-        let source =
-            ResponseStreamSender { pieces: sender, whole: Rc::clone(&whole), memory: Rc::clone(memory) };
-        (ResponseStream { first, left, pieces, whole, _part: part }, source)
+impl std::fmt::Debug for ResponseStream {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(f, "ResponseStream({} bytes to come)", self.remaining)
     }
+}
 
-    /// Whether the member's side ended without an end.
-    pub(super) fn is_cut(&self) -> bool {
-        self.pieces.is_closed() && !self.whole.get()
+impl ResponseStream {
+    /// Whether the member's side ended without the end of the response.
+    pub fn is_cut_off(&self) -> bool {
+        self.pieces.is_closed() && !self.finished.get()
     }
-}
 
-impl ResponseStreamSender {
-    /// Hands a piece on once there is room for it; false where nobody wants it any more.
-    pub(super) async fn give(&self, bytes: Vec<u8>) -> bool {
-        let mut part = MemoryReservation::new(&self.memory);
-        part.resize(bytes.len());
-        self.pieces.send(Piece::Row(bytes, part)).await.is_ok()
+    /// The queue of pieces, to wait for the next one. It is closed once the member's side is dropped.
+    pub fn pieces(&self) -> Receiver<StreamPiece> {
+        self.pieces.clone()
     }
 
-    /// Hands the end on.
-    pub(super) async fn end(&self, rest: Vec<u8>) {
-        self.whole.set(true);
-        let _ = self.pieces.send(Piece::End(rest)).await;
+    /// The next piece, if one is queued.
+    ///
+    /// # Errors
+    ///
+    /// Returns whether a piece may still come or the member's side is dropped.
+    pub(crate) fn try_next(&self) -> Result<StreamPiece, TryRecvError> {
+        self.pieces.try_recv()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use futures_lite::future::{block_on, poll_once};
-
-    /// Guards against a client that takes nothing while its member's bytes pile up here: past a few pieces the
-    /// member waits, each piece taken lets one on, and what was held is given back.
-    #[test]
-    fn what_is_not_taken_stays_with_the_member() {
-        block_on(async {
-            let memory = MemoryBudget::new(1 << 20);
-            let (flow, source) = ResponseStream::new(vec![0; 100], 64 << 20, &memory);
-            let mut given = 0;
-            while poll_once(source.give(vec![1; 64 * 1024])).await.is_some() {
-                given += 1;
-            }
-            assert_eq!(given, PIECES);
-            let held = (1 << 20) - memory.available();
-            assert!((1..=PIECES * 64 * 1024).contains(&held), "{held} held");
-            for _ in 0..100 {
-                assert!(
-                    matches!(flow.pieces.recv().await, Ok(Piece::Row(bytes, _)) if bytes.len() == 64 * 1024)
-                );
-                assert!(source.give(vec![1; 64 * 1024]).await);
-                assert!(poll_once(source.give(vec![1])).await.is_none());
-            }
-            drop(flow);
-            assert!(!source.give(vec![1]).await, "nobody takes it any more");
-            drop(source);
-            assert_eq!(memory.available(), 1 << 20);
-        });
+impl ResponseStreamSender {
+    /// Sends bytes of the row once there is room in the queue. Returns false if the client's side was dropped.
+    pub async fn send(&self, bytes: Vec<u8>) -> bool {
+        let mut reservation = MemoryReservation::new(&self.budget);
+        reservation.resize(bytes.len());
+        let row = RowBytes { bytes, _reservation: reservation };
+        self.pieces.send(StreamPiece::Row(row)).await.is_ok()
     }
 
-    /// Guards against a value that was cut off and looks whole, and the other way round.
-    #[test]
-    fn only_an_end_that_was_handed_on_makes_it_whole() {
-        block_on(async {
-            let memory = MemoryBudget::new(1 << 20);
-            let (whole, source) = ResponseStream::new(vec![0], 1, &memory);
-            assert!(source.give(vec![1]).await && !whole.is_cut());
-            source.end(vec![2]).await;
-            drop(source);
-            assert!(!whole.is_cut());
-            let (cut, source) = ResponseStream::new(vec![0], 1, &memory);
-            source.give(vec![1]).await;
-            drop(source);
-            assert!(cut.is_cut());
-        });
+    /// Sends what follows the row, which completes the response.
+    pub async fn finish(&self, rest: Vec<u8>) {
+        self.finished.set(true);
+        let _ = self.pieces.send(StreamPiece::End(rest)).await;
     }
 }
--- a/crates/transport/tests/stand/rig.rs
+++ b/crates/transport/tests/stand/rig.rs
@@ -7,7 +7,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wharfplank_admin::Metrics;
-use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, MemberPool, PoolContext, CHECK_AFTER};
+use wharfplank_transport::member_pool::{
+    AttemptLimits, AttemptReport, AttemptStage, MemberPool, PoolContext, CHECK_AFTER,
+};
 use wharfplank_transport::{MemoryBudget, Statement};
 
 /// A pool of connections, and what it noted of those that ended.
@@ -67,8 +69,9 @@
     ) -> (Rc<Cell<AttemptStage>>, impl Future<Output = AttemptReport>) {
         let stage: Rc<Cell<AttemptStage>> = Rc::default();
         let statement = Rc::new(Statement::new(format!("/* id=1,d=9 */ {text}").into_bytes(), 10..11));
-        let work = Rc::clone(&self.member).attempt(statement, Rc::clone(&stage), deadline, holds, || true);
-        (stage, async { work.await.0 })
+        let limits = AttemptLimits { deadline, send_by: holds };
+        let work = Rc::clone(&self.member).attempt(statement, Rc::clone(&stage), limits, || true);
+        (stage, async { work.await.report })
     }
 
     /// Runs work beside the test, which may end it by dropping it.
