--- a/crates/proxy/src/broker/admin_calls.rs
+++ b/crates/proxy/src/broker/admin_calls.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::collections::HashMap;
 use wharfplank_admin::{Command, CordonError, Exclusion, Gauges};
-use wharfplank_routing::View;
+use wharfplank_routing::MemberView;
 
 impl Broker {
     /// Carries a call out at once, and returns the text of its answer. What a positive answer promises holds before
@@ -66,8 +66,9 @@
     /// The listed members that get no requests, and why.
     fn avoided_members(&self) -> impl Iterator<Item = (&str, Exclusion)> {
         let now = self.clock.now();
-        let suspected_since = |view: View| Some((view.host, view.suspected?));
-        let suspected: HashMap<HostId, Micros> = self.router.view().filter_map(suspected_since).collect();
+        let suspected_since = |view: MemberView| Some((view.host, view.suspected_since?));
+        let suspected: HashMap<HostId, Micros> =
+            self.router.member_views().filter_map(suspected_since).collect();
         let endpoints = &self.endpoints;
         endpoints.records.iter().filter_map(move |(id, record)| {
             let since = endpoints.ids.get(id).and_then(|host| suspected.get(host)).copied();
--- a/crates/proxy/src/broker/attempt_table.rs
+++ b/crates/proxy/src/broker/attempt_table.rs
@@ -41,20 +41,20 @@
     pub(super) key: AttemptKey,
     pub(super) host: HostId,
     pub(super) sent_at: Micros,
-    pub(super) outcome: Ending,
+    pub(super) outcome: AttemptOutcome,
 }
 
 /// What the settings allow of attempts.
-pub(super) struct AttemptLimits {
+pub(super) struct AttemptPolicy {
     /// The most attempts of one request.
     pub(super) max_attempts: u32,
     /// Whether an attempt that has begun may be cancelled.
     pub(super) may_cancel: bool,
 }
 
-impl AttemptLimits {
+impl AttemptPolicy {
     pub(super) fn new(settings: &routing::Settings) -> Self {
-        AttemptLimits { max_attempts: settings.max_attempts, may_cancel: settings.may_cancel }
+        AttemptPolicy { max_attempts: settings.max_attempts, may_cancel: settings.may_cancel }
     }
 }
 
--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -3,22 +3,13 @@
 use super::health_checks::role;
 use super::*;
 use std::cell::Cell;
-use std::time::Instant;
-use wharfplank_transport::member_pool::MemberPool;
+use wharfplank_transport::member_pool::{AttemptCompletion, AttemptLimits, MemberPool};
 
 /// How long before the end of [`SEND_MARGIN`] the last byte of a request must be written.
 const WRITE_MARGIN: Micros = 500;
 
-/// The time bounds of an attempt.
-struct AttemptDeadlines {
-    /// When the attempt times out.
-    answer: Instant,
-    /// When its last byte must have been written, if that is bounded.
-    last_byte: Option<Instant>,
-}
-
 impl Broker {
-    /// Sends an attempt that the router decided on at `now`, which all its deadlines count from. An attempt that may
+    /// Sends an attempt that the router decided on at `now`, which all its limits count from. An attempt that may
     /// not be sent any more is reported as not sent.
     pub(super) fn send_attempt(
         &mut self,
@@ -41,11 +32,11 @@
         };
         let bound = holds_until.map(|until| until + SEND_MARGIN - WRITE_MARGIN);
         let last_byte = bound.into_iter().chain(write_until).min();
-        let deadlines = AttemptDeadlines {
-            answer: self.clock.instant(now.saturating_add(timeout)),
-            last_byte: last_byte.map(|until| self.clock.instant(until)),
+        let limits = AttemptLimits {
+            deadline: self.clock.instant(now.saturating_add(timeout)),
+            send_by: last_byte.map(|until| self.clock.instant(until)),
         };
-        self.spawn_attempt(now, key, host, &member, deadlines);
+        self.spawn_attempt(now, key, host, &member, limits);
     }
 
     /// The member to send an attempt to, unless the attempt is one too many, a budget denies the retry, the client
@@ -55,14 +46,19 @@
         let is_retry = key.number > 0;
         // A retry takes from the budget even where it is then not sent for another reason.
         let is_denied = is_retry && self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.retry());
-        let may_send = key.number < self.attempt_limits.max_attempts
+        let may_send = key.number < self.attempt_policy.max_attempts
             && !is_denied
             && request.responses.is_awaited(request.ticket);
         self.endpoints.members.get(&host).filter(|_| may_send).cloned()
     }
 
     fn report_not_sent(&mut self, now: Micros, key: AttemptKey, host: HostId) {
-        self.attempts.push_finished(FinishedAttempt { key, host, sent_at: now, outcome: Ending::Moot });
+        self.attempts.push_finished(FinishedAttempt {
+            key,
+            host,
+            sent_at: now,
+            outcome: AttemptOutcome::NotSent,
+        });
     }
 
     /// Spawns the task that runs an attempt and reports its end, and a streamed answer's end, as events.
@@ -72,29 +68,24 @@
         key: AttemptKey,
         host: HostId,
         member: &Rc<MemberPool>,
-        deadlines: AttemptDeadlines,
+        limits: AttemptLimits,
     ) {
         let Some(request) = self.requests.get(key.request) else { return };
         let stage: Rc<Cell<AttemptStage>> = Rc::default();
         let responses = Rc::clone(&request.responses);
         let ticket = request.ticket;
         let is_awaited = move || responses.is_awaited_now(ticket);
-        let work = Rc::clone(member).attempt(
-            Rc::clone(&request.statement),
-            Rc::clone(&stage),
-            deadlines.answer,
-            deadlines.last_byte,
-            is_awaited,
-        );
+        let work =
+            Rc::clone(member).attempt(Rc::clone(&request.statement), Rc::clone(&stage), limits, is_awaited);
         let events = self.events.clone();
         let task_stage = Rc::clone(&stage);
         let AttemptKey { request: id, number: attempt } = key;
         let task = self.pools.executor.spawn(async move {
-            let (report, stream) = work.await;
+            let AttemptCompletion { report, forwarder } = work.await;
             task_stage.set(AttemptStage::Finished);
             let _ = events.send(ProxyEvent::AttemptFinished { id, attempt, report }).await;
-            if let Some(stream) = stream {
-                let report = stream.pass().await;
+            if let Some(forwarder) = forwarder {
+                let report = forwarder.forward().await;
                 let _ = events.send(ProxyEvent::StreamFinished { id, attempt, report }).await;
             }
         });
@@ -104,10 +95,10 @@
 
     /// Ends an attempt from this side by closing its connection. An attempt whose report is already queued goes on:
     /// an answer that has arrived is not thrown away. One that was not written completely never ran.
-    pub(super) fn end_attempt(&mut self, key: AttemptKey, outcome: Ending) {
+    pub(super) fn end_attempt(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         let outcome = match self.attempts.stage(key) {
             Some(AttemptStage::Finished) => return,
-            Some(AttemptStage::Queued | AttemptStage::Writing) => Ending::Moot,
+            Some(AttemptStage::Queued | AttemptStage::Writing) => AttemptOutcome::NotSent,
             _ => outcome,
         };
         let Some(attempt) = self.attempts.remove(key) else { return };
@@ -123,7 +114,7 @@
     }
 
     /// Tells gossip and the negative cache how an attempt ended: a write may now be settled, or in doubt.
-    pub(super) fn note_attempt_ended(&mut self, key: AttemptKey, outcome: Ending) {
+    pub(super) fn note_attempt_ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         self.gossip.ended(self.clock.now(), key.request, outcome);
         self.negative_cache.ended(self.clock.now(), key.into(), outcome);
     }
@@ -143,7 +134,7 @@
         let outcome = report.outcome;
         self.note_attempt_ended(key, outcome);
         self.report_attempt_latency(key.request, &attempt, outcome);
-        if outcome == Ending::Ok {
+        if outcome == AttemptOutcome::Ok {
             self.serve_answer(key.request, &attempt, &mut report);
         }
         self.counts.one("attempt", counts::ending(outcome), "");
@@ -152,11 +143,11 @@
         let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
         self.gossip.learned(self.clock.now(), attempt.host, result.position);
         self.negative_cache.learned(attempt.host, result.position);
-        self.notify_router(routing::Event::Outcome(result));
+        self.notify_router(routing::Event::AttemptFinished(result));
     }
 
     /// Reports an attempt's latency and outcome to the health check of the fleet and to a release under way.
-    fn report_attempt_latency(&mut self, id: RequestId, attempt: &InFlightAttempt, outcome: Ending) {
+    fn report_attempt_latency(&mut self, id: RequestId, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get(id) else { return };
         let now = self.clock.now();
         self.gossip.tried(now, attempt.host, request.class, attempt.sent_at, outcome);
@@ -178,16 +169,16 @@
         host: HostId,
         sent_at: Micros,
         report: &AttemptReport,
-    ) -> Outcome {
+    ) -> AttemptResult {
         let now = self.clock.now();
         let answer = report.answer.as_ref();
         let position = answer.and_then(|answer| answer.applied_ms).map(|ms| ms.saturating_mul(1000));
         let valid_positions = 1..=now + MAX_POSITION_AHEAD;
-        Outcome {
+        AttemptResult {
             id: key.request,
             attempt: AttemptNo(key.number),
             host,
-            ending: report.outcome,
+            outcome: report.outcome,
             terminal: !self.requests.contains(key.request),
             latency: now - sent_at,
             role: answer.and_then(|answer| answer.primary).map(role),
--- a/crates/proxy/src/broker/budgets.rs
+++ b/crates/proxy/src/broker/budgets.rs
@@ -34,7 +34,7 @@
         let is_denied = self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.could_retry());
         if is_denied != self.budget_denials.retries {
             self.budget_denials.retries = is_denied;
-            self.router.handle(now, routing::Event::Retries(!is_denied), actions);
+            self.router.handle(now, routing::Event::RetriesAllowed(!is_denied), actions);
         }
     }
 
@@ -43,8 +43,9 @@
     pub(super) fn report_denied_health_checks(&mut self) {
         while let Some(host) = self.budget_denials.health_checks.pop_front() {
             self.counts.one("probed", "denied", "");
-            let result = routing::Probed { host, ok: false, role: None, position: None, queue: None };
-            self.route(self.clock.now(), routing::Event::Probed(result));
+            let result =
+                routing::ProbeResult { host, answered: false, role: None, position: None, queued: None };
+            self.route(self.clock.now(), routing::Event::ProbeFinished(result));
         }
     }
 
@@ -76,9 +77,9 @@
     fn cancel_over_budget(&mut self, key: AttemptKey) {
         self.counts.one("budget", "broken_off", "");
         if self.streaming.contains(key) {
-            self.on_stream_finished(key, AttemptReport::without_answer(Ending::Cancelled));
+            self.on_stream_finished(key, AttemptReport::without_answer(AttemptOutcome::Cancelled));
         } else {
-            self.end_attempt(key, Ending::Cancelled);
+            self.end_attempt(key, AttemptOutcome::Cancelled);
         }
     }
 }
--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use wharfplank_discovery::{SendDeadline, Staleness, SuspectReason, WatchEvent};
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
-use wharfplank_routing::{Entry, Listed};
+use wharfplank_routing::{Endpoint, EndpointStatus};
 use wharfplank_transport::member_pool::MemberPool;
 
 impl Broker {
@@ -42,8 +42,9 @@
             self.retire_members_not_in(list);
         }
         let records = list.endpoints.iter();
-        let entries: Vec<Entry> = records.map(|record| self.apply_record(list.version, record)).collect();
-        let event = if list.complete { routing::Event::List } else { routing::Event::ListChange };
+        let entries: Vec<Endpoint> = records.map(|record| self.apply_record(list.version, record)).collect();
+        let event =
+            if list.complete { routing::Event::EndpointList } else { routing::Event::EndpointsChanged };
         self.notify_router(event(entries));
         self.end_attempts_queued_for_retired_members();
         self.endpoints.drop_unused_members();
@@ -63,7 +64,7 @@
         let is_queued = |attempt: &InFlightAttempt| attempt.stage.get() == AttemptStage::Queued;
         let queued = self.attempts.keys_where(|attempt| is_queued(attempt) && is_retired(&attempt.host));
         for key in queued {
-            self.end_attempt(key, Ending::Moot);
+            self.end_attempt(key, AttemptOutcome::NotSent);
         }
         self.report_finished_attempts();
     }
@@ -78,7 +79,7 @@
 
     /// Passes one record on to records, gossip, the negative cache and the member's pool; returns it as the router
     /// takes it.
-    fn apply_record(&mut self, version: u64, record: &EndpointRecord) -> Entry {
+    fn apply_record(&mut self, version: u64, record: &EndpointRecord) -> Endpoint {
         let is_new = !self.endpoints.ids.contains_key(&record.name);
         let host = self.endpoints.assign_id(&record.name);
         if is_new {
@@ -88,17 +89,17 @@
         self.gossip.listed(host, record);
         self.negative_cache.listed(host, record);
         self.update_pool(host, record);
-        Entry {
+        Endpoint {
             host,
             group: GroupId(record.group),
-            listed: match record.health {
-                EndpointHealth::Active => Listed::Up,
-                EndpointHealth::Draining => Listed::Draining,
-                EndpointHealth::Removed => Listed::Removed,
+            status: match record.health {
+                EndpointHealth::Active => EndpointStatus::Up,
+                EndpointHealth::Draining => EndpointStatus::Draining,
+                EndpointHealth::Removed => EndpointStatus::Removed,
             },
             primary: record.primary,
-            launched: (record.started_at_ms > 0).then(|| record.started_at_ms.saturating_mul(1000)),
-            local: record.zone == self.terms.zone,
+            started_at: (record.started_at_ms > 0).then(|| record.started_at_ms.saturating_mul(1000)),
+            local: record.zone == self.parameters.zone,
             zone: zone_id(&record.zone),
         }
     }
--- a/crates/proxy/src/broker/handover/state.rs
+++ b/crates/proxy/src/broker/handover/state.rs
@@ -3,7 +3,7 @@
 use super::*;
 use wharfplank_admin::{HandoverState, MemberTraits};
 use wharfplank_protocol::endpoint_list;
-use wharfplank_routing::{Told, View};
+use wharfplank_routing::{MemberView, PeerObservation};
 
 impl Broker {
     /// Tells the router what the process before this one had learned of members.
@@ -12,16 +12,16 @@
         let inherited = std::mem::take(&mut handover.inherited_observations);
         let now = self.clock.now();
         let observations = inherited.into_iter().filter_map(|member| {
-            Some(Told {
+            Some(PeerObservation {
                 host: *self.endpoints.ids.get(&member.id)?,
                 position: member.position,
                 suspected_at: member.suspected_at,
                 traits: member.traits.map(|traits| traits.to_learned(now)),
             })
         });
-        let observations: Vec<Told> = observations.collect();
+        let observations: Vec<PeerObservation> = observations.collect();
         if !observations.is_empty() {
-            self.notify_router(routing::Event::Told(observations));
+            self.notify_router(routing::Event::PeerObservations(observations));
         }
     }
 
@@ -45,14 +45,14 @@
 
     fn learned_of_members(&self) -> Vec<MemberKnowledge> {
         let names = self.endpoints.names_by_id();
-        let learned = |view: View| {
+        let learned = |view: MemberView| {
             Some(MemberKnowledge {
                 id: names.get(&view.host)?.to_string(),
                 position: view.position,
-                suspected_at: view.suspected.unwrap_or(0),
+                suspected_at: view.suspected_since.unwrap_or(0),
                 traits: Some(MemberTraits::from(view.traits)),
             })
         };
-        self.router.view().filter_map(learned).collect()
+        self.router.member_views().filter_map(learned).collect()
     }
 }
--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use wharfplank_protocol::client;
-use wharfplank_routing::Probed;
+use wharfplank_routing::ProbeResult;
 
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
@@ -29,31 +29,36 @@
     /// Handles the end of a health check. Without a report, or with one that is invalid, the check has failed.
     pub(super) fn on_health_check_result(&mut self, host: HostId, report: Option<String>) {
         let result = self.read_load_report(host, report.as_deref());
-        self.counts.one("probed", if result.ok { "ok" } else { "failed" }, "");
-        self.journal.probed(host, result.ok);
-        let position = result.position.filter(|_| result.ok);
+        self.counts.one("probed", if result.answered { "ok" } else { "failed" }, "");
+        self.journal.probed(host, result.answered);
+        let position = result.position.filter(|_| result.answered);
         self.gossip.learned(self.clock.now(), host, position);
         self.negative_cache.learned(host, position);
         let sent_at = self.clock.now() - HEALTH_CHECK_TIMEOUT.as_micros() as Micros;
-        self.gossip.saw(host, sent_at, if result.ok { Ending::Ok } else { Ending::Timeout });
-        self.notify_router(routing::Event::Probed(result));
+        self.gossip.saw(
+            host,
+            sent_at,
+            if result.answered { AttemptOutcome::Ok } else { AttemptOutcome::Timeout },
+        );
+        self.notify_router(routing::Event::ProbeFinished(result));
     }
 
     /// Reads the columns of a load report. A report that cannot be read, or whose position is ahead of the clock,
     /// counts as a failed check.
-    fn read_load_report(&self, host: HostId, report: Option<&str>) -> Probed {
-        let columns = report.and_then(|text| client::report(text, &self.terms.columns));
-        let mut result = Probed { host, ok: columns.is_some(), role: None, position: None, queue: None };
+    fn read_load_report(&self, host: HostId, report: Option<&str>) -> ProbeResult {
+        let columns = report.and_then(|text| client::report(text, &self.parameters.report_columns));
+        let mut result =
+            ProbeResult { host, answered: columns.is_some(), role: None, position: None, queued: None };
         for (name, value) in columns.unwrap_or_default() {
             match name {
                 "x0" => {
                     let position = client::seconds(value);
                     let latest = self.clock.now() + MAX_POSITION_AHEAD;
-                    result.ok &= position.is_some_and(|position| position <= latest);
+                    result.answered &= position.is_some_and(|position| position <= latest);
                     result.position = position.filter(|position| *position > 0);
                 }
                 "x1" => result.role = value.parse().ok().map(|v: f64| role(v >= PRIMARY_THRESHOLD)),
-                "q" | "queue" => result.queue = value.parse().ok(),
+                "q" | "queue" => result.queued = value.parse().ok(),
                 _ => {}
             }
         }
--- a/crates/proxy/src/broker/maintenance.rs
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -93,14 +93,14 @@
             &endpoints.records,
             &endpoints.cordons,
             &endpoints.ids,
-            self.router.view(),
+            self.router.member_views(),
             |action, names| journal.released(action, names),
         );
     }
 
     fn record_members(&self) {
         if self.journal.records() {
-            self.router.view().for_each(|view| self.journal.seen(&view));
+            self.router.member_views().for_each(|view| self.journal.seen(&view));
             self.journal.hand_over();
         }
     }
@@ -108,5 +108,5 @@
 
 /// The members that the router suspects of a fault.
 fn suspected_members(router: &Router) -> impl Iterator<Item = HostId> + '_ {
-    router.view().filter(|view| view.suspected.is_some()).map(|view| view.host)
+    router.member_views().filter(|view| view.suspected_since.is_some()).map(|view| view.host)
 }
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -22,7 +22,7 @@
 pub mod shutdown_timing;
 mod streaming;
 
-use attempt_table::{AttemptKey, AttemptLimits, AttemptTable, FinishedAttempt, InFlightAttempt};
+use attempt_table::{AttemptKey, AttemptPolicy, AttemptTable, FinishedAttempt, InFlightAttempt};
 use budgets::BudgetDenials;
 use endpoint_table::{fnv1a, zone_id, EndpointTable};
 use handover::HandoverController;
@@ -47,10 +47,10 @@
 use std::time::Duration;
 use wharfplank_protocol::endpoint_list::EndpointList;
 use wharfplank_protocol::pipeline::Answer;
-use wharfplank_routing::settings::Terms;
+use wharfplank_routing::settings::ProxyParameters;
 use wharfplank_routing::{
-    self as routing, Action, AttemptNo, ClassId, Ending, GroupId, HostId, Micros, Outcome, RequestId, Role,
-    Router,
+    self as routing, Action, AttemptNo, AttemptOutcome, AttemptResult, ClassId, GroupId, HostId, Micros,
+    RequestId, Role, Router,
 };
 use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::client_listener::ClientListener;
@@ -75,8 +75,8 @@
 pub struct Broker {
     clock: Clock,
     router: Router,
-    terms: Terms,
-    attempt_limits: AttemptLimits,
+    parameters: ProxyParameters,
+    attempt_policy: AttemptPolicy,
     /// What the connection pools of all members share.
     pools: Rc<PoolContext>,
     clients: Rc<ClientListener>,
@@ -115,8 +115,8 @@
         Broker {
             clock,
             router: Router::new(config.settings.clone()),
-            terms: config.terms.clone(),
-            attempt_limits: AttemptLimits::new(&config.settings),
+            parameters: config.terms.clone(),
+            attempt_policy: AttemptPolicy::new(&config.settings),
             pools,
             clients,
             events,
@@ -222,16 +222,16 @@
             ProxyEvent::ProbeFinished { host, report } => self.on_health_check_result(host, report),
             ProxyEvent::PeerNews(updates) => {
                 let observations = self.gossip.told(&updates, self.clock.now() + MAX_POSITION_AHEAD);
-                self.notify_router(routing::Event::Told(observations));
+                self.notify_router(routing::Event::PeerObservations(observations));
             }
             ProxyEvent::EndpointsChanged(event, staleness) => self.on_watch_event(event, staleness),
             ProxyEvent::ZoneShares(shares) => {
                 let shares = shares.iter().map(|(zone, share)| (zone_id(zone), *share)).collect();
-                self.notify_router(routing::Event::Shares(shares));
+                self.notify_router(routing::Event::ZoneReadShares(shares));
             }
             ProxyEvent::MemberFactors(factors) => {
                 let factors = self.gossip.factors(&factors);
-                self.notify_router(routing::Event::Factors(factors));
+                self.notify_router(routing::Event::LatencyFactors(factors));
             }
             ProxyEvent::Handover(event) => self.on_handover_event(event),
             ProxyEvent::ReloadRequested => self.reload_configuration(),
--- a/crates/proxy/src/broker/request_log.rs
+++ b/crates/proxy/src/broker/request_log.rs
@@ -29,7 +29,7 @@
             return;
         }
         let Some(request) = self.requests.get(id) else { return };
-        if let Some(class) = self.terms.names.get(request.class.0) {
+        if let Some(class) = self.parameters.class_names.get(request.class.0) {
             self.counts.one(disposition.name(), why, class);
         }
         if disposition != Disposition::Served {
@@ -44,17 +44,17 @@
         });
         let outcomes = outcomes.collect::<Vec<_>>().join(",");
         let took_ms = (self.clock.now() - request.arrived_at) / 1000;
-        let class = self.terms.names.get(request.class.0).map_or("-", String::as_str);
+        let class = self.parameters.class_names.get(request.class.0).map_or("-", String::as_str);
         let how = (disposition.name(), why);
         log::given_up(&request.client_id, class, request.group.0, how, took_ms, &outcomes);
     }
 
     /// Keeps how an attempt ended, for the log line of a request that is not served.
-    pub(super) fn note_attempt_outcome(&mut self, id: RequestId, host: HostId, outcome: Ending) {
+    pub(super) fn note_attempt_outcome(&mut self, id: RequestId, host: HostId, outcome: AttemptOutcome) {
         if !self.counts.on() {
             return;
         }
-        let max_outcomes = self.attempt_limits.max_attempts as usize;
+        let max_outcomes = self.attempt_policy.max_attempts as usize;
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.attempt_outcomes.len() < max_outcomes {
             request.attempt_outcomes.push(AttemptOutcomeAt { host, outcome });
--- a/crates/proxy/src/broker/request_table.rs
+++ b/crates/proxy/src/broker/request_table.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct AttemptOutcomeAt {
     pub(super) host: HostId,
-    pub(super) outcome: Ending,
+    pub(super) outcome: AttemptOutcome,
 }
 
 /// All open requests.
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -48,7 +48,7 @@
     }
 
     fn class_id(&self, name: &str) -> Option<ClassId> {
-        self.terms.names.iter().position(|known| known == name).map(ClassId)
+        self.parameters.class_names.iter().position(|known| known == name).map(ClassId)
     }
 
     /// The request as the router takes it.
@@ -58,11 +58,11 @@
             id: request_id(asked.ticket, &asked.id),
             class,
             group: GroupId(asked.group),
-            key: asked.session_key.as_ref().map(|key| SessionKey(fnv1a(key.as_bytes()))),
+            session: asked.session_key.as_ref().map(|key| SessionKey(fnv1a(key.as_bytes()))),
             // The wait runs from the request's last byte, however long it was queued behind others.
-            give_up_at: arrived_at + (Micros::from(asked.timeout_ms) * 1000 - ANSWER_MARGIN).max(1),
-            doubted: self.gossip.in_doubt(now, &asked.id),
-            write_age: asked.min_position_ms.map(|ms| now - ms.saturating_mul(1000)),
+            deadline: arrived_at + (Micros::from(asked.timeout_ms) * 1000 - ANSWER_MARGIN).max(1),
+            may_have_run: self.gossip.in_doubt(now, &asked.id),
+            last_write_age: asked.min_position_ms.map(|ms| now - ms.saturating_mul(1000)),
         }
     }
 
@@ -91,7 +91,7 @@
     /// Hands an open request to the router, unless a budget denies it or the negative cache settles it.
     fn admit(&mut self, now: Micros, request: Request, min_position_ms: Option<i64>) {
         if self.is_over_budget(request.group) {
-            return self.notify_router_at(now, routing::Event::Denied(request));
+            return self.notify_router_at(now, routing::Event::RequestOverQuota(request));
         }
         if self.answer_from_negative_cache(request.id, now, min_position_ms) {
             return;
@@ -101,7 +101,7 @@
         self.notify_router_at(now, routing::Event::Request(request));
         // A request taken after shutdown has given up the others is answered all the same.
         if self.lifecycle.has_given_up() {
-            self.notify_router(routing::Event::Close);
+            self.notify_router(routing::Event::Shutdown);
         }
     }
 
@@ -110,12 +110,12 @@
         let Some(id) = self.requests.id_of(ticket) else { return };
         self.count_request(id, Disposition::Failed, "cancelled");
         let attempts = self.finish(id, &Answer::Cancelled).map_or(0, |request| request.attempts);
-        let begun = match self.attempt_limits.may_cancel {
+        let begun = match self.attempt_policy.may_cancel {
             true => BegunAttempts::Cancel,
             false => BegunAttempts::Continue,
         };
         self.withdraw_attempts(id, attempts, begun);
-        self.notify_router(routing::Event::Gone(id));
+        self.notify_router(routing::Event::ClientDisconnected(id));
     }
 
     /// A client disconnected: its request needs no answer any more.
@@ -124,7 +124,7 @@
         self.note_abandoned_write(id);
         let attempts = self.close(id).map_or(0, |request| request.attempts);
         self.withdraw_attempts(id, attempts, BegunAttempts::Continue);
-        self.notify_router(routing::Event::Gone(id));
+        self.notify_router(routing::Event::ClientDisconnected(id));
     }
 
     /// Reports to gossip a request whose client disconnected while its last attempt was in flight: it may still run.
@@ -158,9 +158,9 @@
         for number in 0..attempts {
             let key = AttemptKey::new(id, number);
             match self.attempts.stage(key) {
-                Some(AttemptStage::Queued) => self.end_attempt(key, Ending::Moot),
+                Some(AttemptStage::Queued) => self.end_attempt(key, AttemptOutcome::NotSent),
                 Some(AttemptStage::Writing | AttemptStage::Written) if begun == BegunAttempts::Cancel => {
-                    self.end_attempt(key, Ending::Cancelled)
+                    self.end_attempt(key, AttemptOutcome::Cancelled)
                 }
                 _ => {}
             }
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -37,7 +37,7 @@
         self.gossip.saw(host, sent_at, outcome);
         self.close_if_client_left(key.request);
         let result = self.attempt_result(key, host, sent_at, &AttemptReport::without_answer(outcome));
-        self.route(self.clock.now(), routing::Event::Outcome(result));
+        self.route(self.clock.now(), routing::Event::AttemptFinished(result));
     }
 
     /// Carries out the actions that the router decided on at `now`.
@@ -52,30 +52,30 @@
             Action::Send { id, host, timeout, holds_until } => {
                 self.send_attempt(now, id, host, timeout, holds_until)
             }
-            Action::Refuse { id, retry_after, reason } => self.reject(id, retry_after, reason),
-            Action::Fail(id, reason) => self.fail(id, reason),
+            Action::Reject { id, retry_after, reason } => self.reject(id, retry_after, reason),
+            Action::Fail { id, reason } => self.fail(id, reason),
             Action::Cancel { id, attempt } => {
-                self.end_attempt(AttemptKey::new(id, attempt.0), Ending::Cancelled)
+                self.end_attempt(AttemptKey::new(id, attempt.0), AttemptOutcome::Cancelled)
             }
-            Action::Probe(host, why) => {
-                self.counts.one("probe", counts::why(why), "");
+            Action::Probe { host, purpose } => {
+                self.counts.one("probe", counts::probe_purpose(purpose), "");
                 self.start_health_check(host);
             }
-            Action::Timer(delay) => self.timers.schedule_router_timer(self.clock.now() + delay),
+            Action::SetTimer(delay) => self.timers.schedule_router_timer(self.clock.now() + delay),
             // The watch on discovery always runs.
-            Action::Follow => {}
+            Action::Subscribe => {}
         }
     }
 
     /// Answers a request that the router sheds. The wait until a retry is rounded up to whole milliseconds.
-    fn reject(&mut self, id: RequestId, retry_after: Micros, reason: routing::Reason) {
+    fn reject(&mut self, id: RequestId, retry_after: Micros, reason: routing::RejectReason) {
         self.count_request(id, Disposition::Rejected, recorded(reason).name());
         self.record_request(id, |journal, ended| journal.given_up(ended, true, reason));
         self.answer(id, Answer::Refused((retry_after + 999) / 1000));
     }
 
     /// Answers a request that the router has given up.
-    fn fail(&mut self, id: RequestId, reason: routing::Reason) {
+    fn fail(&mut self, id: RequestId, reason: routing::RejectReason) {
         if let Some(request) = self.requests.get(id) {
             self.gossip.failed(self.clock.now(), request.class, request.attempts, &request.client_id);
         }
--- a/crates/proxy/src/broker/shutdown.rs
+++ b/crates/proxy/src/broker/shutdown.rs
@@ -58,15 +58,15 @@
             // A process that was stalled gives up late: the answers have their time to be written all the same.
             shutdown.began_at = now - delay;
         }
-        self.notify_router(routing::Event::Closing);
+        self.notify_router(routing::Event::StopSending);
         let unsent = |attempt: &InFlightAttempt| {
             matches!(attempt.stage.get(), AttemptStage::Queued | AttemptStage::Writing)
         };
         for key in self.attempts.keys_where(unsent) {
-            self.end_attempt(key, Ending::Moot);
+            self.end_attempt(key, AttemptOutcome::NotSent);
         }
         self.report_finished_attempts();
-        self.notify_router(routing::Event::Close);
+        self.notify_router(routing::Event::Shutdown);
     }
 
     /// When the shutdown has its next step, if one is under way.
@@ -92,6 +92,6 @@
     }
 
     fn give_up_delay(&self) -> Micros {
-        give_up_delay(self.terms.longest)
+        give_up_delay(self.parameters.longest_deadline)
     }
 }
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 use std::collections::HashMap;
-use wharfplank_routing::{Class, Consistency, Settings, Told};
+use wharfplank_routing::{Class, Consistency, PeerObservation, Settings};
 
 /// An attempt whose answer is being streamed.
 struct StreamingAttempt {
     attempt: InFlightAttempt,
     /// The result that the router gets when the stream ends, where it has not had it at the beginning.
-    deferred_result: Option<Outcome>,
+    deferred_result: Option<AttemptResult>,
 }
 
 /// The attempts whose answer is being streamed; their requests stay open until the stream ends.
@@ -20,7 +20,8 @@
 
 impl StreamingAttempts {
     pub(super) fn new(settings: &Settings) -> Self {
-        let remembers = |class: &Class| class.consistency == Consistency::Write && !settings.tokens_carried;
+        let remembers =
+            |class: &Class| class.consistency == Consistency::Write && !settings.sessions_carry_tokens;
         StreamingAttempts {
             streams: HashMap::new(),
             remembers_commits: settings.classes.iter().map(remembers).collect(),
@@ -63,7 +64,7 @@
         let deferred_result = is_deferred.then(|| result.clone());
         self.streaming.streams.insert(key, StreamingAttempt { attempt, deferred_result });
         if !is_deferred {
-            self.notify_router(routing::Event::Outcome(result));
+            self.notify_router(routing::Event::AttemptFinished(result));
         }
     }
 
@@ -82,8 +83,9 @@
         self.gossip.learned(self.clock.now(), attempt.host, final_result.position);
         match deferred_result {
             Some(deferred) => {
-                let result = Outcome { role: final_result.role, position: final_result.position, ..deferred };
-                self.notify_router(routing::Event::Outcome(result));
+                let result =
+                    AttemptResult { role: final_result.role, position: final_result.position, ..deferred };
+                self.notify_router(routing::Event::AttemptFinished(result));
             }
             None => self.report_stream_position(attempt.host, final_result.position),
         }
@@ -91,7 +93,7 @@
 
     /// Counts the end of a request whose answer the client connection has already written.
     fn finish_streamed_request(&mut self, id: RequestId, host: HostId, report: &AttemptReport) {
-        if report.outcome == Ending::Ok {
+        if report.outcome == AttemptOutcome::Ok {
             let primary = report.answer.as_ref().and_then(|answer| answer.primary);
             self.record_served(id, host, primary);
             self.finish(id, &Answer::Served(Vec::new()));
@@ -104,7 +106,7 @@
     /// Tells the router the position that a member stated at the end of a stream. It is a position that the member has
     /// reached, and says nothing of its load.
     fn report_stream_position(&mut self, host: HostId, position: Option<Micros>) {
-        let observation = |position| Told { host, position, suspected_at: 0, traits: None };
-        self.notify_router(routing::Event::Told(position.map(observation).into_iter().collect()));
+        let observation = |position| PeerObservation { host, position, suspected_at: 0, traits: None };
+        self.notify_router(routing::Event::PeerObservations(position.map(observation).into_iter().collect()));
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -88,7 +88,7 @@
         allow_empty_result: settings.missing.is_some(),
         liveness_check_after: Cell::new(member_pool::CHECK_AFTER),
         now: Rc::clone(&now),
-        metrics: Metrics::new(&config.terms.names),
+        metrics: Metrics::new(&config.terms.class_names),
         budgets: budgets.clone(),
     });
     let clients = ClientListener::new(
@@ -98,12 +98,10 @@
         to_clients,
         MemoryBudget::new(config.memory / LARGE_PART),
     );
-    let schedule = PollSchedule::new(config.terms.stop_within);
+    let schedule = PollSchedule::new(config.terms.drain_within);
     let shared_discovery =
-        config.terms.ask_every.filter(|_| config.settings.must_follow).map(|poll_interval| SharedDiscovery {
-            seed: config.settings.seed,
-            poll_interval,
-            proxies: config.settings.routers,
+        config.terms.poll_interval.filter(|_| config.settings.must_subscribe).map(|poll_interval| {
+            SharedDiscovery { seed: config.settings.seed, poll_interval, proxies: config.settings.routers }
         });
     let schedule = shared_discovery.map_or(schedule, |shared| schedule.with_shared(shared));
     // What the process that is replaced believes is newer than what the file knows.
