--- /dev/null
+++ b/crates/shared-state/tests/encoding.rs
@@ -0,0 +1,64 @@
+//! The bytes of messages and snapshots, which proxies of other versions read and a disk holds.
+
+use wharfplank_health::Voice;
+use wharfplank_shared_state::sync::{Message, Range};
+use wharfplank_shared_state::{snapshot, Doubt, Entry, Key, Mark, Stamp, Value};
+
+fn entries() -> Vec<(Key, Entry)> {
+    let stamp = Stamp { wall: 1_000_003, count: 2, by: 9 };
+    let voice = Voice { born_ms: 77, window: 5, strain: -3, weight: 12, ..Voice::default() };
+    let wall = 1_000_000;
+    vec![
+        (Key::Position(1), Entry::new(Value::Position { epoch: 7, at: 70_000 }, wall)),
+        (Key::Mark(2), Entry::new(Value::Mark { stamp, mark: Mark::Clear }, wall)),
+        (Key::Mark(3), Entry::new(Value::Mark { stamp, mark: Mark::Suspected }, wall)),
+        (Key::Count(4, 500), Entry::new(Value::Count(300), wall)),
+        (Key::Doubt(5), Entry::new(Value::Doubt(Doubt::Open), wall)),
+        (Key::Doubt(6), Entry::new(Value::Doubt(Doubt::NotRun), wall)),
+        (Key::Doubt(7), Entry::new(Value::Doubt(Doubt::Ran), wall)),
+        (Key::Health(8, 9), Entry::new(Value::Health(voice), wall)),
+    ]
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn encoded(message: &Message) -> String {
+    hex(&postcard::to_allocvec(message).unwrap())
+}
+
+/// [`entries`] as every message and snapshot holds them, with their count before them.
+const ENTRIES: &str = "080001000ee0c50880897a01020186897a02090080897a01030186897a02090180897a\
+    0204f40302ac0280897a0305030080897a0306030180897a0307030280897a040809049a010a050c0000000080897a";
+
+#[test]
+fn messages_keep_their_bytes() {
+    let range = Range { leaf: 300, from: None, to: Some(Key::Doubt(5)), entries: entries() };
+    assert_eq!(encoded(&Message::Delta(entries())), format!("00{ENTRIES}"));
+    assert_eq!(encoded(&Message::Ask(vec![0, 1, u64::MAX])), "01030001ffffffffffffffffff01");
+    assert_eq!(encoded(&Message::Tell(vec![range])), format!("0201ac0200010305{ENTRIES}"));
+    assert_eq!(encoded(&Message::Fill(entries())), format!("03{ENTRIES}"));
+}
+
+#[test]
+fn a_snapshot_keeps_its_bytes() {
+    assert_eq!(hex(&snapshot::write(123, entries())), format!("01f601{ENTRIES}0302edc7f87868f5"));
+}
+
+#[test]
+fn leaves_and_digests_of_entries_stay_comparable_between_versions() {
+    let digests: Vec<(usize, u64)> =
+        entries().iter().map(|(key, entry)| (key.leaf(), entry.hash(key))).collect();
+    let expected = [
+        (23, 0x66ad_c860_f575_2138),
+        (7, 0x72a2_2ff7_d44a_09cd),
+        (62, 0x7e72_6397_b869_c762),
+        (56, 0xedc1_0896_6080_6be6),
+        (32, 0x4818_5f7d_0771_d482),
+        (29, 0xbf02_6592_ec8a_de6f),
+        (57, 0xf495_15a4_4dc3_ab70),
+        (55, 0x7860_6f46_5e92_90c6),
+    ];
+    assert_eq!(digests, expected);
+}
