--- a/Makefile
+++ b/Makefile
@@ -46,7 +46,7 @@
 
 # The model checks with millions of states: the exchange of copies, the leases of budgets, the permits of releases, the closed times.
 model:
-	cargo test --locked --release -p wharfplank-shared-state --test catch_up -- --ignored --nocapture
+	cargo test --locked --release -p wharfplank-shared-state --test exchange_model -- --ignored --nocapture
 	cargo test --locked --release -p wharfplank-budget -- --ignored --nocapture
 	cargo test --locked --release -p wharfplank-rollout --test permits -- --ignored --nocapture
 	cargo test --locked --release -p wharfplank-negative-cache --test model -- --ignored --nocapture
--- a/crates/fleet-harness/src/proxies.rs
+++ b/crates/fleet-harness/src/proxies.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{channel, Receiver};
 use wharfplank_lab::fleet::CLASSES;
-use wharfplank_shared_state::{named, Replica, Terms};
+use wharfplank_shared_state::{hash_name, MemberStatus, SharedState, SharedStateConfig};
 
 /// What a proxy's log said that the rig must know at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,12 +65,12 @@
     /// ahead, as none of them is.
     pub fn age_snapshot(&self, now: i64) -> std::io::Result<()> {
         let hour = 3_600_000_000;
-        let mut old = Replica::new(0, Terms::default(), 0, now - hour);
+        let mut old = SharedState::new(0, SharedStateConfig::default(), 0, now - hour);
         for name in self.known.get("hosts").and_then(Value::as_array).into_iter().flatten() {
             let name = name.get("host").and_then(Value::as_str).unwrap_or_default();
-            let member = named(name);
-            old.suspects(now - hour, member, true);
-            old.position(now - hour, member, 0, now + hour);
+            let member = hash_name(name);
+            old.record_member_status(now - hour, member, MemberStatus::Suspected);
+            old.record_position(now - hour, member, 0, now + hour);
         }
         std::fs::write(self.file("replica"), old.snapshot(now - hour))
     }
--- a/crates/fleet-harness/src/run/faults.rs
+++ b/crates/fleet-harness/src/run/faults.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use wharfplank_health::{Summary, Voice};
-use wharfplank_shared_state::sync::Message;
-use wharfplank_shared_state::{frame, named, Entry, Key, Value};
+use wharfplank_shared_state::anti_entropy::Message;
+use wharfplank_shared_state::{hash_name, Entry, Frame, Key, Value};
 
 /// How often a liar says it again.
 const LIE_EVERY: Duration = Duration::from_millis(250);
@@ -120,11 +120,13 @@
         let window = Summary::window(now) + 4;
         let entry = |member: &str, strain| {
             let voice = Voice { born_ms: 0, window, strain, weight: u16::MAX, ..Voice::default() };
-            (Key::Health(named(member), router), Entry::new(Value::Health(voice), now))
+            (Key::Health { member: hash_name(member), router }, Entry::new(Value::Health(voice), now))
         };
         let lies = Message::Delta(vec![entry(well, i16::MIN), entry(out, i16::MAX)]);
         let Ok(bytes) = postcard::to_allocvec(&lies) else { return };
         let others = (0..self.plans.len()).filter(|other| *other != proxy);
-        others.for_each(|other| self.mesh.pass(proxy, other, frame(&[], &bytes)));
+        others.for_each(|other| {
+            self.mesh.pass(proxy, other, Frame { membership: &[], shared_state: &bytes }.encode())
+        });
     }
 }
--- a/crates/proxy/src/budgets.rs
+++ b/crates/proxy/src/budgets.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use wharfplank_budget::{Bank, Budget, Holder, Kind, Parts, Seat, Terms};
 use wharfplank_settings::Budgets as Settings;
-use wharfplank_shared_state::named;
+use wharfplank_shared_state::hash_name;
 use wharfplank_transport::budgets::{Budgets, Figure, Said, Setup, RING};
 use wharfplank_transport::{duty, Now};
 
@@ -39,9 +39,9 @@
         (place, Bank::new(terms.clone(), part, now), Seat::new(settings.set, place, &gone))
     });
     // No other process had this number: its address, and when it started.
-    let number = named(&format!("{me} {} {}", clock.now(), std::process::id()));
+    let number = hash_name(&format!("{me} {} {}", clock.now(), std::process::id()));
     let holder = Holder::new(number, terms.clone(), banks.len(), Vec::new(), now).with_even(even);
-    let figures = named(&format!("{wholes:?} {} {percent}", settings.proxies));
+    let figures = hash_name(&format!("{wholes:?} {} {percent}", settings.proxies));
     let setup = Setup { socket, banks, bank, terms, figures, now: move || clock.now() + skew };
     let rings = duty::start("budgets", RING, move |asks, told| setup.work(asks, told));
     let rings = rings.map_err(|e| format!("budgets: {e}"))?;
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -13,7 +13,7 @@
 use wharfplank_failover::{Alone, Terms as FailoverTerms, Zones};
 use wharfplank_gossip::{Peer, Peers, Terms as PeerTerms};
 use wharfplank_settings::{AloneChoice, Peers as PeerSettings, Replica as ReplicaSettings};
-use wharfplank_shared_state::{snapshot, Replica, Terms as ReplicaTerms};
+use wharfplank_shared_state::{snapshot, SharedState, SharedStateConfig};
 use wharfplank_transport::fleet::{self, Judge, Parts, Side, Witness};
 use wharfplank_transport::Event;
 
@@ -80,7 +80,7 @@
     let side = Side {
         now,
         skew,
-        doubts: state.as_ref().map(|state: &Replica| state.doubts().collect()),
+        doubts: state.as_ref().map(|state: &SharedState| state.write_records().collect()),
         judged: health,
         events,
         say: log::fleet,
@@ -102,15 +102,15 @@
 }
 
 /// This process's copy of the replicated state, with what its snapshot still has to say.
-fn copy(settings: &ReplicaSettings, me: &Peer, seed: u64, now: i64) -> Replica {
+fn copy(settings: &ReplicaSettings, me: &Peer, seed: u64, now: i64) -> SharedState {
     // A process's counts are its own: its address, and the generation that no other process there had.
     let number = u64::from(u32::from(*me.addr.ip())) << 32 ^ u64::from(me.addr.port()) << 16 ^ me.generation;
-    let terms = ReplicaTerms {
+    let terms = SharedStateConfig {
         bytes_per_second: settings.bytes_per_second,
-        sync: settings.sync_ms as i64 * 1000,
-        ..ReplicaTerms::default()
+        exchange_interval: settings.sync_ms as i64 * 1000,
+        ..SharedStateConfig::default()
     };
-    let mut copy = Replica::new(number, terms, seed, now);
+    let mut copy = SharedState::new(number, terms, seed, now);
     if let Some(path) = settings.snapshot().filter(|path| path.exists()) {
         let read = read_bounded(&path).map_err(|e| e.to_string());
         match read.and_then(|bytes| copy.restore(now, &bytes).map_err(|fault| fault.to_string())) {
@@ -123,7 +123,7 @@
 
 fn read_bounded(path: &Path) -> std::io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    let most = snapshot::SNAPSHOT_BYTES_MOST as u64 + 1;
+    let most = snapshot::MAX_SNAPSHOT_BYTES as u64 + 1;
     std::fs::File::open(path)?.take(most).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -13,7 +13,7 @@
 use wharfplank_protocol::client::{Answer, Verdict};
 use wharfplank_routing::{ClassId, Consistency, Ending, GroupId, HostId, Micros, RequestId};
 use wharfplank_settings::Missing as MissingSettings;
-use wharfplank_shared_state::named;
+use wharfplank_shared_state::hash_name;
 use wharfplank_transport::{missing, Now, Statement};
 
 /// What a class's requests are to this.
@@ -70,7 +70,7 @@
         };
         let (now, hasher) = (clock.now(), Hasher::of(&settings.secret));
         // No other process had this number: its address, and when it started.
-        let holder = named(&format!("{at} {now} {}", std::process::id()));
+        let holder = hash_name(&format!("{at} {now} {}", std::process::id()));
         let node = Node::new(terms, hasher.clone(), at, settings.banks(), holder, now);
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
@@ -218,7 +218,7 @@
             *site = Site { born_ms: listed.born_ms, position: 0 };
         }
         if listed.primary {
-            let primary = named(&format!("{} {}", listed.name, listed.born_ms)) as u32;
+            let primary = hash_name(&format!("{} {}", listed.name, listed.born_ms)) as u32;
             self.primaries.insert(GroupId(listed.group), primary);
         }
     }
--- a/crates/proxy/src/release.rs
+++ b/crates/proxy/src/release.rs
@@ -13,7 +13,7 @@
 use wharfplank_rollout::{Allowance, Desk, Identity, Kind, Look, Place, Roster, Said, Terms, Trial, View};
 use wharfplank_routing::{self as routing, ClassId, Ending, HostId, Micros};
 use wharfplank_settings::{Release as ReleaseSettings, Undo};
-use wharfplank_shared_state::named;
+use wharfplank_shared_state::hash_name;
 use wharfplank_transport::duty::{Inbox, Outbox};
 use wharfplank_transport::release::{self, Parts};
 
@@ -43,7 +43,7 @@
         let socket = UdpSocket::bind(at).map_err(|e| format!("release: listen on {at}: {e}"))?;
         log::release_bound(socket.local_addr().unwrap_or(at.into()));
         let ids: BTreeMap<String, u64> =
-            settings.members.iter().map(|member| (member.name.clone(), named(&member.name))).collect();
+            settings.members.iter().map(|member| (member.name.clone(), hash_name(&member.name))).collect();
         let names: BTreeMap<u64, String> = ids.iter().map(|(name, id)| (*id, name.clone())).collect();
         let (me, terms) = (identity(settings, clock), terms(settings));
         let (roster, proxies) = (roster(settings), settings.proxies());
@@ -134,7 +134,7 @@
 fn identity(settings: &ReleaseSettings, clock: Clock) -> Identity {
     // No other process had this number: its address, its rank, and when it started.
     let number =
-        named(&format!("{} {} {} {}", settings.listen, settings.rank, clock.now(), std::process::id()));
+        hash_name(&format!("{} {} {} {}", settings.listen, settings.rank, clock.now(), std::process::id()));
     Identity { rank: settings.rank.into(), number, bank: settings.bank() }
 }
 
@@ -150,9 +150,9 @@
 
 fn roster(settings: &ReleaseSettings) -> Roster {
     let place = |member: &wharfplank_settings::ReleaseMember| Place {
-        id: named(&member.name),
+        id: hash_name(&member.name),
         group: member.group,
-        zone: named(&member.zone) as u32,
+        zone: hash_name(&member.zone) as u32,
         kind: Kind::Member,
     };
     let ReleaseSettings { group, zone, fleet, banks, .. } = *settings;
--- a/crates/proxy/src/talk.rs
+++ b/crates/proxy/src/talk.rs
@@ -8,7 +8,7 @@
 use wharfplank_protocol::catalog::Host;
 use wharfplank_protocol::pipeline::Answer;
 use wharfplank_routing::{Class, ClassId, Effect, Ending, HostId, Micros, RequestId, Told};
-use wharfplank_shared_state::{named, Doubt, News};
+use wharfplank_shared_state::{hash_name, MemberStatus, StateUpdate, WriteOutcome};
 use wharfplank_transport::fleet::{Seen, Witness, GAP, WAKING};
 
 /// What the fleet knows a member by, on all proxies alike.
@@ -59,7 +59,7 @@
     /// A member as the list has it, by its number.
     pub fn listed(&mut self, host: HostId, listed: &Host) {
         let Some(witness) = &self.witness else { return };
-        let (key, born_ms) = (named(&listed.name), listed.born_ms);
+        let (key, born_ms) = (hash_name(&listed.name), listed.born_ms);
         witness.listed(key, &listed.name, &listed.site, born_ms);
         let old = self.sites.get(&host).map(|site| &site.zone).filter(|zone| ***zone == *listed.site);
         let zone = old.map_or_else(|| Arc::from(listed.site.as_str()), Arc::clone);
@@ -117,12 +117,12 @@
 
     /// What others learned, in the module's words; positions past `latest` are none. A position of another process of
     /// the member than the list has may be of data that it lost: it is not used.
-    pub fn told(&self, news: &[News], latest: Micros) -> Vec<Told> {
+    pub fn told(&self, news: &[StateUpdate], latest: Micros) -> Vec<Told> {
         let told = news.iter().filter_map(|news| {
             let (member, position, epoch, suspected_at) = match *news {
-                News::Position { member, epoch, at } => (member, at, Some(epoch), 0),
-                News::Suspected { member, at } => (member, 0, None, at),
-                News::Doubt { .. } => return None,
+                StateUpdate::Position { member, epoch, position } => (member, position, Some(epoch), 0),
+                StateUpdate::Suspected { member, since } => (member, 0, None, since),
+                StateUpdate::Write(_) => return None,
             };
             let host = *self.hosts.get(&member)?;
             let same = epoch.is_none_or(|epoch| self.sites.get(&host).is_some_and(|s| s.born_ms == epoch));
@@ -137,7 +137,9 @@
         let suspected: HashSet<HostId> = suspected.collect();
         for host in suspected.union(&self.marked) {
             if let Some(site) = self.sites.get(host) {
-                witness.suspects(now, site.key, suspected.contains(host));
+                let status =
+                    if suspected.contains(host) { MemberStatus::Suspected } else { MemberStatus::Alive };
+                witness.suspects(now, site.key, status);
             }
         }
         self.marked = suspected;
@@ -156,22 +158,22 @@
     pub fn in_doubt(&self, now: Micros, id: &str) -> bool {
         let Some(witness) = &self.witness else { return false };
         let waking = self.woke_at.is_some_and(|at| now - at < WAKING);
-        waking || witness.in_doubt(now, named(id))
+        waking || witness.in_doubt(now, hash_name(id))
     }
 
     /// A request has failed after so many attempts: one that must not run twice may have run.
     pub fn failed(&self, now: Micros, class: ClassId, attempts: u32, id: &str) {
         if attempts > 0 && self.fragile.get(class.0) == Some(&true) {
-            self.doubt(now, named(id), Doubt::Open);
+            self.doubt(now, hash_name(id), WriteOutcome::InDoubt);
         }
     }
 
     /// A client went away with an attempt of its request out: it may run, and its end is awaited.
     pub fn gone(&mut self, now: Micros, request: RequestId, class: ClassId, id: &str) {
         if self.witness.is_some() && self.fragile.get(class.0) == Some(&true) {
-            let write = named(id);
+            let write = hash_name(id);
             self.left.insert(request, write);
-            self.doubt(now, write, Doubt::Open);
+            self.doubt(now, write, WriteOutcome::InDoubt);
         }
     }
 
@@ -179,9 +181,9 @@
     pub fn ended(&mut self, now: Micros, request: RequestId, ending: Ending) {
         let Some(write) = self.left.remove(&request) else { return };
         match ending {
-            Ending::Ok => self.doubt(now, write, Doubt::Ran),
+            Ending::Ok => self.doubt(now, write, WriteOutcome::Executed),
             Ending::Full | Ending::Miss | Ending::ConnectFailed | Ending::Moot => {
-                self.doubt(now, write, Doubt::NotRun)
+                self.doubt(now, write, WriteOutcome::NotExecuted)
             }
             Ending::Error | Ending::Timeout | Ending::Reset | Ending::Cancelled => {}
         }
@@ -198,7 +200,7 @@
         witness.count(now, counter);
     }
 
-    fn doubt(&self, now: Micros, write: u64, doubt: Doubt) {
-        self.witness.iter().for_each(|witness| witness.doubt(now, write, doubt));
+    fn doubt(&self, now: Micros, write: u64, outcome: WriteOutcome) {
+        self.witness.iter().for_each(|witness| witness.doubt(now, write, outcome));
     }
 }
--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -1,76 +1,74 @@
-//! A hybrid logical clock: stamps that follow the wall clock where it runs, and never go back where it does not, so
-//! that of two words on one matter the later one wins on every proxy alike.
+//! A hybrid logical clock. Its timestamps follow the wall clock, never go back, and are greater than every timestamp
+//! observed from other processes, so that all processes agree on which of two writes to one key is the last.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How far ahead of this proxy's clock a stamp may be before what it stamps is refused: clocks of one installation
-/// differ by less, and a stamp from further ahead would win over every word for that long.
-pub const AHEAD_MOST: Micros = 2_000_000;
+/// How far the wall-clock part of a timestamp may be ahead of the local clock, in microseconds.
+///
+/// The clocks of one installation differ by less. A timestamp from further ahead would win over every other write
+/// until the clocks have caught up, so it is rejected.
+pub const MAX_CLOCK_SKEW: Micros = 2_000_000;
 
-/// When something was said, and by whom: ordered by time, then by count within it, then by the proxy.
+/// A timestamp of a [`HybridClock`], ordered by wall clock, then by counter, then by process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stamp {
-    /// The wall clock in µs, or that of the newest stamp seen if it was ahead.
+pub struct HybridTimestamp {
+    /// The wall clock in microseconds, or the wall-clock part of the greatest timestamp observed if that is ahead.
     pub wall: Micros,
-    /// Counts stamps of one `wall`.
-    pub count: u32,
-    /// The proxy.
-    pub by: u64,
+    /// Orders the timestamps that share one `wall`.
+    #[serde(rename = "count")]
+    pub counter: u32,
+    /// The process that issued the timestamp.
+    #[serde(rename = "by")]
+    pub process: u64,
 }
 
-/// One proxy's clock.
+/// A timestamp was rejected: it is more than [`MAX_CLOCK_SKEW`] ahead of the local clock.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("a timestamp at {wall} µs is too far ahead of the local clock at {now} µs")]
+pub struct ClockSkewError {
+    /// The wall-clock part of the rejected timestamp, in microseconds.
+    pub wall: Micros,
+    /// The local clock, in microseconds.
+    pub now: Micros,
+}
+
+/// The hybrid logical clock of one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Clock {
-    last: Stamp,
+pub struct HybridClock {
+    last: HybridTimestamp,
 }
 
-impl Clock {
-    /// The clock of a proxy.
-    pub fn new(by: u64) -> Clock {
-        Clock { last: Stamp { by, ..Stamp::default() } }
+impl HybridClock {
+    /// Creates the clock of a process.
+    pub fn new(process: u64) -> HybridClock {
+        HybridClock { last: HybridTimestamp { process, ..HybridTimestamp::default() } }
     }
 
-    /// A stamp for something said now: later than all that was said or seen before.
-    pub fn stamp(&mut self, now: Micros) -> Stamp {
-        self.last = if now > self.last.wall {
-            Stamp { wall: now, count: 0, ..self.last }
+    /// Issues a timestamp that is greater than all timestamps issued or observed before.
+    pub fn issue(&mut self, now: Micros) -> HybridTimestamp {
+        if now > self.last.wall {
+            self.last.wall = now;
+            self.last.counter = 0;
         } else {
-            Stamp { count: self.last.count.saturating_add(1), ..self.last }
-        };
+            self.last.counter = self.last.counter.saturating_add(1);
+        }
         self.last
     }
 
-    /// A stamp of another proxy has been seen. False where it is too far ahead to be believed: nothing changes then.
-    pub fn saw(&mut self, stamp: Stamp, now: Micros) -> bool {
-        if stamp.wall > now.saturating_add(AHEAD_MOST) {
-            return false;
-        }
-        if (stamp.wall, stamp.count) > (self.last.wall, self.last.count) {
-            (self.last.wall, self.last.count) = (stamp.wall, stamp.count);
+    /// Advances the clock past a timestamp of another process.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`ClockSkewError`], and leaves the clock as it is, if the timestamp is too far ahead of `now`.
+    pub fn observe(&mut self, timestamp: HybridTimestamp, now: Micros) -> Result<(), ClockSkewError> {
+        if timestamp.wall > now.saturating_add(MAX_CLOCK_SKEW) {
+            return Err(ClockSkewError { wall: timestamp.wall, now });
         }
-        true
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn stamps_only_grow_whatever_the_wall_clock_does_and_pass_all_that_was_seen() {
-        let mut clock = Clock::new(1);
-        let mut last = clock.stamp(100);
-        for now in [100, 50, 101, 101, 0] {
-            let next = clock.stamp(now);
-            assert!(next > last);
-            last = next;
+        if (timestamp.wall, timestamp.counter) > (self.last.wall, self.last.counter) {
+            self.last.wall = timestamp.wall;
+            self.last.counter = timestamp.counter;
         }
-        let seen = Stamp { wall: 500, count: 7, by: 2 };
-        assert!(clock.saw(seen, 100));
-        assert!(clock.stamp(100) > seen);
-        let ahead = Stamp { wall: 101 + AHEAD_MOST, count: 0, by: 2 };
-        assert!(!clock.saw(ahead, 100), "believed a stamp from too far ahead");
-        assert!(clock.stamp(100).wall < ahead.wall);
+        Ok(())
     }
 }
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,79 +1,70 @@
-//! What one proxy learns reaches the others: log positions of members, suspicions, counters and writes in doubt, each
-//! with a rule by which copies that differ become one. It does no I/O: facts, datagrams and the time go in; datagrams
-//! to send and news come out. The driver of `transport::fleet` carries them on the membership's socket.
+//! What proxies learn, replicated among them: log positions of members, suspicions, counters, outcomes of writes and
+//! health observations. Every proxy holds a copy and may change it; copies that differ merge to one by the rule of each
+//! kind (a state-based CRDT), so no leader, order or reliable delivery is needed.
 //!
-//! - [`Clock`], [`Stamp`]: the hybrid logical clock.
-//! - [`Key`], [`Value`], [`Entry`]: what is replicated, and the merge rules as types.
-//! - [`Store`]: the bounded table with its digest.
-//! - [`Spread`]: rumours that ride on the membership's datagrams within a budget.
-//! - [`sync`]: anti-entropy between two proxies.
-//! - [`Doubts`]: the writes in doubt alone, for a thread that has to know them at once.
-//! - [`Replica`]: one proxy's copy; [`frame`] and [`unframe`]: how its messages ride.
+//! The crate does no I/O: local facts, datagrams and the time go in; datagrams to send and updates come out. The driver
+//! in `transport::fleet` carries the datagrams on the membership's socket.
+//!
+//! - [`SharedState`]: one proxy's copy, and the entry point of the crate.
+//! - [`HybridClock`], [`HybridTimestamp`]: the hybrid logical clock.
+//! - [`Key`], [`Value`], [`Entry`]: what is replicated, and the merge rules as orders of types.
+//! - [`Store`]: the bounded table of entries with its digest.
+//! - [`RumourQueue`]: changes that ride on the membership's datagrams, within the budget of a [`TokenBucket`].
+//! - [`anti_entropy`]: the exchange that settles what rumours miss.
+//! - [`snapshot`]: the encoding of a copy as a file.
+//! - [`InDoubtWrites`]: the outcomes of writes alone, for a thread that has to know them at once.
+//! - [`Frame`]: how messages share datagrams with the membership.
 //!
 //! ```
-//! use wharfplank_shared_state::{Doubt, Replica, Terms};
+//! use wharfplank_shared_state::{SharedState, SharedStateConfig, WriteOutcome};
 //!
-//! let (mut one, mut two) = (Replica::new(1, Terms::default(), 1, 0), Replica::new(2, Terms::default(), 2, 0));
-//! two.alive(0, ["127.0.0.1:1".parse().unwrap()].into_iter());
-//! one.doubt(10, 77, Doubt::Open);
-//! // The delta is lost; the exchange that follows a return brings it all the same.
-//! one.ride(10, 1000).unwrap();
+//! let mut one = SharedState::new(1, SharedStateConfig::default(), 1, 0);
+//! let mut two = SharedState::new(2, SharedStateConfig::default(), 2, 0);
+//! two.set_live_peers(0, ["127.0.0.1:1".parse().unwrap()].into_iter());
+//! one.record_write_outcome(10, 77, WriteOutcome::InDoubt);
+//! // The delta is lost; the exchange that follows the appearance of a peer brings the entry all the same.
+//! one.piggyback(10, 1000).unwrap();
 //! two.tick(200_000);
 //! for _ in 0..2 {
-//!     for (_, ask) in two.take_sends() { one.received(200_000, "127.0.0.1:2".parse().unwrap(), &ask); }
-//!     for (_, tell) in one.take_sends() { two.received(200_000, "127.0.0.1:1".parse().unwrap(), &tell); }
+//!     for (_, datagram) in two.take_datagrams() {
+//!         one.on_message(200_000, "127.0.0.1:2".parse().unwrap(), &datagram);
+//!     }
+//!     for (_, datagram) in one.take_datagrams() {
+//!         two.on_message(200_000, "127.0.0.1:1".parse().unwrap(), &datagram);
+//!     }
 //! }
-//! assert!(two.in_doubt(77), "a write that one proxy may have run is in doubt at the other");
+//! assert!(two.is_in_doubt(77), "a write that one proxy may have executed is in doubt at the other");
 //! assert_eq!(one.store().digest(), two.store().digest());
 //! ```
 
+pub mod anti_entropy;
 mod clock;
-mod doubts;
 mod entry;
-mod replica;
+mod frame;
+mod in_doubt;
+mod key;
+mod rumours;
 pub mod snapshot;
-mod spread;
+mod state;
 mod store;
-pub mod sync;
+mod token_bucket;
+mod value;
 
-pub use clock::{Clock, Stamp, AHEAD_MOST};
-pub use doubts::Doubts;
-pub use entry::{Doubt, Entry, Key, Mark, Value};
-pub use replica::{Counts, News, Replica, Terms};
-pub use spread::{transmissions, Budget, Spread};
-pub use store::{Offer, Store, ENTRIES_MOST};
+pub use clock::{ClockSkewError, HybridClock, HybridTimestamp, MAX_CLOCK_SKEW};
+pub use entry::Entry;
+pub use frame::{Frame, TruncatedFrame, FRAME_OVERHEAD};
+pub use in_doubt::{InDoubtWrites, WriteRecord};
+pub use key::{EvictionPriority, Key, DIGEST_BUCKETS};
+pub use rumours::{transmission_limit, RumourQueue};
+pub use state::{SharedState, SharedStateConfig, StateUpdate, Stats};
+pub use store::{MergeOutcome, Store, MAX_ENTRIES};
+pub use token_bucket::TokenBucket;
+pub use value::{MemberStatus, Value, WriteOutcome};
 
 /// A time or a span of time, in microseconds.
 pub type Micros = i64;
 
-/// Leaves of the digest.
-pub const LEAVES: usize = 64;
-
-/// The first byte of a datagram that carries more than the membership's own: no address begins with it, and so no
-/// message of the membership does.
-const FRAMED: u8 = 0;
-/// What a frame adds to a datagram of the membership.
-pub const FRAME_BYTES: usize = 3;
-
-/// The number by which all proxies know a member or a write, from its name.
-pub fn named(name: &str) -> u64 {
+/// The number by which all proxies identify a member, a write or another thing that has a name.
+pub fn hash_name(name: &str) -> u64 {
     twox_hash::XxHash3_64::oneshot(name.as_bytes())
 }
-
-/// A datagram of the membership (or none) with a message behind it.
-pub fn frame(membership: &[u8], message: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(FRAME_BYTES + membership.len() + message.len());
-    out.push(FRAMED);
-    out.extend_from_slice(&(membership.len() as u16).to_be_bytes());
-    out.extend_from_slice(membership);
-    out.extend_from_slice(message);
-    out
-}
-
-/// The membership's part of a datagram, and the message behind it; one without a frame is the membership's alone.
-/// `None`: a frame that cannot be read.
-pub fn unframe(datagram: &[u8]) -> Option<(&[u8], &[u8])> {
-    let Some((&FRAMED, rest)) = datagram.split_first() else { return Some((datagram, &[])) };
-    let (length, rest) = rest.split_first_chunk::<2>()?;
-    rest.split_at_checked(usize::from(u16::from_be_bytes(*length)))
-}
--- a/crates/shared-state/src/snapshot.rs
+++ b/crates/shared-state/src/snapshot.rs
@@ -1,14 +1,16 @@
-//! What is held as the bytes of a file, for an installation with a disk, and read back on start. A snapshot is believed
-//! as a peer would be: each entry by its rule and its age, so an old one brings back nothing that is over.
+//! The encoding of a snapshot: the entries of a store as the bytes of a file, which a restarted process reads back. A
+//! restored entry is merged as one from a peer is, so a stale snapshot brings back nothing that is past its life.
 
-use crate::entry::{Entry, Key};
+use crate::entry::Entry;
+use crate::key::Key;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use twox_hash::XxHash3_64;
 
-/// The largest snapshot that is read.
-pub const SNAPSHOT_BYTES_MOST: usize = 4 << 20;
+/// The size of the largest snapshot that is decoded, in bytes.
+pub const MAX_SNAPSHOT_BYTES: usize = 4 << 20;
+
+/// The version of the encoding.
 const VERSION: u8 = 1;
 
 #[derive(Serialize, Deserialize)]
@@ -18,47 +20,45 @@
     entries: Vec<(Key, Entry)>,
 }
 
-/// Why a snapshot is not used.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// It is larger than any that is written.
+/// Why a snapshot cannot be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SnapshotError {
+    /// It is larger than [`MAX_SNAPSHOT_BYTES`].
+    #[error("larger than any snapshot")]
     TooLarge,
-    /// It is cut short or was changed: its checksum does not fit.
+    /// It is truncated or was altered.
+    #[error("damaged: the checksum does not fit")]
     Damaged,
-    /// It was written by another version.
+    /// It was written in another version of the encoding.
+    #[error("of another version")]
     Version,
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Fault::TooLarge => "larger than any snapshot",
-            Fault::Damaged => "damaged: the checksum does not fit",
-            Fault::Version => "of another version",
-        })
-    }
-}
-
-/// The bytes of a snapshot.
-pub fn write(saved_at: Micros, entries: Vec<(Key, Entry)>) -> Vec<u8> {
+/// Encodes a snapshot that is taken at `saved_at`, in microseconds of the wall clock.
+pub fn encode(saved_at: Micros, entries: Vec<(Key, Entry)>) -> Vec<u8> {
     let body = Body { version: VERSION, saved_at, entries };
     let mut bytes = postcard::to_allocvec(&body).unwrap_or_default();
-    bytes.extend_from_slice(&XxHash3_64::oneshot(&bytes).to_le_bytes());
+    let checksum = XxHash3_64::oneshot(&bytes);
+    bytes.extend_from_slice(&checksum.to_le_bytes());
     bytes
 }
 
-/// The entries of a snapshot.
-pub fn read(bytes: &[u8]) -> Result<Vec<(Key, Entry)>, Fault> {
-    if bytes.len() > SNAPSHOT_BYTES_MOST {
-        return Err(Fault::TooLarge);
+/// Decodes the entries of a snapshot.
+///
+/// # Errors
+///
+/// Returns why the snapshot cannot be used, see [`SnapshotError`].
+pub fn decode(bytes: &[u8]) -> Result<Vec<(Key, Entry)>, SnapshotError> {
+    if bytes.len() > MAX_SNAPSHOT_BYTES {
+        return Err(SnapshotError::TooLarge);
     }
-    let Some((body, sum)) = bytes.split_last_chunk::<8>() else { return Err(Fault::Damaged) };
-    if XxHash3_64::oneshot(body) != u64::from_le_bytes(*sum) {
-        return Err(Fault::Damaged);
+    let (body, checksum) = bytes.split_last_chunk::<8>().ok_or(SnapshotError::Damaged)?;
+    if XxHash3_64::oneshot(body) != u64::from_le_bytes(*checksum) {
+        return Err(SnapshotError::Damaged);
     }
-    let body: Body = postcard::from_bytes(body).map_err(|_| Fault::Damaged)?;
+    let body: Body = postcard::from_bytes(body).map_err(|_| SnapshotError::Damaged)?;
     if body.version != VERSION {
-        return Err(Fault::Version);
+        return Err(SnapshotError::Version);
     }
     Ok(body.entries)
 }
--- /dev/null
+++ b/crates/shared-state/src/state/mod.rs
@@ -0,0 +1,188 @@
+//! One proxy's copy of the replicated state: local facts, datagrams of peers and the time go in; datagrams to send and
+//! updates from peers come out.
+//!
+//! - this module: the state, its timers, its snapshots.
+//! - `local`: facts that this proxy has learned itself.
+//! - `query`: what is known, of all proxies.
+//! - `exchange`: messages of peers, and answers to them.
+
+mod config;
+mod exchange;
+mod local;
+mod query;
+mod stats;
+mod update;
+
+pub use config::SharedStateConfig;
+pub use stats::Stats;
+pub use update::StateUpdate;
+
+use crate::anti_entropy::{Message, MAX_BODY_BYTES};
+use crate::clock::HybridClock;
+use crate::entry::Entry;
+use crate::key::Key;
+use crate::rumours::RumourQueue;
+use crate::snapshot::{self, SnapshotError};
+use crate::store::Store;
+use crate::token_bucket::TokenBucket;
+use crate::value::Value;
+use crate::Micros;
+use exchange::Origin;
+use local::LocalCounter;
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddrV4;
+use update::UpdateQueue;
+
+/// The time to the next exchange after one that found differences, or after a peer appeared.
+const EXCHANGE_INTERVAL_WHILE_DIFFERING: Micros = 100_000;
+/// How often entries are expired and counters are refreshed.
+const EXPIRY_INTERVAL: Micros = 500_000;
+/// What the encoding of a delta takes besides its entries, in bytes, at most.
+const DELTA_HEADER_BYTES: usize = 8;
+
+/// One proxy's copy of the replicated state.
+pub struct SharedState {
+    process: u64,
+    config: SharedStateConfig,
+    clock: HybridClock,
+    store: Store,
+    rumours: RumourQueue,
+    exchange_budget: TokenBucket,
+    rng: SmallRng,
+    live_peers: BTreeSet<SocketAddrV4>,
+    next_exchange_at: Micros,
+    next_expiry_at: Micros,
+    counters: BTreeMap<u32, LocalCounter>,
+    outgoing: Vec<(SocketAddrV4, Vec<u8>)>,
+    updates: UpdateQueue,
+    /// What was done.
+    pub stats: Stats,
+}
+
+impl SharedState {
+    /// Creates an empty state. `process` is a number that no other process has or had; `seed` is that of the random
+    /// choice of peers.
+    pub fn new(process: u64, config: SharedStateConfig, seed: u64, now: Micros) -> SharedState {
+        let half_budget = config.bytes_per_second / 2;
+        SharedState {
+            process,
+            clock: HybridClock::new(process),
+            store: Store::new(config.max_entries),
+            rumours: RumourQueue::new(half_budget, now),
+            exchange_budget: TokenBucket::new(half_budget, now),
+            rng: SmallRng::seed_from_u64(seed),
+            live_peers: BTreeSet::new(),
+            next_exchange_at: Micros::MAX,
+            next_expiry_at: now,
+            counters: BTreeMap::new(),
+            outgoing: Vec::new(),
+            updates: UpdateQueue::default(),
+            stats: Stats::default(),
+            config,
+        }
+    }
+
+    /// Sets the peers that are alive now. An exchange follows soon if one of them is new: it or this proxy returned, or a
+    /// partition healed.
+    pub fn set_live_peers(&mut self, now: Micros, peers: impl Iterator<Item = SocketAddrV4>) {
+        let peers: BTreeSet<SocketAddrV4> = peers.collect();
+        if peers == self.live_peers {
+            return;
+        }
+        let has_new_peer = !peers.is_subset(&self.live_peers);
+        self.live_peers = peers;
+        if self.live_peers.is_empty() {
+            self.next_exchange_at = Micros::MAX;
+        } else if has_new_peer {
+            self.exchange_soon(now);
+        }
+    }
+
+    /// Takes a message to piggyback on a datagram of the membership that has room for `max_bytes`, if any rumour waits.
+    pub fn piggyback(&mut self, now: Micros, max_bytes: usize) -> Option<Vec<u8>> {
+        let max_bytes = max_bytes.min(MAX_BODY_BYTES).saturating_sub(DELTA_HEADER_BYTES);
+        let entries = self.rumours.take_batch(&self.store, max_bytes, now);
+        if entries.is_empty() {
+            return None;
+        }
+        Some(postcard::to_allocvec(&Message::Delta(entries)).unwrap_or_default())
+    }
+
+    /// Does what is due: expires entries, refreshes this proxy's counters, and begins exchanges.
+    pub fn tick(&mut self, now: Micros) {
+        if now >= self.next_expiry_at {
+            self.next_expiry_at = now + EXPIRY_INTERVAL;
+            self.store.expire(now);
+            self.refresh_counters(now);
+        }
+        if now >= self.next_exchange_at && !self.live_peers.is_empty() {
+            self.begin_exchange(now);
+        }
+    }
+
+    fn begin_exchange(&mut self, now: Micros) {
+        // The interval varies by a quarter either way, so that proxies do not fall into step.
+        let interval = self.config.exchange_interval.max(EXCHANGE_INTERVAL_WHILE_DIFFERING);
+        self.next_exchange_at = now + interval * 3 / 4 + self.rng.random_range(0..=interval / 2);
+        let index = self.rng.random_range(0..self.live_peers.len());
+        let Some(peer) = self.live_peers.iter().nth(index).copied() else { return };
+        self.stats.exchanges_started += 1;
+        let request = Message::DigestRequest(self.store.bucket_digests().to_vec());
+        self.send(now, peer, &request);
+    }
+
+    fn exchange_soon(&mut self, now: Micros) {
+        self.next_exchange_at = self.next_exchange_at.min(now + EXCHANGE_INTERVAL_WHILE_DIFFERING);
+    }
+
+    /// When [`SharedState::tick`] is next due.
+    pub fn next_due(&self) -> Micros {
+        self.next_exchange_at.min(self.next_expiry_at)
+    }
+
+    /// Takes the datagrams to send, each with its receiver.
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
+        std::mem::take(&mut self.outgoing)
+    }
+
+    /// Takes what peers have learned since the last call.
+    pub fn take_updates(&mut self) -> Vec<StateUpdate> {
+        self.updates.take()
+    }
+
+    /// The entries.
+    pub fn store(&self) -> &Store {
+        &self.store
+    }
+
+    /// The rumours that wait to be passed on.
+    pub fn rumours(&self) -> &RumourQueue {
+        &self.rumours
+    }
+
+    /// Encodes all entries as a snapshot.
+    pub fn snapshot(&self, now: Micros) -> Vec<u8> {
+        let entries = self.store.iter().map(|(key, entry)| (*key, *entry)).collect();
+        snapshot::encode(now, entries)
+    }
+
+    /// Merges a snapshot, each entry by its rule and its age. Returns how many entries changed the store.
+    ///
+    /// None of them is spread as a rumour: the peers have moved on meanwhile, and an exchange settles what differs.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the snapshot cannot be used, and leaves the state as it is.
+    pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<usize, SnapshotError> {
+        let entries = snapshot::decode(bytes)?;
+        let before = self.stats.entries_updated;
+        self.merge_entries(now, &entries, Origin::Exchange);
+        Ok((self.stats.entries_updated - before) as usize)
+    }
+
+    fn value(&self, key: &Key) -> Option<Value> {
+        self.store.get(key).map(Entry::value)
+    }
+}
--- a/crates/shared-state/src/store.rs
+++ b/crates/shared-state/src/store.rs
@@ -1,211 +1,213 @@
-//! The table of what is held: bounded, with an end for each entry, and a digest that is kept up with each change.
+//! The table of entries: bounded, with a time to live for each entry, and a digest that is updated with each change.
 
-use crate::clock::AHEAD_MOST;
-use crate::entry::{Entry, Key, RANK_MOST};
-use crate::{Micros, LEAVES};
+use crate::clock::MAX_CLOCK_SKEW;
+use crate::entry::Entry;
+use crate::key::{EvictionPriority, Key, DIGEST_BUCKETS};
+use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Entries held at most. A new one past it takes the place of the one longest not vouched for among the least in rank,
-/// if that is less in rank, or as much and older; else it is dropped. Both are counted.
-pub const ENTRIES_MOST: usize = 16_384;
+/// The default bound on the entries of a store.
+///
+/// A new entry past the bound evicts the one refreshed the longest ago among those of the least priority, provided that
+/// this one is of less priority than the new entry, or of the same and older; else the new entry is dropped.
+pub const MAX_ENTRIES: usize = 16_384;
 
-/// What became of an entry that was offered.
+/// What became of an entry that was merged into a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
-    /// It changed what is held.
-    Taken,
-    /// It was held already, or something newer.
-    Known,
-    /// It is past its life, or from further ahead than clocks differ, or no entry at all.
-    Refused,
-    /// There was no room.
+pub enum MergeOutcome {
+    /// The store changed.
+    Updated,
+    /// The store held the same or something newer.
+    Unchanged,
+    /// The entry is past its time to live, from further ahead than clocks differ, or of another kind than its key.
+    Rejected,
+    /// The store is full of entries that do not give way.
     Full,
 }
 
-/// The table.
+/// The place of an entry in the order of eviction.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct EvictionRank {
+    priority: EvictionPriority,
+    refreshed_at: Micros,
+    key: Key,
+}
+
+impl EvictionRank {
+    fn new(key: Key, entry: &Entry) -> EvictionRank {
+        EvictionRank { priority: key.eviction_priority(), refreshed_at: entry.refreshed_at(), key }
+    }
+
+    /// The least rank of a priority.
+    fn first_of(priority: EvictionPriority) -> EvictionRank {
+        EvictionRank { priority, refreshed_at: Micros::MIN, key: Key::MIN }
+    }
+
+    fn is_expired(&self, now: Micros) -> bool {
+        now - self.refreshed_at > self.key.time_to_live()
+    }
+
+    /// Whether the entry gives way to another. An older one of the same priority does not displace a newer one: what was
+    /// evicted would else come back.
+    fn gives_way_to(&self, other: &EvictionRank) -> bool {
+        (self.priority, self.refreshed_at) < (other.priority, other.refreshed_at)
+    }
+}
+
+/// The table of entries of one proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Store {
     entries: BTreeMap<Key, Entry>,
-    /// By rank and age: what ends and what gives way first.
-    ages: BTreeSet<(u8, Micros, Key)>,
-    /// The digest of each leaf, and its keys.
-    leaves: Vec<u64>,
-    keys: Vec<BTreeSet<Key>>,
-    most: usize,
-    /// Entries refused for their age, their stamp or their kind.
-    pub refused: u64,
-    /// Entries dropped for want of room, old or new.
+    /// All entries in the order of eviction, which is by age within a priority.
+    eviction_order: BTreeSet<EvictionRank>,
+    bucket_digests: Vec<u64>,
+    bucket_keys: Vec<BTreeSet<Key>>,
+    max_entries: usize,
+    /// How many entries were rejected for their age, their timestamp or their kind.
+    pub rejected: u64,
+    /// How many entries, old or new, were dropped because the store was full.
     pub dropped: u64,
 }
 
 impl Default for Store {
     fn default() -> Self {
-        Store::bounded(ENTRIES_MOST)
+        Store::new(MAX_ENTRIES)
     }
 }
 
 impl Store {
-    /// An empty table of at most so many entries.
-    pub fn bounded(most: usize) -> Store {
-        let (entries, ages, keys) = (BTreeMap::new(), BTreeSet::new(), vec![BTreeSet::new(); LEAVES]);
-        Store { entries, ages, leaves: vec![0; LEAVES], keys, most: most.max(1), refused: 0, dropped: 0 }
-    }
-
-    /// Merges an entry in, by its rule.
-    pub fn offer(&mut self, key: Key, entry: &Entry, now: Micros) -> Offer {
-        let old = now - entry.wall() > key.life();
-        let ahead = entry.wall() > now.saturating_add(AHEAD_MOST);
-        if old || ahead || !key.fits(&entry.value()) {
-            self.refused += 1;
-            return Offer::Refused;
+    /// Creates an empty store of at most `max_entries` entries, and of one at least.
+    pub fn new(max_entries: usize) -> Store {
+        Store {
+            entries: BTreeMap::new(),
+            eviction_order: BTreeSet::new(),
+            bucket_digests: vec![0; DIGEST_BUCKETS],
+            bucket_keys: vec![BTreeSet::new(); DIGEST_BUCKETS],
+            max_entries: max_entries.max(1),
+            rejected: 0,
+            dropped: 0,
+        }
+    }
+
+    /// Merges an entry into the store.
+    pub fn merge(&mut self, key: Key, entry: &Entry, now: Micros) -> MergeOutcome {
+        if !is_valid(&key, entry, now) {
+            self.rejected += 1;
+            return MergeOutcome::Rejected;
         }
         match self.entries.get(&key) {
-            Some(held) => {
-                let mut merged = *held;
-                if !merged.join(entry) {
-                    return Offer::Known;
+            Some(known) => {
+                let mut merged = *known;
+                if !merged.merge(entry) {
+                    return MergeOutcome::Unchanged;
                 }
                 self.remove(&key);
                 self.insert(key, merged);
             }
             None => {
-                if self.entries.len() >= self.most && !self.make_room(&key, entry.wall()) {
-                    return Offer::Full;
+                let is_full = self.entries.len() >= self.max_entries;
+                if is_full && !self.evict_for(&EvictionRank::new(key, entry)) {
+                    return MergeOutcome::Full;
                 }
                 self.insert(key, *entry);
             }
         }
-        Offer::Taken
+        MergeOutcome::Updated
     }
 
-    /// The older of the same rank gives way, so that what has gone is not taken back in place of what is newer.
-    fn make_room(&mut self, key: &Key, wall: Micros) -> bool {
+    /// Evicts the first entry in the order of eviction if it gives way to a new one. Returns whether it did; one of the
+    /// two is dropped in either case.
+    fn evict_for(&mut self, new: &EvictionRank) -> bool {
         self.dropped += 1;
-        let less = |(rank, at, _): &(u8, Micros, Key)| (*rank, *at) < (key.rank(), wall);
-        let first = self.ages.first().copied().filter(less);
-        if let Some((_, _, least)) = first {
-            self.remove(&least);
+        let Some(first) = self.eviction_order.first().copied() else { return false };
+        let is_evicted = first.gives_way_to(new);
+        if is_evicted {
+            self.remove(&first.key);
         }
-        first.is_some()
+        is_evicted
     }
 
     fn insert(&mut self, key: Key, entry: Entry) {
-        let leaf = key.leaf();
-        self.leaves[leaf] ^= entry.hash(&key);
-        self.keys[leaf].insert(key);
-        self.ages.insert((key.rank(), entry.wall(), key));
+        let bucket = key.digest_bucket();
+        self.bucket_digests[bucket] ^= entry.digest(&key);
+        self.bucket_keys[bucket].insert(key);
+        self.eviction_order.insert(EvictionRank::new(key, &entry));
         self.entries.insert(key, entry);
     }
 
     fn remove(&mut self, key: &Key) {
-        if let Some(entry) = self.entries.remove(key) {
-            let leaf = key.leaf();
-            self.leaves[leaf] ^= entry.hash(key);
-            self.keys[leaf].remove(key);
-            self.ages.remove(&(key.rank(), entry.wall(), *key));
-        }
+        let Some(entry) = self.entries.remove(key) else { return };
+        let bucket = key.digest_bucket();
+        self.bucket_digests[bucket] ^= entry.digest(key);
+        self.bucket_keys[bucket].remove(key);
+        self.eviction_order.remove(&EvictionRank::new(*key, &entry));
     }
 
-    /// Ends what is past its life.
+    /// Removes the entries whose time to live is over.
     pub fn expire(&mut self, now: Micros) {
-        for rank in 0..=RANK_MOST {
-            let over = |age: &&(u8, Micros, Key)| age.0 == rank && now - age.1 > age.2.life();
-            let from = self.ages.range((rank, Micros::MIN, Key::Position(0))..);
-            let ended: Vec<Key> = from.take_while(over).map(|age| age.2).collect();
-            ended.iter().for_each(|key| self.remove(key));
+        for priority in EvictionPriority::ALL {
+            let expired: Vec<Key> = self
+                .eviction_order
+                .range(EvictionRank::first_of(priority)..)
+                .take_while(|rank| rank.priority == priority && rank.is_expired(now))
+                .map(|rank| rank.key)
+                .collect();
+            for key in &expired {
+                self.remove(key);
+            }
         }
     }
 
-    /// What is held of a key.
+    /// The entry of a key.
     pub fn get(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// All that is held.
+    /// All entries in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Entry)> {
         self.entries.iter()
     }
 
-    /// All that is held from a key on, in the order of keys.
-    pub fn from(&self, key: Key) -> impl Iterator<Item = (&Key, &Entry)> {
-        self.entries.range(key..)
+    /// The entries from a key on, in the order of their keys.
+    pub fn iter_from(&self, first: Key) -> impl Iterator<Item = (&Key, &Entry)> {
+        self.entries.range(first..)
     }
 
-    /// What is held of a leaf from a key on, in the order of keys.
-    pub fn leaf(&self, leaf: usize, from: Option<Key>) -> impl Iterator<Item = (&Key, &Entry)> {
-        let keys = self
-            .keys
-            .get(leaf)
-            .into_iter()
-            .flat_map(move |keys| keys.range(from.unwrap_or(Key::Position(0))..));
+    /// The entries of a digest bucket from a key on (`None`: from the first), in the order of their keys. A bucket that
+    /// does not exist has none.
+    pub fn bucket_entries(&self, bucket: usize, from: Option<Key>) -> impl Iterator<Item = (&Key, &Entry)> {
+        let first = from.unwrap_or(Key::MIN);
+        let keys = self.bucket_keys.get(bucket).into_iter().flat_map(move |keys| keys.range(first..));
         keys.filter_map(|key| self.entries.get_key_value(key))
     }
 
-    /// The digests of the leaves: equal where the same is held.
-    pub fn leaves(&self) -> &[u64] {
-        &self.leaves
+    /// The digest of each bucket. Two stores with the same entries in a bucket have the same digest there.
+    pub fn bucket_digests(&self) -> &[u64] {
+        &self.bucket_digests
     }
 
-    /// One digest of all.
+    /// A digest of the whole store.
     pub fn digest(&self) -> u64 {
-        self.leaves.iter().fold(0, |all, leaf| (all ^ leaf).wrapping_mul(0x100_0000_01b3).rotate_left(7))
+        const MULTIPLIER: u64 = 0x100_0000_01b3;
+        self.bucket_digests
+            .iter()
+            .fold(0, |digest, bucket| (digest ^ bucket).wrapping_mul(MULTIPLIER).rotate_left(7))
     }
 
-    /// How many entries are held.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is.
+    /// Whether the store has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::entry::{Doubt, Value};
-
-    fn position(member: u64, at: Micros, wall: Micros) -> (Key, Entry) {
-        (Key::Position(member), Entry::new(Value::Position { epoch: 1, at }, wall))
-    }
-
-    #[test]
-    fn what_is_held_is_bounded_and_writes_in_doubt_do_not_give_way_to_positions() {
-        let mut store = Store::bounded(4);
-        for id in 0..4 {
-            let doubt = Entry::new(Value::Doubt(Doubt::Open), 10);
-            assert_eq!(store.offer(Key::Doubt(id), &doubt, 10), Offer::Taken);
-        }
-        let (key, entry) = position(1, 5, 10);
-        assert_eq!(store.offer(key, &entry, 10), Offer::Full, "a position took a doubt's place");
-        let mut store = Store::bounded(4);
-        for member in 0..100 {
-            let (key, entry) = position(member, 5, 10 + member as Micros);
-            store.offer(key, &entry, 10);
-        }
-        assert_eq!((store.len(), store.dropped), (4, 96));
-        assert!(store.get(&Key::Position(99)).is_some(), "the oldest should have gone");
-        assert_eq!(store.offer(Key::Doubt(1), &Entry::new(Value::Doubt(Doubt::Open), 10), 10), Offer::Taken);
-    }
-
-    #[test]
-    fn what_is_past_its_life_ends_and_is_not_taken_back() {
-        let mut store = Store::default();
-        let empty = store.digest();
-        let (key, entry) = position(1, 5, 0);
-        store.offer(key, &entry, 0);
-        assert_ne!(store.digest(), empty);
-        store.expire(key.life());
-        assert_eq!(store.len(), 1);
-        store.expire(key.life() + 1);
-        assert_eq!((store.len(), store.digest()), (0, empty));
-        assert_eq!(store.offer(key, &entry, key.life() + 1), Offer::Refused);
-        let ahead = Entry::new(Value::Position { epoch: 1, at: 5 }, AHEAD_MOST + 1);
-        assert_eq!(store.offer(key, &ahead, 0), Offer::Refused, "from further ahead than clocks differ");
-        let kind = Entry::new(Value::Count(1), 0);
-        assert_eq!(store.offer(key, &kind, 0), Offer::Refused, "a count is no position");
-        assert_eq!(store.refused, 3);
-    }
+/// Whether an entry is of its key's kind, within its time to live, and not from further ahead than clocks differ.
+fn is_valid(key: &Key, entry: &Entry, now: Micros) -> bool {
+    let is_expired = now - entry.refreshed_at() > key.time_to_live();
+    let is_ahead = entry.refreshed_at() > now.saturating_add(MAX_CLOCK_SKEW);
+    !is_expired && !is_ahead && key.accepts(&entry.value())
 }
--- a/crates/shared-state/tests/encoding.rs
+++ b/crates/shared-state/tests/encoding.rs
@@ -1,22 +1,28 @@
 //! The bytes of messages and snapshots, which proxies of other versions read and a disk holds.
 
 use wharfplank_health::Voice;
-use wharfplank_shared_state::sync::{Message, Range};
-use wharfplank_shared_state::{snapshot, Doubt, Entry, Key, Mark, Stamp, Value};
+use wharfplank_shared_state::anti_entropy::{KeyRange, Message};
+use wharfplank_shared_state::{snapshot, Entry, HybridTimestamp, Key, MemberStatus, Value, WriteOutcome};
 
 fn entries() -> Vec<(Key, Entry)> {
-    let stamp = Stamp { wall: 1_000_003, count: 2, by: 9 };
-    let voice = Voice { born_ms: 77, window: 5, strain: -3, weight: 12, ..Voice::default() };
-    let wall = 1_000_000;
+    let timestamp = HybridTimestamp { wall: 1_000_003, counter: 2, process: 9 };
+    let observation = Voice { born_ms: 77, window: 5, strain: -3, weight: 12, ..Voice::default() };
+    let refreshed_at = 1_000_000;
     vec![
-        (Key::Position(1), Entry::new(Value::Position { epoch: 7, at: 70_000 }, wall)),
-        (Key::Mark(2), Entry::new(Value::Mark { stamp, mark: Mark::Clear }, wall)),
-        (Key::Mark(3), Entry::new(Value::Mark { stamp, mark: Mark::Suspected }, wall)),
-        (Key::Count(4, 500), Entry::new(Value::Count(300), wall)),
-        (Key::Doubt(5), Entry::new(Value::Doubt(Doubt::Open), wall)),
-        (Key::Doubt(6), Entry::new(Value::Doubt(Doubt::NotRun), wall)),
-        (Key::Doubt(7), Entry::new(Value::Doubt(Doubt::Ran), wall)),
-        (Key::Health(8, 9), Entry::new(Value::Health(voice), wall)),
+        (Key::Position(1), Entry::new(Value::Position { epoch: 7, position: 70_000 }, refreshed_at)),
+        (
+            Key::MemberStatus(2),
+            Entry::new(Value::MemberStatus { timestamp, status: MemberStatus::Alive }, refreshed_at),
+        ),
+        (
+            Key::MemberStatus(3),
+            Entry::new(Value::MemberStatus { timestamp, status: MemberStatus::Suspected }, refreshed_at),
+        ),
+        (Key::Counter { counter: 4, process: 500 }, Entry::new(Value::Counter(300), refreshed_at)),
+        (Key::WriteOutcome(5), Entry::new(Value::WriteOutcome(WriteOutcome::InDoubt), refreshed_at)),
+        (Key::WriteOutcome(6), Entry::new(Value::WriteOutcome(WriteOutcome::NotExecuted), refreshed_at)),
+        (Key::WriteOutcome(7), Entry::new(Value::WriteOutcome(WriteOutcome::Executed), refreshed_at)),
+        (Key::Health { member: 8, router: 9 }, Entry::new(Value::Health(observation), refreshed_at)),
     ]
 }
 
@@ -34,22 +40,22 @@
 
 #[test]
 fn messages_keep_their_bytes() {
-    let range = Range { leaf: 300, from: None, to: Some(Key::Doubt(5)), entries: entries() };
+    let range = KeyRange { bucket: 300, from: None, to: Some(Key::WriteOutcome(5)), entries: entries() };
     assert_eq!(encoded(&Message::Delta(entries())), format!("00{ENTRIES}"));
-    assert_eq!(encoded(&Message::Ask(vec![0, 1, u64::MAX])), "01030001ffffffffffffffffff01");
-    assert_eq!(encoded(&Message::Tell(vec![range])), format!("0201ac0200010305{ENTRIES}"));
-    assert_eq!(encoded(&Message::Fill(entries())), format!("03{ENTRIES}"));
+    assert_eq!(encoded(&Message::DigestRequest(vec![0, 1, u64::MAX])), "01030001ffffffffffffffffff01");
+    assert_eq!(encoded(&Message::Ranges(vec![range])), format!("0201ac0200010305{ENTRIES}"));
+    assert_eq!(encoded(&Message::Repair(entries())), format!("03{ENTRIES}"));
 }
 
 #[test]
 fn a_snapshot_keeps_its_bytes() {
-    assert_eq!(hex(&snapshot::write(123, entries())), format!("01f601{ENTRIES}0302edc7f87868f5"));
+    assert_eq!(hex(&snapshot::encode(123, entries())), format!("01f601{ENTRIES}0302edc7f87868f5"));
 }
 
 #[test]
-fn leaves_and_digests_of_entries_stay_comparable_between_versions() {
+fn buckets_and_digests_of_entries_stay_comparable_between_versions() {
     let digests: Vec<(usize, u64)> =
-        entries().iter().map(|(key, entry)| (key.leaf(), entry.hash(key))).collect();
+        entries().iter().map(|(key, entry)| (key.digest_bucket(), entry.digest(key))).collect();
     let expected = [
         (23, 0x66ad_c860_f575_2138),
         (7, 0x72a2_2ff7_d44a_09cd),
--- a/crates/shared-state/tests/health.rs
+++ b/crates/shared-state/tests/health.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddrV4;
 use wharfplank_health::{Health, Outcome, Verdict, QUESTION, WINDOW};
-use wharfplank_shared_state::{Micros, Replica, Terms};
+use wharfplank_shared_state::{Micros, SharedState, SharedStateConfig};
 
 const SECOND: Micros = 1_000_000;
 const STEP: Micros = 25_000;
@@ -18,8 +18,8 @@
 
 struct Fleet {
     now: Micros,
-    routers: Vec<(Replica, Health)>,
-    flying: Vec<(Micros, usize, usize, Vec<u8>)>,
+    routers: Vec<(SharedState, Health)>,
+    in_flight: Vec<(Micros, usize, usize, Vec<u8>)>,
     pace: f64,
     loss: f64,
     sent: u64,
@@ -34,23 +34,23 @@
     fn new(n: usize, loss: f64, seed: u64) -> Fleet {
         let now = 1_000 * SECOND;
         let router = |i: usize| {
-            let mut replica = Replica::new(i as u64, Terms::default(), seed + i as u64, now);
-            replica.alive(now, (0..n).filter(|p| *p != i).map(addr));
+            let mut state = SharedState::new(i as u64, SharedStateConfig::default(), seed + i as u64, now);
+            state.set_live_peers(now, (0..n).filter(|p| *p != i).map(addr));
             let mut health = Health::new(i as u64);
             health.routers((0..n as u64).map(|r| (r, r % 3)));
             (0..MEMBERS).for_each(|m| health.listed(m, m % 3, 1));
-            (replica, health)
+            (state, health)
         };
         let routers = (0..n).map(router).collect();
         let rng = SmallRng::seed_from_u64(seed);
-        Fleet { now, routers, flying: Vec::new(), pace: 1.0, loss, sent: 0, rng }
+        Fleet { now, routers, in_flight: Vec::new(), pace: 1.0, loss, sent: 0, rng }
     }
 
-    fn put(&mut self, from: usize, to: usize, message: Vec<u8>) {
+    fn transmit(&mut self, from: usize, to: usize, message: Vec<u8>) {
         self.sent += message.len() as u64;
         if self.rng.random::<f64>() >= self.loss {
             let at = self.now + self.rng.random_range(1_000..30_000);
-            self.flying.push((at, from, to, message));
+            self.in_flight.push((at, from, to, message));
         }
     }
 
@@ -59,8 +59,8 @@
         while self.now < until {
             self.now += STEP;
             let now = self.now;
-            for (_, from, to, bytes) in self.flying.extract_if(.., |f| f.0 <= now).collect::<Vec<_>>() {
-                self.routers[to].0.received(now, addr(from), &bytes);
+            for (_, from, to, bytes) in self.in_flight.extract_if(.., |f| f.0 <= now).collect::<Vec<_>>() {
+                self.routers[to].0.on_message(now, addr(from), &bytes);
             }
             for i in 0..n {
                 let exp = |rng: &mut SmallRng| -(1.0 - rng.random::<f64>()).ln();
@@ -72,21 +72,21 @@
                     let took = (20_000.0 * (0.3 + 0.7 * exp(&mut self.rng)) * pace) as Micros;
                     self.routers[i].1.saw(now, member, Outcome::Answered { class: 0, took });
                 }
-                let (replica, health) = &mut self.routers[i];
+                let (state, health) = &mut self.routers[i];
                 if now % WINDOW == i as Micros * STEP % WINDOW {
                     for (member, voice) in health.to_tell(now) {
-                        replica.voice(now, member, i as u64, voice);
+                        state.record_health(now, member, i as u64, voice);
                     }
-                    health.decide(now, replica.voices());
+                    health.decide(now, state.health_observations());
                 }
-                replica.tick(now);
-                for (to, message) in self.routers[i].0.take_sends() {
-                    self.put(i, usize::from(to.port()) - 20_000, message);
+                state.tick(now);
+                for (to, message) in self.routers[i].0.take_datagrams() {
+                    self.transmit(i, usize::from(to.port()) - 20_000, message);
                 }
                 if (now / STEP + i as Micros) % (DATAGRAM / STEP) == 0 {
                     let to = (i + self.rng.random_range(1..n)) % n;
-                    if let Some(message) = self.routers[i].0.ride(now, PACKET) {
-                        self.put(i, to, message);
+                    if let Some(message) = self.routers[i].0.piggyback(now, PACKET) {
+                        self.transmit(i, to, message);
                     }
                 }
             }
--- /dev/null
+++ b/crates/shared-state/tests/in_doubt.rs
@@ -0,0 +1,26 @@
+//! The table of outcomes of writes for the serving thread: its merge rule, its bound and its time to live.
+
+use wharfplank_shared_state::{InDoubtWrites, Key, Micros, WriteOutcome, WriteRecord};
+
+fn record(write: u64, outcome: WriteOutcome, refreshed_at: Micros) -> WriteRecord {
+    WriteRecord { write, outcome, refreshed_at }
+}
+
+#[test]
+fn the_table_follows_the_merge_rule_whatever_the_order_and_is_bounded() {
+    let time_to_live = Key::WriteOutcome(0).time_to_live();
+    let mut writes = InDoubtWrites::new(3);
+    writes.merge(record(1, WriteOutcome::NotExecuted, 5));
+    writes.merge(record(1, WriteOutcome::InDoubt, 9));
+    assert!(!writes.contains(1), "it is known not to have been executed");
+    writes.merge(record(1, WriteOutcome::Executed, 2));
+    assert!(writes.contains(1));
+    writes.expire(time_to_live + 9);
+    assert_eq!(writes.len(), 1, "refreshed at 9");
+    writes.expire(time_to_live + 10);
+    assert!(writes.is_empty() && !writes.contains(1));
+    for write in 1..=5 {
+        writes.merge(record(write, WriteOutcome::InDoubt, 100 + write as Micros));
+    }
+    assert_eq!((writes.len(), writes.evicted, writes.contains(2), writes.contains(3)), (3, 2, false, true));
+}
--- a/crates/transport/src/budgets/mod.rs
+++ b/crates/transport/src/budgets/mod.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_budget::{Ask, Budget, Holder, Kind, Micros, Parts};
-use wharfplank_shared_state::named;
+use wharfplank_shared_state::hash_name;
 
 /// Asks and leases that may wait between the two threads.
 pub const RING: usize = 256;
@@ -94,7 +94,7 @@
 
     /// Whether a member may be probed.
     pub fn probe(&self, member: &str) -> bool {
-        self.spend(&[Kind::Probes.budget(named(member))])
+        self.spend(&[Kind::Probes.budget(hash_name(member))])
     }
 
     /// Whether discovery may be called.
@@ -104,7 +104,8 @@
 
     /// Whether a connection to a member may be opened; it is held until [`Budgets::let_go`].
     pub fn connect(&self, member: &str) -> bool {
-        let (connects, held) = (Kind::Connects.budget(named(member)), Kind::Held.budget(named(member)));
+        let (connects, held) =
+            (Kind::Connects.budget(hash_name(member)), Kind::Held.budget(hash_name(member)));
         let now = (self.now)();
         let could = self.spender.borrow_mut().holder.could(now, connects);
         if could && !self.spender.borrow_mut().holder.take(now, held) {
@@ -118,14 +119,14 @@
 
     /// A connection to a member is closed, or never came up.
     pub fn let_go(&self, member: &str) {
-        let held = Kind::Held.budget(named(member));
+        let held = Kind::Held.budget(hash_name(member));
         self.spender.borrow_mut().holder.let_go(held);
         self.note_held((self.now)(), held);
     }
 
     /// Connections to a member past the share, and how many of these must go now, idle or not.
     pub fn excess(&self, member: &str) -> (u64, u64) {
-        self.spender.borrow_mut().holder.excess((self.now)(), Kind::Held.budget(named(member)))
+        self.spender.borrow_mut().holder.excess((self.now)(), Kind::Held.budget(hash_name(member)))
     }
 
     /// Spends one of each budget, or of none.
@@ -216,5 +217,5 @@
 
 /// The budgets of a member.
 fn members(name: &str) -> [Budget; 3] {
-    [Kind::Probes, Kind::Connects, Kind::Held].map(|kind| kind.budget(named(name)))
+    [Kind::Probes, Kind::Connects, Kind::Held].map(|kind| kind.budget(hash_name(name)))
 }
--- a/crates/transport/src/fleet/drive.rs
+++ b/crates/transport/src/fleet/drive.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use wharfplank_failover::{decode, encode, TOPIC};
 use wharfplank_routing::Micros;
-use wharfplank_shared_state::{frame, unframe, FRAME_BYTES};
+use wharfplank_shared_state::{Frame, FRAME_OVERHEAD};
 
 /// How often the traffic is told, and the least change of a share that is passed on.
 const TELL_EVERY: Micros = 5_000_000;
@@ -116,10 +116,12 @@
     match (fact, &mut parts.replica, &mut parts.judge) {
         (Fact::Seen(seen), ..) if seen.answered => parts.zones.observe(now, &seen.zone, seen.member, true),
         (Fact::Seen(seen), ..) => parts.zones.silence(now, seen.sent + skew, &seen.zone, seen.member),
-        (Fact::Position(at, member, epoch, told), Some(r), _) => r.position(at + skew, member, epoch, told),
-        (Fact::Suspects(at, member, suspects), Some(r), _) => r.suspects(at + skew, member, suspects),
-        (Fact::Count(at, counter), Some(r), _) => r.count(at + skew, counter, 1),
-        (Fact::Doubt(at, write, doubt), Some(r), _) => r.doubt(at + skew, write, doubt),
+        (Fact::Position(at, member, epoch, told), Some(r), _) => {
+            r.record_position(at + skew, member, epoch, told)
+        }
+        (Fact::Suspects(at, member, status), Some(r), _) => r.record_member_status(at + skew, member, status),
+        (Fact::Count(at, counter), Some(r), _) => r.add_to_counter(at + skew, counter, 1),
+        (Fact::Doubt(at, write, outcome), Some(r), _) => r.record_write_outcome(at + skew, write, outcome),
         (Fact::Listed(member, names, born_ms), _, Some(judge)) => {
             judge.listed(member, &names.0, &names.1, born_ms)
         }
@@ -141,9 +143,9 @@
         course.told.push(Told::Factors(factors));
     }
     if let Some(replica) = &mut parts.replica {
-        replica.alive(now, parts.peers.alive().map(|peer| peer.addr));
+        replica.set_live_peers(now, parts.peers.alive().map(|peer| peer.addr));
         replica.tick(now);
-        let news = if course.told.room() > NEWS_ROOM { replica.take_news() } else { Vec::new() };
+        let news = if course.told.room() > NEWS_ROOM { replica.take_updates() } else { Vec::new() };
         if !news.is_empty() {
             course.told.push(Told::News(news));
         }
@@ -160,7 +162,7 @@
         course.digest_at = now + DIGEST_EVERY;
         let digest = replica.store().digest();
         if digest != std::mem::replace(&mut course.digest, digest) {
-            (parts.say)(Said::Replica(replica));
+            (parts.say)(Said::SharedState(replica));
         }
     }
     if let Some(keep) = parts.keep.as_ref().filter(|_| now >= course.keep_at) {
@@ -221,25 +223,29 @@
 /// A datagram is the membership's, with or without a message of the replicated state behind it.
 fn received(parts: &mut Parts, now: Micros, from: SocketAddr, datagram: &[u8]) {
     // A frame that cannot be read is handed on as it is: the membership counts it among what it rejects.
-    let (membership, message) = unframe(datagram).unwrap_or((datagram, &[]));
+    let undecoded = Frame { membership: datagram, shared_state: &[] };
+    let Frame { membership, shared_state: message } = Frame::decode(datagram).unwrap_or(undecoded);
     if !membership.is_empty() {
         parts.peers.received(now, membership);
     }
     if let (Some(replica), SocketAddr::V4(from), false) = (&mut parts.replica, from, message.is_empty()) {
-        replica.received(now, from, message);
+        replica.on_message(now, from, message);
     }
 }
 
 async fn send_all(parts: &mut Parts, now: Micros, socket: &Async<UdpSocket>) {
     // A datagram that cannot go is as one lost on the wire: SWIM sends again, and so do exchanges.
     for (to, datagram) in parts.peers.take_sends() {
-        let room = PACKET_BYTES.saturating_sub(datagram.len() + FRAME_BYTES);
-        let rides = parts.replica.as_mut().and_then(|replica| replica.ride(now, room));
-        let datagram = rides.map_or_else(|| datagram.clone(), |message| frame(&datagram, &message));
+        let room = PACKET_BYTES.saturating_sub(datagram.len() + FRAME_OVERHEAD);
+        let rides = parts.replica.as_mut().and_then(|replica| replica.piggyback(now, room));
+        let datagram = match &rides {
+            Some(message) => Frame { membership: &datagram, shared_state: message }.encode(),
+            None => datagram,
+        };
         let _ = socket.send_to(&datagram, to).await;
     }
-    let sends = parts.replica.as_mut().map(|replica| replica.take_sends());
+    let sends = parts.replica.as_mut().map(|replica| replica.take_datagrams());
     for (to, message) in sends.into_iter().flatten() {
-        let _ = socket.send_to(&frame(&[], &message), to).await;
+        let _ = socket.send_to(&Frame { membership: &[], shared_state: &message }.encode(), to).await;
     }
 }
--- a/crates/transport/src/fleet/heard.rs
+++ b/crates/transport/src/fleet/heard.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use wharfplank_routing::Micros;
-use wharfplank_shared_state::{Doubt, Doubts, News, ENTRIES_MOST};
+use wharfplank_shared_state::{InDoubtWrites, StateUpdate, WriteOutcome, WriteRecord, MAX_ENTRIES};
 
 /// News that may wait for the broker; past that the oldest go. They are lower bounds, and come again.
 const NEWS_MOST: usize = 4096;
@@ -23,30 +23,30 @@
     /// The members that the fleet does not hold sound, and what the latency of each counts for.
     Factors(Vec<(u64, f64)>),
     /// What other proxies learned.
-    News(Vec<News>),
+    News(Vec<StateUpdate>),
 }
 
 /// The serving thread's end.
 pub(super) struct Heard {
     told: Inbox<Told>,
-    doubts: Doubts,
+    doubts: InDoubtWrites,
     shares: Option<Vec<(String, f64)>>,
     factors: Option<Vec<(u64, f64)>>,
-    news: Vec<News>,
+    news: Vec<StateUpdate>,
 }
 
 impl Heard {
     /// Nothing heard yet but the writes in doubt that a snapshot brought.
-    pub(super) fn new(told: Inbox<Told>, known: Vec<(u64, Doubt, Micros)>) -> Heard {
-        let mut doubts = Doubts::bounded(ENTRIES_MOST);
-        known.into_iter().for_each(|(write, doubt, at)| doubts.merge(write, doubt, at));
+    pub(super) fn new(told: Inbox<Told>, known: Vec<WriteRecord>) -> Heard {
+        let mut doubts = InDoubtWrites::new(MAX_ENTRIES);
+        known.into_iter().for_each(|record| doubts.merge(record));
         Heard { told, doubts, shares: None, factors: None, news: Vec::new() }
     }
 
     /// What this proxy knows itself of a write: it holds here at once, whatever the fleet's thread does.
-    pub(super) fn doubt(&mut self, now: Micros, write: u64, doubt: Doubt) {
+    pub(super) fn doubt(&mut self, now: Micros, write: u64, outcome: WriteOutcome) {
         self.doubts.expire(now);
-        self.doubts.merge(write, doubt, now);
+        self.doubts.merge(WriteRecord { write, outcome, refreshed_at: now });
     }
 
     /// Whether a write may have run, by all that the fleet's thread has told until now.
@@ -54,7 +54,7 @@
         while let Some(told) = self.told.try_next() {
             self.take(told);
         }
-        self.doubts.has(write)
+        self.doubts.contains(write)
     }
 
     fn take(&mut self, told: Told) {
@@ -62,7 +62,7 @@
             Told::Shares(shares) => self.shares = Some(shares),
             Told::Factors(factors) => self.factors = Some(factors),
             Told::News(news) => news.into_iter().for_each(|news| match news {
-                News::Doubt { write, doubt, at } => self.doubts.merge(write, doubt, at),
+                StateUpdate::Write(record) => self.doubts.merge(record),
                 other => self.news.push(other),
             }),
         }
@@ -112,25 +112,28 @@
     use crate::duty::ring;
     use futures_lite::future::{block_on, poll_once};
 
-    fn doubt(write: u64) -> News {
-        News::Doubt { write, doubt: Doubt::Open, at: 1 }
+    fn doubt(write: u64) -> StateUpdate {
+        StateUpdate::Write(WriteRecord { write, outcome: WriteOutcome::InDoubt, refreshed_at: 1 })
     }
 
     #[test]
     fn a_doubt_holds_as_soon_as_it_is_told_and_the_broker_still_hears_the_rest() {
         let (mut told, inbox) = ring(8);
-        let mut heard = Heard::new(inbox, vec![(1, Doubt::Ran, 1)]);
+        let mut heard = Heard::new(
+            inbox,
+            vec![WriteRecord { write: 1, outcome: WriteOutcome::Executed, refreshed_at: 1 }],
+        );
         told.push(Told::Shares(vec![("a".to_string(), 0.0)]));
-        told.push(Told::News(vec![doubt(2), News::Suspected { member: 7, at: 3 }]));
+        told.push(Told::News(vec![doubt(2), StateUpdate::Suspected { member: 7, since: 3 }]));
         assert!(heard.in_doubt(1) && heard.in_doubt(2) && !heard.in_doubt(3));
-        heard.doubt(5, 3, Doubt::Open);
+        heard.doubt(5, 3, WriteOutcome::InDoubt);
         assert!(heard.in_doubt(3));
         told.push(Told::Shares(vec![("a".to_string(), 1.0)]));
         drop(told);
         let events: Vec<Option<Event>> =
             (0..3).map(|_| block_on(poll_fn(|cx| heard.poll_event(cx)))).collect();
         assert!(matches!(&events[0], Some(Event::Shares(shares)) if shares[0].1 == 1.0), "the newest alone");
-        let news = |news: &[News]| news == [News::Suspected { member: 7, at: 3 }];
+        let news = |news: &[StateUpdate]| news == [StateUpdate::Suspected { member: 7, since: 3 }];
         assert!(matches!(&events[1], Some(Event::Told(told)) if news(told)));
         assert!(events[2].is_none());
     }
@@ -140,7 +143,7 @@
         let (mut told, inbox) = ring(8);
         let mut heard = Heard::new(inbox, Vec::new());
         for nth in 0..3 * NEWS_MOST as u64 {
-            told.push(Told::News(vec![News::Suspected { member: nth, at: 1 }]));
+            told.push(Told::News(vec![StateUpdate::Suspected { member: nth, since: 1 }]));
             assert!(!heard.in_doubt(9));
         }
         assert_eq!((heard.news.len(), told.dropped()), (NEWS_MOST, 0));
--- a/crates/transport/src/fleet/judge.rs
+++ b/crates/transport/src/fleet/judge.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 use wharfplank_health::{Health, Verdict, Verdicts};
 use wharfplank_routing::Micros;
-use wharfplank_shared_state::named;
+use wharfplank_shared_state::hash_name;
 
 /// The judgement, with the members' names for the log; bounded by what the judgement keeps and the broker retains.
 pub struct Judge {
@@ -27,7 +27,7 @@
 
     /// See [`Health::listed`].
     pub(super) fn listed(&mut self, member: u64, name: &str, zone: &str, born_ms: i64) {
-        self.health.listed(member, named(zone), born_ms);
+        self.health.listed(member, hash_name(zone), born_ms);
         self.names.insert(member, name.to_string());
     }
 
@@ -52,13 +52,13 @@
     }
     judge.due = now + Verdicts::EVERY;
     let me = parts.peers.me().clone();
-    let router = |addr: SocketAddrV4, zone: &str| (key(addr), named(zone));
+    let router = |addr: SocketAddrV4, zone: &str| (key(addr), hash_name(zone));
     let others = parts.peers.alive().map(|peer| router(peer.addr, &peer.zone));
     judge.health.routers(others.chain([router(me.addr, &me.zone)]));
     for (member, voice) in judge.health.to_tell(now) {
-        replica.voice(now, member, key(me.addr), voice);
+        replica.record_health(now, member, key(me.addr), voice);
     }
-    judge.health.decide(now, replica.voices());
+    judge.health.decide(now, replica.health_observations());
     let Judge { health, names, said, .. } = judge;
     for (member, name) in names.iter() {
         let (verdict, was) = (health.verdict(*member), said.entry(*member).or_default());
--- a/crates/transport/src/fleet/mod.rs
+++ b/crates/transport/src/fleet/mod.rs
@@ -32,7 +32,7 @@
 use wharfplank_failover::Zones;
 use wharfplank_gossip::Peers;
 use wharfplank_routing::Micros;
-use wharfplank_shared_state::{Doubt, Replica};
+use wharfplank_shared_state::{SharedState, WriteRecord};
 
 /// Facts that may wait for the thread, and what may wait for the broker; past that they are dropped and counted, since
 /// serving must not wait.
@@ -48,7 +48,7 @@
     /// The decision.
     pub zones: Zones,
     /// The replicated state, where it is on.
-    pub replica: Option<Replica>,
+    pub replica: Option<SharedState>,
     /// The judgement of members, where it is on; it needs the replicated state.
     pub judge: Option<Judge>,
     /// Takes snapshots without waiting, where they are kept.
@@ -70,7 +70,7 @@
     /// See `now`.
     pub skew: Micros,
     /// The writes in doubt that a snapshot brought, where state is replicated.
-    pub doubts: Option<Vec<(u64, Doubt, Micros)>>,
+    pub doubts: Option<Vec<WriteRecord>>,
     /// Whether members are judged.
     pub judged: bool,
     /// Where events for the broker go.
--- a/crates/transport/src/fleet/said.rs
+++ b/crates/transport/src/fleet/said.rs
@@ -3,7 +3,7 @@
 use wharfplank_failover::Standing;
 use wharfplank_gossip::{Change, Peer, Peers};
 use wharfplank_health::Verdict;
-use wharfplank_shared_state::Replica;
+use wharfplank_shared_state::SharedState;
 
 /// What the driver tells the log.
 #[derive(Clone)]
@@ -30,7 +30,7 @@
     /// The thread failed: from now on this proxy is as one without peers.
     Failed,
     /// What the replicated state holds, once it changed.
-    Replica(&'a Replica),
+    SharedState(&'a SharedState),
     /// What the fleet holds of a member changed.
     Member {
         /// The member's name.
--- a/crates/transport/src/fleet/witness.rs
+++ b/crates/transport/src/fleet/witness.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use wharfplank_health::Outcome;
 use wharfplank_routing::Micros;
-use wharfplank_shared_state::Doubt;
+use wharfplank_shared_state::{MemberStatus, WriteOutcome};
 
 /// What a member did, as the broker saw it.
 #[derive(Clone, Debug)]
@@ -33,11 +33,11 @@
     /// A member told its position itself, in the epoch of its launch.
     Position(Micros, u64, i64, Micros),
     /// Whether this proxy suspects a member.
-    Suspects(Micros, u64, bool),
+    Suspects(Micros, u64, MemberStatus),
     /// One more of one of the fleet's counters.
     Count(Micros, u32),
     /// What is known of a write whose client got no success.
-    Doubt(Micros, u64, Doubt),
+    Doubt(Micros, u64, WriteOutcome),
     /// A member as the list has it: its name, its zone and its launch.
     Listed(u64, Box<(String, String)>, i64),
     /// The members that are still on the list.
@@ -77,9 +77,9 @@
     }
 
     /// Whether this proxy suspects a member: while it does, and once when it no longer does.
-    pub fn suspects(&self, now: Micros, member: u64, suspects: bool) {
+    pub fn suspects(&self, now: Micros, member: u64, status: MemberStatus) {
         if self.heard.is_some() {
-            self.push(Fact::Suspects(now, member, suspects));
+            self.push(Fact::Suspects(now, member, status));
         }
     }
 
@@ -91,10 +91,10 @@
     }
 
     /// What is known of a write whose client got no success. It holds here from now on, whatever the thread does.
-    pub fn doubt(&self, now: Micros, write: u64, doubt: Doubt) {
+    pub fn doubt(&self, now: Micros, write: u64, outcome: WriteOutcome) {
         if let Some(heard) = &self.heard {
-            heard.borrow_mut().doubt(now + self.skew, write, doubt);
-            self.push(Fact::Doubt(now, write, doubt));
+            heard.borrow_mut().doubt(now + self.skew, write, outcome);
+            self.push(Fact::Doubt(now, write, outcome));
         }
     }
 
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -119,7 +119,7 @@
     /// The members that the fleet does not hold sound, and what the latency of each counts for.
     Factors(Vec<(u64, f64)>),
     /// What other proxies learned.
-    Told(Vec<wharfplank_shared_state::News>),
+    Told(Vec<wharfplank_shared_state::StateUpdate>),
     /// The process that replaces this one, or that this one replaces.
     Other(handover::Other),
     /// The process is asked to read its configuration anew.
