--- a/crates/proxy/src/broker/budgets.rs
+++ b/crates/proxy/src/broker/budgets.rs
@@ -25,7 +25,7 @@
     pub(super) fn bar_retries(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let barred = self.shared.budgets.as_ref().is_some_and(|budgets| !budgets.could_retry());
         if barred != std::mem::replace(&mut self.barred.retries, barred) {
-            self.router.handle(now, routing::Event::Retries(!barred), actions);
+            self.router.handle(now, routing::Event::RetriesAllowed(!barred), actions);
         }
     }
 
@@ -33,17 +33,20 @@
     pub(super) fn settle_probes(&mut self) {
         while let Some(host) = self.barred.probes.pop_front() {
             self.counts.one("probed", "denied", "");
-            let probed = Probed { host, ok: false, role: None, position: None, queue: None };
-            self.route(self.clock.now(), routing::Event::Probed(probed));
+            let probed = ProbeResult { host, answered: false, role: None, position: None, queued: None };
+            self.route(self.clock.now(), routing::Event::ProbeFinished(probed));
         }
     }
 
     /// Breaks attempts off whose connections must go since the fleet's budget has none for them any more, the oldest
     /// first; what is idle goes as pools are tended.
     pub(super) fn break_off(&mut self) {
-        let over: Vec<(HostId, u64)> = self.members.iter().map(|(host, m)| (*host, m.excess().1)).collect();
+        let over: Vec<(HostId, u64)> =
+            self.members.iter().map(|(host, m)| (*host, m.excess().overdue)).collect();
         for (host, overdue) in over.into_iter().filter(|(_, overdue)| *overdue > 0) {
-            let here = |f: &Flight| f.host == host && matches!(f.stage.get(), Stage::Begun | Stage::Written);
+            let here = |f: &Flight| {
+                f.host == host && matches!(f.stage.get(), AttemptStage::Writing | AttemptStage::Written)
+            };
             let out = self.flights.iter().filter(|(_, f)| here(f)).map(|(key, f)| (f.sent, *key));
             let mut out: Vec<_> = out.collect();
             out.extend(self.passing.at(host));
@@ -51,8 +54,10 @@
             for (_, (id, attempt)) in out.into_iter().take(overdue as usize) {
                 self.counts.one("budget", "broken_off", "");
                 match self.passing.has(&(id, attempt)) {
-                    true => self.passed(id, attempt, Report::bare(Ending::Cancelled)),
-                    false => self.end(id, attempt, Ending::Cancelled),
+                    true => {
+                        self.passed(id, attempt, AttemptReport::without_answer(AttemptOutcome::Cancelled))
+                    }
+                    false => self.end(id, attempt, AttemptOutcome::Cancelled),
                 }
             }
         }
--- a/crates/proxy/src/broker/course.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -1,6 +1,7 @@
 //! The process's own course: its start, its regular work, a new configuration and its end.
 
 use super::*;
+use wharfplank_admin::ReloadResult;
 
 /// The front is told that queries can be served once discovery has answered, there is a list and a member is
 /// connected, or after these times: a proxy that is cut off, or has no list at all, still answers.
@@ -24,7 +25,10 @@
     /// Reads the configuration anew.
     pub(super) fn reload(&mut self) {
         let read = Config::anew();
-        self.shared.figures.reloaded(read.is_ok());
+        self.shared.metrics.record_reload(match read {
+            Ok(_) => ReloadResult::Applied,
+            Err(_) => ReloadResult::Failed,
+        });
         self.journal.reloaded(read.is_ok());
         match read {
             Ok(config) => {
@@ -40,7 +44,7 @@
         if self.leaving_at.is_none() {
             self.leaving_at = Some(self.clock.now());
             self.journal.stopping();
-            self.clients.leave();
+            self.clients.begin_draining();
         }
     }
 
@@ -50,7 +54,7 @@
         let stage = match self.leaving_at {
             // Values that still pass through are waited for past that, step by step.
             Some(at) if self.closed && !self.gave_up => {
-                (at + give_up_after(self.terms.longest)).min(self.clock.now() + LAST_WORDS / 4)
+                (at + give_up_after(self.terms.longest_deadline)).min(self.clock.now() + LAST_WORDS / 4)
             }
             Some(_) if self.closed => self.clock.now() + LAST_WORDS / 4,
             Some(at) => at + CLOSE_AFTER,
@@ -69,20 +73,20 @@
         }
         if now >= self.tend_at {
             self.tend_at = now + TEND;
-            self.counts.add("connections", "open", "", self.shared.open.get() as u64);
+            self.counts.add("connections", "open", "", self.shared.open_connections.get() as u64);
             if let Some(what) = self.counts.take() {
                 log::counts(now as u64 / 1000, &what);
             }
-            self.shared.relax();
+            self.shared.relax_liveness_check();
             self.talk.suspicions(now, suspects(&self.router));
             self.break_off();
-            self.members.values().for_each(|m| m.tend());
-            let (views, journal) = (self.router.view(), &self.journal);
+            self.members.values().for_each(|m| m.maintain());
+            let (views, journal) = (self.router.member_views(), &self.journal);
             self.releases.tell(now, &self.listed, &self.cordons, &self.names, views, |said, names| {
                 journal.released(said, names)
             });
             if self.journal.records() {
-                self.router.view().for_each(|view| self.journal.seen(&view));
+                self.router.member_views().for_each(|view| self.journal.seen(&view));
                 self.journal.hand_over();
             }
         }
@@ -90,26 +94,26 @@
             let age = now - self.started;
             let told = self.told || age >= DISCOVERY_WAIT;
             let late = age >= READY_WAIT;
-            let warm = late || self.members.values().any(|m| m.warm());
-            let wanted = self.members.iter().filter(|(_, m)| !warm && m.wanted()).map(|(host, _)| *host);
+            let warm = late || self.members.values().any(|m| m.has_idle_connection());
+            let wanted = self.members.iter().filter(|(_, m)| !warm && m.is_active()).map(|(host, _)| *host);
             let knock = self.opening.next(now, wanted);
-            knock.and_then(|host| self.members.get(&host)).into_iter().for_each(|m| m.knock());
+            knock.and_then(|host| self.members.get(&host)).into_iter().for_each(|m| m.connect_if_unused());
             if told && warm && (late || !self.listed.is_empty()) {
                 self.ready = true;
-                self.clients.ready();
+                self.clients.set_ready();
             }
         }
         let Some(leaving_at) = self.leaving_at else { return };
         if !self.closed && now >= leaving_at + CLOSE_AFTER {
             self.closed = true;
             self.lookups.end();
-            self.clients.close();
+            self.clients.stop_accepting();
             self.leave_socket();
         }
-        if !self.gave_up && now >= leaving_at + give_up_after(self.terms.longest) {
+        if !self.gave_up && now >= leaving_at + give_up_after(self.terms.longest_deadline) {
             self.gave_up = true;
             // A process that stood still gives up late: the answers have their time to be written all the same.
-            self.leaving_at = Some(now - give_up_after(self.terms.longest));
+            self.leaving_at = Some(now - give_up_after(self.terms.longest_deadline));
             self.give_up();
         }
     }
@@ -117,9 +121,9 @@
     /// Whether the process may end.
     pub(super) fn over(&self) -> bool {
         let Some(leaving_at) = self.leaving_at else { return false };
-        let done = self.requests.is_empty() && self.clients.over();
+        let done = self.requests.is_empty() && self.clients.is_finished();
         // What still passes through ends by itself, or with the process.
-        let late = self.clock.now() >= leaving_at + give_up_after(self.terms.longest) + LAST_WORDS;
+        let late = self.clock.now() >= leaving_at + give_up_after(self.terms.longest_deadline) + LAST_WORDS;
         (self.closed && done) || (late && self.passing.none())
     }
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -3,8 +3,8 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
-use wharfplank_protocol::catalog::{self, Catalog};
-use wharfplank_routing::settings::{translate, Fields, Terms};
+use wharfplank_protocol::endpoint_list::{self, EndpointList};
+use wharfplank_routing::settings::{translate, Fields, ProxyParameters};
 use wharfplank_routing::{Consistency, Micros, Settings};
 
 /// A bound counts when the last byte is sent, a little after the decision: reads are decided as if they
@@ -31,11 +31,11 @@
     /// Bytes of memory that may be used.
     pub memory: usize,
     /// The list as it was last known.
-    pub known: Catalog,
+    pub known: EndpointList,
     /// The module's settings.
     pub settings: Settings,
     /// The rest of the settings.
-    pub terms: Terms,
+    pub terms: ProxyParameters,
 }
 
 /// Addresses that come before what the file says.
@@ -103,13 +103,13 @@
             return Err("settings: field Classes: is missing or empty".to_string());
         }
         for class in &mut settings.classes {
-            if let Consistency::Bounded(bound) = &mut class.consistency {
+            if let Consistency::BoundedStaleness(bound) = &mut class.consistency {
                 *bound = (*bound - SEND_MARGIN).max(0);
             }
         }
         let known = json.get("known").filter(|known| !known.is_null());
-        let known = known.map_or(Ok(Catalog::default()), |known| {
-            catalog::read(known).map_err(|what| format!("known: {what}"))
+        let known = known.map_or(Ok(EndpointList::default()), |known| {
+            endpoint_list::from_json(known).map_err(|what| format!("known: {what}"))
         })?;
         let (sockets, memory) = limits(&json)?;
         Ok(Config { listen, admin, discovery, sockets, memory, known, settings, terms })
--- a/crates/proxy/src/journal.rs
+++ b/crates/proxy/src/journal.rs
@@ -5,12 +5,12 @@
 use super::log;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
-use wharfplank_protocol::catalog::{Health, Host};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
 use wharfplank_records::recorder::Terms;
 use wharfplank_records::{record, store::Limits, Outcome, Record, Recorder, Seen};
 use wharfplank_rollout::status::name;
 use wharfplank_rollout::Said;
-use wharfplank_routing::{ClassId, GroupId, HostId, Micros, Reason, View};
+use wharfplank_routing::{ClassId, GroupId, HostId, MemberView, Micros, RejectReason};
 use wharfplank_settings::Records;
 
 const DAY: Micros = 86_400_000_000;
@@ -20,23 +20,23 @@
     recorder: Option<Recorder>,
     aims: Vec<Micros>,
     /// What the list last said of each member.
-    listed: HashMap<HostId, (Health, i64)>,
+    listed: HashMap<HostId, (EndpointHealth, i64)>,
 }
 
 /// The module's reason as records and the log's counts name it.
-pub fn recorded(reason: Reason) -> record::Reason {
+pub fn recorded(reason: RejectReason) -> record::Reason {
     match reason {
-        Reason::TooStale { .. } => record::Reason::TooStale,
-        Reason::NoPrimary => record::Reason::NoPrimary,
-        Reason::NoMember => record::Reason::NoMember,
-        Reason::Shed => record::Reason::Shed,
-        Reason::HeldTooLong => record::Reason::Held,
-        Reason::OutOfTime => record::Reason::OutOfTime,
-        Reason::AttemptsSpent => record::Reason::Spent,
-        Reason::MayHaveRun => record::Reason::MayHaveRun,
-        Reason::Closing => record::Reason::Closing,
-        Reason::Unusable => record::Reason::Unusable,
-        Reason::OverBudget => record::Reason::OverBudget,
+        RejectReason::TooStale { .. } => record::Reason::TooStale,
+        RejectReason::NoPrimary => record::Reason::NoPrimary,
+        RejectReason::NoMember => record::Reason::NoMember,
+        RejectReason::LoadShed => record::Reason::Shed,
+        RejectReason::QueuedTooLong => record::Reason::Held,
+        RejectReason::DeadlineExceeded => record::Reason::OutOfTime,
+        RejectReason::AttemptsExhausted => record::Reason::Spent,
+        RejectReason::MayHaveRun => record::Reason::MayHaveRun,
+        RejectReason::ShuttingDown => record::Reason::Closing,
+        RejectReason::UnknownClass => record::Reason::Unusable,
+        RejectReason::OverQuota => record::Reason::OverBudget,
     }
 }
 
@@ -58,7 +58,7 @@
 impl Journal {
     /// Starts the recorder that the settings ask for.
     pub fn start(settings: Option<&Records>, config: &Config, clock: Clock) -> Result<Journal, String> {
-        let aims = config.settings.classes.iter().map(|c| c.aim).collect();
+        let aims = config.settings.classes.iter().map(|c| c.latency_objective).collect();
         let mut journal = Journal { recorder: None, aims, listed: HashMap::new() };
         if let Some(settings) = settings {
             let days = |days: u32| Micros::from(days) * DAY;
@@ -78,7 +78,7 @@
             journal.recorder = Some(recorder.map_err(|e| format!("records: {e}"))?);
         }
         journal.note(|| Record::Proxy { zone: config.terms.zone.clone() });
-        for (class, (name, aim)) in config.terms.names.iter().zip(journal.aims.clone()).enumerate() {
+        for (class, (name, aim)) in config.terms.class_names.iter().zip(journal.aims.clone()).enumerate() {
             journal.note(|| Record::Class { class: class as u16, name: name.clone(), aim });
         }
         Ok(journal)
@@ -103,23 +103,23 @@
     }
 
     /// A member was heard of for the first time.
-    pub fn named(&self, host: HostId, listed: &Host) {
-        self.note(|| Record::Name { member: host.0, name: listed.name.clone(), zone: listed.site.clone() });
+    pub fn named(&self, host: HostId, listed: &EndpointRecord) {
+        self.note(|| Record::Name { member: host.0, name: listed.name.clone(), zone: listed.zone.clone() });
     }
 
     /// The list said something of a member.
-    pub fn listed(&mut self, seq: u64, host: HostId, listed: &Host) {
-        let (health, born) = (listed.health, listed.born_ms);
+    pub fn listed(&mut self, seq: u64, host: HostId, listed: &EndpointRecord) {
+        let (health, born) = (listed.health, listed.started_at_ms);
         if self.recorder.is_none() || self.listed.insert(host, (health, born)) == Some((health, born)) {
             return;
         }
         let name = match health {
-            Health::Active => "active",
-            Health::Leaving => "leaving",
-            Health::Left => "left",
+            EndpointHealth::Active => "active",
+            EndpointHealth::Draining => "leaving",
+            EndpointHealth::Removed => "left",
         };
         self.note(|| Record::Listed { seq, member: host.0, health: name.to_string(), born: born * 1000 });
-        if health == Health::Left {
+        if health == EndpointHealth::Removed {
             self.listed.remove(&host);
         }
     }
@@ -136,9 +136,9 @@
     }
 
     /// A request was refused, or failed.
-    pub fn given_up(&self, ended: Ended, refused: bool, reason: Reason) {
+    pub fn given_up(&self, ended: Ended, refused: bool, reason: RejectReason) {
         let stale = match reason {
-            Reason::TooStale { needed, known } => Some((needed, known)),
+            RejectReason::TooStale { needed, known } => Some((needed, known)),
             _ => None,
         };
         let reason = recorded(reason);
@@ -159,7 +159,7 @@
     }
 
     /// A member's state.
-    pub fn seen(&self, view: &View) {
+    pub fn seen(&self, view: &MemberView) {
         self.note(|| {
             Record::Seen(Seen {
                 member: view.host.0,
@@ -167,10 +167,10 @@
                 primary: view.primary,
                 active: view.active,
                 position: view.position,
-                heard: view.heard,
-                suspected: view.suspected,
+                heard: view.position_seen_at,
+                suspected: view.suspected_since,
                 in_flight: view.in_flight as u32,
-                slowness: (view.traits.slowness * 100.0).clamp(0.0, 1e6) as u32,
+                slowness: (view.traits.relative_latency * 100.0).clamp(0.0, 1e6) as u32,
             })
         });
     }
