--- a/crates/transport/src/budgets/mod.rs
+++ b/crates/transport/src/budgets/mod.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_budget::{BudgetId, BudgetKind, BudgetLimits, LeaseHolder, LeaseRequest, Micros};
-use wharfplank_shared_state::named;
+use wharfplank_shared_state::hash_name;
 
 /// Asks and leases that may wait between the two threads.
 pub const RING: usize = 256;
@@ -94,7 +94,7 @@
 
     /// Whether a member may be probed.
     pub fn probe(&self, member: &str) -> bool {
-        self.spend(&[BudgetKind::HealthChecks.budget(named(member))])
+        self.spend(&[BudgetKind::HealthChecks.budget(hash_name(member))])
     }
 
     /// Whether discovery may be called.
@@ -105,8 +105,8 @@
     /// Whether a connection to a member may be opened; it is held until [`Budgets::let_go`].
     pub fn connect(&self, member: &str) -> bool {
         let (connects, held) = (
-            BudgetKind::NewConnections.budget(named(member)),
-            BudgetKind::OpenConnections.budget(named(member)),
+            BudgetKind::NewConnections.budget(hash_name(member)),
+            BudgetKind::OpenConnections.budget(hash_name(member)),
         );
         let now = (self.now)();
         let could = self.spender.borrow_mut().holder.can_spend(now, connects);
@@ -121,14 +121,14 @@
 
     /// A connection to a member is closed, or never came up.
     pub fn let_go(&self, member: &str) {
-        let held = BudgetKind::OpenConnections.budget(named(member));
+        let held = BudgetKind::OpenConnections.budget(hash_name(member));
         self.spender.borrow_mut().holder.release(held);
         self.note_held((self.now)(), held);
     }
 
     /// Connections to a member past the share, and how many of these must go now, idle or not.
     pub fn excess(&self, member: &str) -> (u64, u64) {
-        let held = BudgetKind::OpenConnections.budget(named(member));
+        let held = BudgetKind::OpenConnections.budget(hash_name(member));
         let excess = self.spender.borrow_mut().holder.excess((self.now)(), held);
         (excess.over_quota, excess.overdue)
     }
@@ -224,5 +224,5 @@
 /// The budgets of a member.
 fn members(name: &str) -> [BudgetId; 3] {
     [BudgetKind::HealthChecks, BudgetKind::NewConnections, BudgetKind::OpenConnections]
-        .map(|kind| kind.budget(named(name)))
+        .map(|kind| kind.budget(hash_name(name)))
 }
