--- /dev/null
+++ b/crates/failover/src/failure_detector.rs
@@ -0,0 +1,113 @@
+//! What this proxy has seen of one zone's members, and its own vote on the zone.
+
+use crate::votes::Vote;
+use crate::{FailoverTerms, Micros};
+use std::collections::VecDeque;
+
+/// Outcomes of a zone kept at most: past that the oldest go, which only shortens the window under a flood.
+pub const MAX_OUTCOMES: usize = 256;
+
+/// What became of something that was sent to a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MemberOutcome {
+    /// The member answered in any way: a value, an error, a miss, or that it is overloaded.
+    Answered,
+    /// There was no connection, or no answer in time.
+    Silent,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Observation {
+    at: Micros,
+    member: u32,
+    outcome: MemberOutcome,
+}
+
+/// Detects at one proxy that a zone's members stopped answering.
+#[derive(Clone, Debug, Default)]
+pub struct ZoneFailureDetector {
+    observations: VecDeque<Observation>,
+    vote: Vote,
+    /// When the vote was last confirmed.
+    confirmed_at: Micros,
+    /// When the zone last answered.
+    answered_at: Option<Micros>,
+}
+
+impl ZoneFailureDetector {
+    /// Records an outcome of a member.
+    pub fn record(&mut self, now: Micros, member: u32, outcome: MemberOutcome, terms: &FailoverTerms) {
+        if outcome == MemberOutcome::Answered {
+            self.answered_at = Some(now);
+        }
+        if self.observations.len() >= MAX_OUTCOMES {
+            self.observations.pop_front();
+        }
+        self.observations.push_back(Observation { at: now, member, outcome });
+        self.update_vote(now, terms);
+    }
+
+    /// Records that what was sent at `sent_at` has timed out by now. A request sent before the zone's last answer says
+    /// nothing newer than that answer: a long wait that began while the zone was lost ends after its return.
+    pub fn record_timeout(&mut self, now: Micros, sent_at: Micros, member: u32, terms: &FailoverTerms) {
+        if self.answered_at.is_none_or(|answered_at| answered_at < sent_at) {
+            self.record(now, member, MemberOutcome::Silent, terms);
+        }
+    }
+
+    /// The vote as of now.
+    pub fn vote(&mut self, now: Micros, terms: &FailoverTerms) -> Vote {
+        self.update_vote(now, terms);
+        self.vote
+    }
+
+    /// How many outcomes are kept.
+    pub fn outcome_count(&self) -> usize {
+        self.observations.len()
+    }
+
+    fn update_vote(&mut self, now: Micros, terms: &FailoverTerms) {
+        self.expire_observations(now, terms.window);
+        if self.has_answer() {
+            self.confirm(now, Vote::Up);
+        } else if self.is_silent(terms) {
+            self.confirm(now, Vote::Down);
+        } else if !self.observations.is_empty() && self.vote == Vote::Up {
+            // Silence since the last answer: the zone is no longer known to answer, nor yet known not to.
+            self.vote = Vote::Unknown;
+        } else {
+            self.expire_vote(now, terms);
+        }
+    }
+
+    fn expire_observations(&mut self, now: Micros, window: Micros) {
+        while self.observations.front().is_some_and(|observation| now - observation.at > window) {
+            self.observations.pop_front();
+        }
+    }
+
+    fn has_answer(&self) -> bool {
+        self.observations.iter().any(|observation| observation.outcome == MemberOutcome::Answered)
+    }
+
+    /// Whether enough outcomes of enough members are silent, where none is an answer.
+    fn is_silent(&self, terms: &FailoverTerms) -> bool {
+        let mut members: Vec<u32> = self.observations.iter().map(|observation| observation.member).collect();
+        members.sort_unstable();
+        members.dedup();
+        self.observations.len() as u32 >= terms.min_silent_outcomes
+            && members.len() >= terms.min_silent_members
+    }
+
+    fn confirm(&mut self, now: Micros, vote: Vote) {
+        self.vote = vote;
+        self.confirmed_at = now;
+    }
+
+    fn expire_vote(&mut self, now: Micros, terms: &FailoverTerms) {
+        let ttl = if self.vote == Vote::Up { terms.up_vote_ttl } else { terms.vote_ttl };
+        if now - self.confirmed_at > ttl {
+            self.vote = Vote::Unknown;
+        }
+    }
+}
--- /dev/null
+++ b/crates/failover/src/zone_state.rs
@@ -0,0 +1,97 @@
+//! The state machine of one zone.
+
+use crate::recovery::{hold, ramp_share};
+use crate::votes::DISTANT_PAST;
+use crate::{FailoverTerms, Micros};
+
+/// Whether a zone serves this proxy's reads.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ZoneState {
+    /// It gets all of its reads.
+    InService,
+    /// It gets none.
+    Evacuated {
+        /// Since when.
+        since: Micros,
+    },
+    /// It gets a growing part of its reads.
+    Recovering {
+        /// Since when.
+        since: Micros,
+    },
+}
+
+impl ZoneState {
+    /// The part of its reads that the zone gets now.
+    pub(crate) fn read_share(self, now: Micros, terms: &FailoverTerms) -> f64 {
+        match self {
+            ZoneState::InService => 1.0,
+            ZoneState::Evacuated { .. } => 0.0,
+            ZoneState::Recovering { since } => ramp_share(since, now, terms),
+        }
+    }
+}
+
+/// What the quorum says of a zone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum QuorumVerdict {
+    /// It is not down.
+    NotDown,
+    /// It is down.
+    Down,
+    /// It is down by votes that this proxy may have read late: a zone in service is not evacuated on it.
+    PossiblyOutdatedDown,
+}
+
+/// A zone's state and the history that its next state depends on.
+#[derive(Clone, Debug)]
+pub(crate) struct ZoneStatus {
+    state: ZoneState,
+    /// Recoveries that failed since the zone was last stable: each doubles the hold.
+    failed_recoveries: u32,
+    evacuated_at: Micros,
+}
+
+impl Default for ZoneStatus {
+    fn default() -> Self {
+        ZoneStatus { state: ZoneState::InService, failed_recoveries: 0, evacuated_at: DISTANT_PAST }
+    }
+}
+
+impl ZoneStatus {
+    /// The state.
+    pub fn state(&self) -> ZoneState {
+        self.state
+    }
+
+    /// Moves on to the next state; true where it changed.
+    pub fn update(&mut self, now: Micros, verdict: QuorumVerdict, terms: &FailoverTerms) -> bool {
+        if now - self.evacuated_at > terms.hold_reset_after {
+            self.failed_recoveries = 0;
+        }
+        let next = self.next_state(now, verdict, terms);
+        if next == self.state {
+            return false;
+        }
+        if matches!(next, ZoneState::Evacuated { .. }) {
+            self.evacuated_at = now;
+            self.failed_recoveries += u32::from(matches!(self.state, ZoneState::Recovering { .. }));
+        }
+        self.state = next;
+        true
+    }
+
+    fn next_state(&self, now: Micros, verdict: QuorumVerdict, terms: &FailoverTerms) -> ZoneState {
+        let is_down = verdict != QuorumVerdict::NotDown;
+        let hold = hold(self.failed_recoveries, terms);
+        match self.state {
+            ZoneState::InService if verdict == QuorumVerdict::Down => ZoneState::Evacuated { since: now },
+            ZoneState::Recovering { .. } if is_down => ZoneState::Evacuated { since: now },
+            ZoneState::Evacuated { since } if !is_down && now - since >= hold => {
+                ZoneState::Recovering { since: now }
+            }
+            ZoneState::Recovering { since } if now - since >= terms.ramp_duration => ZoneState::InService,
+            state => state,
+        }
+    }
+}
--- /dev/null
+++ b/crates/failover/tests/controller.rs
@@ -0,0 +1,204 @@
+//! The decision of one proxy, from its own outcomes and the votes of its peers.
+
+use wharfplank_failover::MemberOutcome::{Answered, Silent};
+use wharfplank_failover::{
+    FailoverController, FailoverTerms, IsolationPolicy, Micros, Vote, VoteVersion, ZoneState, ZoneVote,
+    MAX_PEERS, MAX_ZONES,
+};
+
+const S: Micros = 1_000_000;
+
+fn controller(isolation: IsolationPolicy) -> FailoverController {
+    FailoverController::new(FailoverTerms::default(), isolation)
+}
+
+/// Lets enough members of a zone fall silent for a Down vote.
+fn record_silence(failover: &mut FailoverController, now: Micros, zone: &str) {
+    for (i, member) in [1, 2, 1].into_iter().enumerate() {
+        failover.record(now + i as Micros, zone, member, Silent);
+    }
+}
+
+fn down(zone: &str) -> Vec<ZoneVote> {
+    vec![ZoneVote::new(zone, Vote::Down)]
+}
+
+fn up(zone: &str) -> Vec<ZoneVote> {
+    vec![ZoneVote::new(zone, Vote::Up)]
+}
+
+fn version(version: u64) -> VoteVersion {
+    VoteVersion { generation: 1, version }
+}
+
+fn is_evacuated(failover: &FailoverController, zone: &str) -> bool {
+    matches!(failover.zone_state(zone), ZoneState::Evacuated { .. })
+}
+
+#[test]
+fn a_zone_is_evacuated_only_on_a_quorum_of_the_proxies_that_reach_each_other() {
+    let mut failover = controller(IsolationPolicy::KeepServing);
+    failover.set_live_peers(0, [1, 2, 3, 4, 5, 6, 7, 8].into_iter());
+    record_silence(&mut failover, 0, "a");
+    failover.evaluate(10);
+    assert_eq!(failover.zone_state("a"), ZoneState::InService, "one vote of nine is no quorum");
+    failover.on_peer_votes(0, 1, version(0), &down("a"));
+    failover.on_peer_votes(0, 2, version(0), &up("a"));
+    failover.on_peer_votes(0, 3, version(0), &up("a"));
+    failover.evaluate(10);
+    assert_eq!(failover.zone_state("a"), ZoneState::InService, "two downs of four voters is no majority");
+    failover.on_peer_votes(0, 3, version(1), &down("a"));
+    assert!(failover.evaluate(10));
+    assert!(is_evacuated(&failover, "a"), "three of four voters, a third of nine alive");
+}
+
+#[test]
+fn the_votes_of_peers_that_are_not_alive_do_not_count() {
+    let mut failover = controller(IsolationPolicy::KeepServing);
+    failover.set_live_peers(0, [1, 2].into_iter());
+    record_silence(&mut failover, 0, "a");
+    failover.on_peer_votes(0, 1, version(0), &down("a"));
+    failover.on_peer_votes(0, 2, version(0), &down("a"));
+    failover.set_live_peers(5, [2].into_iter());
+    failover.on_peer_votes(5, 9, version(0), &down("a"));
+    failover.evaluate(10);
+    assert!(is_evacuated(&failover, "a"), "this one and peer 2: two of two voters");
+    let mut failover = controller(IsolationPolicy::KeepServing);
+    failover.set_live_peers(0, [1, 2, 3].into_iter());
+    failover.on_peer_votes(0, 1, version(0), &down("a"));
+    failover.on_peer_votes(0, 2, version(0), &down("a"));
+    failover.set_live_peers(1, [3].into_iter());
+    failover.evaluate(10);
+    assert_eq!(
+        failover.zone_state("a"),
+        ZoneState::InService,
+        "isolated now: two of four known alive, and the dead voted"
+    );
+}
+
+#[test]
+fn an_isolated_proxy_keeps_serving_unless_it_is_to_follow_its_own_vote() {
+    for (isolation, evacuates) in
+        [(IsolationPolicy::KeepServing, false), (IsolationPolicy::FollowOwnVote, true)]
+    {
+        let mut failover = controller(isolation);
+        record_silence(&mut failover, 0, "a");
+        failover.evaluate(10);
+        assert_eq!(is_evacuated(&failover, "a"), evacuates, "{isolation:?}");
+    }
+}
+
+#[test]
+fn an_evacuated_zone_recovers_in_steps_and_each_failed_recovery_holds_it_longer() {
+    let terms = FailoverTerms::default();
+    let mut failover = controller(IsolationPolicy::FollowOwnVote);
+    record_silence(&mut failover, 0, "a");
+    failover.evaluate(0);
+    assert_eq!(failover.read_share("a", 0), 0.0);
+    // Nothing is sent to an evacuated zone: the vote on it expires, and after the hold it recovers at the first share.
+    let mut now = 0;
+    while is_evacuated(&failover, "a") {
+        now += S / 10;
+        failover.evaluate(now);
+    }
+    assert!(now >= terms.vote_ttl.max(terms.min_hold), "recovered after {now} µs");
+    assert!((failover.read_share("a", now) - terms.ramp_start).abs() < 1e-9);
+    assert!(failover.read_share("a", now + terms.ramp_duration / 2) < 1.0);
+    // Still silent: evacuated again, and held twice as long.
+    record_silence(&mut failover, now, "a");
+    failover.evaluate(now + 3);
+    let evacuated_at = now + 3;
+    assert!(is_evacuated(&failover, "a"));
+    while is_evacuated(&failover, "a") {
+        now += S / 10;
+        failover.evaluate(now);
+    }
+    assert!(
+        now - evacuated_at >= 2 * terms.min_hold,
+        "held {} µs after a failed recovery",
+        now - evacuated_at
+    );
+    // It answers: the recovery goes on to all reads.
+    failover.record(now, "a", 1, Answered);
+    failover.evaluate(now + terms.ramp_duration);
+    assert_eq!(failover.zone_state("a"), ZoneState::InService);
+    assert_eq!(failover.read_share("a", now + terms.ramp_duration), 1.0);
+}
+
+#[test]
+fn a_proxy_that_was_stalled_does_not_act_on_what_it_reads_late() {
+    let mut failover = controller(IsolationPolicy::KeepServing);
+    failover.set_live_peers(0, [1, 2].into_iter());
+    failover.record(0, "a", 1, Answered);
+    failover.evaluate(0);
+    // Ten seconds later: its requests of before have timed out, and old notes of its peers wait to be read.
+    let now = 10 * S;
+    (0..9).for_each(|i| failover.record_timeout(now, 0, "a", i % 3));
+    failover.set_live_peers(now, [1, 2].into_iter());
+    [1, 2].into_iter().for_each(|peer| failover.on_peer_votes(now, peer, version(0), &down("a")));
+    failover.evaluate(now);
+    assert_eq!(
+        failover.zone_state("a"),
+        ZoneState::InService,
+        "it acted on what the others have left behind"
+    );
+    assert_ne!(failover.own_vote("a", now), Vote::Down);
+    // What still holds once it has caught up is repeated, and counts.
+    for step in 1..=11 {
+        failover.evaluate(now + step * S / 10);
+    }
+    assert_eq!(failover.zone_state("a"), ZoneState::InService, "it acted on what it read when it resumed");
+    [1, 2].into_iter().for_each(|peer| failover.on_peer_votes(now + 2 * S, peer, version(1), &down("a")));
+    failover.evaluate(now + 2 * S);
+    assert!(is_evacuated(&failover, "a"));
+}
+
+#[test]
+fn a_down_that_is_not_repeated_expires_and_one_that_holds_is_repeated() {
+    let terms = FailoverTerms::default();
+    let mut failover = controller(IsolationPolicy::KeepServing);
+    failover.set_live_peers(0, [1, 2, 3].into_iter());
+    [1, 2].into_iter().for_each(|peer| failover.on_peer_votes(0, peer, version(1), &down("a")));
+    // It misses the notes that took these back, as one that was away does.
+    let mut now = 0;
+    while now < terms.vote_ttl + S {
+        now += S / 10;
+        failover.set_live_peers(now, [1, 2, 3].into_iter());
+        [1, 2].into_iter().for_each(|peer| failover.on_peer_votes(now, peer, version(1), &down("a")));
+        failover.evaluate(now);
+    }
+    failover.record(now, "a", 1, Answered);
+    failover.evaluate(now + terms.min_hold);
+    assert!(!is_evacuated(&failover, "a"), "evacuated on votes of long ago");
+    assert!(!failover.is_down_by_quorum("a", now));
+    [1, 2].into_iter().for_each(|peer| failover.on_peer_votes(now, peer, version(2), &down("a")));
+    assert!(failover.is_down_by_quorum("a", now), "repeated, it counts");
+    // This proxy repeats its own Down while it holds, and nothing else.
+    let mut own = controller(IsolationPolicy::KeepServing);
+    record_silence(&mut own, 0, "a");
+    assert!(own.votes_to_publish(3).is_some());
+    assert!(own.votes_to_publish(S).is_none());
+    assert!(own.votes_to_publish(terms.vote_ttl / 3 + 3).is_some());
+}
+
+#[test]
+fn votes_are_published_when_they_change_only() {
+    let mut failover = controller(IsolationPolicy::KeepServing);
+    failover.record(0, "a", 1, Answered);
+    assert_eq!(failover.votes_to_publish(0), Some(up("a")));
+    failover.record(1, "a", 2, Answered);
+    assert_eq!(failover.votes_to_publish(1), None);
+    record_silence(&mut failover, 2 * S, "a");
+    assert_eq!(failover.votes_to_publish(2 * S), Some(down("a")));
+}
+
+#[test]
+fn zones_and_peers_are_bounded() {
+    let mut failover = controller(IsolationPolicy::KeepServing);
+    (0..MAX_ZONES + 5).for_each(|zone| failover.record(0, &format!("z{zone}"), 1, Answered));
+    assert_eq!(failover.zone_count(), MAX_ZONES);
+    failover.set_live_peers(0, 0..(MAX_PEERS as u64 + 5));
+    (0..MAX_PEERS as u64 + 5).for_each(|peer| failover.on_peer_votes(0, peer, version(0), &down("z0")));
+    assert_eq!(failover.voting_peer_count(), MAX_PEERS);
+    assert_eq!(failover.dropped, 10);
+}
--- a/crates/failover/tests/fleet.rs
+++ b/crates/failover/tests/fleet.rs
@@ -4,7 +4,10 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use wharfplank_failover::{decode, encode, Alone, Standing, Terms, Zones, TOPIC};
+use wharfplank_failover::{
+    decode_votes, encode_votes, FailoverController, FailoverTerms, IsolationPolicy, MemberOutcome,
+    VoteVersion, ZoneState, TOPIC,
+};
 use wharfplank_gossip::net::{Net, Wire};
 use wharfplank_gossip::{Micros, Terms as PeerTerms};
 
@@ -19,10 +22,19 @@
 const SILENT_AFTER: Micros = 250 * MS;
 const ANSWER_AFTER: Micros = 40 * MS;
 
+/// A request to a member, and how it will end.
+struct Pending {
+    ends_at: Micros,
+    zone: String,
+    member: u32,
+    outcome: MemberOutcome,
+}
+
 struct Fleet {
     net: Net,
-    zones: Vec<Zones>,
-    pending: Vec<Vec<(Micros, String, u32, bool)>>,
+    controllers: Vec<FailoverController>,
+    /// What each proxy sent and is not answered yet.
+    pending: Vec<Vec<Pending>>,
     rng: SmallRng,
 }
 
@@ -42,72 +54,85 @@
                 }
             }
         }
-        let alone = if together { Alone::Serve } else { Alone::Own };
-        let zones = (0..n).map(|_| Zones::new(Terms::default(), alone)).collect();
-        Fleet { net, zones, pending: vec![Vec::new(); n], rng: SmallRng::seed_from_u64(seed) }
+        let isolation = if together { IsolationPolicy::KeepServing } else { IsolationPolicy::FollowOwnVote };
+        let controllers =
+            (0..n).map(|_| FailoverController::new(FailoverTerms::default(), isolation)).collect();
+        let pending = (0..n).map(|_| Vec::new()).collect();
+        Fleet { net, controllers, pending, rng: SmallRng::seed_from_u64(seed) }
     }
 
     /// One step of 10 ms: sends, their outcomes, notes in and out, decisions.
     fn step(&mut self, lost: Option<&str>) {
         let now = self.net.now + STEP;
         self.net.run(now, STEP);
-        for i in 0..self.zones.len() {
+        for i in 0..self.controllers.len() {
             let near = self.net.nodes[i].zone.clone();
             for zone in ZONES {
-                let share = self.zones[i].share(zone, now);
+                let share = self.controllers[i].read_share(zone, now);
                 let reads = if zone == near { NEAR } else { 0.0 } * share;
                 let rate = reads + FAR;
                 if self.rng.random::<f64>() < rate * STEP as f64 / 1e6 {
                     let member = self.rng.random_range(0..MEMBERS);
                     let silent = lost == Some(zone);
-                    let at = now + if silent { SILENT_AFTER } else { ANSWER_AFTER };
-                    self.pending[i].push((at, zone.to_string(), member, !silent));
+                    let (outcome, ends_at) = if silent {
+                        (MemberOutcome::Silent, now + SILENT_AFTER)
+                    } else {
+                        (MemberOutcome::Answered, now + ANSWER_AFTER)
+                    };
+                    self.pending[i].push(Pending { ends_at, zone: zone.to_string(), member, outcome });
                 }
             }
-            let (due, later): (Vec<_>, Vec<_>) = self.pending[i].drain(..).partition(|(at, ..)| *at <= now);
+            let (due, later): (Vec<_>, Vec<_>) =
+                self.pending[i].drain(..).partition(|sent| sent.ends_at <= now);
             self.pending[i] = later;
-            for (at, zone, member, answered) in due {
-                self.zones[i].observe(at, &zone, member, answered);
+            for sent in due {
+                self.controllers[i].record(sent.ends_at, &sent.zone, sent.member, sent.outcome);
             }
             let Some(peers) = self.net.nodes[i].peers.as_mut() else { continue };
             let alive: Vec<u64> = peers.alive().map(|p| key(p.addr)).collect();
             let notes: Vec<_> = peers
                 .board()
                 .topic(TOPIC)
-                .map(|n| (key(n.origin), (n.generation, n.version), n.body.clone()))
+                .map(|n| {
+                    let version = VoteVersion { generation: n.generation, version: n.version };
+                    (key(n.origin), version, n.body.clone())
+                })
                 .collect();
             let me = key(peers.me().addr);
-            for (from, note, body) in notes.into_iter().filter(|(from, ..)| *from != me) {
-                if let Some(opinions) = decode(&body) {
-                    self.zones[i].heard(now, from, note, &opinions);
+            for (from, version, body) in notes.into_iter().filter(|(from, ..)| *from != me) {
+                if let Ok(votes) = decode_votes(&body) {
+                    self.controllers[i].on_peer_votes(now, from, version, &votes);
                 }
             }
-            self.zones[i].alive(now, alive.into_iter());
-            if let Some(opinions) = self.zones[i].to_publish(now) {
-                peers.publish(TOPIC, encode(&opinions));
+            self.controllers[i].set_live_peers(now, alive.into_iter());
+            if let Some(votes) = self.controllers[i].votes_to_publish(now) {
+                peers.publish(TOPIC, encode_votes(&votes));
             }
-            self.zones[i].decide(now);
+            self.controllers[i].evaluate(now);
         }
     }
 
     /// The part of the proxies that hold the decision that most hold.
-    fn agree(&self, zone: &str) -> f64 {
-        let left = self.left(zone);
-        left.max(1.0 - left)
+    fn agreeing_part(&self, zone: &str) -> f64 {
+        let evacuated = self.evacuated_part(zone);
+        evacuated.max(1.0 - evacuated)
     }
 
-    fn left(&self, zone: &str) -> f64 {
-        let left = self.zones.iter().filter(|z| matches!(z.standing(zone), Standing::Left { .. })).count();
-        left as f64 / self.zones.len() as f64
+    /// The part of the proxies that have evacuated a zone.
+    fn evacuated_part(&self, zone: &str) -> f64 {
+        let is_evacuated =
+            |failover: &&FailoverController| matches!(failover.zone_state(zone), ZoneState::Evacuated { .. });
+        self.controllers.iter().filter(is_evacuated).count() as f64 / self.controllers.len() as f64
     }
 }
 
-/// The part of the proxies that have left the lost zone, and that hold the same decision, 1, 2 and 5 s after it is
+/// The part of the proxies that have evacuated the lost zone, and that hold the same decision, 1, 2 and 5 s after it is
 /// lost.
 fn agreement(n: usize, together: bool, wire: Wire, seed: u64) -> ([f64; 3], [f64; 3]) {
     let mut fleet = Fleet::new(n, together, wire, seed);
     (0..300).for_each(|_| fleet.step(None));
-    let (mut left, mut same) = ([0.0; 3], [0.0; 3]);
+    let mut left = [0.0; 3];
+    let mut same = [0.0; 3];
     for step in 1..=500 {
         fleet.step(Some("isando"));
         let at = match step {
@@ -116,13 +141,14 @@
             500 => 2,
             _ => continue,
         };
-        (left[at], same[at]) = (fleet.left("isando"), fleet.agree("isando"));
+        left[at] = fleet.evacuated_part("isando");
+        same[at] = fleet.agreeing_part("isando");
     }
     (left, same)
 }
 
 #[test]
-fn proxies_that_hear_each_other_leave_a_lost_zone_together_within_two_seconds() {
+fn proxies_that_reach_each_other_evacuate_a_lost_zone_together_within_two_seconds() {
     for seed in [3, 4] {
         let (together, same) = agreement(30, true, Wire::default(), seed);
         let (alone, alone_same) = agreement(30, false, Wire::default(), seed);
@@ -136,7 +162,7 @@
 }
 
 #[test]
-fn under_loss_and_reordering_between_proxies_they_still_agree() {
+fn proxies_still_agree_under_loss_and_reordering_between_them() {
     let wire = Wire { loss: 0.2, duplicate: 0.1, delay: MS, jitter: 5 * MS };
     let (seen, _) = agreement(30, true, wire, 5);
     println!("left the lost zone at 1, 2, 5 s under 20% loss: {seen:.2?}");
@@ -144,12 +170,12 @@
 }
 
 #[test]
-fn a_healthy_zone_is_never_left() {
+fn a_healthy_zone_is_never_evacuated() {
     let mut fleet = Fleet::new(30, true, Wire { loss: 0.2, ..Wire::default() }, 9);
     for _ in 0..1_000 {
         fleet.step(None);
         assert!(
-            ZONES.iter().all(|z| fleet.left(z) == 0.0),
+            ZONES.iter().all(|z| fleet.evacuated_part(z) == 0.0),
             "a healthy zone was left at {} µs",
             fleet.net.now
         );
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::net::{SocketAddrV4, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
-use wharfplank_failover::{Alone, Terms as FailoverTerms, Zones};
+use wharfplank_failover::{FailoverController, FailoverTerms, IsolationPolicy};
 use wharfplank_gossip::{Peer, Peers, Terms as PeerTerms};
 use wharfplank_settings::{AloneChoice, Peers as PeerSettings, Replica as ReplicaSettings};
 use wharfplank_shared_state::{snapshot, Replica, Terms as ReplicaTerms};
@@ -58,19 +58,19 @@
     };
     let seed = config.settings.seed;
     // A returning zone grows as a cold member does, by the platform's own figures where it gives them.
-    let cold_span = if config.settings.cold_span > 0 {
+    let ramp_duration = if config.settings.cold_span > 0 {
         config.settings.cold_span
     } else {
-        FailoverTerms::default().cold_span
+        FailoverTerms::default().ramp_duration
     };
     let failover = FailoverTerms {
-        cold_from: config.settings.cold_from.clamp(0.01, 1.0),
-        cold_span,
+        ramp_start: config.settings.cold_from.clamp(0.01, 1.0),
+        ramp_duration,
         ..FailoverTerms::default()
     };
-    let alone = match settings.alone {
-        AloneChoice::Serve => Alone::Serve,
-        AloneChoice::Own => Alone::Own,
+    let isolation = match settings.alone {
+        AloneChoice::Serve => IsolationPolicy::KeepServing,
+        AloneChoice::Own => IsolationPolicy::FollowOwnVote,
     };
     let (mut state, mut keep) = (None, None);
     if let Some(settings) = replica {
@@ -89,7 +89,7 @@
     let parts = move || Parts {
         judge: health.then(|| Judge::new(me.addr)),
         peers: Peers::new(me, terms, seed, now),
-        zones: Zones::new(failover, alone),
+        zones: FailoverController::new(failover, isolation),
         replica: state,
         keep: keep.map(|keep| Box::new(keep) as fleet::Keep),
         skew,
--- a/crates/proxy/src/log/fleet.rs
+++ b/crates/proxy/src/log/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{FAILED, REFUSED, SERVED};
 use tracing::{error, info, warn};
-use wharfplank_failover::Standing;
+use wharfplank_failover::ZoneState;
 use wharfplank_gossip::Change;
 use wharfplank_transport::fleet::Said;
 
@@ -27,9 +27,9 @@
         }
         Said::Standing { zone, standing, share, alive, alone } => {
             let (standing, since) = match standing {
-                Standing::Served => ("served", 0),
-                Standing::Left { since } => ("left", since / 1000),
-                Standing::Returning { since } => ("returning", since / 1000),
+                ZoneState::InService => ("served", 0),
+                ZoneState::Evacuated { since } => ("left", since / 1000),
+                ZoneState::Recovering { since } => ("returning", since / 1000),
             };
             let share = format!("{share:.2}");
             info!(
--- a/crates/transport/src/fleet/drive.rs
+++ b/crates/transport/src/fleet/drive.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::time::Duration;
-use wharfplank_failover::{decode, encode, TOPIC};
+use wharfplank_failover::{decode_votes, encode_votes, MemberOutcome, VoteVersion, TOPIC};
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{frame, unframe, FRAME_BYTES};
 
@@ -114,8 +114,10 @@
 fn take(parts: &mut Parts, now: Micros, fact: Fact) {
     let skew = parts.skew;
     match (fact, &mut parts.replica, &mut parts.judge) {
-        (Fact::Seen(seen), ..) if seen.answered => parts.zones.observe(now, &seen.zone, seen.member, true),
-        (Fact::Seen(seen), ..) => parts.zones.silence(now, seen.sent + skew, &seen.zone, seen.member),
+        (Fact::Seen(seen), ..) if seen.answered => {
+            parts.zones.record(now, &seen.zone, seen.member, MemberOutcome::Answered)
+        }
+        (Fact::Seen(seen), ..) => parts.zones.record_timeout(now, seen.sent + skew, &seen.zone, seen.member),
         (Fact::Position(at, member, epoch, told), Some(r), _) => r.position(at + skew, member, epoch, told),
         (Fact::Suspects(at, member, suspects), Some(r), _) => r.suspects(at + skew, member, suspects),
         (Fact::Count(at, counter), Some(r), _) => r.count(at + skew, counter, 1),
@@ -148,7 +150,7 @@
             course.told.push(Told::News(news));
         }
     }
-    if parts.zones.decide(now) || !course.shares.is_empty() {
+    if parts.zones.evaluate(now) || !course.shares.is_empty() {
         tell(parts, now, course);
     }
     if now >= course.tell_at {
@@ -169,32 +171,35 @@
     }
 }
 
-/// Hands the notes of peers that are alive to the decision, and publishes this proxy's opinions where they changed.
+/// Hands the notes of peers that are alive to the decision, and publishes this proxy's votes where they changed.
 fn hear(parts: &mut Parts, now: Micros) {
     let me = parts.peers.me().addr;
     let alive: Vec<u64> = parts.peers.alive().map(|p| key(p.addr)).collect();
-    let notes: Vec<(u64, (u64, u64), Vec<u8>)> = parts
+    let notes: Vec<(u64, VoteVersion, Vec<u8>)> = parts
         .peers
         .board()
         .topic(TOPIC)
         .filter(|note| note.origin != me)
-        .map(|note| (key(note.origin), (note.generation, note.version), note.body.clone()))
+        .map(|note| {
+            let version = VoteVersion { generation: note.generation, version: note.version };
+            (key(note.origin), version, note.body.clone())
+        })
         .collect();
-    for (from, note, body) in notes {
-        if let Some(opinions) = decode(&body) {
-            parts.zones.heard(now, from, note, &opinions);
+    for (from, version, body) in notes {
+        if let Ok(votes) = decode_votes(&body) {
+            parts.zones.on_peer_votes(now, from, version, &votes);
         }
     }
-    parts.zones.alive(now, alive.into_iter());
-    if let Some(opinions) = parts.zones.to_publish(now) {
-        parts.peers.publish(TOPIC, encode(&opinions));
+    parts.zones.set_live_peers(now, alive.into_iter());
+    if let Some(votes) = parts.zones.votes_to_publish(now) {
+        parts.peers.publish(TOPIC, encode_votes(&votes));
     }
 }
 
 /// Tells the broker the shares where one changed, and the log where a standing did.
 fn tell(parts: &mut Parts, now: Micros, course: &mut Course) {
     let told = &course.shares;
-    let shares: BTreeMap<String, f64> = parts.zones.shares(now).into_iter().collect();
+    let shares: BTreeMap<String, f64> = parts.zones.reduced_shares(now).into_iter().collect();
     let moved = shares.len() != told.len()
         || shares
             .iter()
@@ -203,11 +208,11 @@
         return;
     }
     let alive = parts.peers.alive().count();
-    let alone = parts.zones.is_alone();
+    let alone = parts.zones.is_isolated();
     let named: std::collections::BTreeSet<&String> = shares.keys().chain(told.keys()).collect();
     for zone in named {
         let (was, share) = (told.get(zone).copied().unwrap_or(1.0), shares.get(zone).copied().unwrap_or(1.0));
-        let standing = parts.zones.standing(zone);
+        let standing = parts.zones.zone_state(zone);
         if (was == 0.0) != (share == 0.0) || (was == 1.0) != (share == 1.0) {
             (parts.say)(Said::Standing { zone, standing, share, alive, alone });
         }
--- a/crates/transport/src/fleet/mod.rs
+++ b/crates/transport/src/fleet/mod.rs
@@ -29,7 +29,7 @@
 use std::net::{SocketAddrV4, UdpSocket};
 use std::rc::Rc;
 use std::sync::Arc;
-use wharfplank_failover::Zones;
+use wharfplank_failover::FailoverController;
 use wharfplank_gossip::Peers;
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{Doubt, Replica};
@@ -46,7 +46,7 @@
     /// The membership.
     pub peers: Peers,
     /// The decision.
-    pub zones: Zones,
+    pub zones: FailoverController,
     /// The replicated state, where it is on.
     pub replica: Option<Replica>,
     /// The judgement of members, where it is on; it needs the replicated state.
--- a/crates/transport/src/fleet/said.rs
+++ b/crates/transport/src/fleet/said.rs
@@ -1,6 +1,6 @@
 //! What the driver tells the log.
 
-use wharfplank_failover::Standing;
+use wharfplank_failover::ZoneState;
 use wharfplank_gossip::{Change, Peer, Peers};
 use wharfplank_health::Verdict;
 use wharfplank_shared_state::Replica;
@@ -17,7 +17,7 @@
         /// The zone.
         zone: &'a str,
         /// Its standing.
-        standing: Standing,
+        standing: ZoneState,
         /// Its share of reads now.
         share: f64,
         /// Peers alive.
