--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -43,17 +43,19 @@
 use wharfplank_protocol::comment::ID_MOST;
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 use wharfplank_protocol::pipeline::{Answer, Ticket};
-use wharfplank_routing::settings::Terms;
+use wharfplank_routing::settings::ProxyParameters;
 use wharfplank_routing::{
-    self as routing, Action, AttemptNo, ClassId, Ending, Entry, GroupId, HostId, Listed, Micros, Outcome,
-    Probed, Request, RequestId, Role, Router, SessionKey,
+    self as routing, Action, AttemptNo, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointStatus,
+    GroupId, HostId, Micros, ProbeResult, Request, RequestId, Role, Router, SessionKey,
 };
 use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::client_connection::ResponseWriter;
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::Watch;
 use wharfplank_transport::fleet::Witness;
-use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, MemberPool, PoolContext};
+use wharfplank_transport::member_pool::{
+    AttemptCompletion, AttemptLimits, AttemptReport, AttemptStage, MemberPool, PoolContext,
+};
 use wharfplank_transport::{ClientRequest, ProxyEvent, Statement};
 
 /// The client counts its wait from its own send: answers are due this much earlier here.
@@ -79,7 +81,7 @@
 pub struct Broker {
     clock: Clock,
     router: Router,
-    terms: Terms,
+    terms: ProxyParameters,
     allowed: Allowed,
     shared: Rc<PoolContext>,
     clients: Rc<ClientListener>,
@@ -107,7 +109,7 @@
     barred: Barred,
     timers: BinaryHeap<Reverse<Micros>>,
     /// Outcomes that are known at once; the router hears of them after the event in hand.
-    ended: VecDeque<(RequestId, u32, HostId, Micros, Ending)>,
+    ended: VecDeque<(RequestId, u32, HostId, Micros, AttemptOutcome)>,
     started: Micros,
     told: bool,
     ready: bool,
@@ -234,16 +236,16 @@
             ProxyEvent::ProbeFinished { host, report } => self.probed(host, report),
             ProxyEvent::PeerNews(news) => {
                 let told = self.talk.told(&news, self.clock.now() + AHEAD_MOST);
-                self.tell(routing::Event::Told(told));
+                self.tell(routing::Event::PeerObservations(told));
             }
             ProxyEvent::EndpointsChanged(news, age) => self.heard(news, age),
             ProxyEvent::ZoneShares(shares) => {
                 let shares = shares.iter().map(|(zone, share)| (zone_number(zone), *share)).collect();
-                self.tell(routing::Event::Shares(shares));
+                self.tell(routing::Event::ZoneReadShares(shares));
             }
             ProxyEvent::MemberFactors(factors) => {
                 let factors = self.talk.factors(&factors);
-                self.tell(routing::Event::Factors(factors));
+                self.tell(routing::Event::LatencyFactors(factors));
             }
             ProxyEvent::Handover(other) => self.other(other),
             ProxyEvent::ReloadRequested => self.reload(),
