--- a/crates/proxy/src/budgets.rs
+++ b/crates/proxy/src/budgets.rs
@@ -10,7 +10,7 @@
     BudgetId, BudgetKind, BudgetLimits, LeaseAllocator, LeaseHolder, LeaseTerms, TakeoverGuard,
 };
 use wharfplank_settings::Budgets as Settings;
-use wharfplank_shared_state::named;
+use wharfplank_shared_state::hash_name;
 use wharfplank_transport::budgets::{Budgets, Figure, Said, Setup, RING};
 use wharfplank_transport::{worker, Now};
 
@@ -41,10 +41,10 @@
         (place, LeaseAllocator::new(terms.clone(), part, now), TakeoverGuard::new(settings.set, place, &gone))
     });
     // No other process had this number: its address, and when it started.
-    let number = named(&format!("{me} {} {}", clock.now(), std::process::id()));
+    let number = hash_name(&format!("{me} {} {}", clock.now(), std::process::id()));
     let holder =
         LeaseHolder::new(number, terms.clone(), banks.len(), Vec::new(), now).with_static_quotas(even);
-    let figures = named(&format!("{} {} {percent}", wholes.canonical_text(), settings.proxies));
+    let figures = hash_name(&format!("{} {} {percent}", wholes.canonical_text(), settings.proxies));
     let setup = Setup { socket, banks, bank, terms, figures, now: move || clock.now() + skew };
     let rings = worker::start("budgets", RING, move |asks, told| setup.work(asks, told));
     let rings = rings.map_err(|e| format!("budgets: {e}"))?;
--- a/crates/proxy/src/log/fleet.rs
+++ b/crates/proxy/src/log/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{FAILED, REFUSED, SERVED};
 use tracing::{error, info, warn};
-use wharfplank_failover::Standing;
+use wharfplank_failover::ZoneState;
 use wharfplank_gossip::Change;
 use wharfplank_transport::fleet::Said;
 
@@ -27,9 +27,9 @@
         }
         Said::Standing { zone, standing, share, alive, alone } => {
             let (standing, since) = match standing {
-                Standing::Served => ("served", 0),
-                Standing::Left { since } => ("left", since / 1000),
-                Standing::Returning { since } => ("returning", since / 1000),
+                ZoneState::InService => ("served", 0),
+                ZoneState::Evacuated { since } => ("left", since / 1000),
+                ZoneState::Recovering { since } => ("returning", since / 1000),
             };
             let share = format!("{share:.2}");
             info!(
@@ -48,25 +48,25 @@
             let (verdict, score) = (verdict.as_str(), score.as_str());
             info!(name, verdict, score, voices = voices as u64, "member_health");
         }
-        Said::Replica(replica) => {
-            let (store, counts) = (replica.store(), replica.counts);
+        Said::SharedState(state) => {
+            let (store, stats) = (state.store(), state.stats);
             let digest = format!("{:016x}", store.digest());
-            let total = |counter| replica.total(counter);
+            let total = |counter| state.counter_total(counter);
             info!(
                 digest = digest.as_str(),
                 entries = store.len() as u64,
-                rumours = replica.spread().len() as u64,
-                rumour_bytes = replica.spread().bytes,
-                sync_bytes = counts.sync_bytes,
-                asked = counts.asked,
-                differed = counts.differed,
-                taken = counts.taken,
-                known = counts.known,
-                refused = store.refused,
-                dropped = store.dropped + counts.dropped,
-                waited = replica.spread().waited,
-                held_back = counts.held_back,
-                unread = counts.unread,
+                rumours = state.rumours().len() as u64,
+                rumour_bytes = state.rumours().bytes_sent,
+                sync_bytes = stats.exchange_bytes,
+                asked = stats.exchanges_started,
+                differed = stats.exchanges_with_differences,
+                taken = stats.entries_updated,
+                known = stats.entries_unchanged,
+                refused = store.rejected,
+                dropped = store.dropped + stats.dropped,
+                waited = state.rumours().deferred,
+                held_back = stats.throttled_messages,
+                unread = stats.undecodable_messages,
                 fleet_served = total(SERVED),
                 fleet_refused = total(REFUSED),
                 fleet_failed = total(FAILED),
