--- a/crates/proxy/src/broker/handover/mod.rs
+++ b/crates/proxy/src/broker/handover/mod.rs
@@ -12,7 +12,7 @@
 use wharfplank_admin::{
     Command, CommandId, ConnectionCounts, Cordons, Handover, HandoverMessage, MemberKnowledge,
 };
-use wharfplank_transport::handover::{Inherited, Link, Post};
+use wharfplank_transport::handover::{HandoverLink, Inherited, RendezvousSocket};
 
 /// How often the new process is told how many connections the old one holds.
 const REPORT_INTERVAL: Micros = 100_000;
@@ -30,7 +30,7 @@
     total_limits: ConnectionCounts,
     state: Handover,
     /// The connection to the other process, if there is one.
-    link: Option<Link>,
+    link: Option<HandoverLink>,
     pending_calls: Vec<PendingCall>,
     /// What the old process had learned of members, until the router has been told.
     inherited_observations: Vec<MemberKnowledge>,
@@ -71,7 +71,7 @@
 
     /// Sends a message to the other process; false where there is none, or it takes no more.
     fn send(&self, message: HandoverMessage) -> bool {
-        self.link.as_ref().is_some_and(|link| link.say(message))
+        self.link.as_ref().is_some_and(|link| link.send(message))
     }
 
     /// Reports the connections of this process to the new one, where they changed and the interval has passed.
@@ -121,13 +121,13 @@
         self.endpoints.cordons = Cordons::restore(state.cordoned, state.uncordoned_at);
         handover.inherited_observations = state.members;
         handover.state = Handover::successor_of(state.connections);
-        handover.link = Some(inherited.link(&self.pools.executor, self.events.clone()));
+        handover.link = Some(inherited.into_link(&self.pools.executor, self.events.clone()));
     }
 
     /// Listens where the next process looks for this one. On failure this process cannot be replaced, and serves on.
     fn open_handover_socket(&self, path: &Path) -> Option<Task<()>> {
-        match Post::open(path) {
-            Ok(socket) => Some(self.pools.executor.spawn(socket.listen(self.events.clone()))),
+        match RendezvousSocket::bind(path) {
+            Ok(socket) => Some(self.pools.executor.spawn(socket.accept_requests(self.events.clone()))),
             Err(error) => {
                 log::replacement(&format!("cannot be replaced: {}: {error}", path.display()), 0);
                 None
--- a/crates/proxy/src/broker/handover/peer.rs
+++ b/crates/proxy/src/broker/handover/peer.rs
@@ -3,18 +3,18 @@
 use super::*;
 use async_io::Async;
 use std::os::unix::net::UnixStream;
-use wharfplank_transport::handover::{turn_away, Other};
+use wharfplank_transport::handover::{self as handover_socket, HandoverEvent, HandoverLink};
 
 impl Broker {
     /// Handles what the other process does: it asks to take over, sends a message, or ends.
-    pub(in crate::broker) fn on_handover_event(&mut self, event: Other) {
+    pub(in crate::broker) fn on_handover_event(&mut self, event: HandoverEvent) {
         if self.handover.is_none() {
             return;
         }
         match event {
-            Other::Asks(stream) => self.on_takeover_request(stream),
-            Other::Says(message) => self.on_peer_message(message),
-            Other::Lost => self.on_peer_lost(),
+            HandoverEvent::Requested(stream) => self.on_takeover_request(stream),
+            HandoverEvent::Message(message) => self.on_peer_message(message),
+            HandoverEvent::Disconnected => self.on_peer_lost(),
         }
         self.apply_connection_limits();
     }
@@ -27,11 +27,11 @@
         // Without a socket to hand over the request goes unanswered, as if there were no process.
         let Some(listener) = handover.listener.clone() else { return };
         if !handover.state.begin(held) {
-            return self.pools.executor.spawn(turn_away(stream)).detach();
+            return self.pools.executor.spawn(handover_socket::reject(stream)).detach();
         }
         let state = self.handover_state(held);
         log::replacement("is being replaced", state.cordoned.len());
-        let link = Link::give(&self.pools.executor, stream, listener, &state, self.events.clone());
+        let link = HandoverLink::accept(&self.pools.executor, stream, listener, &state, self.events.clone());
         if let Some(handover) = &mut self.handover {
             handover.link = Some(link);
         }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -55,11 +55,13 @@
     // Only where operators call is a process replaced while it serves; elsewhere nothing else listens. One that takes
     // any free port replaces none, since nobody can tell whose port that was.
     let replaces = config.admin.is_some() && config.listen.port() != 0;
-    let post = replaces.then(|| handover::path(config.listen));
-    let mut inherited = post.as_deref().map_or(Ok(None), handover::ask).map_err(listens(config.listen))?;
+    let handover_path = replaces.then(|| handover::socket_path(config.listen));
+    let mut inherited =
+        handover_path.as_deref().map_or(Ok(None), handover::request).map_err(listens(config.listen))?;
     let listener = match inherited.as_ref() {
-        Some(inherited) => inherited.socket().and_then(Async::new),
-        None => handover::bind(config.listen, post.is_some()),
+        Some(inherited) => inherited.listener().and_then(Async::new),
+        None if handover_path.is_some() => handover::listen_shared(config.listen),
+        None => handover::listen(config.listen),
     };
     let listener = Rc::new(listener.map_err(listens(config.listen))?);
     let executor = Rc::new(LocalExecutor::new());
@@ -70,7 +72,7 @@
     let clock = Clock::start();
     let now: Now = Rc::new(move || clock.now());
     let admin =
-        config.admin.map(|at| handover::bind(at, false).map(|l| (at, l)).map_err(listens(at))).transpose()?;
+        config.admin.map(|at| handover::listen(at).map(|l| (at, l)).map_err(listens(at))).transpose()?;
     let reserved = RESERVED + if admin.is_some() { RESERVED_ADMIN } else { 0 };
     let sockets = config.sockets.saturating_sub(reserved).max(8);
     let to_clients = sockets * 6 / 10;
@@ -137,9 +139,9 @@
         log::admin(listener.get_ref().local_addr().unwrap_or(at));
         executor.spawn(Admin::new(Rc::clone(&executor), calls).listen(listener)).detach();
     }
-    if let Some(post) = post {
+    if let Some(handover_path) = handover_path {
         let all = ConnectionCounts { clients: to_clients, members: to_members };
-        broker.enable_handover(post, Rc::clone(&listener), all, inherited.take());
+        broker.enable_handover(handover_path, Rc::clone(&listener), all, inherited.take());
     }
     executor.spawn(Rc::clone(&clients).listen(listener)).detach();
     async_io::block_on(executor.run(async {
@@ -157,6 +159,6 @@
     Ok(())
 }
 
-fn listens(at: SocketAddr) -> impl Fn(std::io::Error) -> String {
+fn listens<E: std::fmt::Display>(at: SocketAddr) -> impl Fn(E) -> String {
     move |e| format!("listen on {at}: {e}")
 }
--- a/crates/transport/src/event.rs
+++ b/crates/transport/src/event.rs
@@ -49,7 +49,7 @@
     /// Observations that other proxies shared.
     PeerNews(Vec<wharfplank_shared_state::StateUpdate>),
     /// An event on the link to the process that replaces this one, or that this one replaces.
-    Handover(handover::Other),
+    Handover(handover::HandoverEvent),
     /// The process was asked to reload its configuration.
     ReloadRequested,
     /// The process was asked to shut down.
--- /dev/null
+++ b/crates/transport/src/handover/request.rs
@@ -0,0 +1,90 @@
+//! The new process's side: requests a handover and receives the listening socket and the state.
+
+use super::descriptor::{receive_reply, Reply};
+use super::MAX_LINE_BYTES;
+use crate::with_deadline;
+use async_io::Async;
+use futures_lite::io::BufReader;
+use futures_lite::{AsyncBufReadExt, AsyncReadExt};
+use std::io;
+use std::net::TcpListener;
+use std::os::unix::net::UnixStream;
+use std::path::Path;
+use std::time::{Duration, Instant};
+use thiserror::Error;
+use wharfplank_admin::handover::PROTOCOL_VERSION;
+use wharfplank_admin::HandoverState;
+
+/// The limit for the running process's complete reply, while the new one starts.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// Why a handover did not take place.
+#[derive(Debug, Error)]
+pub enum HandoverError {
+    /// Another process is taking over from the running one already.
+    #[error("another process replaces it already")]
+    AlreadyReplaced,
+    /// The reply came without a listening socket.
+    #[error("the reply has no listening socket")]
+    NoListener,
+    /// The state has another version than this program.
+    #[error("the state has another version")]
+    UnsupportedVersion,
+    /// The state is not valid JSON.
+    #[error("the state cannot be read: {0}")]
+    InvalidState(#[from] serde_json::Error),
+    /// The stream failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// What the new process takes over from the running one.
+#[derive(Debug)]
+pub struct Inherited {
+    listener: TcpListener,
+    /// The state of the running process.
+    pub state: HandoverState,
+    pub(super) stream: BufReader<Async<UnixStream>>,
+}
+
+impl Inherited {
+    /// The listening socket for clients.
+    pub fn listener(&self) -> io::Result<TcpListener> {
+        self.listener.try_clone()
+    }
+}
+
+/// Requests a handover from the process that accepts requests at this path.
+///
+/// Returns `Ok(None)` where there is none, or where it does not reply completely and in a form that this program knows
+/// within 1.5 s.
+///
+/// # Errors
+///
+/// Fails with [`HandoverError::AlreadyReplaced`] where another process is taking over already.
+pub fn request(path: &Path) -> Result<Option<Inherited>, HandoverError> {
+    let Ok(stream) = UnixStream::connect(path) else { return Ok(None) };
+    let reply = with_deadline(Instant::now() + REPLY_TIMEOUT, receive(stream));
+    match async_io::block_on(reply) {
+        Some(Ok(inherited)) => Ok(Some(inherited)),
+        Some(Err(error @ HandoverError::AlreadyReplaced)) => Err(error),
+        Some(Err(_)) | None => Ok(None),
+    }
+}
+
+async fn receive(stream: UnixStream) -> Result<Inherited, HandoverError> {
+    let stream = Async::new(stream)?;
+    let descriptor = match stream.read_with(receive_reply).await? {
+        Reply::Accepted(descriptor) => descriptor.ok_or(HandoverError::NoListener)?,
+        Reply::Busy => return Err(HandoverError::AlreadyReplaced),
+    };
+    // What follows the line stays in the reader, for the link.
+    let mut stream = BufReader::new(stream);
+    let mut line = String::new();
+    (&mut stream).take(MAX_LINE_BYTES).read_line(&mut line).await?;
+    let state: HandoverState = serde_json::from_str(&line)?;
+    if state.version != PROTOCOL_VERSION {
+        return Err(HandoverError::UnsupportedVersion);
+    }
+    Ok(Inherited { listener: TcpListener::from(descriptor), state, stream })
+}
