--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -26,7 +26,7 @@
 use wharfplank_discovery::{EndpointTracker, PollSchedule, SharedDiscovery};
 use wharfplank_protocol::endpoint_list;
 use wharfplank_settings::Settings;
-use wharfplank_transport::admin::{Admin, PLACES};
+use wharfplank_transport::admin::{AdminListener, MAX_CONNECTIONS};
 use wharfplank_transport::client_listener::{self, ClientListener};
 use wharfplank_transport::discovery::{DiscoveryWatch, WatchContext};
 use wharfplank_transport::{handover, member_pool, signals, ConnectionEndObserver, MemoryBudget, Now};
@@ -39,9 +39,9 @@
 const RESERVED: usize = 24;
 /// Descriptors kept for operators' calls, where they may call: their places and door, the next process's door, and
 /// two of the link with it.
-const RESERVED_ADMIN: usize = PLACES + 4;
+const RESERVED_ADMIN: usize = MAX_CONNECTIONS + 4;
 /// Calls of operators that may wait for the broker.
-const CALLS: usize = 2 * PLACES;
+const CALLS: usize = 2 * MAX_CONNECTIONS;
 /// The part of the memory that large messages of clients may fill, and as much for those of members: a buffer
 /// may double while it grows, and what is passed on is copied beside it.
 const LARGE_PART: usize = 8;
@@ -137,7 +137,7 @@
     let (calls, operators) = async_channel::bounded(CALLS);
     if let Some((at, listener)) = admin {
         log::admin(listener.get_ref().local_addr().unwrap_or(at));
-        executor.spawn(Admin::new(Rc::clone(&executor), calls).listen(listener)).detach();
+        executor.spawn(AdminListener::new(Rc::clone(&executor), calls).accept_connections(listener)).detach();
     }
     if let Some(handover_path) = handover_path {
         let all = ConnectionCounts { clients: to_clients, members: to_members };
