--- a/Makefile
+++ b/Makefile
@@ -53,7 +53,7 @@
 
 # 200 seeded runs of each hard case of a release, 200 clean ones and 200 bad ones, in virtual time.
 releases:
-	cargo test --locked --release -p wharfplank-rollout --test release -- --ignored --nocapture
+	cargo test --locked --release -p wharfplank-rollout --test rollout -- --ignored --nocapture
 
 # 20 seeded runs by processes of each hard case of a release; takes an hour. See tests/release_rig.rs for its variables.
 rig-releases:
--- a/crates/fleet-harness/src/releases/agents.rs
+++ b/crates/fleet-harness/src/releases/agents.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use wharfplank_lab::fleet::Hand;
 use wharfplank_lab::stand::{now, Stand};
-use wharfplank_rollout::{Call, Status, What as Asked};
+use wharfplank_rollout::{AgentCommand, AgentRequest, AgentStatus};
 
 /// A member takes nothing new for so long before its process ends, so that proxies have heard of the drain.
 const DRAIN: Duration = Duration::from_millis(400);
@@ -81,7 +81,7 @@
         let mut buffer = [0_u8; 2048];
         loop {
             let Ok((count, from)) = socket.recv_from(&mut buffer).await else { continue };
-            let Some(call) = Call::read(&buffer[..count]) else { continue };
+            let Ok(request) = AgentRequest::from_bytes(&buffer[..count]) else { continue };
             let lossy = self.played.case == Case::Lossy;
             let mut rng = self.rng.borrow_mut();
             let copies = if !lossy { 1 } else { [0, 2, 1, 1, 1][rng.random_range(0..5)] };
@@ -91,7 +91,7 @@
                 let answered = !lossy || rng.random_range(0..5) > 0;
                 let answer = async move {
                     Timer::after(Duration::from_millis(late)).await;
-                    let status = at.taken(member, &call);
+                    let status = at.taken(member, &request);
                     if answered {
                         let _ = socket.send_to(&status.to_bytes(), from).await;
                     }
@@ -102,25 +102,25 @@
     }
 
     /// Takes a call, and tells what the member is then.
-    fn taken(self: &Rc<Self>, member: usize, call: &Call) -> Status {
+    fn taken(self: &Rc<Self>, member: usize, request: &AgentRequest) -> AgentStatus {
         let state = self.states.borrow()[member];
-        match call.what {
-            Asked::Status => {}
-            Asked::Leave { launch, version, down } => {
-                if launch == state.launch && !state.moving && !(down && state.ready) {
+        match request.command {
+            AgentCommand::Status => {}
+            AgentCommand::Restart { incarnation: launch, version, only_if_down } => {
+                if launch == state.launch && !state.moving && !(only_if_down && state.ready) {
                     self.leave(member, version, Why::Order);
                 } else if launch != state.launch {
                     self.void.set(self.void.get() + 1);
                 }
             }
-            Asked::HandOver { launch } => {
+            AgentCommand::HandOver { incarnation: launch } => {
                 if launch == state.launch && state.ready {
                     self.hand_over(member);
                 }
             }
         }
         let State { version, launch, ready, .. } = self.states.borrow()[member];
-        Status { number: call.number, launch, version, ready }
+        AgentStatus { sequence: request.sequence, incarnation: launch, version, ready }
     }
 
     /// Lets the member out, and back as that version; what falls goes at once.
--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -82,8 +82,8 @@
             self.break_off();
             self.members.values().for_each(|m| m.maintain());
             let (views, journal) = (self.router.member_views(), &self.journal);
-            self.releases.tell(now, &self.listed, &self.cordons, &self.names, views, |said, names| {
-                journal.released(said, names)
+            self.releases.tell(now, &self.listed, &self.cordons, &self.names, views, |event, names| {
+                journal.released(event, names)
             });
             if self.journal.records() {
                 self.router.member_views().for_each(|view| self.journal.seen(&view));
--- a/crates/proxy/src/journal.rs
+++ b/crates/proxy/src/journal.rs
@@ -8,8 +8,8 @@
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
 use wharfplank_records::recorder::Terms;
 use wharfplank_records::{record, store::Limits, Outcome, Record, Recorder, Seen};
-use wharfplank_rollout::status::name;
-use wharfplank_rollout::Said;
+use wharfplank_rollout::status::rollout_name;
+use wharfplank_rollout::ServiceEvent;
 use wharfplank_routing::{ClassId, GroupId, HostId, MemberView, Micros, RejectReason};
 use wharfplank_settings::Records;
 
@@ -186,11 +186,11 @@
     }
 
     /// Something was done in a release that this proxy drives.
-    pub fn released(&self, said: &Said, names: &BTreeMap<u64, String>) {
-        let Said::Did(plan, action) = said else { return };
+    pub fn released(&self, event: &ServiceEvent, names: &BTreeMap<u64, String>) {
+        let ServiceEvent::Action(rollout, action) = event else { return };
         self.note(|| {
             let (what, member, detail) = log::words(names, action);
-            let (release, what, member) = (name(*plan), what.to_string(), member.to_string());
+            let (release, what, member) = (rollout_name(*rollout), what.to_string(), member.to_string());
             Record::Release { release, what, member, detail }
         });
     }
--- a/crates/proxy/src/log/release.rs
+++ b/crates/proxy/src/log/release.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tracing::{info, warn};
-use wharfplank_rollout::status::{course, name};
-use wharfplank_rollout::{Action, Course, Id, Said, Step};
+use wharfplank_rollout::status::{phase_names, rollout_name};
+use wharfplank_rollout::{ControllerAction, NodeId, Phase, ServiceEvent, UpgradeState};
 use wharfplank_transport::release::Told;
 
 /// Notes where datagrams of releases are taken.
@@ -13,22 +13,23 @@
 }
 
 /// Notes what was done in a release.
-pub fn release(names: &BTreeMap<Id, String>, told: &Told<'_>) {
+pub fn release(names: &BTreeMap<NodeId, String>, told: &Told<'_>) {
     match told {
         Told::File(path, fault) => warn!(path = %path.display(), what = %fault, "release_file"),
-        Told::Said(Said::Bank(open)) => info!(open, "release_bank"),
-        Told::Said(Said::Drives(drives)) => info!(drives, "release_drives"),
-        Told::Said(Said::Word(word, Ok(plan))) => {
-            info!(word = word.as_str(), answer = "yes", release = name(*plan), "release_word")
+        Told::Event(ServiceEvent::PermitServerOpen(open)) => info!(open, "release_bank"),
+        Told::Event(ServiceEvent::Leader(drives)) => info!(drives, "release_drives"),
+        Told::Event(ServiceEvent::Command { text, result: Ok(rollout) }) => {
+            info!(word = text.as_str(), answer = "yes", release = rollout_name(*rollout), "release_word")
         }
-        Told::Said(Said::Word(word, Err(what))) => {
-            warn!(word = word.as_str(), answer = "no", what = what.as_str(), "release_word")
+        Told::Event(ServiceEvent::Command { text, result: Err(failure) }) => {
+            let what = failure.to_string();
+            warn!(word = text.as_str(), answer = "no", what = what.as_str(), "release_word")
         }
-        Told::Said(Said::Did(plan, action)) => {
-            let release = name(*plan);
+        Told::Event(ServiceEvent::Action(rollout, action)) => {
+            let release = rollout_name(*rollout);
             let (what, member, detail) = words(names, action);
             match action {
-                Action::Turned(Course::Halted(_) | Course::Back(_)) => {
+                ControllerAction::PhaseChanged(Phase::Halted(_) | Phase::RollingBack(_)) => {
                     warn!(release, what, member, detail, "release")
                 }
                 _ => info!(release, what, member, detail, "release"),
@@ -38,28 +39,37 @@
 }
 
 /// What was done, to which member, and how: the launch of a step, the number of a wave, the reason of a course.
-pub fn words<'a>(names: &'a BTreeMap<Id, String>, action: &Action) -> (&'static str, &'a str, String) {
-    let member = |id: &Id| names.get(id).map_or("-", String::as_str);
+pub fn words<'a>(
+    names: &'a BTreeMap<NodeId, String>,
+    action: &ControllerAction,
+) -> (&'static str, &'a str, String) {
+    let member = |id: &NodeId| names.get(id).map_or("-", String::as_str);
     match action {
-        Action::Stepped(id, step) => {
-            let (what, launch) = match step {
-                Step::Waiting => ("waiting", 0),
-                Step::Ordered(launch) => ("ordered", *launch),
-                Step::Released(launch) => ("released", *launch),
-                Step::OrderedBack(launch) => ("ordered_back", *launch),
-                Step::Undone => ("undone", 0),
+        ControllerAction::Advanced(id, state) => {
+            let (what, launch) = match state {
+                UpgradeState::Pending => ("waiting", 0),
+                UpgradeState::Ordered(incarnation) => ("ordered", *incarnation),
+                UpgradeState::Upgraded(incarnation) => ("released", *incarnation),
+                UpgradeState::RollbackOrdered(incarnation) => ("ordered_back", *incarnation),
+                UpgradeState::RolledBack => ("undone", 0),
             };
             (what, member(id), format!("launch {launch}"))
         }
-        Action::Wave(wave) => ("wave", "-", format!("wave {}", wave + 1)),
-        Action::Turned(turned) => {
-            let (what, reason) = course(*turned);
-            let which = reason.strip_prefix("not_ready:").and_then(|id| Id::from_str_radix(id, 16).ok());
+        ControllerAction::WaveStarted(wave) => ("wave", "-", format!("wave {}", wave + 1)),
+        ControllerAction::PhaseChanged(phase) => {
+            let (what, reason) = phase_names(*phase);
+            let which = reason.strip_prefix("not_ready:").and_then(|id| NodeId::from_str_radix(id, 16).ok());
             (what, which.as_ref().map_or("-", member), reason)
         }
-        Action::HandOver(id, launch) => ("hand_over", member(id), format!("launch {launch}")),
-        Action::Order(order) => ("order", member(&order.id), format!("launch {}", order.launch)),
-        Action::Ask(bank, _) => ("ask", "-", format!("bank {bank}")),
-        Action::Return(bank, back) => ("return", member(&back.id), format!("bank {bank}")),
+        ControllerAction::HandOver(id, incarnation) => {
+            ("hand_over", member(id), format!("launch {incarnation}"))
+        }
+        ControllerAction::Restart(order) => {
+            ("order", member(&order.id), format!("launch {}", order.incarnation))
+        }
+        ControllerAction::RequestPermits(server, _) => ("ask", "-", format!("bank {server}")),
+        ControllerAction::ReturnPermit(server, permit) => {
+            ("return", member(&permit.id), format!("bank {server}"))
+        }
     }
 }
--- a/crates/proxy/src/release.rs
+++ b/crates/proxy/src/release.rs
@@ -10,7 +10,10 @@
 use std::path::PathBuf;
 use wharfplank_admin::Cordons;
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
-use wharfplank_rollout::{Allowance, Desk, Identity, Kind, Look, Place, Roster, Said, Terms, Trial, View};
+use wharfplank_rollout::{
+    AttemptCounts, DisruptionBudget, FleetView, Inventory, MemberView, Node, NodeKind, PeerIdentity,
+    RolloutConfig, RolloutService, ServiceEvent, ServiceSetup,
+};
 use wharfplank_routing::{self as routing, AttemptOutcome, ClassId, HostId, Micros};
 use wharfplank_settings::{Release as ReleaseSettings, Undo};
 use wharfplank_shared_state::named;
@@ -21,8 +24,8 @@
 const TRIALS_MOST: usize = 4096;
 
 struct On {
-    views: Outbox<View>,
-    notes: Inbox<Said>,
+    views: Outbox<FleetView>,
+    notes: Inbox<ServiceEvent>,
     /// The roster's members by name.
     ids: BTreeMap<String, u64>,
     names: BTreeMap<u64, String>,
@@ -33,7 +36,7 @@
 pub struct Releases {
     on: Option<On>,
     aims: Vec<Micros>,
-    trials: HashMap<HostId, Trial>,
+    trials: HashMap<HostId, AttemptCounts>,
 }
 
 impl Releases {
@@ -45,22 +48,27 @@
         let ids: BTreeMap<String, u64> =
             settings.members.iter().map(|member| (member.name.clone(), named(&member.name))).collect();
         let names: BTreeMap<u64, String> = ids.iter().map(|(name, id)| (*id, name.clone())).collect();
-        let (me, terms) = (identity(settings, clock), terms(settings));
-        let (roster, proxies) = (roster(settings), settings.proxies());
+        let identity = identity(settings, clock);
         let agent =
             |m: &wharfplank_settings::ReleaseMember| Some((*ids.get(&m.name)?, m.agent.parse().ok()?));
-        let agents = settings.members.iter().filter_map(agent).collect();
+        let setup = ServiceSetup {
+            identity,
+            inventory: inventory(settings),
+            config: rollout_config(settings),
+            proxies: settings.proxies(),
+            agents: settings.members.iter().filter_map(agent).collect(),
+        };
         let path = |text: &str| (text != "no").then(|| PathBuf::from(text));
         let shown = names.clone();
         let parts = Parts {
             socket,
-            ledger: me.bank.and_then(|_| path(&settings.ledger)),
+            ledger: identity.permit_server.and_then(|_| path(&settings.ledger)),
             signal: path(&settings.signal),
             now: move || clock.now(),
             say: move |told: release::Told<'_>| log::release(&shown, &told),
         };
-        let desk = move |ledger| Desk::new(me, (roster, terms), proxies, agents, ledger, clock.now());
-        let (views, notes) = release::start(parts, desk).map_err(|e| format!("release: {e}"))?;
+        let service = move |ledger| RolloutService::new(setup, ledger, clock.now());
+        let (views, notes) = release::start(parts, service).map_err(|e| format!("release: {e}"))?;
         let aims = config.settings.classes.iter().map(|class| class.latency_objective).collect();
         Ok(Releases { on: Some(On { views, notes, ids, names }), aims, trials: HashMap::new() })
     }
@@ -84,7 +92,7 @@
         cordons: &Cordons,
         hosts: &HashMap<String, HostId>,
         views: impl Iterator<Item = routing::MemberView>,
-        mut note: impl FnMut(&Said, &BTreeMap<u64, String>),
+        mut note: impl FnMut(&ServiceEvent, &BTreeMap<u64, String>),
     ) {
         let Some(on) = &mut self.on else { return };
         let views: HashMap<HostId, routing::MemberView> = views.map(|view| (view.host, view)).collect();
@@ -94,9 +102,9 @@
             Some((*id, look(host, views.get(number), cordons.is_cordoned(name), trial)))
         };
         let members = on.ids.iter().filter_map(look).collect();
-        on.views.push(View { at: now, members });
-        while let Some(said) = on.notes.try_next() {
-            note(&said, &on.names);
+        on.views.push(FleetView { at: now, members });
+        while let Some(event) = on.notes.try_next() {
+            note(&event, &on.names);
         }
         if self.trials.len() > TRIALS_MOST {
             let known: Vec<HostId> = on.ids.keys().filter_map(|name| hosts.get(name).copied()).collect();
@@ -106,7 +114,7 @@
 }
 
 /// What an attempt's end tells of its member; one that this proxy ended tells nothing.
-fn trial(ending: AttemptOutcome, late: bool) -> Option<Trial> {
+fn trial(ending: AttemptOutcome, late: bool) -> Option<AttemptCounts> {
     let (refused, late) = match ending {
         AttemptOutcome::Ok => (false, late),
         AttemptOutcome::Misrouted => (false, false),
@@ -117,49 +125,55 @@
         | AttemptOutcome::ConnectFailed => (true, false),
         AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return None,
     };
-    Some(Trial { answers: 1, refused: refused.into(), late: late.into() })
+    Some(AttemptCounts { answered: 1, failed: refused.into(), late: late.into() })
 }
 
 /// A listed member, as the list has it, the router sees it and operators say. The list's launch is taken, not the
 /// one that a cordon's end gives it.
-fn look(listed: &EndpointRecord, view: Option<&routing::MemberView>, cordoned: bool, trial: Trial) -> Look {
-    Look {
-        launch: listed.started_at_ms.max(0) as u64,
-        well: listed.health != EndpointHealth::Removed
+fn look(
+    listed: &EndpointRecord,
+    view: Option<&routing::MemberView>,
+    cordoned: bool,
+    trial: AttemptCounts,
+) -> MemberView {
+    MemberView {
+        incarnation: listed.started_at_ms.max(0) as u64,
+        healthy: listed.health != EndpointHealth::Removed
             && view.is_some_and(|view| view.suspected_since.is_none()),
         primary: view.is_some_and(|view| view.primary),
-        drained: listed.health == EndpointHealth::Draining,
+        draining: listed.health == EndpointHealth::Draining,
         cordoned,
-        trial,
+        attempts: trial,
     }
 }
 
-fn identity(settings: &ReleaseSettings, clock: Clock) -> Identity {
+fn identity(settings: &ReleaseSettings, clock: Clock) -> PeerIdentity {
     // No other process had this number: its address, its rank, and when it started.
     let number =
         named(&format!("{} {} {} {}", settings.listen, settings.rank, clock.now(), std::process::id()));
-    Identity { rank: settings.rank.into(), number, bank: settings.bank() }
+    PeerIdentity { rank: settings.rank.into(), process: number, permit_server: settings.bank() }
 }
 
-fn terms(settings: &ReleaseSettings) -> Terms {
-    Terms {
-        ready_within: settings.ready_within_s * 1_000_000,
-        watch: settings.watch_s * 1_000_000,
-        undo: settings.undo == Undo::Yes,
-        tries: settings.tries,
-        ..Terms::default()
+fn rollout_config(settings: &ReleaseSettings) -> RolloutConfig {
+    RolloutConfig {
+        ready_timeout: settings.ready_within_s * 1_000_000,
+        soak_time: settings.watch_s * 1_000_000,
+        automatic_rollback: settings.undo == Undo::Yes,
+        max_attempts: settings.tries,
+        ..RolloutConfig::default()
     }
 }
 
-fn roster(settings: &ReleaseSettings) -> Roster {
-    let place = |member: &wharfplank_settings::ReleaseMember| Place {
+fn inventory(settings: &ReleaseSettings) -> Inventory {
+    let node = |member: &wharfplank_settings::ReleaseMember| Node {
         id: named(&member.name),
         group: member.group,
         zone: named(&member.zone) as u32,
-        kind: Kind::Member,
+        kind: NodeKind::Member,
     };
     let ReleaseSettings { group, zone, fleet, banks, .. } = *settings;
-    Roster::new(settings.members.iter().map(place).collect(), Allowance { group, zone, fleet, banks })
+    let budget = DisruptionBudget { per_group: group, per_zone: zone, fleet, permit_servers: banks };
+    Inventory::new(settings.members.iter().map(node).collect(), budget)
 }
 
 #[cfg(test)]
@@ -192,19 +206,20 @@
     /// drain that counts as a failure: it is a cause of its own.
     #[test]
     fn a_member_is_well_where_it_is_listed_and_not_suspected() {
-        let of =
-            |health, view: Option<&routing::MemberView>| look(&host(health), view, false, Trial::default());
-        assert!(of(EndpointHealth::Active, Some(&view(None))).well);
-        assert!(!of(EndpointHealth::Active, Some(&view(Some(5)))).well);
-        assert!(!of(EndpointHealth::Removed, Some(&view(None))).well);
-        assert!(!of(EndpointHealth::Active, None).well);
+        let of = |health, view: Option<&routing::MemberView>| {
+            look(&host(health), view, false, AttemptCounts::default())
+        };
+        assert!(of(EndpointHealth::Active, Some(&view(None))).healthy);
+        assert!(!of(EndpointHealth::Active, Some(&view(Some(5)))).healthy);
+        assert!(!of(EndpointHealth::Removed, Some(&view(None))).healthy);
+        assert!(!of(EndpointHealth::Active, None).healthy);
         let drained = of(EndpointHealth::Draining, Some(&view(None)));
-        assert!(drained.well && drained.drained && drained.primary && drained.launch == 7);
+        assert!(drained.healthy && drained.draining && drained.primary && drained.incarnation == 7);
     }
 
     #[test]
     fn attempts_that_this_proxy_ended_tell_nothing_of_their_member() {
-        let of = |ending, late| trial(ending, late).map(|t| (t.answers, t.refused, t.late));
+        let of = |ending, late| trial(ending, late).map(|t| (t.answered, t.failed, t.late));
         assert_eq!(of(AttemptOutcome::Ok, false), Some((1, 0, 0)));
         assert_eq!(of(AttemptOutcome::Ok, true), Some((1, 0, 1)));
         assert_eq!(of(AttemptOutcome::Timeout, true), Some((1, 1, 0)));
--- /dev/null
+++ b/crates/rollout/src/budget.rs
@@ -0,0 +1,135 @@
+//! The disruption budget, and the inventory of the nodes that it covers.
+
+use crate::{NodeId, PermitServerId};
+use std::collections::BTreeMap;
+use twox_hash::XxHash3_64;
+
+/// How many nodes may be out at the same time, whatever the cause.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct DisruptionBudget {
+    /// Of each group.
+    pub per_group: u32,
+    /// Of each zone.
+    pub per_zone: u32,
+    /// Of the whole fleet.
+    pub fleet: u32,
+    /// How many permit servers are configured; [`Inventory::permit_servers`] says how many of them are used.
+    pub permit_servers: u32,
+}
+
+/// The kind of a node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum NodeKind {
+    /// A member of a replicated group. The group keeps one replica for reads, and its primary until that is handed over.
+    Member,
+    /// A proxy. The proxies of a zone form a group without roles.
+    Proxy,
+}
+
+/// A node that may go out, and where it counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Node {
+    /// The node's id.
+    pub id: NodeId,
+    /// Its group.
+    pub group: u32,
+    /// Its zone.
+    pub zone: u32,
+    /// Its kind.
+    pub kind: NodeKind,
+}
+
+/// All nodes under a disruption budget. Every proxy has the same inventory.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Inventory {
+    nodes: BTreeMap<NodeId, Node>,
+    budget: DisruptionBudget,
+    permit_servers: u32,
+    digest: u64,
+}
+
+impl Inventory {
+    /// Creates the inventory of the nodes under a budget.
+    pub fn new(nodes: Vec<Node>, budget: DisruptionBudget) -> Inventory {
+        let permit_servers = usable_permit_servers(&budget);
+        let nodes: BTreeMap<NodeId, Node> = nodes.into_iter().map(|node| (node.id, node)).collect();
+        let digest = digest(&nodes, &budget, permit_servers);
+        Inventory { nodes, budget, permit_servers, digest }
+    }
+
+    /// The number of permit servers in use.
+    pub fn permit_servers(&self) -> u32 {
+        self.permit_servers
+    }
+
+    /// A hash of the whole inventory and budget: a permit server grants nothing to a controller whose hash differs.
+    pub fn digest(&self) -> u64 {
+        self.digest
+    }
+
+    /// The whole budget.
+    pub fn budget(&self) -> DisruptionBudget {
+        self.budget
+    }
+
+    /// The permit server that owns a group. It depends on the group's number alone, so that it stays the same as nodes
+    /// come and go.
+    pub fn server_of_group(&self, group: u32) -> PermitServerId {
+        group % self.permit_servers
+    }
+
+    /// Each permit server's quota of every zone's budget.
+    pub fn zone_quota(&self) -> u32 {
+        self.budget.per_zone / self.permit_servers
+    }
+
+    /// Each permit server's quota of the fleet's budget.
+    pub fn fleet_quota(&self) -> u32 {
+        self.budget.fleet / self.permit_servers
+    }
+
+    /// Looks a node up.
+    pub fn node(&self, id: NodeId) -> Option<Node> {
+        self.nodes.get(&id).copied()
+    }
+
+    /// All nodes, ordered by id.
+    pub fn nodes(&self) -> impl Iterator<Item = &Node> {
+        self.nodes.values()
+    }
+
+    /// The order in which a rollout upgrades the nodes. Primaries come last, since their groups can then be handed over
+    /// to upgraded replicas. Within that, one node of each group follows the other, which spreads a wave over groups,
+    /// zones and permit servers.
+    pub fn upgrade_order(&self, is_primary: impl Fn(NodeId) -> bool) -> Vec<NodeId> {
+        let mut group_sizes = BTreeMap::<u32, u32>::new();
+        let mut keyed: Vec<(bool, u32, u32, NodeId)> = Vec::new();
+        for node in self.nodes.values() {
+            let position_in_group = group_sizes.entry(node.group).or_default();
+            *position_in_group += 1;
+            keyed.push((is_primary(node.id), *position_in_group, node.group, node.id));
+        }
+        keyed.sort_unstable();
+        keyed.into_iter().map(|(.., id)| id).collect()
+    }
+}
+
+/// The most permit servers that each get an even quota of the zones' and the fleet's budgets: a server without a quota
+/// could never let any of its groups' nodes out.
+fn usable_permit_servers(budget: &DisruptionBudget) -> u32 {
+    let divides_evenly =
+        |servers: &u32| budget.per_zone.is_multiple_of(*servers) && budget.fleet.is_multiple_of(*servers);
+    let most = budget.permit_servers.min(budget.per_zone).min(budget.fleet);
+    (1..=most).rev().find(divides_evenly).unwrap_or(1)
+}
+
+fn digest(nodes: &BTreeMap<NodeId, Node>, budget: &DisruptionBudget, permit_servers: u32) -> u64 {
+    let mut numbers: Vec<u64> =
+        [budget.per_group, budget.per_zone, budget.fleet, permit_servers].map(u64::from).to_vec();
+    for node in nodes.values() {
+        let kind = u64::from(node.kind == NodeKind::Proxy);
+        numbers.extend([node.id, u64::from(node.group), u64::from(node.zone), kind]);
+    }
+    let bytes: Vec<u8> = numbers.iter().flat_map(|number| number.to_le_bytes()).collect();
+    XxHash3_64::oneshot(&bytes)
+}
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,121 +1,92 @@
-//! Who of the fleet may be out at once, and releases that go forward, halt and go back under that. It does no I/O:
-//! messages, what members are seen to be, and the time go in; messages, orders and reasons come out.
+//! Disruption budgets and progressive rollouts. The crate does no I/O: messages, observations of members and the time go
+//! in; messages, orders and log events come out.
 //!
-//! Drains by discovery, operators' cordons, releases and failures share one [`Allowance`] for each group, each zone and
-//! the fleet. Each of a few banks has a fixed part of it and watches over the groups that are its own, so that no bank
-//! needs another. A [`Permit`] is of one launch of one member, and it is held: it ends when the member is seen back at a
-//! later launch and sound, however long that takes, or when the one it was given to returns it unused. An [`Order`]
-//! names the launch that it ends, and a member follows it at that launch only: one that comes late or twice does nothing.
+//! Drains by service discovery, operators' cordons, rollouts and failures share one [`DisruptionBudget`] for each group,
+//! each zone and the fleet. Each of a few permit servers owns some of the groups and has a fixed quota of the budget, so
+//! that no server depends on another. A [`Permit`] is for one incarnation of one member and does not expire: it ends when
+//! the member is observed back at a later incarnation and healthy, however long that takes, or when its holder returns
+//! it unused. A [`RestartOrder`] names the incarnation that it ends, and has an effect on that one only: an order that
+//! is delayed or duplicated does nothing.
 //!
-//! - [`Roster`]: who there is, and which bank watches over whom.
-//! - [`Bank`]: gives and ends permits.
-//! - [`Plan`], [`Plans`]: a release as a state that merges, so that any proxy can go on with it.
-//! - [`Driver`]: what the proxy that drives a release does next.
-//! - [`Station`]: one proxy's side of it all, with its messages as bytes.
-//! - [`Agents`], [`View`]: what members are seen to be, by their agents and the broker.
-//! - [`Desk`]: all of it for a driver with one socket, a file and a clock.
-//! - [`Evidence`], [`Sums`]: whether the released answer worse than the others, by a sequential test.
+//! - [`Inventory`]: the nodes, their budget, and which permit server owns which group.
+//! - [`PermitServer`]: grants and ends permits, and keeps them in a durable [`PermitLedger`].
+//! - [`Rollout`], [`RolloutTable`]: rollouts as state that merges, so that any proxy can take over.
+//! - [`RolloutController`]: what the proxy that leads a rollout does next.
+//! - [`CanaryAnalysis`], [`AttemptCounter`]: whether the upgraded members answer worse than the others, by a sequential
+//!   test.
+//! - [`AgentPoller`], [`FleetView`]: observations of members by their agents and the broker.
+//! - [`LeaderElection`], [`RolloutPeer`]: one proxy's part in all this, with encoded messages.
+//! - [`RolloutService`]: all of it for a caller with one socket, a file and a clock.
 //!
 //! ```
-//! use wharfplank_rollout::{Allowance, Ask, Bank, Kind, Ledger, Place, PlanId, Roster, Sight, Terms};
+//! use wharfplank_rollout::{
+//!     Candidate, DisruptionBudget, Inventory, Node, NodeKind, NodeObservation, PermitLedger, PermitRequest,
+//!     PermitServer, RolloutConfig, RolloutId,
+//! };
 //!
-//! let places = (0..3).map(|id| Place { id, group: 0, zone: id as u32, kind: Kind::Member }).collect();
-//! let roster = Roster::new(places, Allowance { group: 1, zone: 1, fleet: 1, banks: 1 });
-//! let digest = roster.digest();
-//! let mut bank = Bank::new(0, roster, Terms::default(), Some(Ledger::default()));
+//! let nodes = (0..3).map(|id| Node { id, group: 0, zone: id as u32, kind: NodeKind::Member }).collect();
+//! let budget = DisruptionBudget { per_group: 1, per_zone: 1, fleet: 1, permit_servers: 1 };
+//! let inventory = Inventory::new(nodes, budget);
+//! let inventory_digest = inventory.digest();
+//! let ledger = Some(PermitLedger::default());
+//! let mut server = PermitServer::new(0, inventory, RolloutConfig::default(), ledger);
 //! for id in 0..3 {
-//!     bank.seen(0, id, Sight { launch: 10, version: 1, sound: true, down: false, primary: id == 0, at: 0 });
+//!     let (version, primary) = (1, id == 0);
+//!     let healthy =
+//!         NodeObservation { incarnation: 10, version, healthy: true, down: false, primary, at: 0 };
+//!     server.on_observation(0, id, healthy);
 //! }
-//! let plan = PlanId { started_ms: 1, by: 9 };
-//! let ask = |number, id| Ask { plan, control: 0, roster: digest, holder: 9, number, wants: vec![(id, 10)] };
-//! assert_eq!(bank.asked(1, &ask(1, 1)).unwrap().held.len(), 1);
-//! // Neither a second one, nor an hour later: the first was not seen back.
-//! assert_eq!(bank.asked(3_600_000_000, &ask(2, 2)).unwrap().held.len(), 1);
+//! let rollout = RolloutId { started_ms: 1, started_by: 9 };
+//! let request = |sequence, id| PermitRequest {
+//!     rollout,
+//!     phase_revision: 0,
+//!     inventory_digest,
+//!     holder: 9,
+//!     sequence,
+//!     candidates: vec![Candidate { id, incarnation: 10 }],
+//! };
+//! assert_eq!(server.on_request(1, &request(1, 1)).unwrap().held.len(), 1);
+//! // No second permit, not even an hour later: the first member was not observed back.
+//! assert_eq!(server.on_request(3_600_000_000, &request(2, 2)).unwrap().held.len(), 1);
 //! ```
 
 mod agent;
-mod agents;
-mod allowance;
-mod bank;
-mod desk;
-mod driver;
-mod evidence;
-mod guard;
-mod keep;
-mod message;
+mod budget;
+mod canary;
+mod config;
+mod controller;
+mod operator;
+mod peer;
 mod permits;
 mod plan;
-mod plans;
-mod roles;
-mod signal;
-mod station;
-pub mod status;
-mod steps;
-mod sums;
+mod service;
 mod view;
-mod wheel;
-mod wire;
-mod word;
 
-pub use agent::{Call, Status, What};
-pub use agents::Agents;
-pub use allowance::{Allowance, Kind, Place, Roster};
-pub use bank::{Bank, Cause, Ledger, Sight};
-pub use desk::{Desk, Out, Said};
-pub use driver::{Action, Driver};
-pub use evidence::{Evidence, Tally, Trial};
-pub use keep::{read_ledger, write_ledger};
-pub use message::{Deed, Identity, To};
-pub use plan::{Control, Course, Plan, PlanId, Reason, Step};
-pub use plans::{Plans, PLANS_MOST};
-pub use signal::{Signal, Stamp};
-pub use station::Station;
-pub use sums::Sums;
-pub use view::{Look, View};
-pub use wharfplank_budget::Micros;
-pub use wheel::Wheel;
-pub use wire::{Answer, Ask, Order, Permit, Refusal, Return};
-pub use word::Word;
+pub use agent::{AgentCommand, AgentPoller, AgentRequest, AgentStatus, InvalidDatagram};
+pub use budget::{DisruptionBudget, Inventory, Node, NodeKind};
+pub use canary::{AttemptCounter, AttemptCounts, CanaryAnalysis, CanaryCounts, CanaryVerdict};
+pub use config::RolloutConfig;
+pub use controller::{ControllerAction, RolloutController};
+pub use operator::{FileStamp, OperatorCommand, ParseCommandError, SignalFileWatcher};
+pub use peer::{CommandError, Destination, Effect, LeaderElection, PeerIdentity, RolloutPeer};
+pub use permits::{
+    decode_ledger, encode_ledger, Candidate, LedgerFileError, NodeObservation, Outage, OutageCause, Permit,
+    PermitLedger, PermitRequest, PermitResponse, PermitReturn, PermitServer, RejectReason, Rejection,
+    RestartOrder,
+};
+pub use plan::{
+    HaltReason, Phase, PhaseRevision, Rollout, RolloutId, RolloutTable, TableFull, UpgradeState, MAX_ROLLOUTS,
+};
+pub use service::{status, CommandFailure, OutgoingDatagram, RolloutService, ServiceEvent, ServiceSetup};
+pub use view::{FleetView, MemberView};
 
-/// A member, or a proxy that is to restart: a number that all proxies know it by.
-pub type Id = u64;
-/// A launch of a member's process (`born_ms`): it grows with each.
-pub type Launch = u64;
+/// A time or a span of time in microseconds.
+pub type Micros = i64;
+/// Identifies a member, or a proxy that is to restart: all proxies know it by the same number.
+pub type NodeId = u64;
+/// An incarnation of a member's process (`born_ms`): it grows with each start.
+pub type Incarnation = u64;
 /// A version of the program that members run.
 pub type Version = u64;
-
-/// The figures of permits and releases.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// Who was not seen sound for this long counts as out, counted from when it was asked.
-    pub fresh: Micros,
-    /// How often a bank is asked, and an order said again.
-    pub again: Micros,
-    /// A member that is not back and sound so long after its order halts the release.
-    pub ready_within: Micros,
-    /// How long a wave is watched at most before the next one, where the test does not accept it before.
-    pub watch: Micros,
-    /// How often the evidence is looked at.
-    pub look: Micros,
-    /// A proxy not heard for this long does not drive.
-    pub silent: Micros,
-    /// Whether a release that its evidence halts goes back by itself, or waits for an operator.
-    pub undo: bool,
-    /// How often a member is asked to leave at most, before the release halts.
-    pub tries: u32,
-}
-
-impl Default for Terms {
-    fn default() -> Self {
-        Terms {
-            fresh: 3_000_000,
-            again: 1_000_000,
-            ready_within: 60_000_000,
-            watch: 5_000_000,
-            look: 1_000_000,
-            silent: 3_000_000,
-            undo: true,
-            tries: 3,
-        }
-    }
-}
+/// Identifies a permit server; they are numbered from 0.
+pub type PermitServerId = u32;
--- /dev/null
+++ b/crates/rollout/src/operator/mod.rs
@@ -0,0 +1,7 @@
+//! Operators' commands, and the signal file that they are written to.
+
+mod command;
+mod signal_file;
+
+pub use command::{OperatorCommand, ParseCommandError};
+pub use signal_file::{FileStamp, SignalFileWatcher};
--- /dev/null
+++ b/crates/rollout/src/peer/mod.rs
@@ -0,0 +1,344 @@
+//! One proxy's part in rollouts: its permit server if it is one, the rollouts that it knows, the controller, the leader
+//! election, and the encoded messages between proxies. It does no I/O.
+
+mod election;
+mod message;
+mod response_queue;
+
+pub use election::LeaderElection;
+pub use message::{Destination, Effect, PeerIdentity};
+
+use crate::{
+    ControllerAction, HaltReason, Inventory, Micros, NodeId, NodeObservation, OperatorCommand, OutageCause,
+    PermitLedger, PermitRequest, PermitServer, Phase, Rollout, RolloutConfig, RolloutController, RolloutId,
+    RolloutTable, TableFull, Version,
+};
+use message::PeerMessage;
+use response_queue::{QueuedResponse, ResponseQueue};
+use std::collections::BTreeSet;
+use thiserror::Error;
+
+/// How often a proxy sends its rollouts to one of the others.
+const GOSSIP_INTERVAL: Micros = 200_000;
+/// How many heartbeats the leader sends in the time after which it would count as silent.
+const HEARTBEATS_PER_TIMEOUT: Micros = 3;
+
+/// Why an operator's command had no effect.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum CommandError {
+    /// The rollout can't start: too many are unfinished.
+    #[error(transparent)]
+    TableFull(#[from] TableFull),
+    /// There is no rollout that the command could apply to.
+    #[error("no release is under way")]
+    NoRollout,
+    /// The rollout is in that phase already, or rolls back.
+    #[error("the release goes that way, or back, already")]
+    PhaseUnchanged,
+}
+
+/// One proxy's part in rollouts.
+#[derive(Clone, Debug)]
+pub struct RolloutPeer {
+    identity: PeerIdentity,
+    inventory: Inventory,
+    permit_server: Option<PermitServer>,
+    controller: RolloutController,
+    rollouts: RolloutTable,
+    election: LeaderElection,
+    is_leader: bool,
+    /// The ranks of the other proxies.
+    peers: Vec<u64>,
+    gossip_round: usize,
+    next_gossip_at: Micros,
+    peer_timeout: Micros,
+    next_heartbeat_at: Micros,
+    primaries: BTreeSet<NodeId>,
+    responses: ResponseQueue,
+    durable_revision: u64,
+    outbox: Vec<(Destination, Vec<u8>)>,
+    effects: Vec<Effect>,
+    /// Counts the messages that could not be decoded.
+    pub rejected: u64,
+}
+
+impl RolloutPeer {
+    /// Creates the part of a process that has just started; `ledger` is its permit server's, as it was stored last.
+    pub fn new(
+        identity: PeerIdentity,
+        inventory: Inventory,
+        config: RolloutConfig,
+        ledger: Option<PermitLedger>,
+        now: Micros,
+    ) -> RolloutPeer {
+        let durable_revision = ledger.as_ref().map_or(0, |ledger| ledger.revision);
+        let server_id = identity.permit_server.filter(|server| *server < inventory.permit_servers());
+        let permit_server =
+            server_id.map(|id| PermitServer::new(id, inventory.clone(), config.clone(), ledger));
+        RolloutPeer {
+            identity,
+            permit_server,
+            controller: RolloutController::new(identity.process, inventory.clone(), config.clone()),
+            rollouts: RolloutTable::default(),
+            election: LeaderElection::new(identity.rank, config.peer_timeout, now),
+            is_leader: false,
+            inventory,
+            peers: Vec::new(),
+            gossip_round: identity.rank as usize,
+            next_gossip_at: now,
+            peer_timeout: config.peer_timeout,
+            next_heartbeat_at: now,
+            primaries: BTreeSet::new(),
+            responses: ResponseQueue::default(),
+            durable_revision,
+            outbox: Vec::new(),
+            effects: Vec::new(),
+            rejected: 0,
+        }
+    }
+
+    /// Sets the ranks of the other proxies.
+    pub fn set_peers(&mut self, peers: Vec<u64>) {
+        self.peers = peers;
+    }
+
+    /// Takes in this proxy's observation of a member.
+    pub fn on_observation(&mut self, now: Micros, id: NodeId, observation: NodeObservation) {
+        self.controller.on_observation(id, observation);
+        if let Some(server) = &mut self.permit_server {
+            server.on_observation(now, id, observation);
+        }
+    }
+
+    /// Sets which nodes are out by a cause that needs no permit, as service discovery or an operator reports it now.
+    pub fn set_outages(&mut self, cause: OutageCause, out: &[NodeId]) {
+        let Some(server) = &mut self.permit_server else { return };
+        for node in self.inventory.nodes() {
+            server.report_outage(node.id, cause, out.contains(&node.id));
+        }
+    }
+
+    /// Sets which nodes are primaries, for the order of a rollout that starts here.
+    pub fn set_primaries(&mut self, primaries: impl IntoIterator<Item = NodeId>) {
+        self.primaries = primaries.into_iter().collect();
+    }
+
+    /// Gives a permit server that lost its ledger another one. By that an operator vouches that no node is out by a
+    /// permit of the lost one.
+    pub fn open_permit_server(&mut self, ledger: PermitLedger) {
+        if let Some(server) = &mut self.permit_server {
+            server.open(ledger);
+        }
+    }
+
+    /// Whether it is a permit server that is in use.
+    pub fn is_permit_server(&self) -> bool {
+        self.permit_server.is_some()
+    }
+
+    /// Whether it is a permit server that waits for a ledger.
+    pub fn is_permit_server_closed(&self) -> bool {
+        self.permit_server.as_ref().is_some_and(|server| server.ledger().is_none())
+    }
+
+    /// Whether this proxy needs observations of the members: as a permit server, or because it leads an unfinished
+    /// rollout.
+    pub fn needs_observations(&self) -> bool {
+        self.permit_server.is_some()
+            || self.is_leader && self.rollouts.iter().any(|rollout| !rollout.is_finished())
+    }
+
+    /// Whether this proxy led at the last tick.
+    pub fn is_leader(&self) -> bool {
+        self.is_leader
+    }
+
+    /// Records what this proxy counted for a rollout.
+    pub fn record_counts(&mut self, rollout: RolloutId, counts: &crate::CanaryCounts) {
+        if let Some(rollout) = self.rollouts.get_mut(rollout) {
+            rollout.record_counts(self.identity.rank, counts);
+        }
+    }
+
+    /// Applies an operator's command, and returns the rollout that it applied to.
+    ///
+    /// # Errors
+    ///
+    /// If it had no effect.
+    pub fn apply_command(
+        &mut self,
+        now_ms: u64,
+        command: &OperatorCommand,
+    ) -> Result<RolloutId, CommandError> {
+        match command {
+            OperatorCommand::Start { target, previous } => self.start_rollout(now_ms, *target, *previous),
+            OperatorCommand::Halt => self.change_phase(command, Phase::Halted(HaltReason::Operator)),
+            OperatorCommand::Resume => self.change_phase(command, Phase::Forward),
+            OperatorCommand::Undo => self.change_phase(command, Phase::RollingBack(HaltReason::Operator)),
+        }
+    }
+
+    fn start_rollout(
+        &mut self,
+        now_ms: u64,
+        target: Version,
+        previous: Version,
+    ) -> Result<RolloutId, CommandError> {
+        let id = RolloutId { started_ms: now_ms, started_by: self.identity.rank };
+        let is_primary = |id| self.primaries.contains(&id) || self.controller.is_primary(id);
+        let members = self.inventory.upgrade_order(is_primary);
+        let budget = self.inventory.budget().fleet as usize;
+        self.rollouts.start(Rollout::new(id, target, previous, &members, budget))?;
+        Ok(id)
+    }
+
+    /// Changes the phase of the newest rollout that a command can apply to.
+    fn change_phase(&mut self, command: &OperatorCommand, phase: Phase) -> Result<RolloutId, CommandError> {
+        // A finished rollout can still be undone.
+        let is_eligible =
+            |rollout: &&mut Rollout| !rollout.is_finished() || *command == OperatorCommand::Undo;
+        let newest = self.rollouts.iter_mut().filter(is_eligible).last();
+        let rollout = newest.ok_or(CommandError::NoRollout)?;
+        if !rollout.set_phase(phase) {
+            return Err(CommandError::PhaseUnchanged);
+        }
+        Ok(rollout.id)
+    }
+
+    /// Handles a message from the proxy with this rank.
+    pub fn on_message(&mut self, now: Micros, from: u64, bytes: &[u8]) {
+        let Ok(message) = postcard::from_bytes(bytes) else {
+            self.rejected += 1;
+            return;
+        };
+        match message {
+            PeerMessage::PermitRequest(request) => self.on_permit_request(now, from, &request),
+            PeerMessage::PermitResponse(server, response) => self.controller.on_response(server, &response),
+            PeerMessage::PermitReturn(returned) => {
+                if let Some(server) = &mut self.permit_server {
+                    server.on_return(&returned);
+                }
+            }
+            PeerMessage::Rollout(rollout) => {
+                self.election.on_heartbeat(now, from);
+                // Without room for it this proxy goes on without the rollout; others send it again.
+                let _ = self.rollouts.merge(&rollout);
+            }
+            PeerMessage::Heartbeat => self.election.on_heartbeat(now, from),
+        }
+    }
+
+    fn on_permit_request(&mut self, now: Micros, from: u64, request: &PermitRequest) {
+        let Some(server) = &mut self.permit_server else { return };
+        let Some(response) = server.on_request(now, request) else { return };
+        let ledger_revision = server.ledger().map_or(0, |ledger| ledger.revision);
+        self.responses.push(QueuedResponse { ledger_revision, destination: from, response });
+        self.send_durable_responses();
+    }
+
+    /// The permit server's ledger, if it has changed since it was stored.
+    pub fn ledger_to_store(&self) -> Option<&PermitLedger> {
+        let ledger = self.permit_server.as_ref()?.ledger()?;
+        (ledger.revision > self.durable_revision).then_some(ledger)
+    }
+
+    /// Notes that the ledger is stored up to this revision.
+    pub fn on_ledger_stored(&mut self, revision: u64) {
+        self.durable_revision = self.durable_revision.max(revision);
+        self.send_durable_responses();
+    }
+
+    /// Sends the responses that depend on nothing but the stored ledger.
+    fn send_durable_responses(&mut self) {
+        let Some(server) = self.identity.permit_server else { return };
+        while let Some(queued) = self.responses.pop_durable(self.durable_revision) {
+            let message = PeerMessage::PermitResponse(server, queued.response);
+            self.send(Destination::Proxy(queued.destination), &message);
+        }
+    }
+
+    /// Does what is due now.
+    pub fn on_tick(&mut self, now: Micros) {
+        self.gossip(now);
+        self.is_leader = self.election.check_leadership(now);
+        if self.is_leader {
+            self.send_heartbeats(now);
+            self.lead_rollouts(now);
+        }
+    }
+
+    /// Sends all rollouts to the next of the other proxies.
+    fn gossip(&mut self, now: Micros) {
+        if now < self.next_gossip_at || self.peers.is_empty() {
+            return;
+        }
+        self.next_gossip_at = now + GOSSIP_INTERVAL;
+        self.gossip_round += 1;
+        let peer = Destination::Proxy(self.peers[self.gossip_round % self.peers.len()]);
+        let rollouts: Vec<PeerMessage> = self.rollouts.iter().cloned().map(PeerMessage::Rollout).collect();
+        for message in &rollouts {
+            self.send(peer, message);
+        }
+        if rollouts.is_empty() {
+            self.send(peer, &PeerMessage::Heartbeat);
+        }
+    }
+
+    /// Tells all others that this proxy is alive and leads: in a large fleet the rounds of gossip are too rare for that.
+    fn send_heartbeats(&mut self, now: Micros) {
+        if now < self.next_heartbeat_at {
+            return;
+        }
+        self.next_heartbeat_at = now + self.peer_timeout / HEARTBEATS_PER_TIMEOUT;
+        for peer in self.peers.clone() {
+            self.send(Destination::Proxy(peer), &PeerMessage::Heartbeat);
+        }
+    }
+
+    fn lead_rollouts(&mut self, now: Micros) {
+        let mut actions = Vec::new();
+        for rollout in self.rollouts.iter_mut() {
+            let id = rollout.id;
+            actions.extend(self.controller.on_tick(now, rollout).into_iter().map(|action| (id, action)));
+        }
+        for (rollout, action) in actions {
+            self.perform(rollout, action);
+        }
+    }
+
+    fn perform(&mut self, rollout: RolloutId, action: ControllerAction) {
+        match action {
+            ControllerAction::RequestPermits(server, request) => {
+                self.send(Destination::PermitServer(server), &PeerMessage::PermitRequest(request));
+            }
+            ControllerAction::ReturnPermit(server, returned) => {
+                self.send(Destination::PermitServer(server), &PeerMessage::PermitReturn(returned));
+            }
+            ControllerAction::Restart(order) => self.effects.push(Effect::Restart(order)),
+            ControllerAction::HandOver(id, incarnation) => {
+                self.effects.push(Effect::HandOver(id, incarnation));
+            }
+            action => self.effects.push(Effect::Log(rollout, action)),
+        }
+    }
+
+    fn send(&mut self, to: Destination, message: &PeerMessage) {
+        self.outbox.extend(postcard::to_allocvec(message).map(|bytes| (to, bytes)));
+    }
+
+    /// Takes the messages that are to be sent. One to its own permit server or rank is to be passed to
+    /// [`RolloutPeer::on_message`].
+    pub fn take_outbox(&mut self) -> Vec<(Destination, Vec<u8>)> {
+        std::mem::take(&mut self.outbox)
+    }
+
+    /// Takes what is to be done at members and noted in the log.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
+    }
+
+    /// The rollouts that this proxy knows.
+    pub fn rollouts(&self) -> &RolloutTable {
+        &self.rollouts
+    }
+}
--- /dev/null
+++ b/crates/rollout/src/plan/table.rs
@@ -0,0 +1,107 @@
+//! The rollouts that a proxy knows of.
+
+use super::{HaltReason, Phase, Rollout, RolloutId};
+use crate::{NodeId, Version};
+use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
+
+/// The number of rollouts that are stored; past that the oldest finished one is dropped.
+pub const MAX_ROLLOUTS: usize = 8;
+
+/// The table holds [`MAX_ROLLOUTS`] rollouts of which none is finished.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("as many releases are under way as are kept")]
+pub struct TableFull;
+
+/// A proxy's rollouts.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RolloutTable {
+    rollouts: BTreeMap<RolloutId, Rollout>,
+}
+
+/// An unfinished rollout, and the members that it claims.
+struct Claim {
+    rollout: RolloutId,
+    target: Version,
+    members: BTreeSet<NodeId>,
+}
+
+impl RolloutTable {
+    /// Adds a rollout that starts at this proxy.
+    ///
+    /// # Errors
+    ///
+    /// If there is no room for it.
+    pub fn start(&mut self, mut rollout: Rollout) -> Result<(), TableFull> {
+        let finished = self.rollouts.values().filter(|known| known.is_finished()).map(|known| known.id);
+        rollout.finished_before.extend(finished);
+        self.merge(&rollout)
+    }
+
+    /// Merges another proxy's copy of a rollout.
+    ///
+    /// # Errors
+    ///
+    /// If there is no room for it.
+    pub fn merge(&mut self, rollout: &Rollout) -> Result<(), TableFull> {
+        if let Some(known) = self.rollouts.get_mut(&rollout.id) {
+            known.merge(rollout);
+        } else {
+            self.make_room()?;
+            self.rollouts.insert(rollout.id, rollout.clone());
+        }
+        self.resolve_conflicts();
+        Ok(())
+    }
+
+    fn make_room(&mut self) -> Result<(), TableFull> {
+        if self.rollouts.len() < MAX_ROLLOUTS {
+            return Ok(());
+        }
+        let finished = self.rollouts.values().find(|known| known.is_finished()).map(|known| known.id);
+        self.rollouts.remove(&finished.ok_or(TableFull)?);
+        Ok(())
+    }
+
+    /// Of two unfinished rollouts that share members the younger one rolls back. Each proxy that knows both decides
+    /// that by itself, with the same result.
+    fn resolve_conflicts(&mut self) {
+        let mut claims: Vec<Claim> = Vec::new();
+        for rollout in self.rollouts.values_mut() {
+            // One that rolls back neither blocks another one nor yields again.
+            if matches!(rollout.phase(), Phase::RollingBack(_)) || rollout.is_finished() {
+                continue;
+            }
+            let members: BTreeSet<NodeId> = rollout.members().copied().collect();
+            let conflicts = |claim: &&Claim| {
+                !rollout.finished_before.contains(&claim.rollout) && !claim.members.is_disjoint(&members)
+            };
+            let older_target = claims.iter().find(conflicts).map(|claim| claim.target);
+            if let Some(version) = older_target {
+                rollout.set_phase(Phase::RollingBack(HaltReason::OtherRollout(version)));
+            } else {
+                claims.push(Claim { rollout: rollout.id, target: rollout.target, members });
+            }
+        }
+    }
+
+    /// Looks a rollout up.
+    pub fn get(&self, id: RolloutId) -> Option<&Rollout> {
+        self.rollouts.get(&id)
+    }
+
+    /// Looks a rollout up, to change it.
+    pub fn get_mut(&mut self, id: RolloutId) -> Option<&mut Rollout> {
+        self.rollouts.get_mut(&id)
+    }
+
+    /// All rollouts, the oldest first.
+    pub fn iter(&self) -> impl Iterator<Item = &Rollout> {
+        self.rollouts.values()
+    }
+
+    /// All rollouts, to change them, the oldest first.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Rollout> {
+        self.rollouts.values_mut()
+    }
+}
--- a/crates/rollout/src/view.rs
+++ b/crates/rollout/src/view.rs
@@ -1,37 +1,37 @@
-//! What a proxy's broker makes of members: discovery's list, its own suspicion and the ends of its own attempts.
+//! What a proxy's broker knows of the members: the endpoint list, its own fault detection and its own attempts.
 
-use crate::{Id, Launch, Micros, Trial};
+use crate::{AttemptCounts, Incarnation, Micros, NodeId};
 use std::collections::BTreeMap;
 
-/// One member, as the broker has it.
+/// One member as the broker sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Look {
-    /// The launch that discovery tells.
-    pub launch: Launch,
-    /// Whether the list has it, and the router does not suspect it.
-    pub well: bool,
-    /// Whether it is taken for its group's primary.
+pub struct MemberView {
+    /// The incarnation that service discovery reports.
+    pub incarnation: Incarnation,
+    /// Whether the member is on the endpoint list and the router does not suspect it.
+    pub healthy: bool,
+    /// Whether the broker takes it for its group's primary.
     pub primary: bool,
-    /// Whether discovery drains it.
-    pub drained: bool,
+    /// Whether service discovery drains it.
+    pub draining: bool,
     /// Whether an operator cordoned it at this proxy.
     pub cordoned: bool,
-    /// Ends of this proxy's attempts there; the sums only grow while the process runs.
-    pub trial: Trial,
+    /// The outcomes of this proxy's attempts there. The counts only grow while the process runs.
+    pub attempts: AttemptCounts,
 }
 
-/// All members of the roster that the list has.
+/// All members of the inventory that are on the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct View {
-    /// When the broker looked.
+pub struct FleetView {
+    /// When the broker took this view.
     pub at: Micros,
     /// The members.
-    pub members: BTreeMap<Id, Look>,
+    pub members: BTreeMap<NodeId, MemberView>,
 }
 
-impl View {
-    /// Those of whom something holds.
-    pub fn those(&self, which: impl Fn(&Look) -> bool) -> Vec<Id> {
-        self.members.iter().filter(|(_, look)| which(look)).map(|(id, _)| *id).collect()
+impl FleetView {
+    /// The ids of the members for which a condition holds.
+    pub fn members_where(&self, condition: impl Fn(&MemberView) -> bool) -> Vec<NodeId> {
+        self.members.iter().filter(|(_, member)| condition(member)).map(|(id, _)| *id).collect()
     }
 }
--- a/crates/rollout/tests/permits/main.rs
+++ b/crates/rollout/tests/permits/main.rs
@@ -1,192 +1,257 @@
-//! The permits of one bank (banks share nothing), checked by a model checker over every order of messages, with loss,
-//! late and doubled messages, members that fall by themselves and restarts of the bank: the real bank, two drivers that
-//! may ask, order and give back at any time their rules leave them, and two members of which one may be out.
+//! The permits of one server (servers share nothing), checked by a model checker over every order of messages, with
+//! lost, delayed and duplicated messages, members that crash and restarts of the server: the real permit server, two
+//! controllers that may request, order and return at any time their rules allow, and two members of which one may be
+//! out.
 
 mod state;
 
-use state::{bank, roster, Driver, Flying, Member, State, DRIVERS, MEMBERS, PLAN};
+use state::{inventory, server, Controller, Member, Message, State, CONTROLLERS, MEMBERS, ROLLOUT};
 use stateright::{Checker, Model, Property};
-use wharfplank_rollout::{Ask, Id, Ledger, Micros, Order, Return, Sight};
+use wharfplank_rollout::{
+    Candidate, Micros, NodeId, NodeObservation, PermitLedger, PermitRequest, PermitReturn, RestartOrder,
+};
+
+/// The number of messages that may be in flight.
+const MAX_IN_FLIGHT: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    Ask(usize, Id),
-    Order(usize, Id),
-    Return(usize, Id),
-    Look(Id, bool),
-    Back(Id),
-    Fall(Id),
+enum Step {
+    Request {
+        controller: usize,
+        member: NodeId,
+    },
+    Order {
+        controller: usize,
+        member: NodeId,
+    },
+    Return {
+        controller: usize,
+        member: NodeId,
+    },
+    /// A member is observed; one that serves may be suspected by the broker alone.
+    Observe {
+        member: NodeId,
+        suspected: bool,
+    },
+    Recover(NodeId),
+    Crash(NodeId),
     Deliver(usize),
     Lose(usize),
-    Twice(usize),
-    /// With its ledger, or without.
-    RestartBank(bool),
+    Duplicate(usize),
+    RestartServer {
+        keeps_ledger: bool,
+    },
 }
 
+/// How often each kind of step may happen.
 #[derive(Clone)]
-struct Permits {
-    asks: u32,
-    looks: Micros,
-    faults: u32,
-    falls: u32,
-    restarts: u32,
+struct PermitModel {
+    requests: u32,
+    observations: Micros,
+    network_faults: u32,
+    crashes: u32,
+    server_restarts: u32,
 }
 
-impl Model for Permits {
-    type State = State;
-    type Action = Act;
-
-    fn init_states(&self) -> Vec<State> {
-        let mut bank = bank(Some(Ledger::default()));
-        let sight = Sight { launch: 1, version: 1, sound: true, down: false, primary: false, at: 0 };
-        (0..MEMBERS as Id).for_each(|id| bank.seen(0, id, sight));
-        let members = vec![Member { launch: 1, up: true, by_order: false }; MEMBERS];
-        let (drivers, flying) = (vec![Driver::default(); DRIVERS], vec![]);
-        let (asks, looks, faults, falls, restarts, returns) = (0, 0, 0, 0, 0, 0);
-        vec![State { bank, drivers, members, flying, asks, looks, faults, falls, restarts, returns }]
-    }
-
-    fn actions(&self, state: &State, actions: &mut Vec<Act>) {
-        let ids = 0..MEMBERS as Id;
-        let room = state.flying.len() < 3;
-        for d in 0..DRIVERS {
-            if room && state.asks < self.asks {
-                actions.extend(ids.clone().map(|id| Act::Ask(d, id)));
+impl PermitModel {
+    /// What the controllers may do.
+    fn controller_steps(&self, state: &State, steps: &mut Vec<Step>) {
+        if state.in_flight.len() >= MAX_IN_FLIGHT {
+            return;
+        }
+        for controller in 0..CONTROLLERS {
+            if state.requests < self.requests {
+                steps.extend((0..MEMBERS as NodeId).map(|member| Step::Request { controller, member }));
             }
-            for (id, permit) in &state.drivers[d].permits {
-                let ordered = state.drivers[d].ordered.contains(&permit.number);
-                if room && !ordered {
-                    actions.push(Act::Order(d, *id));
+            for (member, permit) in &state.controllers[controller].permits {
+                let member = *member;
+                if state.controllers[controller].ordered.contains(&permit.sequence) {
+                    continue;
                 }
-                if room && !ordered && !permit.shared {
-                    actions.push(Act::Return(d, *id));
+                steps.push(Step::Order { controller, member });
+                if !permit.shared {
+                    steps.push(Step::Return { controller, member });
                 }
             }
         }
-        if room && state.looks < self.looks {
-            actions.extend(ids.clone().map(|id| Act::Look(id, false)));
-            // One that serves, and that the broker alone doubts.
-            let up = |id: &Id| state.members[*id as usize].up;
-            actions.extend(ids.clone().filter(up).map(|id| Act::Look(id, true)));
+    }
+
+    /// What may happen to members, and what may be observed of them.
+    fn member_steps(&self, state: &State, steps: &mut Vec<Step>) {
+        let members = 0..MEMBERS as NodeId;
+        let is_up = |member: &NodeId| state.members[*member as usize].up;
+        if state.in_flight.len() < MAX_IN_FLIGHT && state.observations < self.observations {
+            steps.extend(members.clone().map(|member| Step::Observe { member, suspected: false }));
+            let up = members.clone().filter(is_up);
+            steps.extend(up.map(|member| Step::Observe { member, suspected: true }));
         }
-        actions.extend(ids.clone().filter(|id| !state.members[*id as usize].up).map(Act::Back));
-        if state.falls < self.falls {
-            actions.extend(ids.filter(|id| state.members[*id as usize].up).map(Act::Fall));
+        steps.extend(members.clone().filter(|member| !is_up(member)).map(Step::Recover));
+        if state.crashes < self.crashes {
+            steps.extend(members.filter(is_up).map(Step::Crash));
         }
-        actions.extend((0..state.flying.len()).map(Act::Deliver));
-        if state.faults < self.faults {
-            actions.extend((0..state.flying.len()).flat_map(|n| [Act::Lose(n), Act::Twice(n)]));
+    }
+}
+
+impl Model for PermitModel {
+    type State = State;
+    type Action = Step;
+
+    fn init_states(&self) -> Vec<State> {
+        let mut server = server(Some(PermitLedger::default()));
+        let healthy =
+            NodeObservation { incarnation: 1, version: 1, healthy: true, down: false, primary: false, at: 0 };
+        (0..MEMBERS as NodeId).for_each(|id| server.on_observation(0, id, healthy));
+        vec![State {
+            server,
+            controllers: vec![Controller::default(); CONTROLLERS],
+            members: vec![Member { incarnation: 1, up: true, out_by_order: false }; MEMBERS],
+            in_flight: vec![],
+            requests: 0,
+            observations: 0,
+            network_faults: 0,
+            crashes: 0,
+            server_restarts: 0,
+            returns: 0,
+        }]
+    }
+
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+        self.controller_steps(state, steps);
+        self.member_steps(state, steps);
+        steps.extend((0..state.in_flight.len()).map(Step::Deliver));
+        if state.network_faults < self.network_faults {
+            steps.extend((0..state.in_flight.len()).flat_map(|n| [Step::Lose(n), Step::Duplicate(n)]));
         }
-        if state.restarts < self.restarts {
-            actions.extend([true, false].map(Act::RestartBank));
+        if state.server_restarts < self.server_restarts {
+            steps.extend([true, false].map(|keeps_ledger| Step::RestartServer { keeps_ledger }));
         }
     }
 
-    fn next_state(&self, last: &State, act: Act) -> Option<State> {
+    fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
-        match act {
-            Act::Ask(d, id) => {
-                state.asks += 1;
-                state.drivers[d].asked += 1;
-                let (holder, number) = (d as u64, state.drivers[d].asked);
-                let wants = vec![(id, state.members[id as usize].launch)];
-                state.flying.push(Flying::Ask(Ask {
-                    plan: PLAN,
-                    control: 0,
-                    roster: roster().digest(),
-                    holder,
-                    number,
-                    wants,
+        match step {
+            Step::Request { controller, member } => {
+                state.requests += 1;
+                state.controllers[controller].last_request += 1;
+                let incarnation = state.members[member as usize].incarnation;
+                state.in_flight.push(Message::Request(PermitRequest {
+                    rollout: ROLLOUT,
+                    phase_revision: 0,
+                    inventory_digest: inventory().digest(),
+                    holder: controller as u64,
+                    sequence: state.controllers[controller].last_request,
+                    candidates: vec![Candidate { id: member, incarnation }],
                 }));
             }
-            Act::Order(d, id) => {
-                let permit = state.drivers[d].permits[&id];
-                state.drivers[d].ordered.insert(permit.number);
-                let (launch, down) = (permit.launch, permit.down);
-                state.flying.push(Flying::Order(Order { id, launch, version: 2, down }));
+            Step::Order { controller, member } => {
+                let permit = state.controllers[controller].permits[&member];
+                state.controllers[controller].ordered.insert(permit.sequence);
+                state.in_flight.push(Message::Order(RestartOrder {
+                    id: member,
+                    incarnation: permit.incarnation,
+                    version: 2,
+                    only_if_down: permit.only_if_down,
+                }));
             }
-            Act::Return(d, id) => {
-                let driver = &mut state.drivers[d];
-                let number = driver.permits.remove(&id)?.number;
-                driver.returned.insert(id, number);
+            Step::Return { controller, member } => {
+                let holder = controller as u64;
+                let controller = &mut state.controllers[controller];
+                let sequence = controller.permits.remove(&member)?.sequence;
+                controller.returned.insert(member, sequence);
                 state.returns += 1;
-                state.flying.push(Flying::Return(Return { id, number, holder: d as u64 }));
+                state.in_flight.push(Message::Return(PermitReturn { id: member, sequence, holder }));
             }
-            Act::Look(id, doubted) => {
-                state.looks += 1;
-                let member = &state.members[id as usize];
-                let (launch, sound, at) = (member.launch, member.up && !doubted, state.looks);
-                let sight = Sight { launch, version: 1, sound, down: !member.up, primary: false, at };
-                state.flying.push(Flying::Sight(id, sight));
+            Step::Observe { member, suspected } => {
+                state.observations += 1;
+                let Member { incarnation, up, .. } = state.members[member as usize];
+                let observation = NodeObservation {
+                    incarnation,
+                    version: 1,
+                    healthy: up && !suspected,
+                    down: !up,
+                    primary: false,
+                    at: state.observations,
+                };
+                state.in_flight.push(Message::Observation(member, observation));
             }
-            Act::Back(id) => {
-                let member = &mut state.members[id as usize];
-                (member.up, member.by_order) = (true, false);
+            Step::Recover(member) => {
+                let member = &mut state.members[member as usize];
+                member.up = true;
+                member.out_by_order = false;
             }
-            Act::Fall(id) => {
-                state.falls += 1;
-                let member = &mut state.members[id as usize];
-                (member.launch, member.up) = (member.launch + 1, false);
+            Step::Crash(member) => {
+                state.crashes += 1;
+                let member = &mut state.members[member as usize];
+                member.incarnation += 1;
+                member.up = false;
             }
-            Act::Deliver(n) => {
-                let flying = state.flying.remove(n);
-                state.deliver(&flying);
+            Step::Deliver(n) => {
+                let message = state.in_flight.remove(n);
+                state.deliver(&message);
             }
-            Act::Lose(n) => {
-                state.faults += 1;
-                state.flying.remove(n);
+            Step::Lose(n) => {
+                state.network_faults += 1;
+                state.in_flight.remove(n);
             }
-            Act::Twice(n) => {
-                state.faults += 1;
-                let flying = state.flying[n].clone();
-                state.deliver(&flying);
+            Step::Duplicate(n) => {
+                state.network_faults += 1;
+                let message = state.in_flight[n].clone();
+                state.deliver(&message);
             }
-            Act::RestartBank(kept) => {
-                state.restarts += 1;
-                state.bank = bank(state.bank.ledger().filter(|_| kept).cloned());
+            Step::RestartServer { keeps_ledger } => {
+                state.server_restarts += 1;
+                state.server = server(state.server.ledger().filter(|_| keeps_ledger).cloned());
             }
         }
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        let mut all =
-            vec![Property::always("one is out by orders at most", |_, s: &State| s.out_by_order() <= 1)];
-        if self.asks >= 2 && self.falls == 0 && self.looks >= 2 {
-            all.push(Property::sometimes("both were out, one after the other", |_, s: &State| {
-                s.members.iter().all(|member| member.launch > 1)
+        let mut all = vec![Property::always("at most one is out by orders", |_, state: &State| {
+            state.out_by_order() <= 1
+        })];
+        if self.requests >= 2 && self.crashes == 0 && self.observations >= 2 {
+            all.push(Property::sometimes("both were out, one after the other", |_, state: &State| {
+                state.members.iter().all(|member| member.incarnation > 1)
             }));
         }
-        if self.restarts > 0 && self.falls == 0 {
-            all.push(Property::sometimes("one goes out after the bank's restart", |_, s: &State| {
-                s.restarts > 0 && s.out_by_order() == 1 && s.asks > 0
+        if self.server_restarts > 0 && self.crashes == 0 {
+            all.push(Property::sometimes("one goes out after the server's restart", |_, state: &State| {
+                state.server_restarts > 0 && state.out_by_order() == 1 && state.requests > 0
             }));
         }
-        all.push(Property::sometimes("a permit is returned and given again", |_, s: &State| {
-            s.returns > 0 && s.bank.ledger().is_some_and(|l| l.held().any(|permit| permit.number > 1))
+        all.push(Property::sometimes("a permit is returned and granted again", |_, state: &State| {
+            let is_regranted = |ledger: &PermitLedger| ledger.permits().any(|permit| permit.sequence > 1);
+            state.returns > 0 && state.server.ledger().is_some_and(is_regranted)
         }));
         all
     }
 }
 
-fn checked(model: Permits) -> usize {
+/// Checks the model, and returns the number of distinct states.
+fn check(model: PermitModel) -> usize {
     let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{} states, {} of them distinct", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
     checker.unique_state_count()
 }
 
+/// A model of requests and observations alone.
+fn without_faults(requests: u32, observations: Micros) -> PermitModel {
+    PermitModel { requests, observations, network_faults: 0, crashes: 0, server_restarts: 0 }
+}
+
 #[test]
-fn every_order_of_messages_lets_one_out_at_most() {
-    assert!(checked(Permits { asks: 2, looks: 2, faults: 0, falls: 0, restarts: 0 }) > 10_000);
-    assert!(checked(Permits { asks: 3, looks: 0, faults: 0, falls: 0, restarts: 0 }) > 10_000);
+fn at_most_one_is_out_over_every_order_of_messages() {
+    assert!(check(without_faults(2, 2)) > 10_000);
+    assert!(check(without_faults(3, 0)) > 10_000);
 }
 
 /// As above with more of each: millions of states. `make model`.
 #[test]
 #[ignore = "takes minutes"]
-fn every_order_of_messages_and_faults_lets_one_out_at_most() {
-    assert!(checked(Permits { asks: 3, looks: 1, faults: 1, falls: 0, restarts: 0 }) > 500_000);
-    assert!(checked(Permits { asks: 2, looks: 1, faults: 1, falls: 1, restarts: 0 }) > 500_000);
-    assert!(checked(Permits { asks: 2, looks: 2, faults: 0, falls: 0, restarts: 1 }) > 100_000);
+fn at_most_one_is_out_over_every_order_of_messages_and_faults() {
+    assert!(check(PermitModel { network_faults: 1, ..without_faults(3, 1) }) > 500_000);
+    assert!(check(PermitModel { network_faults: 1, crashes: 1, ..without_faults(2, 1) }) > 500_000);
+    assert!(check(PermitModel { server_restarts: 1, ..without_faults(2, 2) }) > 100_000);
 }
--- a/crates/rollout/tests/permits/state.rs
+++ b/crates/rollout/tests/permits/state.rs
@@ -1,100 +1,109 @@
-//! The state of the model: the real bank, drivers that keep its rules, members, and what is on the way.
+//! The state of the model: the real permit server, controllers that keep its rules, members, and the messages in flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_rollout::{
-    Allowance, Answer, Ask, Bank, Id, Kind, Launch, Ledger, Micros, Order, Permit, Place, PlanId, Return,
-    Roster, Sight, Terms,
+    DisruptionBudget, Incarnation, Inventory, Micros, Node, NodeId, NodeKind, NodeObservation, Permit,
+    PermitLedger, PermitRequest, PermitResponse, PermitReturn, PermitServer, RestartOrder, RolloutConfig,
+    RolloutId,
 };
 
 pub const MEMBERS: usize = 2;
-pub const DRIVERS: usize = 2;
-pub const PLAN: PlanId = PlanId { started_ms: 1, by: 1 };
+pub const CONTROLLERS: usize = 2;
+pub const ROLLOUT: RolloutId = RolloutId { started_ms: 1, started_by: 1 };
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Flying {
-    Ask(Ask),
-    Answer(Answer),
-    Order(Order),
-    Return(Return),
-    Sight(Id, Sight),
+pub enum Message {
+    Request(PermitRequest),
+    Response(PermitResponse),
+    Order(RestartOrder),
+    Return(PermitReturn),
+    Observation(NodeId, NodeObservation),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    pub launch: Launch,
+    pub incarnation: Incarnation,
     pub up: bool,
     /// Whether it served when an order took it out.
-    pub by_order: bool,
+    pub out_by_order: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Driver {
-    pub asked: u64,
-    pub answered: u64,
-    pub permits: BTreeMap<Id, Permit>,
+pub struct Controller {
+    pub last_request: u64,
+    pub last_response: u64,
+    pub permits: BTreeMap<NodeId, Permit>,
     pub ordered: BTreeSet<u64>,
-    pub returned: BTreeMap<Id, u64>,
+    pub returned: BTreeMap<NodeId, u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    pub bank: Bank,
-    pub drivers: Vec<Driver>,
+    pub server: PermitServer,
+    pub controllers: Vec<Controller>,
     pub members: Vec<Member>,
-    pub flying: Vec<Flying>,
-    pub asks: u32,
-    pub looks: Micros,
-    pub faults: u32,
-    pub falls: u32,
-    pub restarts: u32,
+    pub in_flight: Vec<Message>,
+    pub requests: u32,
+    pub observations: Micros,
+    pub network_faults: u32,
+    pub crashes: u32,
+    pub server_restarts: u32,
     pub returns: u32,
 }
 
-pub fn roster() -> Roster {
-    let place = |id| Place { id, group: id as u32, zone: 0, kind: Kind::Proxy };
-    let allowance = Allowance { group: 1, zone: 1, fleet: 1, banks: 1 };
-    Roster::new((0..MEMBERS as Id).map(place).collect(), allowance)
+pub fn inventory() -> Inventory {
+    let node = |id| Node { id, group: id as u32, zone: 0, kind: NodeKind::Proxy };
+    let budget = DisruptionBudget { per_group: 1, per_zone: 1, fleet: 1, permit_servers: 1 };
+    Inventory::new((0..MEMBERS as NodeId).map(node).collect(), budget)
 }
 
-pub fn bank(ledger: Option<Ledger>) -> Bank {
-    Bank::new(0, roster(), Terms::default(), ledger)
+pub fn server(ledger: Option<PermitLedger>) -> PermitServer {
+    PermitServer::new(0, inventory(), RolloutConfig::default(), ledger)
+}
+
+impl Controller {
+    fn on_response(&mut self, response: &PermitResponse) {
+        if response.request <= self.last_response {
+            return;
+        }
+        self.last_response = response.request;
+        let returned = &self.returned;
+        let is_valid = |permit: &&Permit| {
+            permit.shared || returned.get(&permit.id).is_none_or(|sequence| permit.sequence > *sequence)
+        };
+        self.permits = response.held.iter().filter(is_valid).map(|permit| (permit.id, *permit)).collect();
+    }
+}
+
+impl Member {
+    fn on_order(&mut self, order: &RestartOrder) {
+        if self.incarnation == order.incarnation && !(order.only_if_down && self.up) {
+            self.incarnation = order.incarnation + 1;
+            self.out_by_order |= self.up;
+            self.up = false;
+        }
+    }
 }
 
 impl State {
-    pub fn deliver(&mut self, flying: &Flying) {
-        match flying {
-            Flying::Ask(ask) => {
-                let answer = self.bank.asked(self.looks, ask);
-                self.flying.extend(answer.map(Flying::Answer));
+    pub fn deliver(&mut self, message: &Message) {
+        match message {
+            Message::Request(request) => {
+                let response = self.server.on_request(self.observations, request);
+                self.in_flight.extend(response.map(Message::Response));
             }
-            Flying::Answer(answer) => {
-                let driver = &mut self.drivers[answer.holder as usize];
-                if answer.ask > driver.answered {
-                    driver.answered = answer.ask;
-                    let returned = &driver.returned;
-                    let new = |permit: &&Permit| {
-                        permit.shared || returned.get(&permit.id).is_none_or(|n| permit.number > *n)
-                    };
-                    driver.permits =
-                        answer.held.iter().filter(new).map(|permit| (permit.id, *permit)).collect();
-                }
+            Message::Response(response) => {
+                self.controllers[response.holder as usize].on_response(response);
             }
-            Flying::Order(order) => {
-                let member = &mut self.members[order.id as usize];
-                if member.launch == order.launch && !(order.down && member.up) {
-                    *member = Member {
-                        launch: order.launch + 1,
-                        up: false,
-                        by_order: member.up || member.by_order,
-                    };
-                }
+            Message::Order(order) => self.members[order.id as usize].on_order(order),
+            Message::Return(returned) => self.server.on_return(returned),
+            Message::Observation(id, observation) => {
+                self.server.on_observation(self.observations, *id, *observation);
             }
-            Flying::Return(back) => self.bank.returned(back),
-            Flying::Sight(id, sight) => self.bank.seen(self.looks, *id, *sight),
         }
     }
 
     pub fn out_by_order(&self) -> usize {
-        self.members.iter().filter(|member| !member.up && member.by_order).count()
+        self.members.iter().filter(|member| !member.up && member.out_by_order).count()
     }
 }
--- /dev/null
+++ b/crates/rollout/tests/signal_file.rs
@@ -0,0 +1,28 @@
+//! When the signal file holds a new command.
+
+use std::time::{Duration, SystemTime};
+use wharfplank_rollout::SignalFileWatcher;
+
+/// Guards against a command that is executed twice, after a restart, or before it is completely written.
+#[test]
+fn a_command_is_new_once() {
+    let at = |s: u64, length| Some((SystemTime::UNIX_EPOCH + Duration::from_secs(s), length));
+    let mut watcher = SignalFileWatcher::default();
+    let checks = [
+        (at(1, 5), false),
+        (at(1, 5), false),
+        (at(2, 0), false),
+        (at(2, 5), true),
+        (at(2, 5), false),
+        (None, false),
+        (at(2, 5), true),
+        (at(3, 5), true),
+    ];
+    for (n, (stamp, new)) in checks.into_iter().enumerate() {
+        assert_eq!(watcher.has_new_command(stamp), new, "check {n}");
+    }
+    assert!(!SignalFileWatcher::default().has_new_command(None));
+    let mut without_file = SignalFileWatcher::default();
+    without_file.has_new_command(None);
+    assert!(without_file.has_new_command(at(4, 5)), "the first command of a file that did not exist");
+}
--- a/crates/transport/src/release.rs
+++ b/crates/transport/src/release.rs
@@ -1,5 +1,6 @@
 //! The driver of releases: a thread of its own with the UDP socket, the ledger's file and the signal file of a
-//! [`Desk`]. It carries datagrams, files and the time to that and decides nothing itself. Serving never waits for it:
+//! [`RolloutService`]. It carries datagrams, files and the time to that and decides nothing itself. Serving never waits
+//! for it:
 //! the broker's views come over a ring, and what was done goes back over another.
 
 use crate::duty::{self, Inbox, Outbox};
@@ -10,7 +11,10 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use wharfplank_rollout::{read_ledger, write_ledger, Desk, Ledger, Micros, Said, Signal, View};
+use wharfplank_rollout::{
+    decode_ledger, encode_ledger, FleetView, Micros, PermitLedger, RolloutService, ServiceEvent,
+    SignalFileWatcher,
+};
 
 /// Views and notes that may wait in each ring; the broker looks each second.
 const RING: usize = 256;
@@ -38,16 +42,16 @@
 /// What the log is told.
 pub enum Told<'a> {
     /// Of releases.
-    Said(&'a Said),
+    Event(&'a ServiceEvent),
     /// A file could not be written, read or put in place.
     File(&'a Path, &'a std::io::Error),
 }
 
-/// Starts the thread; `desk` is made there, with the ledger as it was kept.
+/// Starts the thread; `service` is made there, with the ledger as it was kept.
 pub fn start<Now, Say>(
     parts: Parts<Now, Say>,
-    desk: impl FnOnce(Option<Ledger>) -> Desk + Send + 'static,
-) -> std::io::Result<(Outbox<View>, Inbox<Said>)>
+    service: impl FnOnce(Option<PermitLedger>) -> RolloutService + Send + 'static,
+) -> std::io::Result<(Outbox<FleetView>, Inbox<ServiceEvent>)>
 where
     Now: Fn() -> Micros + Send + 'static,
     Say: Fn(Told<'_>) + Send + 'static,
@@ -57,7 +61,7 @@
     duty::start("release", RING, move |views, notes| async move {
         let Ok(socket) = Async::new(parts.socket) else { return };
         let files = Files { ledger: parts.ledger, signal: parts.signal, ..Files::default() };
-        drive(desk(ledger), socket, files, parts.now, parts.say, (views, notes)).await;
+        drive(service(ledger), socket, files, parts.now, parts.say, (views, notes)).await;
     })
 }
 
@@ -65,7 +69,7 @@
 struct Files {
     ledger: Option<PathBuf>,
     signal: Option<PathBuf>,
-    seen: Signal,
+    seen: SignalFileWatcher,
     shown: String,
     due: Micros,
     /// When a ledger that could not be written is tried again.
@@ -73,17 +77,17 @@
 }
 
 async fn drive(
-    mut desk: Desk,
+    mut service: RolloutService,
     socket: Async<UdpSocket>,
     mut files: Files,
     now: impl Fn() -> Micros,
     say: impl Fn(Told<'_>),
-    (mut views, mut notes): (Inbox<View>, Outbox<Said>),
+    (mut views, mut notes): (Inbox<FleetView>, Outbox<ServiceEvent>),
 ) {
     let mut buffer = vec![0_u8; 65_536];
     enum Woken {
         Datagram(usize, SocketAddr),
-        View(Option<View>),
+        View(Option<FleetView>),
         Time,
     }
     loop {
@@ -98,40 +102,40 @@
         let woken = future::or(view, future::or(datagram, time)).await;
         let at = now();
         match woken {
-            Woken::Datagram(count, SocketAddr::V4(from)) => desk.received(at, from, &buffer[..count]),
-            Woken::View(Some(view)) => desk.viewed(view),
+            Woken::Datagram(count, SocketAddr::V4(from)) => service.on_datagram(at, from, &buffer[..count]),
+            Woken::View(Some(view)) => service.on_view(view),
             // The process ends; what was promised is on disk.
             Woken::View(None) => return,
             _ => {}
         }
-        desk.tick(at);
+        service.on_tick(at);
         if at >= files.due {
             files.due = at + LOOK;
-            files.look(&mut desk, &say);
+            files.look(&mut service, &say);
         }
-        files.keep(&mut desk, at, &say);
-        // A datagram that cannot go is as one lost on the wire: all that matters is said again.
-        for (to, bytes) in desk.take_sends(at) {
+        files.keep(&mut service, at, &say);
+        // A datagram that cannot go is as one lost on the wire: all that matters is sent again.
+        for (to, bytes) in service.take_datagrams(at) {
             let _ = socket.send_to(&bytes, to).await;
         }
-        files.keep(&mut desk, at, &say);
-        for said in desk.take_said() {
-            say(Told::Said(&said));
-            notes.leave(said);
+        files.keep(&mut service, at, &say);
+        for event in service.take_events() {
+            say(Told::Event(&event));
+            notes.leave(event);
         }
     }
 }
 
 impl Files {
     /// Writes the ledger where it changed: its answers leave after that.
-    fn keep(&mut self, desk: &mut Desk, now: Micros, say: &impl Fn(Told<'_>)) {
-        let (Some(path), Some(ledger)) = (&self.ledger, desk.ledger()) else { return };
+    fn keep(&mut self, service: &mut RolloutService, now: Micros, say: &impl Fn(Told<'_>)) {
+        let (Some(path), Some(ledger)) = (&self.ledger, service.ledger_to_store()) else { return };
         if now < self.again {
             return;
         }
-        let changes = ledger.changes;
-        match put(path, &write_ledger(ledger), true) {
-            Ok(()) => desk.kept(changes),
+        let revision = ledger.revision;
+        match put(path, &encode_ledger(ledger), true) {
+            Ok(()) => service.on_ledger_stored(revision),
             Err(fault) => {
                 self.again = now + LOOK;
                 say(Told::File(path, &fault));
@@ -140,25 +144,28 @@
     }
 
     /// Looks at the files that operators write, and shows them the status.
-    fn look(&mut self, desk: &mut Desk, say: &impl Fn(Told<'_>)) {
-        if let Some(path) = self.ledger.as_deref().filter(|_| desk.closed()) {
+    fn look(&mut self, service: &mut RolloutService, say: &impl Fn(Told<'_>)) {
+        if let Some(path) = self.ledger.as_deref().filter(|_| service.is_permit_server_closed()) {
             // An operator may give a bank without a ledger one at any time.
             let bytes = read(path, LEDGER_BYTES).ok();
-            bytes.and_then(|bytes| read_ledger(&bytes)).into_iter().for_each(|ledger| desk.open(ledger));
+            bytes
+                .and_then(|bytes| decode_ledger(&bytes).ok())
+                .into_iter()
+                .for_each(|ledger| service.open_permit_server(ledger));
         }
         let Some(path) = &self.signal else { return };
         let stamp = std::fs::metadata(path).ok().and_then(|of| Some((of.modified().ok()?, of.len())));
-        if self.seen.is_new(stamp) {
+        if self.seen.has_new_command(stamp) {
             match read(path, SIGNAL_BYTES) {
-                Ok(word) => {
+                Ok(command) => {
                     let now = SystemTime::now().duration_since(UNIX_EPOCH);
                     let now_ms = now.map_or(0, |span| span.as_millis() as u64);
-                    desk.word(now_ms, &String::from_utf8_lossy(&word));
+                    service.on_command(now_ms, &String::from_utf8_lossy(&command));
                 }
                 Err(fault) => say(Told::File(path, &fault)),
             }
         }
-        let status = desk.status();
+        let status = service.status();
         if status != self.shown {
             let mut beside = path.clone().into_os_string();
             beside.push(".status");
@@ -172,9 +179,9 @@
 }
 
 /// The ledger as it was kept last; none where there is no file, or it can't be read whole.
-fn kept(path: &Path, say: &impl Fn(Told<'_>)) -> Option<Ledger> {
+fn kept(path: &Path, say: &impl Fn(Told<'_>)) -> Option<PermitLedger> {
     match read(path, LEDGER_BYTES) {
-        Ok(bytes) => read_ledger(&bytes),
+        Ok(bytes) => decode_ledger(&bytes).ok(),
         Err(fault) => {
             say(Told::File(path, &fault));
             None
