--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -3,7 +3,7 @@
 use super::shutdown::Shutdown;
 use super::*;
 use wharfplank_admin::ReloadResult;
-use wharfplank_pool_policy::Opening;
+use wharfplank_pool_policy::StartupConnectOrder;
 
 /// How long readiness waits for discovery to confirm the endpoint list: a proxy that cannot reach discovery still
 /// serves from the list that it has.
@@ -20,7 +20,7 @@
     list_confirmed: bool,
     is_ready: bool,
     /// Chooses the members that a starting proxy connects to.
-    first_connection: Opening,
+    connect_order: StartupConnectOrder,
     /// Present from SIGTERM on.
     pub(super) shutdown: Option<Shutdown>,
 }
@@ -32,7 +32,7 @@
             started_at: now,
             list_confirmed: false,
             is_ready: false,
-            first_connection: Opening::new(seed, connect_timeout),
+            connect_order: StartupConnectOrder::new(seed, connect_timeout),
             shutdown: None,
         }
     }
@@ -104,7 +104,7 @@
     fn open_first_connection(&mut self, now: Micros, is_connected: bool) {
         let members = self.endpoints.members.iter();
         let candidates = members.filter(|(_, member)| !is_connected && member.is_active());
-        let next = self.lifecycle.first_connection.next(now, candidates.map(|(host, _)| *host));
+        let next = self.lifecycle.connect_order.next_member(now, candidates.map(|(host, _)| *host));
         if let Some(member) = next.and_then(|host| self.endpoints.members.get(&host)) {
             member.connect_if_unused();
         }
--- a/crates/transport/src/member_pool.rs
+++ b/crates/transport/src/member_pool.rs
@@ -34,7 +34,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
-use wharfplank_pool_policy::Demand;
+use wharfplank_pool_policy::ConnectionDemand;
 
 /// How a waiting attempt is handed a connection, or told that opening one failed.
 type ConnectionWaiter = Sender<Result<MemberConnection, OpenFailed>>;
@@ -62,7 +62,7 @@
     last_response: Cell<Instant>,
     /// Until when no spare connection is opened, after opening one failed.
     backoff_until: Cell<Option<Instant>>,
-    demand: Cell<Demand>,
+    demand: Cell<ConnectionDemand>,
 }
 
 impl MemberPool {
--- a/crates/transport/src/member_pool/checkout.rs
+++ b/crates/transport/src/member_pool/checkout.rs
@@ -45,7 +45,7 @@
 
     fn record_demand(&self) {
         let mut demand = self.demand.get();
-        demand.used((self.context.now)());
+        demand.record_use((self.context.now)());
         self.demand.set(demand);
     }
 
--- a/crates/transport/src/member_pool/opening.rs
+++ b/crates/transport/src/member_pool/opening.rs
@@ -64,8 +64,11 @@
     fn missing_connections(&self) -> usize {
         let now = Instant::now();
         let in_backoff = self.backoff_until.get().is_some_and(|until| now < until);
-        let spares =
-            if in_backoff || !self.active.get() { 0 } else { self.demand.get().spares((self.context.now)()) };
+        let spares = if in_backoff || !self.active.get() {
+            0
+        } else {
+            self.demand.get().spare_connections((self.context.now)())
+        };
         let waiting = self.waiters.borrow().iter().filter(|waiter| !waiter.is_closed()).count();
         let available = self.idle.borrow().len() + self.settling.get();
         (waiting + spares).saturating_sub(available).min(MAX_OPENING)
