--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -24,7 +24,7 @@
 impl Broker {
     /// Reads the configuration anew.
     pub(super) fn reload(&mut self) {
-        let read = Config::anew();
+        let read = Config::reload();
         self.shared.metrics.record_reload(match read {
             Ok(_) => ReloadResult::Applied,
             Err(_) => ReloadResult::Failed,
@@ -35,7 +35,7 @@
                 self.watch.move_to(config.discovery);
                 log::reloaded(config.discovery);
             }
-            Err(what) => log::kept(&what),
+            Err(error) => log::kept(&error.to_string()),
         }
     }
 
--- a/crates/proxy/src/budgets.rs
+++ b/crates/proxy/src/budgets.rs
@@ -2,6 +2,7 @@
 //! the log of what they do.
 
 use super::clock::Clock;
+use super::error::{Component, StartError};
 use async_executor::LocalExecutor;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -17,11 +18,11 @@
     settings: &Settings,
     clock: Clock,
     executor: &LocalExecutor<'static>,
-) -> Result<Rc<Budgets>, String> {
-    let fault = |e: std::io::Error| format!("budgets: listen on {}: {e}", settings.listen);
-    let socket = UdpSocket::bind(settings.listen()).map_err(fault)?;
-    let SocketAddr::V4(bound) = socket.local_addr().map_err(fault)? else {
-        return Err(format!("budgets: {} is no IPv4 address", settings.listen));
+) -> Result<Rc<Budgets>, StartError> {
+    let listen_error = StartError::component_listen(Component::Budgets, &settings.listen);
+    let socket = UdpSocket::bind(settings.listen()).map_err(&listen_error)?;
+    let SocketAddr::V4(bound) = socket.local_addr().map_err(&listen_error)? else {
+        return Err(StartError::BudgetsNotIpv4(settings.listen.to_string()));
     };
     let me: SocketAddrV4 = settings.advertise().unwrap_or(bound);
     let skew = settings.clock_skew_ms * 1000;
@@ -44,7 +45,7 @@
     let figures = named(&format!("{wholes:?} {} {percent}", settings.proxies));
     let setup = Setup { socket, banks, bank, terms, figures, now: move || clock.now() + skew };
     let rings = duty::start("budgets", RING, move |asks, told| setup.work(asks, told));
-    let rings = rings.map_err(|e| format!("budgets: {e}"))?;
+    let rings = rings.map_err(StartError::component_start(Component::Budgets))?;
     let now_of: Now = Rc::new(move || clock.now() + skew);
     let notes = tracing::enabled!(tracing::Level::DEBUG);
     tracing::info!(listen = %bound, advertise = %me, bank = place.is_some(), "budgets_started");
--- /dev/null
+++ b/crates/proxy/src/config/mod.rs
@@ -0,0 +1,88 @@
+//! The configuration of one process, checked before any socket is opened.
+
+mod error;
+mod parse;
+
+pub use error::{EnvironmentError, ParseError, ReadError};
+pub use parse::SEND_MARGIN;
+
+use std::net::SocketAddr;
+use std::path::Path;
+use wharfplank_protocol::endpoint_list::EndpointList;
+use wharfplank_routing::settings::Terms;
+use wharfplank_routing::Settings;
+
+/// The checked configuration.
+#[derive(Debug)]
+pub struct Config {
+    /// The address at which clients connect.
+    pub listen: SocketAddr,
+    /// The address at which operators connect, where they may.
+    pub admin: Option<SocketAddr>,
+    /// The address of the discovery service.
+    pub discovery: SocketAddr,
+    /// The most file descriptors that the process may hold.
+    pub max_descriptors: usize,
+    /// The most memory that the process may use, in bytes.
+    pub max_memory_bytes: usize,
+    /// The endpoint list as it was last known.
+    pub initial_endpoints: EndpointList,
+    /// The settings of the routing policy.
+    pub settings: Settings,
+    /// The settings of everything around the routing policy.
+    pub terms: Terms,
+}
+
+/// Addresses that take precedence over those of the file.
+#[derive(Clone, Debug, Default)]
+pub struct AddressOverrides {
+    /// The address at which clients connect.
+    pub listen: Option<String>,
+    /// The address of the discovery service.
+    pub discovery: Option<String>,
+    /// The address at which operators connect.
+    pub admin: Option<String>,
+}
+
+impl AddressOverrides {
+    /// The overrides that environment variables give; an empty variable counts as missing.
+    fn from_environment() -> Self {
+        let variable = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
+        AddressOverrides {
+            listen: variable("BALANCER_LISTEN"),
+            discovery: variable("BALANCER_DISCOVERY"),
+            admin: variable("BALANCER_MGMT"),
+        }
+    }
+}
+
+impl Config {
+    /// Reads the file that `BALANCER_CONFIG` names; the addresses of other variables take precedence over its own.
+    pub fn from_environment() -> Result<Self, EnvironmentError> {
+        Self::read_named_file(AddressOverrides::from_environment())
+    }
+
+    /// Reads the file that `BALANCER_CONFIG` names again. The other variables do not count: they are as old as the
+    /// process, and the file is newer.
+    pub fn reload() -> Result<Self, EnvironmentError> {
+        Self::read_named_file(AddressOverrides::default())
+    }
+
+    fn read_named_file(overrides: AddressOverrides) -> Result<Self, EnvironmentError> {
+        let path = std::env::var("BALANCER_CONFIG").map_err(|_| EnvironmentError::NotSet)?;
+        Ok(Self::read(Path::new(&path), overrides)?)
+    }
+
+    /// Reads a configuration file.
+    pub fn read(path: &Path, overrides: AddressOverrides) -> Result<Self, ReadError> {
+        let text =
+            std::fs::read(path).map_err(|source| ReadError::Io { path: path.to_path_buf(), source })?;
+        Self::parse(&text, overrides)
+            .map_err(|source| ReadError::Invalid { path: path.to_path_buf(), source })
+    }
+
+    /// Parses the JSON text of a configuration.
+    pub fn parse(text: &[u8], overrides: AddressOverrides) -> Result<Self, ParseError> {
+        parse::parse(text, overrides)
+    }
+}
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -3,6 +3,7 @@
 
 use super::clock::Clock;
 use super::config::Config;
+use super::error::{Component, StartError};
 use super::log;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
@@ -34,13 +35,13 @@
     clock: Clock,
     events: Sender<ProxyEvent>,
     executor: &LocalExecutor<'static>,
-) -> Result<(Witness, Task<()>), String> {
+) -> Result<(Witness, Task<()>), StartError> {
     let socket = UdpSocket::bind(settings.listen())
-        .map_err(|e| format!("peers: listen on {}: {e}", settings.listen))?;
+        .map_err(StartError::component_listen(Component::Peers, &settings.listen))?;
     let bound = match socket.local_addr() {
         Ok(std::net::SocketAddr::V4(bound)) => bound,
-        Ok(other) => return Err(format!("peers: bound to {other}, which is no IPv4 address")),
-        Err(e) => return Err(format!("peers: {e}")),
+        Ok(other) => return Err(StartError::PeersNotIpv4(other)),
+        Err(source) => return Err(StartError::component_start(Component::Peers)(source)),
     };
     let advertise: SocketAddrV4 = settings.advertise().unwrap_or(bound);
     let skew = settings.clock_skew_ms * 1000;
@@ -98,7 +99,7 @@
         say: log::fleet,
     };
     log::peers_bound(bound, advertise);
-    fleet::start(parts, side, socket, executor).map_err(|e| format!("peers: {e}"))
+    fleet::start(parts, side, socket, executor).map_err(StartError::component_start(Component::Peers))
 }
 
 /// This process's copy of the replicated state, with what its snapshot still has to say.
@@ -130,7 +131,7 @@
 
 /// Writes snapshots on a thread of its own: beside the file, then in its place, so that a kill leaves a whole one.
 /// One may wait; a newer one meanwhile is dropped, since another follows.
-fn keeper(path: PathBuf) -> Result<impl Fn(Vec<u8>) + Send, String> {
+fn keeper(path: PathBuf) -> Result<impl Fn(Vec<u8>) + Send, StartError> {
     let (sender, received) = std::sync::mpsc::sync_channel::<Vec<u8>>(1);
     let work = move || {
         let beside = path.with_extension("new");
@@ -146,6 +147,6 @@
     std::thread::Builder::new()
         .name("replica".to_string())
         .spawn(work)
-        .map_err(|e| format!("replica: {e}"))?;
+        .map_err(StartError::component_start(Component::Replica))?;
     Ok(move |bytes| drop(sender.try_send(bytes)))
 }
--- a/crates/proxy/src/journal.rs
+++ b/crates/proxy/src/journal.rs
@@ -2,6 +2,7 @@
 
 use super::clock::Clock;
 use super::config::Config;
+use super::error::{Component, StartError};
 use super::log;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -57,7 +58,7 @@
 
 impl Journal {
     /// Starts the recorder that the settings ask for.
-    pub fn start(settings: Option<&Records>, config: &Config, clock: Clock) -> Result<Journal, String> {
+    pub fn start(settings: Option<&Records>, config: &Config, clock: Clock) -> Result<Journal, StartError> {
         let aims = config.settings.classes.iter().map(|c| c.aim).collect();
         let mut journal = Journal { recorder: None, aims, listed: HashMap::new() };
         if let Some(settings) = settings {
@@ -75,7 +76,7 @@
                 limits,
             };
             let recorder = Recorder::start(terms, move || clock.now(), log::records);
-            journal.recorder = Some(recorder.map_err(|e| format!("records: {e}"))?);
+            journal.recorder = Some(recorder.map_err(StartError::component_start(Component::Records))?);
         }
         journal.note(|| Record::Proxy { zone: config.terms.zone.clone() });
         for (class, (name, aim)) in config.terms.names.iter().zip(journal.aims.clone()).enumerate() {
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -9,7 +9,9 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::SystemTime;
+use thiserror::Error;
 use tracing::field::{Field, Visit};
+use tracing::subscriber::SetGlobalDefaultError;
 use tracing::{debug, info, warn, Event, Subscriber};
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::fmt::format::{FormatEvent, FormatFields, Writer};
@@ -22,9 +24,14 @@
 /// Lines that may wait to be written; further ones are counted and dropped.
 const LINES: usize = 1024;
 
+/// Why the log cannot be started.
+#[derive(Debug, Error)]
+#[error("log: {0}")]
+pub struct LogError(#[from] SetGlobalDefaultError);
+
 /// Starts the writer: a thread of its own, so that whoever reads standard error slowly does not stall serving. What
 /// waits is written when the guard ends.
-pub fn start(settings: &wharfplank_settings::Log) -> Result<WorkerGuard, String> {
+pub fn start(settings: &wharfplank_settings::Log) -> Result<WorkerGuard, LogError> {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES).thread_name("log");
     let (writer, guard) = builder.finish(std::io::stderr());
     let level = match settings.level {
@@ -37,7 +44,7 @@
     let dropped = Box::new(move || dropped.dropped_lines());
     let lines = Lines { json: settings.format == Format::Json, dropped, told: AtomicUsize::new(0) };
     let all = tracing_subscriber::fmt().with_max_level(level).with_writer(writer).event_format(lines);
-    tracing::subscriber::set_global_default(all.finish()).map_err(|e| format!("log: {e}"))?;
+    tracing::subscriber::set_global_default(all.finish())?;
     Ok(guard)
 }
 
--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -3,6 +3,7 @@
 
 use super::clock::Clock;
 use super::config::Config;
+use super::error::{Component, StartError};
 use async_executor::LocalExecutor;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -59,9 +60,10 @@
         config: &Config,
         clock: Clock,
         executor: &LocalExecutor<'static>,
-    ) -> Result<Lookups, String> {
+    ) -> Result<Lookups, StartError> {
         let at = settings.listen();
-        let socket = UdpSocket::bind(at).map_err(|e| format!("missing: listen on {at}: {e}"))?;
+        let socket =
+            UdpSocket::bind(at).map_err(StartError::component_listen(Component::NegativeCache, at))?;
         let terms = Terms {
             apart: settings.apart_ms * 1000,
             late: settings.late_ms * 1000,
@@ -75,7 +77,7 @@
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
         let start = missing::start(Rc::clone(&node), socket, now_of, tell, executor);
-        start.map_err(|e| format!("missing: {e}"))?;
+        start.map_err(StartError::component_start(Component::NegativeCache))?;
         let is = |names: &str, name: &str| names.split(' ').any(|n| n == name);
         let kinds = config.terms.names.iter().zip(&config.settings.classes).map(|(name, class)| match class
             .consistency
--- a/crates/proxy/src/release.rs
+++ b/crates/proxy/src/release.rs
@@ -4,6 +4,7 @@
 
 use super::clock::Clock;
 use super::config::Config;
+use super::error::{Component, StartError};
 use super::log;
 use std::collections::{BTreeMap, HashMap};
 use std::net::UdpSocket;
@@ -38,9 +39,9 @@
 
 impl Releases {
     /// Binds the socket and starts the thread.
-    pub fn start(settings: &ReleaseSettings, config: &Config, clock: Clock) -> Result<Releases, String> {
+    pub fn start(settings: &ReleaseSettings, config: &Config, clock: Clock) -> Result<Releases, StartError> {
         let at = settings.listen();
-        let socket = UdpSocket::bind(at).map_err(|e| format!("release: listen on {at}: {e}"))?;
+        let socket = UdpSocket::bind(at).map_err(StartError::component_listen(Component::Rollout, at))?;
         log::release_bound(socket.local_addr().unwrap_or(at.into()));
         let ids: BTreeMap<String, u64> =
             settings.members.iter().map(|member| (member.name.clone(), named(&member.name))).collect();
@@ -60,7 +61,8 @@
             say: move |told: release::Told<'_>| log::release(&shown, &told),
         };
         let desk = move |ledger| Desk::new(me, (roster, terms), proxies, agents, ledger, clock.now());
-        let (views, notes) = release::start(parts, desk).map_err(|e| format!("release: {e}"))?;
+        let (views, notes) =
+            release::start(parts, desk).map_err(StartError::component_start(Component::Rollout))?;
         let aims = config.settings.classes.iter().map(|class| class.aim).collect();
         Ok(Releases { on: Some(On { views, notes, ids, names }), aims, trials: HashMap::new() })
     }
--- /dev/null
+++ b/crates/proxy/src/startup/mod.rs
@@ -0,0 +1,229 @@
+//! Starts the proxy step by step, and runs it until it is asked to end.
+
+mod descriptors;
+mod sockets;
+
+use crate::broker::Broker;
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::error::StartError;
+use crate::journal::Journal;
+use crate::missing::Lookups;
+use crate::release::Releases;
+use crate::{budgets, fleet, log};
+use async_channel::{Receiver, Sender};
+use async_executor::{LocalExecutor, Task};
+use descriptors::connection_limits;
+use sockets::{AdminSocket, ClientSocket};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use wharfplank_admin::{ConnectionCounts, Metrics};
+use wharfplank_discovery::{EndpointTracker, PollSchedule, SharedDiscovery};
+use wharfplank_settings::Settings;
+use wharfplank_transport::admin::{Admin, AdminCall, PLACES};
+use wharfplank_transport::budgets::Budgets;
+use wharfplank_transport::client_listener::ClientListener;
+use wharfplank_transport::discovery::Watch;
+use wharfplank_transport::member_pool::{self, PoolContext};
+use wharfplank_transport::{signals, ConnectionEndObserver, MemoryBudget, Now, ProxyEvent};
+
+/// Events that may wait for the broker; past that connections wait.
+const EVENT_QUEUE: usize = 1024;
+/// Operators' calls that may wait for the broker.
+const ADMIN_QUEUE: usize = 2 * PLACES;
+/// The fraction of the memory that large messages of clients may fill, and as much for those of members: a buffer may
+/// double while it grows, and what is forwarded is copied beside it.
+const LARGE_MESSAGE_FRACTION: usize = 8;
+/// How long the gossip thread may take to announce that this process leaves.
+const GOSSIP_LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Serves until the process is asked to end.
+///
+/// # Errors
+/// Returns why a socket, a thread or the recorder cannot be started; nothing is served then.
+pub fn run(mut config: Config, settings: &Settings) -> Result<(), StartError> {
+    let signals = signals::register().map_err(StartError::Signals)?;
+    let client_socket = ClientSocket::open(&config)?;
+    let (events, event_queue) = async_channel::bounded(EVENT_QUEUE);
+    let context = Context::new(settings, events);
+    let admin_socket = AdminSocket::open(&config)?;
+    config.initial_endpoints = client_socket.inherited_endpoints().unwrap_or(config.initial_endpoints);
+
+    let limits = connection_limits(config.max_descriptors, admin_socket.is_some());
+    let budgets = context.start_budgets()?;
+    let pool_context = context.member_pool_context(&config, limits, budgets.clone());
+    let clients = context.client_listener(&config, limits);
+    let watch = context.watch_discovery(&config, budgets);
+    let journal = Journal::start(settings.records.as_ref(), &config, context.clock)?;
+    let mut broker = Broker::new(
+        &config,
+        context.clock,
+        pool_context,
+        Rc::clone(&clients),
+        context.events.clone(),
+        watch,
+        journal,
+    );
+    let gossip_end = context.start_gossip(&config, &mut broker)?;
+    context.start_negative_cache(&config, &mut broker)?;
+    context.start_rollout(&config, &mut broker)?;
+
+    let admin_calls = context.serve_admin(admin_socket);
+    let ClientSocket { listener, handover_path, inherited } = client_socket;
+    if let Some(path) = handover_path {
+        broker.replaceable(path, Rc::clone(&listener), limits, inherited);
+    }
+    context.executor.spawn(clients.listen(listener)).detach();
+
+    let Context { executor, events, .. } = context;
+    async_io::block_on(executor.run(async {
+        let signals = executor.spawn(signals::forward(signals, events));
+        broker.run(config.initial_endpoints, event_queue, admin_calls).await;
+        signals.cancel().await;
+        if let Some(gossip_end) = gossip_end {
+            finish_gossip(gossip_end).await;
+        }
+    }));
+    Ok(())
+}
+
+/// Other proxies learn at once that this one leaves, and need not detect it.
+async fn finish_gossip(gossip_end: Task<()>) {
+    let timeout = async {
+        async_io::Timer::after(GOSSIP_LEAVE_TIMEOUT).await;
+    };
+    futures_lite::future::or(gossip_end, timeout).await;
+}
+
+/// What the steps of the start share.
+struct Context<'a> {
+    settings: &'a Settings,
+    executor: Rc<LocalExecutor<'static>>,
+    clock: Clock,
+    now: Now,
+    /// The broker's queue.
+    events: Sender<ProxyEvent>,
+    on_connection_end: ConnectionEndObserver,
+}
+
+impl<'a> Context<'a> {
+    fn new(settings: &'a Settings, events: Sender<ProxyEvent>) -> Self {
+        let clock = Clock::start();
+        Context {
+            settings,
+            executor: Rc::new(LocalExecutor::new()),
+            clock,
+            now: Rc::new(move || clock.now()),
+            events,
+            on_connection_end: Rc::new(log::ended),
+        }
+    }
+
+    fn start_budgets(&self) -> Result<Option<Rc<Budgets>>, StartError> {
+        let Some(settings) = &self.settings.budgets else { return Ok(None) };
+        budgets::start(settings, self.clock, &self.executor).map(Some)
+    }
+
+    fn member_pool_context(
+        &self,
+        config: &Config,
+        limits: ConnectionCounts,
+        budgets: Option<Rc<Budgets>>,
+    ) -> Rc<PoolContext> {
+        Rc::new(PoolContext {
+            executor: Rc::clone(&self.executor),
+            on_connection_end: Rc::clone(&self.on_connection_end),
+            connect_timeout: Duration::from_micros(config.terms.connect_timeout.max(1) as u64),
+            idle_timeout: Duration::from_micros(config.terms.keepalive.max(1) as u64 * 6 / 10),
+            max_connections: Cell::new(limits.members),
+            max_connections_per_member: (limits.members / 4).max(1),
+            open_connections: Cell::new(0),
+            memory_budget: MemoryBudget::new(config.max_memory_bytes / LARGE_MESSAGE_FRACTION),
+            allow_empty_result: self.settings.missing.is_some(),
+            liveness_check_after: Cell::new(member_pool::CHECK_AFTER),
+            now: Rc::clone(&self.now),
+            metrics: Metrics::new(&config.terms.names),
+            budgets,
+        })
+    }
+
+    fn client_listener(&self, config: &Config, limits: ConnectionCounts) -> Rc<ClientListener> {
+        ClientListener::new(
+            Rc::clone(&self.executor),
+            self.events.clone(),
+            Rc::clone(&self.on_connection_end),
+            limits.clients,
+            MemoryBudget::new(config.max_memory_bytes / LARGE_MESSAGE_FRACTION),
+        )
+    }
+
+    fn watch_discovery(&self, config: &Config, budgets: Option<Rc<Budgets>>) -> Watch {
+        let schedule = poll_schedule(config);
+        let tracker = EndpointTracker::new(schedule, &config.initial_endpoints, self.clock.now());
+        Watch::start(
+            Rc::clone(&self.executor),
+            self.events.clone(),
+            Rc::clone(&self.on_connection_end),
+            Rc::clone(&self.now),
+            tracker,
+            config.discovery,
+            budgets,
+        )
+    }
+
+    /// Starts gossip between proxies only where the settings ask for it: the platform's days forbid it. The returned task
+    /// ends once this process has announced that it leaves.
+    fn start_gossip(&self, config: &Config, broker: &mut Broker) -> Result<Option<Task<()>>, StartError> {
+        let Some(peers) = &self.settings.peers else { return Ok(None) };
+        let (witness, ended) = fleet::start(
+            peers,
+            self.settings.replica.as_ref(),
+            self.settings.health.is_some(),
+            config,
+            self.clock,
+            self.events.clone(),
+            &self.executor,
+        )?;
+        broker.witness(witness);
+        Ok(Some(ended))
+    }
+
+    fn start_negative_cache(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
+        if let Some(settings) = &self.settings.missing {
+            broker.remembers(Lookups::start(settings, config, self.clock, &self.executor)?);
+        }
+        Ok(())
+    }
+
+    fn start_rollout(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
+        if let Some(settings) = &self.settings.release {
+            broker.releases(Releases::start(settings, config, self.clock)?);
+        }
+        Ok(())
+    }
+
+    /// Serves operators where there is a socket for them, and returns the queue of their calls.
+    fn serve_admin(&self, socket: Option<AdminSocket>) -> Receiver<AdminCall> {
+        let (calls, queue) = async_channel::bounded(ADMIN_QUEUE);
+        if let Some(socket) = socket {
+            log::admin(socket.local_address());
+            let admin = Admin::new(Rc::clone(&self.executor), calls);
+            self.executor.spawn(admin.listen(socket.listener)).detach();
+        }
+        queue
+    }
+}
+
+/// How often discovery is polled: at a shared pace where the settings bound the polls of all proxies together.
+fn poll_schedule(config: &Config) -> PollSchedule {
+    let schedule = PollSchedule::new(config.terms.stop_within);
+    match config.terms.ask_every {
+        Some(poll_interval) if config.settings.must_follow => schedule.with_shared(SharedDiscovery {
+            seed: config.settings.seed,
+            poll_interval,
+            proxies: config.settings.routers,
+        }),
+        _ => schedule,
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/startup/sockets.rs
@@ -0,0 +1,72 @@
+//! The listening sockets for clients and operators.
+
+use crate::config::Config;
+use crate::error::StartError;
+use crate::log;
+use async_io::Async;
+use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
+use std::rc::Rc;
+use wharfplank_protocol::endpoint_list::{self, EndpointList};
+use wharfplank_transport::handover::{self, Inherited};
+
+/// The listening socket for clients.
+pub(super) struct ClientSocket {
+    pub(super) listener: Rc<Async<TcpListener>>,
+    /// Where a successor asks for the socket; `None` where this process cannot be replaced.
+    pub(super) handover_path: Option<PathBuf>,
+    /// What the predecessor handed over, where there is one.
+    pub(super) inherited: Option<Inherited>,
+}
+
+impl ClientSocket {
+    /// Takes the socket over from a predecessor, or opens it.
+    pub(super) fn open(config: &Config) -> Result<Self, StartError> {
+        let listen_error = StartError::listen(config.listen);
+        let handover_path = can_be_replaced(config).then(|| handover::path(config.listen));
+        let inherited = match handover_path.as_deref() {
+            Some(path) => handover::ask(path).map_err(&listen_error)?,
+            None => None,
+        };
+        let listener = match inherited.as_ref() {
+            Some(inherited) => inherited.socket().and_then(Async::new),
+            None => handover::bind(config.listen, handover_path.is_some()),
+        };
+        let listener = Rc::new(listener.map_err(&listen_error)?);
+        log::started(listener.get_ref().local_addr().unwrap_or(config.listen));
+        Ok(ClientSocket { listener, handover_path, inherited })
+    }
+
+    /// The endpoint list of the predecessor, which is newer than that of the configuration file.
+    pub(super) fn inherited_endpoints(&self) -> Option<EndpointList> {
+        let state = &self.inherited.as_ref()?.state;
+        endpoint_list::from_json(&state.endpoint_list).ok()
+    }
+}
+
+/// A process is replaced while it serves only where operators connect; elsewhere nothing else may listen. One that takes
+/// any free port cannot be replaced, since nobody can tell whose port that was.
+fn can_be_replaced(config: &Config) -> bool {
+    config.admin.is_some() && config.listen.port() != 0
+}
+
+/// The listening socket for operators.
+pub(super) struct AdminSocket {
+    pub(super) listener: Async<TcpListener>,
+    /// The configured address.
+    address: SocketAddr,
+}
+
+impl AdminSocket {
+    /// Opens the socket where the configuration asks for it.
+    pub(super) fn open(config: &Config) -> Result<Option<Self>, StartError> {
+        let Some(address) = config.admin else { return Ok(None) };
+        let listener = handover::bind(address, false).map_err(StartError::listen(address))?;
+        Ok(Some(AdminSocket { listener, address }))
+    }
+
+    /// The address at which operators connect.
+    pub(super) fn local_address(&self) -> SocketAddr {
+        self.listener.get_ref().local_addr().unwrap_or(self.address)
+    }
+}
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -17,7 +17,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use wharfplank::program::{
-    config::{Config, Given},
+    config::{AddressOverrides, Config},
     log, run as serve,
 };
 use wharfplank::settings::{self, Settings};
@@ -90,7 +90,7 @@
 
 fn serving(settings: Option<PathBuf>) -> Result<(), Stop> {
     let settings = load(settings)?;
-    let config = Config::from_environment().map_err(|what| Stop::settings(vec![what]))?;
+    let config = Config::from_environment().map_err(|error| Stop::settings(vec![error.to_string()]))?;
     let _log = log::start(&settings.log).map_err(Stop::failed)?;
     serve(config, &settings).map_err(Stop::failed)
 }
@@ -105,7 +105,7 @@
         faults.extend(settings::load(path).err().unwrap_or_default());
     }
     if let Some(path) = &config {
-        faults.extend(Config::read(path, Given::default()).err());
+        faults.extend(Config::read(path, AddressOverrides::default()).err().map(|error| error.to_string()));
     }
     if settings.is_none() && config.is_none() {
         return Err(Stop(
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 use steps::Step;
-use wharfplank::program::config::{Config, Given};
+use wharfplank::program::config::{AddressOverrides, Config};
 use wharfplank::routing::Micros;
 
 /// A class: its need, its effect, who drops repeats, its deadline, aim as a part of it, window, worth and
@@ -94,7 +94,7 @@
         roles in any::<bool>(),
         steps in prop::collection::vec(step(), 1..120),
     ) {
-        let read = Config::parse(customer.to_string().as_bytes(), Given::default());
+        let read = Config::parse(customer.to_string().as_bytes(), AddressOverrides::default());
         let mut ledger = Ledger::new(read.expect("good settings start").settings, roles);
         steps.into_iter().for_each(|step| ledger.play(step));
         ledger.close();
@@ -118,8 +118,8 @@
         prop_assume!(if field == "Name" { bad.is_object() || bad == "" } else { bad != "" });
         let place = format!("/settings/Classes/{class}/{field}");
         let changed = config::with(&customer, &place, bad).to_string();
-        let read = Config::parse(changed.as_bytes(), Given::default());
-        let what = read.err().unwrap_or_default();
+        let read = Config::parse(changed.as_bytes(), AddressOverrides::default());
+        let what = read.err().map(|error| error.to_string()).unwrap_or_default();
         prop_assert!(what.contains(&format!("field Classes.{class}.{field}: ")), "{}", what);
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -2,7 +2,7 @@
 //! default.
 
 use serde_json::{json, Value};
-use wharfplank::program::config::{Config, Given};
+use wharfplank::program::config::{AddressOverrides, Config};
 use wharfplank::routing::{Effect, Settings};
 
 #[path = "common/config.rs"]
@@ -10,7 +10,8 @@
 use config::{good, with};
 
 fn read(config: &Value) -> Result<Config, String> {
-    Config::parse(config.to_string().as_bytes(), Given::default())
+    Config::parse(config.to_string().as_bytes(), AddressOverrides::default())
+        .map_err(|error| error.to_string())
 }
 
 fn settings(config: &Value) -> Settings {
