--- a/crates/admin/src/handover/message.rs
+++ b/crates/admin/src/handover/message.rs
@@ -5,7 +5,7 @@
 
 use super::{CommandId, ConnectionCounts};
 use serde::{Deserialize, Serialize};
-use wharfplank_routing::{Micros, Traits};
+use wharfplank_routing::{LearnedTraits, Micros};
 
 /// The version of [`HandoverState`] and [`HandoverMessage`]; processes of different versions do not exchange them.
 pub const PROTOCOL_VERSION: u32 = 1;
@@ -68,12 +68,12 @@
     pub replica_at: Micros,
 }
 
-impl From<Traits> for MemberTraits {
-    fn from(traits: Traits) -> Self {
+impl From<LearnedTraits> for MemberTraits {
+    fn from(traits: LearnedTraits) -> Self {
         MemberTraits {
-            limit: traits.limit,
-            slowness: traits.slowness,
-            rate: traits.rate * MICROS_PER_SECOND,
+            limit: traits.concurrency_limit,
+            slowness: traits.relative_latency,
+            rate: traits.answer_rate * MICROS_PER_SECOND,
             primary_at: traits.primary_at,
             replica_at: traits.replica_at,
         }
@@ -83,11 +83,11 @@
 impl MemberTraits {
     /// The traits that the router starts from at `now`. Values of another process are clamped to plausible ones: finite
     /// numbers within bounds, and no time in the future.
-    pub fn to_learned(self, now: Micros) -> Traits {
-        Traits {
-            limit: clamp_finite(self.limit, 1.0, MAX_LIMIT),
-            slowness: clamp_finite(self.slowness, 0.0, MAX_SLOWNESS),
-            rate: clamp_finite(self.rate, 0.0, MAX_RATE_PER_SECOND) / MICROS_PER_SECOND,
+    pub fn to_learned(self, now: Micros) -> LearnedTraits {
+        LearnedTraits {
+            concurrency_limit: clamp_finite(self.limit, 1.0, MAX_LIMIT),
+            relative_latency: clamp_finite(self.slowness, 0.0, MAX_SLOWNESS),
+            answer_rate: clamp_finite(self.rate, 0.0, MAX_RATE_PER_SECOND) / MICROS_PER_SECOND,
             primary_at: self.primary_at.clamp(0, now),
             replica_at: self.replica_at.clamp(0, now),
         }
--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -71,12 +71,12 @@
                 Action::Send { id, host, timeout, holds_until } => {
                     self.send(now, (id, host), timeout, holds_until)
                 }
-                Action::Refuse { id, retry_after, reason } => {
+                Action::Reject { id, retry_after, reason } => {
                     self.count(id, "refused", recorded(reason).name());
                     self.note_end(id, |journal, ended| journal.given_up(ended, true, reason));
                     self.answer(id, Answer::Refused((retry_after + 999) / 1000))
                 }
-                Action::Fail(id, reason) => {
+                Action::Fail { id, reason } => {
                     if let Some(open) = self.requests.get(&id) {
                         self.talk.failed(self.clock.now(), open.class, open.attempts, &open.name);
                     }
@@ -84,14 +84,14 @@
                     self.note_end(id, |journal, ended| journal.given_up(ended, false, reason));
                     self.answer(id, Answer::Failed)
                 }
-                Action::Cancel { id, attempt } => self.end(id, attempt.0, Ending::Cancelled),
-                Action::Probe(host, why) => {
-                    self.counts.one("probe", counts::why(why), "");
+                Action::Cancel { id, attempt } => self.end(id, attempt.0, AttemptOutcome::Cancelled),
+                Action::Probe { host, purpose } => {
+                    self.counts.one("probe", counts::probe_purpose(purpose), "");
                     self.probe(host);
                 }
-                Action::Timer(span) => self.timers.push(Reverse(self.clock.now() + span)),
+                Action::SetTimer(span) => self.timers.push(Reverse(self.clock.now() + span)),
                 // The watch on discovery always runs.
-                Action::Follow => {}
+                Action::Subscribe => {}
             }
         }
     }
@@ -112,28 +112,29 @@
             attempt < self.allowed.attempts && !barred && open.response_writer.is_awaited(open.ticket);
         let member = self.members.get(&host).filter(|_| wanted);
         let Some(member) = member else {
-            self.ended.push_back((id, attempt, host, now, Ending::Moot));
+            self.ended.push_back((id, attempt, host, now, AttemptOutcome::NotSent));
             return;
         };
         let Ok(leave) = self.lookups.begin(now, (id, attempt), open.class, open.touch.as_ref()) else {
-            self.ended.push_back((id, attempt, host, now, Ending::Moot));
+            self.ended.push_back((id, attempt, host, now, AttemptOutcome::NotSent));
             return;
         };
         let stage: Rc<Cell<AttemptStage>> = Rc::default();
         let holds = holds_until.map(|until| until + SEND_MARGIN - WRITE_MARGIN);
         let holds = holds.into_iter().chain(leave).min().map(|until| self.clock.instant(until));
-        let deadline = self.clock.instant(now.saturating_add(timeout));
+        let limits =
+            AttemptLimits { deadline: self.clock.instant(now.saturating_add(timeout)), send_by: holds };
         let (member, statement) = (Rc::clone(member), Rc::clone(&open.statement));
         let (response_writer, ticket) = (Rc::clone(&open.response_writer), open.ticket);
         let wanted = move || response_writer.is_awaited_now(ticket);
-        let work = member.attempt(statement, Rc::clone(&stage), deadline, holds, wanted);
+        let work = member.attempt(statement, Rc::clone(&stage), limits, wanted);
         let (events, done) = (self.events.clone(), Rc::clone(&stage));
         let task = self.shared.executor.spawn(async move {
-            let (report, stream) = work.await;
+            let AttemptCompletion { report, forwarder } = work.await;
             done.set(AttemptStage::Finished);
             let _ = events.send(ProxyEvent::AttemptFinished { id, attempt, report }).await;
-            if let Some(stream) = stream {
-                let report = stream.pass().await;
+            if let Some(forwarder) = forwarder {
+                let report = forwarder.forward().await;
                 let _ = events.send(ProxyEvent::StreamFinished { id, attempt, report }).await;
             }
         });
@@ -143,11 +144,11 @@
 
     /// Ends an attempt from this side: its connection closes. One whose report is on the way keeps it: a
     /// value that has arrived is not thrown away. One that was not written whole never ran.
-    pub(super) fn end(&mut self, id: RequestId, attempt: u32, ending: Ending) {
+    pub(super) fn end(&mut self, id: RequestId, attempt: u32, ending: AttemptOutcome) {
         let stage = self.flights.get(&(id, attempt)).map(|f| f.stage.get());
         let ending = match stage {
             Some(AttemptStage::Finished) => return,
-            Some(AttemptStage::Queued | AttemptStage::Writing) => Ending::Moot,
+            Some(AttemptStage::Queued | AttemptStage::Writing) => AttemptOutcome::NotSent,
             _ => ending,
         };
         if let Some(flight) = self.flights.remove(&(id, attempt)) {
@@ -162,16 +163,16 @@
     /// Gives up all that is open, at the process's end. Attempts that were not written whole are taken back first:
     /// they never ran, so their requests are refused.
     pub(super) fn give_up(&mut self) {
-        self.tell(routing::Event::Closing);
+        self.tell(routing::Event::StopSending);
         let unsent = self
             .flights
             .iter()
             .filter(|(_, f)| matches!(f.stage.get(), AttemptStage::Queued | AttemptStage::Writing));
         let mut unsent: Vec<_> = unsent.map(|(key, _)| *key).collect();
         unsent.sort_unstable();
-        unsent.into_iter().for_each(|(id, attempt)| self.end(id, attempt, Ending::Moot));
+        unsent.into_iter().for_each(|(id, attempt)| self.end(id, attempt, AttemptOutcome::NotSent));
         self.settle();
-        self.tell(routing::Event::Close);
+        self.tell(routing::Event::Shutdown);
     }
 
     pub(super) fn attempt_ended(&mut self, id: RequestId, attempt: u32, mut report: AttemptReport) {
@@ -186,7 +187,7 @@
             self.talk.tried(self.clock.now(), flight.host, open.class, flight.sent, report.outcome);
             self.releases.ended(flight.host, open.class, self.clock.now() - flight.sent, report.outcome);
         }
-        if report.outcome == Ending::Ok {
+        if report.outcome == AttemptOutcome::Ok {
             if let Some(answer) = &mut report.answer {
                 self.looked_up(id, flight.position, answer);
                 let member = Some(flight.host);
@@ -201,7 +202,7 @@
         }
         self.talk.saw(flight.host, flight.sent, report.outcome);
         let outcome = self.outcome(id, attempt, flight.host, flight.sent, &report);
-        if let routing::Event::Outcome(outcome) = &outcome {
+        if let routing::Event::AttemptFinished(outcome) = &outcome {
             self.talk.learned(self.clock.now(), flight.host, outcome.position);
             self.lookups.learned(flight.host, outcome.position);
         }
@@ -220,11 +221,11 @@
         let position = r.answer.as_ref().and_then(|a| a.applied_ms);
         let position = position.map(|ms| ms.saturating_mul(1000));
         let latest = self.clock.now() + AHEAD_MOST;
-        routing::Event::Outcome(Outcome {
+        routing::Event::AttemptFinished(AttemptResult {
             id,
             attempt: AttemptNo(attempt),
             host,
-            ending: r.outcome,
+            outcome: r.outcome,
             terminal: !self.requests.contains_key(&id),
             latency: self.clock.now() - sent,
             role: primary.map(role),
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 use wharfplank_protocol::endpoint_list::EndpointListError;
-use wharfplank_routing::settings::Fault;
+use wharfplank_routing::settings::FieldError;
 
 /// Why the configuration that the environment names cannot be used.
 #[derive(Debug, Error)]
@@ -72,7 +72,7 @@
     InvalidSeed,
     /// A field of the settings is invalid.
     #[error("settings: {0}")]
-    InvalidSettings(Fault),
+    InvalidSettings(FieldError),
     /// The settings name no classes.
     #[error("settings: field Classes: is missing or empty")]
     NoClasses,
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use wharfplank_protocol::endpoint_list::EndpointList;
-use wharfplank_routing::settings::Terms;
+use wharfplank_routing::settings::ProxyParameters;
 use wharfplank_routing::Settings;
 
 /// The checked configuration.
@@ -30,7 +30,7 @@
     /// The settings of the routing policy.
     pub settings: Settings,
     /// The settings of everything around the routing policy.
-    pub terms: Terms,
+    pub terms: ProxyParameters,
 }
 
 /// Addresses that take precedence over those of the file.
--- a/crates/proxy/src/config/parse.rs
+++ b/crates/proxy/src/config/parse.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use wharfplank_protocol::endpoint_list::{self, EndpointList};
-use wharfplank_routing::settings::{translate, Fields, Terms};
+use wharfplank_routing::settings::{translate, Fields, ProxyParameters};
 use wharfplank_routing::{Consistency, Micros, Settings};
 
 /// The staleness bound of a read counts when its last byte is sent, a little after the decision: reads are decided as if
@@ -74,7 +74,7 @@
     }
 }
 
-fn parse_settings(json: &Value) -> Result<(Settings, Terms), ParseError> {
+fn parse_settings(json: &Value) -> Result<(Settings, ProxyParameters), ParseError> {
     let object = json.get("settings").filter(|settings| settings.is_object());
     let mut fields = Fields::from_json(object.ok_or(ParseError::MissingSettings)?);
     if let Some(seed) = non_null(json, "seed") {
@@ -86,7 +86,7 @@
         return Err(ParseError::NoClasses);
     }
     for class in &mut settings.classes {
-        if let Consistency::Bounded(bound) = &mut class.consistency {
+        if let Consistency::BoundedStaleness(bound) = &mut class.consistency {
             *bound = (*bound - SEND_MARGIN).max(0);
         }
     }
--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -12,9 +12,9 @@
 use wharfplank_negative_cache::{Asked, Hasher, Node, Terms, Ticket};
 use wharfplank_protocol::client::{Answer, Verdict};
 use wharfplank_protocol::endpoint_list::EndpointRecord;
-use wharfplank_routing::{ClassId, Consistency, Ending, GroupId, HostId, Micros, RequestId};
+use wharfplank_routing::{AttemptOutcome, ClassId, Consistency, GroupId, HostId, Micros, RequestId};
 use wharfplank_settings::Missing as MissingSettings;
-use wharfplank_shared_state::named;
+use wharfplank_shared_state::hash_name;
 use wharfplank_transport::{missing, Now, Statement};
 
 /// What a class's requests are to this.
@@ -72,19 +72,19 @@
         };
         let (now, hasher) = (clock.now(), Hasher::of(&settings.secret));
         // No other process had this number: its address, and when it started.
-        let holder = named(&format!("{at} {now} {}", std::process::id()));
+        let holder = hash_name(&format!("{at} {now} {}", std::process::id()));
         let node = Node::new(terms, hasher.clone(), at, settings.banks(), holder, now);
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
         let start = missing::start(Rc::clone(&node), socket, now_of, tell, executor);
         start.map_err(StartError::component_start(Component::NegativeCache))?;
         let is = |names: &str, name: &str| names.split(' ').any(|n| n == name);
-        let kinds = config.terms.names.iter().zip(&config.settings.classes).map(|(name, class)| match class
-            .consistency
-        {
-            Consistency::Write => Kind::Write { keyed: is(&settings.writes, name) },
-            need if is(&settings.reads, name) => Kind::Read(need),
-            _ => Kind::Other,
+        let kinds = config.terms.class_names.iter().zip(&config.settings.classes).map(|(name, class)| {
+            match class.consistency {
+                Consistency::Write => Kind::Write { keyed: is(&settings.writes, name) },
+                need if is(&settings.reads, name) => Kind::Read(need),
+                _ => Kind::Other,
+            }
         });
         let kinds = kinds.collect();
         Ok(Lookups { on: Some(On { node, hasher, kinds }), ..Lookups::default() })
@@ -133,9 +133,9 @@
         let Kind::Read(consistency) = self.kind(class) else { return None };
         let need = match consistency {
             Consistency::Any => Need::Any,
-            Consistency::Bounded(age) => Need::Bounded(age),
+            Consistency::BoundedStaleness(age) => Need::Bounded(age),
             Consistency::Session => Need::Session(after_ms.map(|ms| ms.saturating_mul(1000))),
-            Consistency::Fresh | Consistency::Write => Need::Fresh,
+            Consistency::Strong | Consistency::Write => Need::Fresh,
         };
         let answer = self.on.as_ref()?.node.borrow_mut().question(now, asked, need)?;
         Some(answer.to_vec())
@@ -166,16 +166,19 @@
     }
 
     /// An attempt ended.
-    pub fn ended(&mut self, now: Micros, attempt: (RequestId, u32), ending: Ending) {
+    pub fn ended(&mut self, now: Micros, attempt: (RequestId, u32), ending: AttemptOutcome) {
         let (Some(on), Some(ticket)) = (&self.on, self.writes.remove(&attempt)) else { return };
         let writes = &mut on.node.borrow_mut().writes;
         match ending {
-            Ending::Ok | Ending::Full | Ending::Miss => writes.settled(now, ticket),
-            Ending::ConnectFailed | Ending::Moot => writes.never_ran(ticket),
-            // An error may be an answer that could not be read, from a member that still works on it.
-            Ending::Error | Ending::Timeout | Ending::Reset | Ending::Cancelled => {
-                writes.in_doubt(now, ticket)
+            AttemptOutcome::Ok | AttemptOutcome::Overloaded | AttemptOutcome::Misrouted => {
+                writes.settled(now, ticket)
             }
+            AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => writes.never_ran(ticket),
+            // An error may be an answer that could not be read, from a member that still works on it.
+            AttemptOutcome::Error
+            | AttemptOutcome::Timeout
+            | AttemptOutcome::Reset
+            | AttemptOutcome::Cancelled => writes.in_doubt(now, ticket),
         }
     }
 
@@ -220,7 +223,7 @@
             *site = Site { born_ms: listed.started_at_ms, position: 0 };
         }
         if listed.primary {
-            let primary = named(&format!("{} {}", listed.name, listed.started_at_ms)) as u32;
+            let primary = hash_name(&format!("{} {}", listed.name, listed.started_at_ms)) as u32;
             self.primaries.insert(GroupId(listed.group), primary);
         }
     }
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -143,7 +143,7 @@
             allow_empty_result: self.settings.missing.is_some(),
             liveness_check_after: Cell::new(member_pool::CHECK_AFTER),
             now: Rc::clone(&self.now),
-            metrics: Metrics::new(&config.terms.names),
+            metrics: Metrics::new(&config.terms.class_names),
             budgets,
         })
     }
@@ -217,9 +217,9 @@
 
 /// How often discovery is polled: at a shared pace where the settings bound the polls of all proxies together.
 fn poll_schedule(config: &Config) -> PollSchedule {
-    let schedule = PollSchedule::new(config.terms.stop_within);
-    match config.terms.ask_every {
-        Some(poll_interval) if config.settings.must_follow => schedule.with_shared(SharedDiscovery {
+    let schedule = PollSchedule::new(config.terms.drain_within);
+    match config.terms.poll_interval {
+        Some(poll_interval) if config.settings.must_subscribe => schedule.with_shared(SharedDiscovery {
             seed: config.settings.seed,
             poll_interval,
             proxies: config.settings.routers,
--- a/crates/transport/src/event.rs
+++ b/crates/transport/src/event.rs
@@ -47,7 +47,7 @@
     /// The latency factors of the members that the fleet judges unhealthy.
     MemberFactors(Vec<(u64, f64)>),
     /// Observations that other proxies shared.
-    PeerNews(Vec<wharfplank_shared_state::News>),
+    PeerNews(Vec<wharfplank_shared_state::StateUpdate>),
     /// An event on the link to the process that replaces this one, or that this one replaces.
     Handover(handover::Other),
     /// The process was asked to reload its configuration.
