--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -14,5 +14,6 @@
 mod startup;
 mod talk;
 
+pub use broker::shutdown_timing;
 pub use error::StartError;
 pub use startup::run;
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -72,7 +72,7 @@
     let admin_calls = context.serve_admin(admin_socket);
     let ClientSocket { listener, handover_path, inherited } = client_socket;
     if let Some(path) = handover_path {
-        broker.replaceable(path, Rc::clone(&listener), limits, inherited);
+        broker.enable_handover(path, Rc::clone(&listener), limits, inherited);
     }
     context.executor.spawn(clients.listen(listener)).detach();
 
@@ -185,20 +185,20 @@
             self.events.clone(),
             &self.executor,
         )?;
-        broker.witness(witness);
+        broker.enable_gossip(witness);
         Ok(Some(ended))
     }
 
     fn start_negative_cache(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
         if let Some(settings) = &self.settings.missing {
-            broker.remembers(Lookups::start(settings, config, self.clock, &self.executor)?);
+            broker.enable_negative_cache(Lookups::start(settings, config, self.clock, &self.executor)?);
         }
         Ok(())
     }
 
     fn start_rollout(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
         if let Some(settings) = &self.settings.release {
-            broker.releases(Releases::start(settings, config, self.clock)?);
+            broker.enable_releases(Releases::start(settings, config, self.clock)?);
         }
         Ok(())
     }
