--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -73,7 +73,7 @@
         self.journal.reloaded(config.is_ok());
         match config {
             Ok(config) => {
-                self.discovery.move_to(config.discovery);
+                self.discovery.set_address(config.discovery);
                 log::reloaded(config.discovery);
             }
             Err(error) => log::kept(&error.to_string()),
--- a/crates/proxy/src/budgets.rs
+++ b/crates/proxy/src/budgets.rs
@@ -13,7 +13,7 @@
 use wharfplank_settings::Budgets as Settings;
 use wharfplank_shared_state::hash_name;
 use wharfplank_transport::budgets::{Budgets, Figure, Said, Setup, RING};
-use wharfplank_transport::{duty, Now};
+use wharfplank_transport::{worker, Now};
 
 /// Binds the socket and starts the thread and the serving side.
 pub fn start(
@@ -47,7 +47,7 @@
         LeaseHolder::new(number, terms.clone(), banks.len(), Vec::new(), now).with_static_quotas(even);
     let figures = hash_name(&format!("{} {} {percent}", wholes.canonical_text(), settings.proxies));
     let setup = Setup { socket, banks, bank, terms, figures, now: move || clock.now() + skew };
-    let rings = duty::start("budgets", RING, move |asks, told| setup.work(asks, told));
+    let rings = worker::start("budgets", RING, move |asks, told| setup.work(asks, told));
     let rings = rings.map_err(StartError::component_start(Component::Budgets))?;
     let now_of: Now = Rc::new(move || clock.now() + skew);
     let notes = tracing::enabled!(tracing::Level::DEBUG);
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -24,7 +24,7 @@
 use wharfplank_transport::admin::{Admin, AdminCall, PLACES};
 use wharfplank_transport::budgets::Budgets;
 use wharfplank_transport::client_listener::ClientListener;
-use wharfplank_transport::discovery::Watch;
+use wharfplank_transport::discovery::{DiscoveryWatch, WatchContext};
 use wharfplank_transport::member_pool::{self, PoolContext};
 use wharfplank_transport::{signals, ConnectionEndObserver, MemoryBudget, Now, ProxyEvent};
 
@@ -158,18 +158,17 @@
         )
     }
 
-    fn watch_discovery(&self, config: &Config, budgets: Option<Rc<Budgets>>) -> Watch {
+    fn watch_discovery(&self, config: &Config, budgets: Option<Rc<Budgets>>) -> DiscoveryWatch {
         let schedule = poll_schedule(config);
         let tracker = EndpointTracker::new(schedule, &config.initial_endpoints, self.clock.now());
-        Watch::start(
-            Rc::clone(&self.executor),
-            self.events.clone(),
-            Rc::clone(&self.on_connection_end),
-            Rc::clone(&self.now),
-            tracker,
-            config.discovery,
+        let watch_context = WatchContext {
+            executor: Rc::clone(&self.executor),
+            events: self.events.clone(),
+            ends: Rc::clone(&self.on_connection_end),
+            now: Rc::clone(&self.now),
             budgets,
-        )
+        };
+        DiscoveryWatch::start(watch_context, tracker, config.discovery)
     }
 
     /// Starts gossip between proxies only where the settings ask for it: the platform's days forbid it. The returned task
