--- a/crates/transport/src/client_connection/cancel_keys.rs
+++ b/crates/transport/src/client_connection/cancel_keys.rs
@@ -1,4 +1,4 @@
-//! CancelKeys of connections, and the cancel requests that name them.
+//! Cancel keys of connections, and the cancel requests that name them.
 
 use crate::client_listener::ClientListener;
 use crate::ProxyEvent;
@@ -6,28 +6,28 @@
 use std::hash::BuildHasher;
 use wharfplank_protocol::server::Key;
 
-/// Draws keys. Each ends with its connection, which alone holds it.
+/// Draws cancel keys. A key is valid as long as its connection, which alone knows it.
 #[derive(Default)]
 pub(crate) struct CancelKeys {
-    /// Keyed by the operating system, and never told: who knows some secrets cannot reckon others.
-    secrets: RandomState,
+    /// Seeded by the operating system, and never disclosed: some secrets do not reveal others.
+    hasher: RandomState,
 }
 
 impl CancelKeys {
-    /// The key of the connection with this number: a positive number, as a process has, and a secret that is not zero.
-    pub(crate) fn of(&self, number: u64) -> Key {
+    /// The key of the connection with this number: a positive process number, and a secret that is not zero.
+    pub(crate) fn key_of(&self, number: u64) -> Key {
         let process = (number % i32::MAX as u64) as u32 + 1;
-        Key { process, secret: (self.secrets.hash_one(number) as u32).max(1) }
+        let secret = (self.hasher.hash_one(number) as u32).max(1);
+        Key { process, secret }
     }
 }
 
 impl ClientListener {
-    /// ConnectionEndObserver what is open on the connection that the key names, if it names one: each request is answered in its place,
-    /// and no attempt of it begins.
+    /// Cancels the open requests of the connection that the key names, if it names one: each is answered in its
+    /// place, and no attempt of it begins.
     pub(super) async fn cancel(&self, key: Key) {
-        let named = self.peers.borrow().values().find(|peer| peer.key == key).cloned();
-        let Some(peer) = named else { return };
-        for ticket in peer.lane.cancel() {
+        let Some(state) = self.connection_with_key(key) else { return };
+        for ticket in state.response_writer.cancel() {
             let _ = self.events.send(ProxyEvent::RequestCancelled(ticket)).await;
         }
     }
--- a/crates/transport/src/client_connection/input.rs
+++ b/crates/transport/src/client_connection/input.rs
@@ -1,40 +1,54 @@
-//! What is read of a client, and how its end is seen, also where nothing more can be asked.
+//! What is read from a client, and how its disconnect is seen, also while no further command is accepted.
 //!
-//! The end of a connection lies behind all that the client sent: who reads nothing sees no end. A client that has gone
-//! must not be served on, so whatever the connection waits for, it reads on as far as there is room, and past that it
-//! looks for the end without reading.
+//! The end of a connection lies behind all that the client sent, so whoever reads nothing sees no end. A client that
+//! has disconnected must not be served on: whatever the connection waits for, it reads on as far as there is room, and
+//! past that it looks for the end without reading.
 
-use super::{Connection, Reason, AHEAD_LEAST, AHEAD_MOST, MARKS};
+use super::{ClientConnection, CloseReason};
 use async_io::Timer;
 use futures_lite::{future, AsyncReadExt};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{ErrorKind, Read};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-/// Between looks for the end of a client that is not read.
-const LOOK: Duration = Duration::from_millis(25);
-/// What is read past behind the last command that is taken.
-const PAST_MOST: usize = 16 * 1024 * 1024;
-/// Reads in a row, so that one that sends without end lets others by.
-const READS_MOST: usize = 32;
+/// Bytes that are read ahead while no further command is accepted, whatever others hold.
+const READ_AHEAD_MIN: usize = 16 * 1024;
+/// Bytes that are read ahead where there is memory for them. Past that the client waits, and its disconnect is seen
+/// only by polling: it lies behind what it sent.
+const READ_AHEAD_MAX: usize = 2 * 1024 * 1024;
+/// The interval of polls for the disconnect of a client that is not read.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Bytes that are read and discarded behind the last command that is accepted.
+const MAX_DISCARDED: usize = 16 * 1024 * 1024;
+/// The most reads in a row, so that a client that sends without end lets others run.
+const MAX_READS_IN_A_ROW: usize = 32;
 
-impl Connection {
-    /// Reads what has come; 0 is the client's end. Where nothing may be read it waits for that alone. While a message
-    /// grows (`bound`) it may be more than all may buffer.
-    pub(super) async fn hear(&mut self, bound: bool) -> Result<usize, Reason> {
-        if self.lane.pipeline.borrow().ending() {
-            return self.read_past().await;
+/// Why a connection reads.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReadMode {
+    /// The next message is awaited. It may grow to its limit, and without memory for it the connection ends.
+    Message,
+    /// Requests are open: input is read ahead as far as there is room for it.
+    Ahead,
+}
+
+impl ClientConnection {
+    /// Reads what has arrived, and returns the number of bytes; 0 stands for the client's disconnect. If nothing may
+    /// be read it waits for that alone.
+    pub(super) async fn read_available(&mut self, mode: ReadMode) -> Result<usize, CloseReason> {
+        if self.response_writer.pipeline.borrow().ending() {
+            return self.discard_input().await;
         }
-        if !self.reads(!bound) {
-            return self.end_unread().await;
+        if !self.may_read(mode) {
+            return self.poll_for_disconnect().await;
         }
-        let count = self.read(bound).await?;
-        // The end may have come right behind it: what it sent is not asked then.
-        for _ in 1..READS_MOST {
-            if count == 0 || !self.reads(true) {
+        let count = self.read_once(mode).await?;
+        // The disconnect may have come right behind it: requests before it are not served then.
+        for _ in 1..MAX_READS_IN_A_ROW {
+            if count == 0 || !self.may_read(ReadMode::Ahead) {
                 break;
             }
-            match self.read_at_once()? {
+            match self.try_read()? {
                 None => break,
                 Some(0) => return Ok(0),
                 Some(_) => {}
@@ -43,79 +57,85 @@
         Ok(count)
     }
 
-    /// Whether more may be read: not much that cannot be asked yet (`ahead`).
-    pub(super) fn reads(&self, ahead: bool) -> bool {
-        let held = self.server.buffer.bytes().len();
-        // A message that is not yet whole grows on behind open ones where there is memory for it.
-        let grows = || self.lane.memory.available() >= self.server.buffer.capacity();
-        let far = || held < AHEAD_MOST || self.server.length().is_none();
-        !ahead || held < AHEAD_LEAST || (far() && grows())
+    /// Whether more may be read now.
+    fn may_read(&self, mode: ReadMode) -> bool {
+        if mode == ReadMode::Message {
+            return true;
+        }
+        let buffer = &self.server.buffer;
+        let buffered = buffer.bytes().len();
+        if buffered < READ_AHEAD_MIN {
+            return true;
+        }
+        // An incomplete message goes on growing behind open requests where there is memory for it.
+        let below_limit = buffered < READ_AHEAD_MAX || self.server.length().is_none();
+        below_limit && self.response_writer.available_memory() >= buffer.capacity()
     }
 
-    /// Reads what has come; behind open requests a lack of memory does not end it.
-    async fn read(&mut self, bound: bool) -> Result<usize, Reason> {
-        if !self.has_memory() && bound {
-            return Err("out_of_memory");
+    /// Waits for input and reads it. A lack of memory is an error only in [`ReadMode::Message`].
+    async fn read_once(&mut self, mode: ReadMode) -> Result<usize, CloseReason> {
+        if !self.reserve_read_buffer() && mode == ReadMode::Message {
+            return Err(CloseReason::OutOfMemory);
         }
-        let count = (&*self.stream).read(self.server.buffer.space()).await.map_err(|_| "client_reset")?;
-        self.filled(count);
+        let read = (&*self.stream).read(self.server.buffer.space()).await;
+        let count = read.map_err(|_| CloseReason::ClientReset)?;
+        self.on_read(count);
         Ok(count)
     }
 
-    /// Reads what is there now; `None` where nothing is.
-    fn read_at_once(&mut self) -> Result<Option<usize>, Reason> {
-        self.has_memory();
+    /// Reads what has already arrived; `None` if nothing has.
+    fn try_read(&mut self) -> Result<Option<usize>, CloseReason> {
+        self.reserve_read_buffer();
         let count = match self.stream.get_ref().read(self.server.buffer.space()) {
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return Ok(None),
-            read => read.map_err(|_| "client_reset")?,
+            Ok(count) => count,
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+                return Ok(None);
+            }
+            Err(_) => return Err(CloseReason::ClientReset),
         };
-        self.filled(count);
+        self.on_read(count);
         Ok(Some(count))
     }
 
-    /// Makes room to read into; false where it is large and all together have too much.
-    fn has_memory(&mut self) -> bool {
+    /// Makes room to read into, and reserves its memory. Returns false if the budget is exceeded.
+    fn reserve_read_buffer(&mut self) -> bool {
         self.server.buffer.space();
-        self.lane.buffer.set(self.server.buffer.capacity());
-        self.lane.update_reservation()
+        self.response_writer.read_buffer_size.set(self.server.buffer.capacity());
+        self.response_writer.update_reservation()
     }
 
-    fn filled(&mut self, count: usize) {
+    fn on_read(&mut self, count: usize) {
         self.server.buffer.filled(count);
-        self.read += count as u64;
-        if self.marks.len() >= MARKS {
-            self.marks.pop_back().into_iter().for_each(|(_, at)| self.marks.push_back((self.read, at)));
-        } else {
-            self.marks.push_back((self.read, Instant::now()));
-        }
+        self.arrival_times.record(count);
     }
 
-    /// Reads past what comes behind the last command that is taken, up to the end.
-    async fn read_past(&mut self) -> Result<usize, Reason> {
-        let held = self.server.buffer.bytes().len();
-        self.server.buffer.take(held);
-        while self.past < PAST_MOST {
-            for _ in 0..READS_MOST {
+    /// Reads and discards what comes behind the last command that is accepted, up to the disconnect.
+    async fn discard_input(&mut self) -> Result<usize, CloseReason> {
+        let buffered = self.server.buffer.bytes().len();
+        self.server.buffer.take(buffered);
+        while self.discarded < MAX_DISCARDED {
+            for _ in 0..MAX_READS_IN_A_ROW {
                 let read = (&*self.stream).read(self.server.buffer.space()).await;
-                match read.map_err(|_| "client_reset")? {
+                match read.map_err(|_| CloseReason::ClientReset)? {
                     0 => return Ok(0),
-                    count => self.past += count,
+                    count => self.discarded += count,
                 }
             }
             future::yield_now().await;
         }
-        self.end_unread().await
+        self.poll_for_disconnect().await
     }
 
-    /// Waits for the end of a client that is not read.
-    async fn end_unread(&self) -> Result<usize, Reason> {
+    /// Waits for the disconnect of a client that is not read.
+    async fn poll_for_disconnect(&self) -> Result<usize, CloseReason> {
+        const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
         loop {
-            let mut look = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
-            let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-            if poll(&mut look, Some(&now)).is_ok() && look[0].revents().contains(PollFlags::RDHUP) {
+            let mut polled = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
+            let result = poll(&mut polled, Some(&NO_WAIT));
+            if result.is_ok() && polled[0].revents().contains(PollFlags::RDHUP) {
                 return Ok(0);
             }
-            Timer::after(LOOK).await;
+            Timer::after(DISCONNECT_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/transport/src/client_connection/output.rs
+++ b/crates/transport/src/client_connection/output.rs
@@ -1,217 +1,160 @@
-//! What a connection writes: answers in the order of their commands, whole or as they pass through.
+//! What a connection writes: responses in the order of their commands.
 
-use super::{Connection, Reason, FLUSH_MOST, GATHER, LINGER, WRITE_WAIT};
-use crate::client_listener::{ClientListener, Leaving};
-use crate::response_stream::{ResponseStream, StreamPiece};
+use super::input::ReadMode;
+use super::streaming::StreamProgress;
+use super::{ClientConnection, CloseReason};
+use crate::client_listener::{ClientListener, DrainPhase};
 use crate::with_deadline;
-use async_channel::{Receiver, TryRecvError};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::net::Shutdown;
 use std::rc::Rc;
-use std::time::Instant;
-use wharfplank_protocol::pipeline::{Answer, Next, Ticket};
+use std::time::{Duration, Instant};
+use wharfplank_protocol::pipeline::Next;
 use wharfplank_protocol::server::Violation;
 
-/// The answer that passes through at present.
-pub(super) struct Passing {
-    flow: ResponseStream,
-    /// Whether the client was given any of it.
-    begun: bool,
-    /// A piece that came while the connection waited.
-    pub(super) next: Option<StreamPiece>,
-}
-
-/// What there was of an answer that passes through.
-enum Passed {
-    /// Something for the output, or its end.
-    Some,
-    /// Nothing yet.
-    Nothing,
-    /// It was cut off with so many bytes of its row missing, or before the client was given any of it.
-    Cut(Option<usize>),
-}
-
-/// What a write waited for.
-enum Woken {
-    /// So many bytes were taken; 0: the connection broke.
-    Taken(usize),
-    /// So many were read; 0: the client's end.
-    Heard(Result<usize, Reason>),
-}
+/// For how long a client may take nothing of what is written to it.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a client may take to take one flush.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long the connection is kept open after an error that ends it, while what the client still sends is discarded.
+const LINGER_TIME: Duration = Duration::from_millis(500);
+/// The size of responses that are gathered before they are written.
+pub(super) const FLUSH_SIZE: usize = 64 * 1024;
 
-impl Passing {
-    pub(super) fn pieces(&self) -> Receiver<StreamPiece> {
-        self.flow.pieces()
-    }
+/// What happened while output was flushed.
+enum FlushEvent {
+    /// So many bytes were written; 0 if the connection broke.
+    Written(usize),
+    /// So many bytes were read; 0 if the client disconnected.
+    Read(Result<usize, CloseReason>),
 }
 
-impl ClientListener {
-    /// Writes what can be written in order; whether that was anything. The end of the connection is an error.
-    pub(super) async fn write(&self, c: &mut Connection) -> Result<bool, Reason> {
+impl ClientConnection {
+    /// Writes the responses that are ready, in order. Returns whether there was any.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the connection ends.
+    pub(super) async fn write_responses(&mut self, listener: &ClientListener) -> Result<bool, CloseReason> {
         let mut wrote = false;
         loop {
-            let ready = self.answers_empty(c);
-            let next = c.lane.pipeline.borrow_mut().next(ready);
+            let answers_empty_queries = self.answers_empty_queries(listener);
+            let next = self.response_writer.pipeline.borrow_mut().next(answers_empty_queries);
             match next {
                 None => break,
-                Some(Next::Pass(ticket)) => match c.pass(ticket)? {
-                    Passed::Some => {}
-                    Passed::Nothing => break,
-                    Passed::Cut(left) => c.cut(left).await?,
+                Some(Next::Pass(ticket)) => match self.advance_stream(ticket) {
+                    StreamProgress::Advanced => {}
+                    StreamProgress::Pending => break,
+                    StreamProgress::CutOff(remaining) => self.on_stream_cut_off(remaining).await?,
                 },
-                Some(Next::Empty) => c.server.empty(),
-                Some(Next::Answer(answer)) => c.server.answer(answer),
-                Some(Next::End(reason, violation)) => {
+                Some(Next::Empty) => self.server.empty(),
+                Some(Next::Answer(answer)) => self.server.answer(answer),
+                Some(Next::End(code, violation)) => {
                     match violation {
-                        Some(violation) => self.fatal(c, violation).await,
-                        None => c.flush().await?,
+                        Some(violation) => self.send_fatal(listener, violation).await,
+                        None => self.flush().await?,
                     }
-                    return Err(reason);
+                    return Err(CloseReason::Pipeline(code));
                 }
             }
             wrote = true;
-            if c.server.out.len() >= GATHER {
-                c.flush().await?;
+            if self.server.out.len() >= FLUSH_SIZE {
+                self.flush().await?;
             }
         }
-        if !c.server.out.is_empty() {
-            c.flush().await?;
-        }
+        self.flush().await?;
         if wrote {
-            c.lane.update_reservation();
-            c.peer.settled.set(c.peer.settled.get() || self.leaving.get() != Leaving::No);
+            self.response_writer.update_reservation();
+            if listener.drain_phase.get() != DrainPhase::Serving {
+                self.state.closes_while_draining.set(true);
+            }
         }
         Ok(wrote)
     }
 
-    /// Tells the client why the connection ends, and waits a little until it has it, unless many wait.
-    pub(crate) async fn fatal(&self, c: &mut Connection, violation: Violation) {
-        c.server.fatal(violation);
-        let waits = self.may_linger();
-        if c.flush().await.is_err() || c.stream.get_ref().shutdown(Shutdown::Write).is_err() {
-            return;
-        }
-        if !waits {
-            // What has come already, at least.
-            future::poll_once(c.drain()).await;
-            return;
+    /// Whether an empty query is answered. It waits until the process is ready. If that will not come, since the
+    /// process was asked to shut down before, it is answered for the sake of the commands behind it.
+    pub(super) fn answers_empty_queries(&self, listener: &ClientListener) -> bool {
+        if listener.ready.get() {
+            return true;
         }
-        self.lingering.set(self.lingering.get() + 1);
-        c.drain().await;
-        self.lingering.set(self.lingering.get() - 1);
+        let pipeline = self.response_writer.pipeline.borrow();
+        let has_more = pipeline.has_more() || pipeline.ending() || !self.server.buffer.bytes().is_empty();
+        has_more && listener.drain_phase.get() != DrainPhase::Serving
     }
-}
 
-impl Connection {
-    /// Puts the next part of the answer that passes through into the output.
-    fn pass(&mut self, ticket: Ticket) -> Result<Passed, Reason> {
-        let lane = &self.lane;
-        let found = || lane.flow(ticket).map(|flow| Passing { flow, begun: false, next: None });
-        let Some(passing) = self.passing.take().or_else(found) else { return Ok(Passed::Cut(None)) };
-        let passing = self.passing.insert(passing);
-        let out = &mut self.server.out;
-        if !passing.begun {
-            if passing.flow.is_cut_off() {
-                return Ok(Passed::Cut(None));
-            }
-            passing.begun = true;
-            out.append(&mut passing.flow.first);
-            return Ok(Passed::Some);
-        }
-        let next = passing.next.take().map_or_else(|| passing.flow.try_next(), Ok);
-        match next {
-            Ok(StreamPiece::Row(mut row)) => {
-                passing.flow.remaining = passing.flow.remaining.saturating_sub(row.bytes.len());
-                out.append(&mut row.bytes);
-            }
-            Ok(StreamPiece::End(mut rest)) => {
-                out.append(&mut rest);
-                self.server.ready();
-                self.over();
-            }
-            Err(TryRecvError::Empty) => return Ok(Passed::Nothing),
-            Err(TryRecvError::Closed) => return Ok(Passed::Cut(Some(passing.flow.remaining))),
+    /// Tells the client why the connection ends, and waits a little until that has arrived, unless many connections
+    /// do.
+    pub(crate) async fn send_fatal(&mut self, listener: &ClientListener, violation: Violation) {
+        self.server.fatal(violation);
+        let lingers = listener.may_linger();
+        if self.flush().await.is_err() || self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
+            return;
         }
-        Ok(Passed::Some)
-    }
-
-    /// The answer that passes through was cut off. It failed, and the client must be able to tell. One that has seen
-    /// none of it is told in words. Else the connection ends, unless other requests stand behind it, which would
-    /// be lost: then the row is filled up, so that the error behind it can be read, and the connection goes on.
-    async fn cut(&mut self, left: Option<usize>) -> Result<(), Reason> {
-        let behind = self.lane.pipeline.borrow().has_more() || !self.server.buffer.bytes().is_empty();
-        let more = behind || matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..));
-        let mut left = match left {
-            Some(1..) if !more => {
-                self.flush().await?;
-                return Err("cut_off");
-            }
-            left => left.unwrap_or(0),
-        };
-        while left > 0 {
-            let count = left.min(GATHER);
-            let filled = self.server.out.len() + count;
-            self.server.out.resize(filled, 0);
-            left -= count;
-            self.flush().await?;
+        if !lingers {
+            // At least what has arrived already is discarded.
+            future::poll_once(self.linger()).await;
+            return;
         }
-        self.server.answer(Answer::Failed);
-        self.over();
-        Ok(())
+        listener.lingering.set(listener.lingering.get() + 1);
+        self.linger().await;
+        listener.lingering.set(listener.lingering.get() - 1);
     }
 
-    fn over(&mut self) {
-        self.passing = None;
-        self.lane.pipeline.borrow_mut().passed();
+    /// Discards what the client still sends, for a moment: a connection that is closed over unread bytes is reset, and
+    /// the error would be lost with it.
+    async fn linger(&mut self) {
+        let mut sink = [0; 4096];
+        let discard = async { while matches!((&*self.stream).read(&mut sink).await, Ok(1..)) {} };
+        with_deadline(Instant::now() + LINGER_TIME, discard).await;
     }
 
-    /// Writes all that is to go out, and hears the client meanwhile: one that goes while it takes nothing must not
-    /// leave requests behind.
-    pub(super) async fn flush(&mut self) -> Result<(), Reason> {
+    /// Writes all output, and reads meanwhile: a client that disconnects while it takes nothing must not leave
+    /// requests behind.
+    pub(super) async fn flush(&mut self) -> Result<(), CloseReason> {
         if self.server.out.is_empty() {
             return Ok(());
         }
-        // Large answers are rare: their memory goes back.
-        let (out, stream) = (std::mem::take(&mut self.server.out), Rc::clone(&self.stream));
-        let (mut at, mut hears, most) = (0, true, Instant::now() + FLUSH_MOST);
-        // Slow is not stalled: what it takes shows that it still reads.
-        let mut until = Instant::now() + WRITE_WAIT;
-        while at < out.len() {
-            let taken = async { Woken::Taken((&*stream).write(&out[at..]).await.unwrap_or(0)) };
-            let heard = async {
-                match hears {
-                    true => Woken::Heard(self.hear(false).await),
-                    false => future::pending().await,
+        // Large responses are rare, so the memory of the output is not reused.
+        let output = std::mem::take(&mut self.server.out);
+        let stream = Rc::clone(&self.stream);
+        let mut written = 0;
+        let mut reads = true;
+        let flush_deadline = Instant::now() + FLUSH_TIMEOUT;
+        let mut stall_deadline = Instant::now() + WRITE_STALL_TIMEOUT;
+        while written < output.len() {
+            let write = async {
+                let result = (&*stream).write(&output[written..]).await;
+                FlushEvent::Written(result.unwrap_or(0))
+            };
+            let read = async {
+                if !reads {
+                    return future::pending().await;
                 }
+                FlushEvent::Read(self.read_available(ReadMode::Ahead).await)
             };
-            match with_deadline(most.min(until), future::or(taken, heard)).await {
-                Some(Woken::Taken(0)) => return Err("client_reset"),
-                Some(Woken::Taken(count)) => {
-                    at += count;
-                    until = Instant::now() + WRITE_WAIT;
+            match with_deadline(flush_deadline.min(stall_deadline), future::or(write, read)).await {
+                Some(FlushEvent::Written(0)) => return Err(CloseReason::ClientReset),
+                // Slow is not stalled: what the client takes shows that it still reads.
+                Some(FlushEvent::Written(count)) => {
+                    written += count;
+                    stall_deadline = Instant::now() + WRITE_STALL_TIMEOUT;
                 }
-                // What is on its way is written on to one that has only ended its sending.
-                Some(Woken::Heard(Ok(0))) if self.waits_for_nothing() => hears = false,
-                Some(Woken::Heard(Ok(0))) => return Err("client_gone"),
-                Some(Woken::Heard(heard)) => drop(heard?),
-                None => return Err("client_stalled"),
+                // A client that has only ended its sending still gets the rest.
+                Some(FlushEvent::Read(Ok(0))) if self.has_no_outstanding_requests() => reads = false,
+                Some(FlushEvent::Read(Ok(0))) => return Err(CloseReason::ClientGone),
+                Some(FlushEvent::Read(Ok(_))) => {}
+                Some(FlushEvent::Read(Err(reason))) => return Err(reason),
+                None => return Err(CloseReason::ClientStalled),
             }
         }
         Ok(())
     }
 
-    /// Whether nothing that it asked may still have to be sent on.
-    fn waits_for_nothing(&self) -> bool {
-        let pipeline = self.lane.pipeline.borrow();
-        let unasked = !pipeline.ending() && self.server.length().is_some();
-        !unasked && !pipeline.waits_for_members()
-    }
-
-    /// Reads past what the client still sends, for a moment: a connection closed over unread bytes is reset,
-    /// and the error would be lost with it.
-    pub(super) async fn drain(&mut self) {
-        let mut sink = [0; 4096];
-        let drain = async { while matches!((&*self.stream).read(&mut sink).await, Ok(1..)) {} };
-        with_deadline(Instant::now() + LINGER, drain).await;
+    /// Whether nothing that the client requested may still have to be forwarded.
+    fn has_no_outstanding_requests(&self) -> bool {
+        let pipeline = self.response_writer.pipeline.borrow();
+        let has_unread_command = !pipeline.ending() && self.server.length().is_some();
+        !has_unread_command && !pipeline.waits_for_members()
     }
 }
--- a/crates/transport/src/client_connection/response_writer.rs
+++ b/crates/transport/src/client_connection/response_writer.rs
@@ -1,10 +1,10 @@
-//! The answers of one client connection, between the broker and the connection.
+//! The responses of one client connection, between the broker and the connection.
 
-use super::Reason;
+use super::CloseReason;
 use crate::response_stream::ResponseStream;
 use crate::{MemoryBudget, MemoryReservation};
 use async_io::Async;
-use event_listener::Event as Bell;
+use event_listener::{Event, EventListener};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -13,20 +13,22 @@
 use wharfplank_protocol::pipeline::{Answer, Pipeline, Ticket};
 use wharfplank_protocol::server::Violation;
 
-/// The answers of one client connection, where the broker leaves them.
+/// Takes the responses of one client connection from the broker, in any order. The connection writes them in the order
+/// of their requests.
 pub struct ResponseWriter {
     pub(super) pipeline: RefCell<Pipeline>,
-    pub(super) bell: Bell,
-    /// Whether its client has gone.
-    left: Cell<bool>,
-    /// Its socket, while it is served.
+    /// Wakes the connection.
+    woken: Event,
+    /// Whether the client has disconnected.
+    disconnected: Cell<bool>,
+    /// The client's socket, while the connection is served.
     socket: RefCell<Weak<Async<TcpStream>>>,
-    pub(super) memory: Rc<MemoryBudget>,
+    memory_budget: Rc<MemoryBudget>,
     reservation: RefCell<MemoryReservation>,
-    /// What the connection reads into.
-    pub(super) buffer: Cell<usize>,
-    /// Answers that have begun and wait for their turn, or for the rest of themselves.
-    flows: RefCell<BTreeMap<Ticket, ResponseStream>>,
+    /// The size of the buffer that the connection reads into.
+    pub(super) read_buffer_size: Cell<usize>,
+    /// Streamed responses that wait for their turn.
+    streams: RefCell<BTreeMap<Ticket, ResponseStream>>,
 }
 
 impl std::fmt::Debug for ResponseWriter {
@@ -36,113 +38,130 @@
 }
 
 impl ResponseWriter {
-    /// A connection that has asked nothing yet.
-    pub fn new(memory: &Rc<MemoryBudget>) -> Self {
-        let (pipeline, bell, reservation) =
-            (RefCell::default(), Bell::new(), RefCell::new(MemoryReservation::new(memory)));
+    /// Creates the writer of a connection that has sent nothing yet.
+    pub fn new(memory_budget: &Rc<MemoryBudget>) -> Self {
         ResponseWriter {
-            pipeline,
-            bell,
-            left: Cell::new(false),
+            pipeline: RefCell::default(),
+            woken: Event::new(),
+            disconnected: Cell::new(false),
             socket: RefCell::default(),
-            memory: Rc::clone(memory),
-            reservation,
-            buffer: Cell::new(0),
-            flows: RefCell::default(),
+            memory_budget: Rc::clone(memory_budget),
+            reservation: RefCell::new(MemoryReservation::new(memory_budget)),
+            read_buffer_size: Cell::new(0),
+            streams: RefCell::default(),
         }
     }
 
-    /// Takes the final answer of a request, and wakes the connection if it can be written now.
+    /// Takes the final response of a request, and wakes the connection if it can be written now.
     pub fn respond(&self, ticket: Ticket, answer: Answer) {
-        let due = self.pipeline.borrow_mut().answer(ticket, answer, self.memory.available());
+        let due = self.pipeline.borrow_mut().answer(ticket, answer, self.available_memory());
         self.update_reservation();
         if due {
             self.wake();
         }
     }
 
-    /// Takes the beginning of a request's final answer; the rest follows in the flow. Where nobody awaits it, the
-    /// flow ends here, and the member's connection with it.
-    pub fn begin_stream(&self, ticket: Ticket, flow: ResponseStream) {
+    /// Takes the beginning of a request's final response; the rest follows in the stream. If nobody awaits it, the
+    /// stream is dropped, and the member's connection with it.
+    pub fn begin_stream(&self, ticket: Ticket, stream: ResponseStream) {
         let due = self.pipeline.borrow_mut().begin(ticket);
         self.update_reservation();
         if due.is_some() {
-            self.flows.borrow_mut().insert(ticket, flow);
+            self.streams.borrow_mut().insert(ticket, stream);
         }
         if due == Some(true) {
             self.wake();
         }
     }
 
-    /// Whether this request still waits for its answer here: the event that says otherwise may stand behind others.
+    /// Whether the client still awaits the response to this request. It may have disconnected although the event that
+    /// says so is still queued.
     pub fn is_awaited(&self, ticket: Ticket) -> bool {
-        !self.left.get() && self.pipeline.borrow().awaits(ticket)
+        !self.disconnected.get() && self.pipeline.borrow().awaits(ticket)
     }
 
-    /// The same, with a look at the socket. ClientRequest just before an attempt's first byte: what the attempt waited for and the
-    /// client's end may have come in one moment, and in either order.
+    /// Like [`ResponseWriter::is_awaited`], with a look at the socket. To be called just before an attempt's first
+    /// byte: what the attempt waited for and the client's disconnect may have come at the same moment, in either
+    /// order.
     pub fn is_awaited_now(&self, ticket: Ticket) -> bool {
-        let ended = |socket: Rc<Async<TcpStream>>| match socket.get_ref().peek(&mut [0]) {
-            Ok(count) => count == 0,
-            Err(e) => !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
-        };
-        if self.socket.borrow().upgrade().is_some_and(ended) {
-            self.left.set(true);
+        let socket = self.socket.borrow().upgrade();
+        if socket.is_some_and(|socket| has_ended(socket.get_ref())) {
+            self.disconnected.set(true);
         }
         self.is_awaited(ticket)
     }
 
-    /// It is served on this socket from now on.
-    pub(super) fn attach_socket(&self, socket: &Rc<Async<TcpStream>>) {
-        *self.socket.borrow_mut() = Rc::downgrade(socket);
+    /// Whether the client has disconnected.
+    pub fn is_disconnected(&self) -> bool {
+        self.disconnected.get()
     }
 
-    /// Whether its client has gone.
-    pub fn is_disconnected(&self) -> bool {
-        self.left.get()
+    /// Wakes the connection.
+    pub fn wake(&self) {
+        self.woken.notify(usize::MAX);
+    }
+
+    /// Waits for the next [`ResponseWriter::wake`].
+    pub(super) fn listen(&self) -> EventListener {
+        self.woken.listen()
     }
 
-    /// The client has gone: nothing is awaited any more. Tells what was open.
+    /// Looks at this socket from now on to see the client's disconnect.
+    pub(super) fn attach_socket(&self, socket: &Rc<Async<TcpStream>>) {
+        *self.socket.borrow_mut() = Rc::downgrade(socket);
+    }
+
+    /// Notes that the client has disconnected, and returns the requests that were open.
     pub(super) fn disconnect(&self) -> Vec<Ticket> {
-        self.left.set(true);
+        self.disconnected.set(true);
         self.pipeline.borrow().open().collect()
     }
 
-    /// ConnectionEndObserver what is open on request, and tells what that was.
+    /// Cancels the open requests, and returns them.
     pub(super) fn cancel(&self) -> Vec<Ticket> {
-        let ended = self.pipeline.borrow_mut().cancel();
+        let cancelled = self.pipeline.borrow_mut().cancel();
         self.update_reservation();
         self.wake();
-        ended
+        cancelled
     }
 
-    /// Hands over the flow of an answer whose turn it is.
-    pub(super) fn flow(&self, ticket: Ticket) -> Option<ResponseStream> {
-        self.flows.borrow_mut().remove(&ticket)
+    /// Hands over the streamed response of a request.
+    pub(super) fn take_stream(&self, ticket: Ticket) -> Option<ResponseStream> {
+        self.streams.borrow_mut().remove(&ticket)
     }
 
-    /// Wakes the connection.
-    pub fn wake(&self) {
-        self.bell.notify(usize::MAX);
+    /// Bytes that all connections may still buffer.
+    pub(super) fn available_memory(&self) -> usize {
+        self.memory_budget.available()
     }
 
-    /// Counts what it holds; false where it is large and all together have too much.
+    /// Reserves the memory that the connection uses now. Returns false if it is large and the budget is exceeded.
     pub(super) fn update_reservation(&self) -> bool {
-        let bytes = self.pipeline.borrow().bytes();
-        self.reservation.borrow_mut().resize(self.buffer.get() + bytes)
+        let pipeline_size = self.pipeline.borrow().bytes();
+        self.reservation.borrow_mut().resize(self.read_buffer_size.get() + pipeline_size)
     }
 
-    /// Whether a further command may be asked now.
+    /// Whether a further command may be handled before those in hand are answered.
     pub(super) fn has_capacity(&self) -> bool {
         let pipeline = self.pipeline.borrow();
-        pipeline.has_room() && (pipeline.is_empty() || pipeline.bytes() <= self.memory.available())
+        pipeline.has_room() && (pipeline.is_empty() || pipeline.bytes() <= self.available_memory())
     }
 
+    /// Whether all commands have been answered.
     pub(super) fn is_empty(&self) -> bool {
         self.pipeline.borrow().is_empty()
     }
 
-    pub(super) fn end(&self, reason: Reason, violation: Option<Violation>) {
-        self.pipeline.borrow_mut().end(reason, violation);
+    /// Ends the connection after the responses that are due, with this error if any. The first reason counts.
+    pub(super) fn end(&self, reason: CloseReason, violation: Option<Violation>) {
+        self.pipeline.borrow_mut().end(reason.as_str(), violation);
+    }
+}
+
+/// Whether the peer of a socket has closed or reset it.
+fn has_ended(socket: &TcpStream) -> bool {
+    match socket.peek(&mut [0]) {
+        Ok(count) => count == 0,
+        Err(error) => !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
     }
 }
--- a/crates/transport/src/client_connection/wait.rs
+++ b/crates/transport/src/client_connection/wait.rs
@@ -1,122 +1,187 @@
-//! What a connection waits for, and what it reads.
+//! What a connection waits for, and its time limits.
 
-use super::{Connection, Reason, Wake, FIRST_WAIT, IDLE_MOST, MESSAGE_WAIT};
-use crate::client_listener::{ClientListener, Leaving};
+use super::input::ReadMode;
+use super::{ClientConnection, CloseReason};
+use crate::client_listener::{ClientListener, DrainPhase};
+use crate::response_stream::StreamPiece;
 use crate::with_deadline;
 use event_listener::EventListener;
 use futures_lite::future;
+use std::io::ErrorKind;
 use std::net::Shutdown;
-use std::time::Instant;
-use wharfplank_protocol::server::Violation;
+use std::time::{Duration, Instant};
 
-impl ClientListener {
-    /// Waits until something has been read, an answer is there, or a time is up.
-    pub(super) async fn wait(&self, c: &mut Connection, bell: EventListener) -> Result<(), Reason> {
+/// How long a client may take from the accept until its first command: within 3 s of connecting it is to be told what
+/// is wrong.
+const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_300);
+/// How long a client may take from the first byte of a message until it is complete.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_300);
+/// How long a connection may be idle between requests. Clients hold a limited number of connections, and many send one
+/// request and keep theirs for good: those would leave none for the others.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_100);
+
+/// Why a wait ended.
+enum Wake {
+    /// So many bytes were read; 0 if the client disconnected.
+    Read(usize),
+    /// A piece of the streamed response came.
+    Piece(StreamPiece),
+    /// The state of the connection or of the listener changed, or the connection is to close.
+    Notified,
+    /// The time limit is over.
+    TimedOut,
+}
+
+/// What a wait depends on, as of its beginning.
+struct WaitPlan {
+    /// Whether any command waits for its response.
+    has_open_commands: bool,
+    /// Why the connection closes unless something has arrived.
+    close: Option<CloseReason>,
+    /// When the time limit is over.
+    deadline: Option<Instant>,
+    /// The reason for the end of the connection at the time limit.
+    timeout_reason: CloseReason,
+}
+
+impl ClientConnection {
+    /// Waits until something was read, a response is ready or a time limit is over.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the connection ends.
+    pub(super) async fn wait(
+        &mut self,
+        listener: &ClientListener,
+        woken: EventListener,
+    ) -> Result<(), CloseReason> {
+        let plan = self.plan_wait(listener);
+        if self.waits_for_start_in_vain(listener) && self.close_if_quiet() {
+            return Err(CloseReason::Shutdown);
+        }
+        let wake = self.wait_for_wake(&plan, woken).await;
+        self.state.idle_since.set(None);
+        match wake {
+            Ok(Wake::Read(0)) if plan.has_open_commands => Err(CloseReason::ClientGone),
+            Ok(Wake::Read(0)) => Err(CloseReason::ClientClosed),
+            Ok(Wake::Read(_)) => Ok(()),
+            Ok(Wake::Piece(piece)) => {
+                if let Some(active) = &mut self.active_stream {
+                    active.next_piece = Some(piece);
+                }
+                Ok(())
+            }
+            Ok(Wake::Notified) => self.on_notified(&plan),
+            Ok(Wake::TimedOut) => self.on_timeout(plan.timeout_reason),
+            Err(CloseReason::OutOfMemory) => {
+                self.end_after_responses(CloseReason::OutOfMemory);
+                Ok(())
+            }
+            Err(reason) => Err(reason),
+        }
+    }
+
+    /// Decides what to wait for, and publishes since when the connection has been idle.
+    fn plan_wait(&mut self, listener: &ClientListener) -> WaitPlan {
         let now = Instant::now();
-        let (open, empty) = (!c.lane.is_empty(), c.server.buffer.bytes().is_empty());
-        let idle = c.started && empty && !open;
-        c.rests = if idle { c.rests.or(Some(now)) } else { None };
-        let mute = !c.peer.asked.get();
-        // One whose message is not yet whole holds a place all the same; until something was asked for the first
-        // time it may have to give it up.
-        c.peer.idle.set(if mute { Some(c.accepted) } else { c.rests });
-        let leave = match self.leaving.get() {
-            Leaving::No => false,
-            Leaving::Idle => idle && c.peer.settled.get(),
-            Leaving::All => !open,
-        };
-        // An empty query that waits for a start that will not come.
-        let unstarted = self.leaving.get() != Leaving::No && c.lane.pipeline.borrow().waits();
-        if unstarted && !self.answers_empty(c) && c.hangs_up() {
-            return Err("shutdown");
+        let has_open_commands = !self.response_writer.is_empty();
+        let idle = self.started && self.server.buffer.bytes().is_empty() && !has_open_commands;
+        self.idle_since = if idle { self.idle_since.or(Some(now)) } else { None };
+        let mute = !self.state.has_sent_command.get();
+        // A connection whose message is not complete yet holds a place all the same; until its first command it may
+        // have to give it up.
+        self.state.idle_since.set(if mute { Some(self.accepted_at) } else { self.idle_since });
+        let idle_deadline = (idle && !mute).then(|| self.idle_since.unwrap_or(now) + IDLE_TIMEOUT);
+        let first_deadline = mute.then_some(self.accepted_at + FIRST_COMMAND_TIMEOUT);
+        let message_deadline = self.message_begun_at.map(|at| at + MESSAGE_TIMEOUT);
+        WaitPlan {
+            has_open_commands,
+            close: self.pending_close(listener, idle, mute),
+            deadline: [message_deadline, first_deadline, idle_deadline].into_iter().flatten().min(),
+            timeout_reason: match (self.started, idle_deadline) {
+                (false, _) => CloseReason::StartupTimeout,
+                (true, None) => CloseReason::RequestTimeout,
+                (true, Some(_)) => CloseReason::IdleTimeout,
+            },
         }
-        let close = leave || ((idle || mute) && c.peer.evicted.get());
-        let first = mute.then_some(c.accepted + FIRST_WAIT);
-        let stays = (idle && !mute).then(|| c.rests.unwrap_or(now) + IDLE_MOST);
-        let due = c.begun.map(|at| at + MESSAGE_WAIT).into_iter().chain(first).chain(stays).min();
-        let late = match (c.started, stays) {
-            (false, _) => "startup_timeout",
-            (true, None) => "request_timeout",
-            (true, Some(_)) => "idle_timeout",
+    }
+
+    /// Why the connection closes unless something has arrived.
+    fn pending_close(&self, listener: &ClientListener, idle: bool, mute: bool) -> Option<CloseReason> {
+        let shuts_down = match listener.drain_phase.get() {
+            DrainPhase::Serving => false,
+            DrainPhase::ClosingIdle => idle && self.state.closes_while_draining.get(),
+            DrainPhase::Closed => self.response_writer.is_empty(),
         };
-        let rung = async {
-            if !close {
-                bell.await;
+        if shuts_down {
+            return Some(CloseReason::Shutdown);
+        }
+        ((idle || mute) && self.state.evicted.get()).then_some(CloseReason::Evicted)
+    }
+
+    /// Whether an empty query at the front waits for the process to be ready, which it will not be.
+    fn waits_for_start_in_vain(&self, listener: &ClientListener) -> bool {
+        listener.drain_phase.get() != DrainPhase::Serving
+            && self.response_writer.pipeline.borrow().waits()
+            && !self.answers_empty_queries(listener)
+    }
+
+    async fn wait_for_wake(&mut self, plan: &WaitPlan, woken: EventListener) -> Result<Wake, CloseReason> {
+        let notified = async {
+            if plan.close.is_none() {
+                woken.await;
             }
-            Ok(Wake::Rung)
+            Ok(Wake::Notified)
         };
-        let pieces = c.passing.as_ref().map(|passing| passing.pieces());
-        let read = async { c.hear(!open).await.map(Wake::Read) };
-        let given = async {
+        let pieces = self.active_stream.as_ref().map(|active| active.pieces());
+        let piece = async {
             match pieces {
-                // Where the member's side is gone, what there was has been written: the next look finds the end.
-                Some(pieces) => Ok(pieces.recv().await.map_or(Wake::Rung, Wake::Given)),
+                // If the member's side was dropped, what there was has been written: the next look finds the end.
+                Some(pieces) => Ok(pieces.recv().await.map_or(Wake::Notified, Wake::Piece)),
                 None => future::pending().await,
             }
         };
+        let mode = if plan.has_open_commands { ReadMode::Ahead } else { ReadMode::Message };
+        let read = async { self.read_available(mode).await.map(Wake::Read) };
         // What has already arrived is read before the connection closes.
-        let work = future::or(read, future::or(given, rung));
-        let wake = match due {
-            Some(due) => with_deadline(due, work).await.unwrap_or(Ok(Wake::Due)),
+        let work = future::or(read, future::or(piece, notified));
+        match plan.deadline {
+            Some(deadline) => with_deadline(deadline, work).await.unwrap_or(Ok(Wake::TimedOut)),
             None => work.await,
-        };
-        c.peer.idle.set(None);
-        match wake {
-            Ok(Wake::Read(0)) if open => Err("client_gone"),
-            Ok(Wake::Read(0)) => Err("client_closed"),
-            Ok(Wake::Read(_)) => Ok(()),
-            Ok(Wake::Given(piece)) => {
-                if let Some(passing) = &mut c.passing {
-                    passing.next = Some(piece);
-                }
-                Ok(())
-            }
-            Ok(Wake::Rung) if close && (open || c.hangs_up()) => {
-                Err(if leave { "shutdown" } else { "evicted" })
-            }
-            Ok(Wake::Due) if stays.is_some() && c.hangs_up() => Err("idle_timeout"),
-            Ok(Wake::Rung) => Ok(()),
-            Ok(Wake::Due) if stays.is_some() => Ok(()),
-            Ok(Wake::Due) => {
-                c.lane.end(late, violation(late));
-                Ok(())
-            }
-            Err("out_of_memory") => {
-                c.lane.end("out_of_memory", violation("out_of_memory"));
-                Ok(())
-            }
-            Err(reason) => Err(reason),
         }
     }
-}
 
-impl ClientListener {
-    /// Whether an empty query is answered. It waits for the process's start; where that will not come since the
-    /// process was asked to end before, it is answered for the sake of what stands behind it.
-    pub(super) fn answers_empty(&self, c: &Connection) -> bool {
-        let pipeline = c.lane.pipeline.borrow();
-        let behind = pipeline.has_more() || pipeline.ending() || !c.server.buffer.bytes().is_empty();
-        self.ready.get() || (behind && self.leaving.get() != Leaving::No)
+    fn on_notified(&self, plan: &WaitPlan) -> Result<(), CloseReason> {
+        match plan.close {
+            Some(reason) if plan.has_open_commands || self.close_if_quiet() => Err(reason),
+            _ => Ok(()),
+        }
+    }
+
+    fn on_timeout(&self, reason: CloseReason) -> Result<(), CloseReason> {
+        if reason != CloseReason::IdleTimeout {
+            self.end_after_responses(reason);
+            return Ok(());
+        }
+        if self.close_if_quiet() {
+            Err(CloseReason::IdleTimeout)
+        } else {
+            Ok(())
+        }
+    }
+
+    /// Accepts no further command, and ends the connection after the responses that are due.
+    fn end_after_responses(&self, reason: CloseReason) {
+        self.response_writer.end(reason, reason.violation());
     }
-}
 
-impl Connection {
-    /// Ends a connection on which nothing is open, unless something has just arrived. A client that sends many
-    /// requests at once loses all but the first where its write crosses the close, and a process that must share its
-    /// core may stand still between any two steps: so nothing lies between this look and the end.
-    fn hangs_up(&self) -> bool {
+    /// Closes a connection on which nothing is open, unless something has just arrived. A client that sends many
+    /// requests at once loses all but the first if its write crosses the close, and a process that must share its core
+    /// may be suspended between any two steps: so nothing lies between this look and the close.
+    fn close_if_quiet(&self) -> bool {
         let stream = self.stream.get_ref();
-        let quiet = matches!(stream.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
+        let peeked = stream.peek(&mut [0]);
+        let quiet = matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock);
         quiet && stream.shutdown(Shutdown::Both).is_ok()
     }
 }
-
-/// What the client is told where the connection ends for this reason, if anything.
-fn violation(reason: Reason) -> Option<Violation> {
-    let (code, what) = match reason {
-        "out_of_memory" => ("53200", "no memory for the message"),
-        "startup_timeout" | "request_timeout" => ("57P05", "nothing whole was asked in time"),
-        _ => return None,
-    };
-    Some(Violation { code, what })
-}
--- a/crates/transport/src/client_listener.rs
+++ b/crates/transport/src/client_listener.rs
@@ -1,226 +1,227 @@
-//! The listener and the table of client connections: who is let in, and until when.
+//! The listener for clients, and the table of their connections.
 
 mod admission;
+mod connection_state;
 
 pub use admission::overflow_connections;
+pub(crate) use connection_state::ConnectionState;
 
-use super::client_connection::{CancelKeys, Connection, ResponseWriter};
-use super::{ConnectionEnd, ConnectionEndObserver, MemoryBudget, ProxyEvent};
+use crate::client_connection::{CancelKeys, ClientConnection, CloseReason, ResponseWriter};
+use crate::{ConnectionEnd, ConnectionEndObserver, MemoryBudget, ProxyEvent};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use event_listener::Event as Bell;
+use event_listener::Event;
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::server::{Key, Violation};
+use wharfplank_protocol::server::Violation;
 
-/// The most connections that the machine holds accepted for a listener.
+/// The most connections that the operating system queues for the listener.
 const BACKLOG: usize = 4096;
-/// Pause where no descriptor was left for a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// The pause after a connection could not be accepted, most likely since no descriptor was left.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// What a client is told for whose connection there is no place.
+const TOO_MANY_CONNECTIONS: Violation = Violation { code: "53300", what: "too many connections" };
 
-/// All connections of clients.
+/// The listener for clients, with all their connections.
 pub struct ClientListener {
     executor: Rc<LocalExecutor<'static>>,
-    pub(super) events: Sender<ProxyEvent>,
-    ends: ConnectionEndObserver,
-    pub(super) most: Cell<usize>,
-    /// Whether new connections are taken.
-    takes: Cell<bool>,
-    /// A message that does not fit into it ends its connection: it is not whole, so nothing that was taken is
-    /// lost.
-    memory: Rc<MemoryBudget>,
-    /// Connections that wait for their last error to arrive. They hold descriptors, so their number is bound.
-    pub(super) lingering: Cell<usize>,
-    /// Connections that have asked something.
-    asked: Cell<usize>,
-    pub(super) peers: RefCell<BTreeMap<u64, Rc<Peer>>>,
-    numbers: Cell<u64>,
-    keys: CancelKeys,
-    /// Whether queries can be served: until then an empty query waits.
-    pub(super) ready: Cell<bool>,
-    pub(super) leaving: Cell<Leaving>,
-    /// Whether the listener may still find connections that the machine has accepted.
-    listens: Cell<bool>,
-    /// Wakes the listener.
-    bell: Bell,
+    pub(crate) events: Sender<ProxyEvent>,
+    on_connection_end: ConnectionEndObserver,
+    max_connections: Cell<usize>,
+    /// Whether new connections are accepted.
+    accepting: Cell<bool>,
+    /// What the messages of all clients may buffer. A message that does not fit ends its connection: it is not
+    /// complete, so no request is lost.
+    memory_budget: Rc<MemoryBudget>,
+    /// Connections that wait until their last error has arrived. They hold descriptors, so their number is limited.
+    pub(crate) lingering: Cell<usize>,
+    /// Connections that have sent a command.
+    with_commands: Cell<usize>,
+    connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
+    next_number: Cell<u64>,
+    cancel_keys: CancelKeys,
+    /// Whether queries can be served; an empty query waits until then.
+    pub(crate) ready: Cell<bool>,
+    pub(crate) drain_phase: Cell<DrainPhase>,
+    /// Whether the listener may still find connections that the operating system has queued.
+    listening: Cell<bool>,
+    /// Wakes the listener's task.
+    state_changed: Event,
 }
 
+/// How far the shutdown has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Leaving {
-    No,
-    /// Idle connections close; new ones are still taken.
-    Idle,
-    /// None is taken.
-    All,
-}
-
-/// What others may see of one connection.
-pub(super) struct Peer {
-    /// Its answers. Its bell is rung for this connection alone: one for all would wake hundreds to close one.
-    pub(super) lane: Rc<ResponseWriter>,
-    /// What cancels its requests.
-    pub(super) key: Key,
-    /// Since when it stands between requests, or since when it has not asked any.
-    pub(super) idle: Cell<Option<Instant>>,
-    /// Whether it has asked something.
-    pub(super) asked: Cell<bool>,
-    pub(super) evicted: Cell<bool>,
-    /// Whether it has had an answer, or was there before the process was asked to end.
-    pub(super) settled: Cell<bool>,
+pub(crate) enum DrainPhase {
+    /// No shutdown was requested.
+    Serving,
+    /// Idle connections are closed; new ones are still accepted.
+    ClosingIdle,
+    /// No new connections are accepted.
+    Closed,
 }
 
 impl ClientListener {
-    /// No connections yet, and room for `most`.
+    /// Creates a listener without connections that admits `max_connections` of them.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         events: Sender<ProxyEvent>,
-        ends: ConnectionEndObserver,
-        most: usize,
-        memory: Rc<MemoryBudget>,
+        on_connection_end: ConnectionEndObserver,
+        max_connections: usize,
+        memory_budget: Rc<MemoryBudget>,
     ) -> Rc<Self> {
         Rc::new(ClientListener {
             executor,
             events,
-            ends,
-            most: Cell::new(most),
-            takes: Cell::new(true),
-            memory,
+            on_connection_end,
+            max_connections: Cell::new(max_connections),
+            accepting: Cell::new(true),
+            memory_budget,
             lingering: Cell::new(0),
-            asked: Cell::new(0),
-            peers: RefCell::default(),
-            numbers: Cell::new(0),
-            keys: CancelKeys::default(),
+            with_commands: Cell::new(0),
+            connections: RefCell::default(),
+            next_number: Cell::new(0),
+            cancel_keys: CancelKeys::default(),
             ready: Cell::new(false),
-            leaving: Cell::new(Leaving::No),
-            listens: Cell::new(true),
-            bell: Bell::new(),
+            drain_phase: Cell::new(DrainPhase::Serving),
+            listening: Cell::new(true),
+            state_changed: Event::new(),
         })
     }
 
-    /// Empty queries are answered from now on.
+    /// Answers empty queries from now on.
     pub fn set_ready(&self) {
         self.ready.set(true);
-        self.ring();
+        self.wake_all();
     }
 
-    /// Idle connections close from now on, and others after their answer. New ones are still taken, for
-    /// one answer each.
+    /// Closes idle connections from now on, and others after their response. New ones are still accepted, for one
+    /// response each.
     pub fn begin_draining(&self) {
-        self.peers.borrow().values().for_each(|peer| peer.settled.set(true));
-        self.leaving.set(self.leaving.get().max(Leaving::Idle));
-        self.ring();
+        for state in self.connections.borrow().values() {
+            state.closes_while_draining.set(true);
+        }
+        self.drain_phase.set(self.drain_phase.get().max(DrainPhase::ClosingIdle));
+        self.wake_all();
     }
 
-    /// Takes new connections from now on, or leaves them to another process that listens on the same socket.
-    pub fn set_accepting(&self, takes: bool) {
-        if self.takes.replace(takes) != takes {
-            self.bell.notify(usize::MAX);
+    /// Accepts new connections from now on, or leaves them to another process that listens on the same socket.
+    pub fn set_accepting(&self, accepting: bool) {
+        if self.accepting.replace(accepting) != accepting {
+            self.state_changed.notify(usize::MAX);
         }
     }
 
-    /// New connections are over, too.
+    /// Accepts no new connections from now on, beyond those that the operating system has queued.
     pub fn stop_accepting(&self) {
-        self.leaving.set(Leaving::All);
-        self.ring();
+        self.drain_phase.set(DrainPhase::Closed);
+        self.wake_all();
     }
 
-    /// Whether all is over: none is open, and after [`ClientListener::stop_accepting`] none is left that the machine had accepted.
+    /// Whether the shutdown is complete: no connection is open, and after [`ClientListener::stop_accepting`] none is
+    /// queued.
     pub fn is_finished(&self) -> bool {
-        !self.listens.get() && self.open_connections() == 0
+        !self.listening.get() && self.open_connections() == 0
     }
 
     /// Wakes the listener and every connection.
-    fn ring(&self) {
-        self.bell.notify(usize::MAX);
-        for peer in self.peers.borrow().values() {
-            peer.lane.wake();
+    fn wake_all(&self) {
+        self.state_changed.notify(usize::MAX);
+        for state in self.connections.borrow().values() {
+            state.response_writer.wake();
         }
     }
 
-    /// Takes connections until [`ClientListener::stop_accepting`].
+    /// Accepts connections until [`ClientListener::stop_accepting`].
     pub async fn listen(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
         loop {
-            let bell = self.bell.listen();
-            if self.leaving.get() == Leaving::All {
-                self.take_rest(&listener).await;
-                return self.listens.set(false);
+            let state_change = self.state_changed.listen();
+            if self.drain_phase.get() == DrainPhase::Closed {
+                self.accept_backlog(&listener).await;
+                self.listening.set(false);
+                return;
             }
-            if !self.takes.get() {
-                bell.await;
+            if !self.accepting.get() {
+                state_change.await;
                 continue;
             }
-            let rung = async {
-                bell.await;
+            let interrupted = async {
+                state_change.await;
                 None
             };
-            match future::or(async { Some(listener.accept().await) }, rung).await {
+            match future::or(async { Some(listener.accept().await) }, interrupted).await {
                 None => {}
                 Some(Ok((stream, address))) => {
                     self.admit(stream, address);
-                    // Many that come at once must not keep those from closing that make room for them.
+                    // Many new connections at once must not keep those from closing that make room for them.
                     future::yield_now().await;
                 }
                 Some(Err(_)) => {
-                    // No descriptor left, most likely: make room, and go on.
-                    self.evict(|_| true);
-                    Timer::after(ACCEPT_PAUSE).await;
+                    self.evict_one(|_| true);
+                    Timer::after(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    /// Takes what the machine has accepted before the listener closes: closed with it, these would be reset, and
-    /// what was written to them lost. Unless another process has taken the socket over.
-    async fn take_rest(self: &Rc<Self>, listener: &Async<TcpListener>) {
+    /// Accepts what the operating system has queued before the listener closes: closed with it, these connections
+    /// would be reset, and what was written to them lost. Nothing is accepted if another process has taken the
+    /// socket over.
+    async fn accept_backlog(self: &Rc<Self>, listener: &Async<TcpListener>) {
         for _ in 0..BACKLOG {
-            let accepted = async { self.takes.get().then_some(listener.accept().await) };
+            let accepted = async { self.accepting.get().then_some(listener.accept().await) };
             let Some(Some(Ok((stream, address)))) = future::poll_once(accepted).await else { return };
             self.admit(stream, address);
-            // Those for which there is no place are told so, and close, before the next is taken: all at once would
-            // hold more descriptors than there are.
+            // Those for which there is no place are told so, and closed, before the next is accepted: all at once
+            // would hold more descriptors than there are.
             future::yield_now().await;
         }
     }
 
+    /// Starts the task of a new connection, which is rejected if there is no place for it.
     fn admit(self: &Rc<Self>, stream: Async<TcpStream>, address: SocketAddr) {
-        let (number, since) = (self.number(), Instant::now());
+        let number = self.next_number();
+        let accepted_at = Instant::now();
         let full = self.is_full();
-        let lane = Rc::new(ResponseWriter::new(&self.memory));
-        let (idle, asked, evicted, settled) = Default::default();
-        let peer = Rc::new(Peer { lane, key: self.keys.of(number), idle, asked, evicted, settled });
-        self.peers.borrow_mut().insert(number, Rc::clone(&peer));
-        let clients = Rc::clone(self);
+        let response_writer = Rc::new(ResponseWriter::new(&self.memory_budget));
+        let state = Rc::new(ConnectionState::new(response_writer, self.cancel_keys.key_of(number)));
+        self.connections.borrow_mut().insert(number, Rc::clone(&state));
+        let listener = Rc::clone(self);
         let task = async move {
-            let mut connection = Connection::new(stream, Rc::clone(&peer), since);
+            let mut connection = ClientConnection::new(stream, Rc::clone(&state), accepted_at);
             let reason = if full {
-                let violation = Violation { code: "53300", what: "too many connections" };
-                clients.fatal(&mut connection, violation).await;
-                "too_many_connections"
+                connection.send_fatal(&listener, TOO_MANY_CONNECTIONS).await;
+                CloseReason::TooManyConnections
             } else {
-                clients.serve(&mut connection).await
+                connection.serve(&listener).await
             };
-            clients.peers.borrow_mut().remove(&number);
-            clients.asked.set(clients.asked.get() - usize::from(peer.asked.get()));
-            let requests = connection.requests();
-            (clients.ends)(&ConnectionEnd {
+            listener.forget(number, &state);
+            (listener.on_connection_end)(&ConnectionEnd {
                 side: "client",
                 peer: address,
                 name: "",
-                reason,
-                requests,
-                since,
+                reason: reason.as_str(),
+                requests: connection.requests(),
+                since: accepted_at,
             });
         };
         self.executor.spawn(task).detach();
     }
 
-    /// A number for a connection or a request, never given twice.
-    pub(super) fn number(&self) -> u64 {
-        self.numbers.replace(self.numbers.get() + 1)
+    /// Removes a connection that has ended from the table.
+    fn forget(&self, number: u64, state: &ConnectionState) {
+        self.connections.borrow_mut().remove(&number);
+        if state.has_sent_command.get() {
+            self.with_commands.set(self.with_commands.get() - 1);
+        }
+    }
+
+    /// A number for a connection or a request, unique in this process.
+    pub(crate) fn next_number(&self) -> u64 {
+        self.next_number.replace(self.next_number.get() + 1)
     }
 }
--- a/crates/transport/src/client_listener/admission.rs
+++ b/crates/transport/src/client_listener/admission.rs
@@ -1,72 +1,108 @@
-//! The places of client connections: how many there are, and who makes room.
+//! Admission of client connections: how many there may be, and which one is evicted to make room.
 
-use super::{ClientListener, Peer};
+use super::{ClientListener, ConnectionState};
+use std::rc::Rc;
 use std::time::{Duration, Instant};
+use wharfplank_protocol::server::Key;
 
-/// Connections that have asked nothing for so long make room first: a client sends its startup at once.
-const MUTE: Duration = Duration::from_millis(20);
-/// Then those that stood idle for so long since their last answer.
-const REST: Duration = Duration::from_secs(2);
-/// Connections beyond those of the limit `places`, while they are told that there is none for them, or while others
-/// still close for them: their descriptors are kept free beside the places.
-pub fn overflow_connections(places: usize) -> usize {
-    places / 10
+/// Connections that have sent no command for so long are evicted first: a client sends its startup at once.
+const MUTE_TIME: Duration = Duration::from_millis(20);
+/// Connections that have been idle for so long since their last response are evicted next.
+const LONG_IDLE_TIME: Duration = Duration::from_secs(2);
+/// The least number of connections beyond the limit, for which the process keeps descriptors of its own.
+const MIN_OVERFLOW: usize = 2;
+/// The most connections that linger after an error are one in so many of the limit.
+const LINGERING_DIVISOR: usize = 4;
+
+/// Connections beyond the limit of `max_connections`, while they are rejected or while others still close for them.
+/// Their descriptors are reserved beside those of the limit.
+pub fn overflow_connections(max_connections: usize) -> usize {
+    max_connections / 10
+}
+
+/// The order in which connections are evicted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionOrder {
+    /// It has sent no command for a while.
+    Mute,
+    /// It has been idle for long.
+    LongIdle,
+    /// It has sent no command, but was accepted just now.
+    New,
+    /// It had a response lately, and is likely to send the next request.
+    RecentlyUsed,
 }
 
-/// As many may come beside that where there are few places; the process keeps descriptors of its own for them.
-const BESIDE: usize = 2;
+impl EvictionOrder {
+    fn of(state: &ConnectionState, idle_time: Duration) -> Self {
+        match state.has_sent_command.get() {
+            false if idle_time >= MUTE_TIME => EvictionOrder::Mute,
+            true if idle_time >= LONG_IDLE_TIME => EvictionOrder::LongIdle,
+            false => EvictionOrder::New,
+            true => EvictionOrder::RecentlyUsed,
+        }
+    }
+}
 
 impl ClientListener {
-    /// How many are open.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.peers.borrow().len()
+        self.connections.borrow().len()
     }
 
-    /// Room for so many connections from now on.
-    pub fn set_max_connections(&self, most: usize) {
-        self.most.set(most);
+    /// Admits so many connections from now on.
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
     }
 
-    /// Whether a connection that has been accepted finds no place. One that was asked to make room may have read a
-    /// request meanwhile and stay: past what is kept for that none is asked.
+    /// Whether there is no place for a connection that has been accepted. One that was evicted for it may have read a
+    /// request meanwhile and stay open, so beyond the overflow none is evicted.
     pub(super) fn is_full(&self) -> bool {
-        let (open, most) = (self.open_connections(), self.most.get());
-        open >= most && (open >= most + overflow_connections(most) + BESIDE || !self.evict(|_| true))
+        let open = self.open_connections();
+        let limit = self.max_connections.get();
+        if open < limit {
+            return false;
+        }
+        open >= limit + overflow_connections(limit) + MIN_OVERFLOW || !self.evict_one(|_| true)
     }
 
-    /// Whether a connection may be kept until its last error has arrived.
+    /// Whether a connection may be kept open until its last error has arrived.
     pub(crate) fn may_linger(&self) -> bool {
-        let most = self.most.get();
-        self.lingering.get() < most / 4 && self.open_connections() <= most + overflow_connections(most)
+        let limit = self.max_connections.get();
+        self.lingering.get() < limit / LINGERING_DIVISOR
+            && self.open_connections() <= limit + overflow_connections(limit)
     }
 
-    /// Counts a connection that asks something. ClientListener share a bound number of connections: past two fifths of
-    /// the places the one idle longest gives way.
-    pub(crate) fn count(&self, peer: &Peer) {
-        if !peer.asked.replace(true) {
-            self.asked.set(self.asked.get() + 1);
-            if self.asked.get() > self.most.get() * 2 / 5 {
-                self.evict(|p| p.asked.get());
-            }
+    /// Counts a connection that sends a command. Clients share a limited number of connections: if more than two
+    /// fifths of the limit have sent one, the one that has been idle longest is evicted.
+    pub(crate) fn on_command(&self, state: &ConnectionState) {
+        if state.has_sent_command.replace(true) {
+            return;
+        }
+        self.with_commands.set(self.with_commands.get() + 1);
+        if self.with_commands.get() > self.max_connections.get() * 2 / 5 {
+            self.evict_one(|state| state.has_sent_command.get());
         }
     }
 
-    /// Asks a connection without an open request to close: one that has asked nothing yet, else the one that
-    /// stood idle longest. One that asked lately is likely to ask again, so the newest mute ones go before it.
-    pub(super) fn evict(&self, which: impl Fn(&Peer) -> bool) -> bool {
-        let peers = self.peers.borrow();
+    /// Asks one of the `eligible` connections without an open request to close. Returns whether there is one.
+    pub(super) fn evict_one(&self, eligible: impl Fn(&ConnectionState) -> bool) -> bool {
+        let connections = self.connections.borrow();
         let now = Instant::now();
-        let rank = |p: &Peer, since: Instant| match (p.asked.get(), now - since) {
-            (false, age) if age >= MUTE => 0,
-            (true, age) if age >= REST => 1,
-            (false, _) => 2,
-            (true, _) => 3,
-        };
-        let idle = peers.values().filter(|p| !p.evicted.get() && which(p));
-        let idle = idle.filter_map(|p| p.idle.get().map(|since| (rank(p, since), since, p)));
-        let Some((.., peer)) = idle.min_by_key(|(rank, since, _)| (*rank, *since)) else { return false };
-        peer.evicted.set(true);
-        peer.lane.wake();
+        let candidates = connections.values().filter(|state| !state.evicted.get() && eligible(state));
+        let ranked = candidates.filter_map(|state| {
+            let idle_since = state.idle_since.get()?;
+            Some((EvictionOrder::of(state, now - idle_since), idle_since, state))
+        });
+        let first = ranked.min_by_key(|(order, idle_since, _)| (*order, *idle_since));
+        let Some((_, _, state)) = first else { return false };
+        state.evicted.set(true);
+        state.response_writer.wake();
         true
     }
+
+    /// The connection that this cancel key names, if any.
+    pub(crate) fn connection_with_key(&self, key: Key) -> Option<Rc<ConnectionState>> {
+        self.connections.borrow().values().find(|state| state.cancel_key == key).cloned()
+    }
 }
--- a/crates/transport/src/signals.rs
+++ b/crates/transport/src/signals.rs
@@ -1,21 +1,27 @@
-//! Signals: the ones that ask the process to end, and the one that asks it to read its configuration anew.
+//! The signals that ask the process to shut down or to reload its configuration.
 
-use super::ProxyEvent;
+use crate::ProxyEvent;
 use async_channel::Sender;
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use std::io;
 
-/// Takes the signals over. Until then SIGHUP ends the process, so this comes before all else.
+/// Registers for the signals. Until then SIGHUP ends the process, so this has to come first.
+///
+/// # Errors
+///
+/// Returns the error of the operating system.
 pub fn register() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// Tells of each signal.
+/// Sends an event for each signal, until nobody receives them any more.
 pub async fn forward(mut signals: Signals, events: Sender<ProxyEvent>) {
     while let Some(Ok(signal)) = signals.next().await {
-        let event =
-            if signal == Signal::Hup { ProxyEvent::ReloadRequested } else { ProxyEvent::ShutdownRequested };
+        let event = match signal {
+            Signal::Hup => ProxyEvent::ReloadRequested,
+            _ => ProxyEvent::ShutdownRequested,
+        };
         if events.send(event).await.is_err() {
             break;
         }
