--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -12,6 +12,8 @@
 mod release;
 mod talk;
 
+pub use broker::shutdown_timing;
+
 use async_executor::LocalExecutor;
 use async_io::Async;
 use clock::Clock;
@@ -26,7 +28,7 @@
 use wharfplank_settings::Settings;
 use wharfplank_transport::admin::{Admin, PLACES};
 use wharfplank_transport::client_listener::{self, ClientListener};
-use wharfplank_transport::discovery::Watch;
+use wharfplank_transport::discovery::{DiscoveryWatch, WatchContext};
 use wharfplank_transport::{handover, member_pool, signals, ConnectionEndObserver, MemoryBudget, Now};
 
 /// Events that may wait for the broker; past that connections wait.
@@ -108,8 +110,9 @@
         .and_then(|inherited| endpoint_list::from_json(&inherited.state.endpoint_list).ok());
     config.known = list.unwrap_or(config.known);
     let tracker = EndpointTracker::new(schedule, &config.known, clock.now());
-    let watch =
-        Watch::start(Rc::clone(&executor), events.clone(), ends, now, tracker, config.discovery, budgets);
+    let watch_context =
+        WatchContext { executor: Rc::clone(&executor), events: events.clone(), ends, now, budgets };
+    let watch = DiscoveryWatch::start(watch_context, tracker, config.discovery);
     let journal = journal::Journal::start(settings.records.as_ref(), &config, clock)?;
     let mut broker =
         broker::Broker::new(&config, clock, shared, Rc::clone(&clients), events.clone(), watch, journal);
@@ -119,14 +122,14 @@
         let (replica, health) = (settings.replica.as_ref(), settings.health.is_some());
         let (witness, ended) =
             fleet::start(peers, replica, health, &config, clock, events.clone(), &executor)?;
-        broker.witness(witness);
+        broker.enable_gossip(witness);
         farewell = Some(ended);
     }
     if let Some(missing) = &settings.missing {
-        broker.remembers(missing::Lookups::start(missing, &config, clock, &executor)?);
+        broker.enable_negative_cache(missing::Lookups::start(missing, &config, clock, &executor)?);
     }
     if let Some(release) = &settings.release {
-        broker.releases(release::Releases::start(release, &config, clock)?);
+        broker.enable_releases(release::Releases::start(release, &config, clock)?);
     }
 
     let (calls, operators) = async_channel::bounded(CALLS);
@@ -136,7 +139,7 @@
     }
     if let Some(post) = post {
         let all = ConnectionCounts { clients: to_clients, members: to_members };
-        broker.replaceable(post, Rc::clone(&listener), all, inherited.take());
+        broker.enable_handover(post, Rc::clone(&listener), all, inherited.take());
     }
     executor.spawn(Rc::clone(&clients).listen(listener)).detach();
     async_io::block_on(executor.run(async {
--- a/crates/transport/src/fleet/mod.rs
+++ b/crates/transport/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 pub use turns::{Turns, GAP, WAKING};
 pub use witness::{Fact, Seen, Witness};
 
-use super::{duty, Now, ProxyEvent};
+use super::{worker, Now, ProxyEvent};
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use heard::Heard;
@@ -29,10 +29,10 @@
 use std::net::{SocketAddrV4, UdpSocket};
 use std::rc::Rc;
 use std::sync::Arc;
-use wharfplank_failover::Zones;
+use wharfplank_failover::FailoverController;
 use wharfplank_gossip::Peers;
 use wharfplank_routing::Micros;
-use wharfplank_shared_state::{Doubt, Replica};
+use wharfplank_shared_state::{SharedState, WriteRecord};
 
 /// Facts that may wait for the thread, and what may wait for the broker; past that they are dropped and counted, since
 /// serving must not wait.
@@ -46,9 +46,9 @@
     /// The membership.
     pub peers: Peers,
     /// The decision.
-    pub zones: Zones,
+    pub zones: FailoverController,
     /// The replicated state, where it is on.
-    pub replica: Option<Replica>,
+    pub replica: Option<SharedState>,
     /// The judgement of members, where it is on; it needs the replicated state.
     pub judge: Option<Judge>,
     /// Takes snapshots without waiting, where they are kept.
@@ -70,7 +70,7 @@
     /// See `now`.
     pub skew: Micros,
     /// The writes in doubt that a snapshot brought, where state is replicated.
-    pub doubts: Option<Vec<(u64, Doubt, Micros)>>,
+    pub doubts: Option<Vec<WriteRecord>>,
     /// Whether members are judged.
     pub judged: bool,
     /// Where events for the broker go.
@@ -91,7 +91,7 @@
     let turns = Arc::new(Turns::new(side.now));
     let at = Arc::clone(&turns);
     let work = move |facts, told| drive::drive(parts(), socket, facts, told, at);
-    let (facts, told) = duty::start("fleet", RING, work)?;
+    let (facts, told) = worker::start("fleet", RING, work)?;
     let replicated = side.doubts.is_some();
     let heard = Rc::new(RefCell::new(Heard::new(told, side.doubts.unwrap_or_default())));
     let witness = Witness {
--- a/crates/transport/src/fleet/said.rs
+++ b/crates/transport/src/fleet/said.rs
@@ -1,9 +1,9 @@
 //! What the driver tells the log.
 
-use wharfplank_failover::Standing;
+use wharfplank_failover::ZoneState;
 use wharfplank_gossip::{Change, Peer, Peers};
 use wharfplank_health::Verdict;
-use wharfplank_shared_state::Replica;
+use wharfplank_shared_state::SharedState;
 
 /// What the driver tells the log.
 #[derive(Clone)]
@@ -17,7 +17,7 @@
         /// The zone.
         zone: &'a str,
         /// Its standing.
-        standing: Standing,
+        standing: ZoneState,
         /// Its share of reads now.
         share: f64,
         /// Peers alive.
@@ -30,7 +30,7 @@
     /// The thread failed: from now on this proxy is as one without peers.
     Failed,
     /// What the replicated state holds, once it changed.
-    Replica(&'a Replica),
+    SharedState(&'a SharedState),
     /// What the fleet holds of a member changed.
     Member {
         /// The member's name.
--- a/crates/transport/src/fleet/witness.rs
+++ b/crates/transport/src/fleet/witness.rs
@@ -2,14 +2,14 @@
 
 use super::heard::Heard;
 use super::Turns;
-use crate::duty::Outbox;
+use crate::worker::RingSender;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::sync::Arc;
 use wharfplank_health::Outcome;
 use wharfplank_routing::Micros;
-use wharfplank_shared_state::Doubt;
+use wharfplank_shared_state::{MemberStatus, WriteOutcome};
 
 /// What a member did, as the broker saw it.
 #[derive(Clone, Debug)]
@@ -33,11 +33,11 @@
     /// A member told its position itself, in the epoch of its launch.
     Position(Micros, u64, i64, Micros),
     /// Whether this proxy suspects a member.
-    Suspects(Micros, u64, bool),
+    Suspects(Micros, u64, MemberStatus),
     /// One more of one of the fleet's counters.
     Count(Micros, u32),
     /// What is known of a write whose client got no success.
-    Doubt(Micros, u64, Doubt),
+    Doubt(Micros, u64, WriteOutcome),
     /// A member as the list has it: its name, its zone and its launch.
     Listed(u64, Box<(String, String)>, i64),
     /// The members that are still on the list.
@@ -50,7 +50,7 @@
 
 /// Where the broker's facts go; where the ring is full they are dropped and counted.
 pub struct Witness {
-    pub(super) facts: RefCell<Outbox<Fact>>,
+    pub(super) facts: RefCell<RingSender<Fact>>,
     /// What the fleet's thread tells, where the replicated state is on.
     pub(super) heard: Option<Rc<RefCell<Heard>>>,
     pub(super) turns: Arc<Turns>,
@@ -77,9 +77,9 @@
     }
 
     /// Whether this proxy suspects a member: while it does, and once when it no longer does.
-    pub fn suspects(&self, now: Micros, member: u64, suspects: bool) {
+    pub fn suspects(&self, now: Micros, member: u64, status: MemberStatus) {
         if self.heard.is_some() {
-            self.push(Fact::Suspects(now, member, suspects));
+            self.push(Fact::Suspects(now, member, status));
         }
     }
 
@@ -91,17 +91,17 @@
     }
 
     /// What is known of a write whose client got no success. It holds here from now on, whatever the thread does.
-    pub fn doubt(&self, now: Micros, write: u64, doubt: Doubt) {
+    pub fn doubt(&self, now: Micros, write: u64, outcome: WriteOutcome) {
         if let Some(heard) = &self.heard {
-            heard.borrow_mut().doubt(now + self.skew, write, doubt);
-            self.push(Fact::Doubt(now, write, doubt));
+            heard.borrow_mut().doubt(now + self.skew, write, outcome);
+            self.push(Fact::Doubt(now, write, outcome));
         }
     }
 
     /// Whether this write may have run as far as any proxy said, or the fleet's thread is behind and cannot tell.
     pub fn in_doubt(&self, now: Micros, write: u64) -> bool {
         let Some(heard) = &self.heard else { return false };
-        let behind = self.turns.behind(now + self.skew) && !self.facts.borrow().is_ended();
+        let behind = self.turns.behind(now + self.skew) && !self.facts.borrow().is_closed();
         behind || heard.borrow_mut().in_doubt(write)
     }
 
@@ -135,10 +135,10 @@
     }
 
     fn push(&self, fact: Fact) {
-        self.facts.borrow_mut().push(fact);
+        self.facts.borrow_mut().send(fact);
     }
 
     fn leave(&self, fact: Fact) {
-        self.facts.borrow_mut().leave(fact);
+        self.facts.borrow_mut().send_lazy(fact);
     }
 }
