--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -65,7 +65,7 @@
 impl Broker {
     /// Reads the configuration file again and applies the address of discovery. An invalid file changes nothing.
     pub(super) fn reload_configuration(&mut self) {
-        let config = Config::anew();
+        let config = Config::reload();
         self.pools.metrics.record_reload(match config {
             Ok(_) => ReloadResult::Applied,
             Err(_) => ReloadResult::Failed,
@@ -73,10 +73,10 @@
         self.journal.reloaded(config.is_ok());
         match config {
             Ok(config) => {
-                self.discovery.move_to(config.discovery);
+                self.discovery.set_address(config.discovery);
                 log::reloaded(config.discovery);
             }
-            Err(error) => log::kept(&error),
+            Err(error) => log::kept(&error.to_string()),
         }
     }
 
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -54,7 +54,7 @@
 };
 use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::client_listener::ClientListener;
-use wharfplank_transport::discovery::Watch;
+use wharfplank_transport::discovery::DiscoveryWatch;
 use wharfplank_transport::fleet::Witness;
 use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, PoolContext};
 use wharfplank_transport::ProxyEvent;
@@ -82,7 +82,7 @@
     clients: Rc<ClientListener>,
     /// Where spawned tasks send their results; the event loop receives at the other end.
     events: Sender<ProxyEvent>,
-    discovery: Watch,
+    discovery: DiscoveryWatch,
     journal: Journal,
     counts: Counts,
     requests: RequestTable,
@@ -108,7 +108,7 @@
         pools: Rc<PoolContext>,
         clients: Rc<ClientListener>,
         events: Sender<ProxyEvent>,
-        discovery: Watch,
+        discovery: DiscoveryWatch,
         journal: Journal,
     ) -> Self {
         let now = clock.now();
