--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -3,6 +3,7 @@
 
 use super::clock::Clock;
 use super::config::Config;
+use super::error::{Component, StartError};
 use async_executor::LocalExecutor;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,7 +14,7 @@
 use wharfplank_protocol::endpoint_list::EndpointRecord;
 use wharfplank_routing::{AttemptOutcome, ClassId, Consistency, GroupId, HostId, Micros, RequestId};
 use wharfplank_settings::Missing as MissingSettings;
-use wharfplank_shared_state::named;
+use wharfplank_shared_state::hash_name;
 use wharfplank_transport::{missing, Now, Statement};
 
 /// What a class's requests are to this.
@@ -59,9 +60,10 @@
         config: &Config,
         clock: Clock,
         executor: &LocalExecutor<'static>,
-    ) -> Result<Lookups, String> {
+    ) -> Result<Lookups, StartError> {
         let at = settings.listen();
-        let socket = UdpSocket::bind(at).map_err(|e| format!("missing: listen on {at}: {e}"))?;
+        let socket =
+            UdpSocket::bind(at).map_err(StartError::component_listen(Component::NegativeCache, at))?;
         let terms = Terms {
             apart: settings.apart_ms * 1000,
             late: settings.late_ms * 1000,
@@ -70,12 +72,12 @@
         };
         let (now, hasher) = (clock.now(), Hasher::of(&settings.secret));
         // No other process had this number: its address, and when it started.
-        let holder = named(&format!("{at} {now} {}", std::process::id()));
+        let holder = hash_name(&format!("{at} {now} {}", std::process::id()));
         let node = Node::new(terms, hasher.clone(), at, settings.banks(), holder, now);
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
         let start = missing::start(Rc::clone(&node), socket, now_of, tell, executor);
-        start.map_err(|e| format!("missing: {e}"))?;
+        start.map_err(StartError::component_start(Component::NegativeCache))?;
         let is = |names: &str, name: &str| names.split(' ').any(|n| n == name);
         let kinds = config.terms.class_names.iter().zip(&config.settings.classes).map(|(name, class)| {
             match class.consistency {
@@ -221,7 +223,7 @@
             *site = Site { born_ms: listed.started_at_ms, position: 0 };
         }
         if listed.primary {
-            let primary = named(&format!("{} {}", listed.name, listed.started_at_ms)) as u32;
+            let primary = hash_name(&format!("{} {}", listed.name, listed.started_at_ms)) as u32;
             self.primaries.insert(GroupId(listed.group), primary);
         }
     }
--- a/crates/proxy/src/release.rs
+++ b/crates/proxy/src/release.rs
@@ -4,6 +4,7 @@
 
 use super::clock::Clock;
 use super::config::Config;
+use super::error::{Component, StartError};
 use super::log;
 use std::collections::{BTreeMap, HashMap};
 use std::net::UdpSocket;
@@ -16,16 +17,16 @@
 };
 use wharfplank_routing::{self as routing, AttemptOutcome, ClassId, HostId, Micros};
 use wharfplank_settings::{Release as ReleaseSettings, Undo};
-use wharfplank_shared_state::named;
-use wharfplank_transport::duty::{Inbox, Outbox};
+use wharfplank_shared_state::hash_name;
 use wharfplank_transport::release::{self, Parts};
+use wharfplank_transport::worker::{RingReceiver, RingSender};
 
 /// Members whose sums are kept at most; past that those that are not in the roster go.
 const TRIALS_MOST: usize = 4096;
 
 struct On {
-    views: Outbox<FleetView>,
-    notes: Inbox<ServiceEvent>,
+    views: RingSender<FleetView>,
+    notes: RingReceiver<ServiceEvent>,
     /// The roster's members by name.
     ids: BTreeMap<String, u64>,
     names: BTreeMap<u64, String>,
@@ -41,12 +42,12 @@
 
 impl Releases {
     /// Binds the socket and starts the thread.
-    pub fn start(settings: &ReleaseSettings, config: &Config, clock: Clock) -> Result<Releases, String> {
+    pub fn start(settings: &ReleaseSettings, config: &Config, clock: Clock) -> Result<Releases, StartError> {
         let at = settings.listen();
-        let socket = UdpSocket::bind(at).map_err(|e| format!("release: listen on {at}: {e}"))?;
+        let socket = UdpSocket::bind(at).map_err(StartError::component_listen(Component::Rollout, at))?;
         log::release_bound(socket.local_addr().unwrap_or(at.into()));
         let ids: BTreeMap<String, u64> =
-            settings.members.iter().map(|member| (member.name.clone(), named(&member.name))).collect();
+            settings.members.iter().map(|member| (member.name.clone(), hash_name(&member.name))).collect();
         let names: BTreeMap<u64, String> = ids.iter().map(|(name, id)| (*id, name.clone())).collect();
         let identity = identity(settings, clock);
         let agent =
@@ -68,7 +69,8 @@
             say: move |told: release::Told<'_>| log::release(&shown, &told),
         };
         let service = move |ledger| RolloutService::new(setup, ledger, clock.now());
-        let (views, notes) = release::start(parts, service).map_err(|e| format!("release: {e}"))?;
+        let (views, notes) =
+            release::start(parts, service).map_err(StartError::component_start(Component::Rollout))?;
         let aims = config.settings.classes.iter().map(|class| class.latency_objective).collect();
         Ok(Releases { on: Some(On { views, notes, ids, names }), aims, trials: HashMap::new() })
     }
@@ -102,8 +104,8 @@
             Some((*id, look(host, views.get(number), cordons.is_cordoned(name), trial)))
         };
         let members = on.ids.iter().filter_map(look).collect();
-        on.views.push(FleetView { at: now, members });
-        while let Some(event) = on.notes.try_next() {
+        on.views.send(FleetView { at: now, members });
+        while let Some(event) = on.notes.try_recv() {
             note(&event, &on.names);
         }
         if self.trials.len() > TRIALS_MOST {
@@ -150,7 +152,7 @@
 fn identity(settings: &ReleaseSettings, clock: Clock) -> PeerIdentity {
     // No other process had this number: its address, its rank, and when it started.
     let number =
-        named(&format!("{} {} {} {}", settings.listen, settings.rank, clock.now(), std::process::id()));
+        hash_name(&format!("{} {} {} {}", settings.listen, settings.rank, clock.now(), std::process::id()));
     PeerIdentity { rank: settings.rank.into(), process: number, permit_server: settings.bank() }
 }
 
@@ -166,9 +168,9 @@
 
 fn inventory(settings: &ReleaseSettings) -> Inventory {
     let node = |member: &wharfplank_settings::ReleaseMember| Node {
-        id: named(&member.name),
+        id: hash_name(&member.name),
         group: member.group,
-        zone: named(&member.zone) as u32,
+        zone: hash_name(&member.zone) as u32,
         kind: NodeKind::Member,
     };
     let ReleaseSettings { group, zone, fleet, banks, .. } = *settings;
--- a/crates/transport/src/budgets/thread.rs
+++ b/crates/transport/src/budgets/thread.rs
@@ -1,7 +1,7 @@
 //! The thread of the budgets: the socket, the bank where this proxy is one, and the coding of datagrams. The leases
 //! themselves are the serving thread's: what is promised not to be used any more, only who spends can promise.
 
-use crate::duty::{Inbox, Outbox};
+use crate::worker::{RingReceiver, RingSender};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use serde::{Deserialize, Serialize};
@@ -79,7 +79,7 @@
 
 impl<Clock: Fn() -> Micros> Setup<Clock> {
     /// Works until the serving thread is gone.
-    pub async fn work(mut self, mut asks: Inbox<(usize, LeaseRequest)>, mut told: Outbox<Told>) {
+    pub async fn work(mut self, mut asks: RingReceiver<(usize, LeaseRequest)>, mut told: RingSender<Told>) {
         let socket = match self.socket.try_clone().and_then(Async::new) {
             Ok(socket) => socket,
             Err(_) => return,
@@ -87,7 +87,7 @@
         let (mut buffer, mut done, mut greet_at) = (vec![0_u8; DATAGRAM_BYTES], Done::default(), 0);
         loop {
             let pause = Duration::from_micros((greet_at - (self.now)()).clamp(0, GREET_EVERY) as u64);
-            let asked = async { asks.next().await.map_or(Woken::End, |(bank, ask)| Woken::Ask(bank, ask)) };
+            let asked = async { asks.recv().await.map_or(Woken::End, |(bank, ask)| Woken::Ask(bank, ask)) };
             let heard = async {
                 match socket.recv_from(&mut buffer).await {
                     Ok((count, from)) => Woken::Datagram(count, from),
@@ -105,7 +105,7 @@
                     false => self.send(bank, Word::Ask(ask)),
                     true => {
                         if let Some(grant) = self.lease(&ask) {
-                            told.push(Told::Grant(bank, grant));
+                            told.send(Told::Grant(bank, grant));
                         }
                     }
                 },
@@ -119,7 +119,7 @@
             if (self.now)() >= greet_at {
                 greet_at = (self.now)() + GREET_EVERY;
                 self.greet(&mut done);
-                told.push(Told::Done(done));
+                told.send(Told::Done(done));
             }
         }
     }
@@ -132,7 +132,7 @@
         allocator.on_request(now, request)
     }
 
-    fn heard(&mut self, from: SocketAddr, word: Word, told: &mut Outbox<Told>) {
+    fn heard(&mut self, from: SocketAddr, word: Word, told: &mut RingSender<Told>) {
         let place = self.banks.iter().position(|bank| SocketAddr::V4(*bank) == from);
         match (word, place) {
             (Word::Ask(ask), _) => {
@@ -141,7 +141,7 @@
             }
             // What does not fit is lost as a datagram is: the lease before it ends by itself.
             (Word::Grant(grant), Some(place)) => {
-                told.push(Told::Grant(place, grant));
+                told.send(Told::Grant(place, grant));
             }
             (Word::Hello(hello), Some(place)) => {
                 let now = (self.now)();
--- a/crates/transport/src/fleet/drive.rs
+++ b/crates/transport/src/fleet/drive.rs
@@ -2,16 +2,16 @@
 
 use super::judge::judge;
 use super::{key, Fact, Parts, Said, Told, Turns};
-use crate::duty::{Inbox, Outbox};
+use crate::worker::{RingReceiver, RingSender};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::time::Duration;
-use wharfplank_failover::{decode, encode, TOPIC};
+use wharfplank_failover::{decode_votes, encode_votes, MemberOutcome, VoteVersion, TOPIC};
 use wharfplank_routing::Micros;
-use wharfplank_shared_state::{frame, unframe, FRAME_BYTES};
+use wharfplank_shared_state::{Frame, FRAME_OVERHEAD};
 
 /// How often the traffic is told, and the least change of a share that is passed on.
 const TELL_EVERY: Micros = 5_000_000;
@@ -29,7 +29,7 @@
 /// What the loop keeps besides the parts.
 struct Course {
     /// The broker's ring.
-    told: Outbox<Told>,
+    told: RingSender<Told>,
     /// The shares that the broker was told last.
     shares: BTreeMap<String, f64>,
     tell_at: Micros,
@@ -49,8 +49,8 @@
 pub(super) async fn drive(
     mut parts: Parts,
     socket: UdpSocket,
-    mut facts: Inbox<Fact>,
-    told: Outbox<Told>,
+    mut facts: RingReceiver<Fact>,
+    told: RingSender<Told>,
     turns: Arc<Turns>,
 ) {
     // A socket that the reactor does not take is one that hears nothing: this proxy then decides alone.
@@ -60,7 +60,7 @@
     let (shares, tell_at, keep_at) = (BTreeMap::new(), now + TELL_EVERY, now + KEEP_EVERY);
     let mut course = Course { told, shares, tell_at, digest: 0, digest_at: now, keep_at };
     // The router hears at once that zones are decided in common: near members win among ties from now on.
-    course.told.push(Told::Shares(Vec::new()));
+    course.told.send(Told::Shares(Vec::new()));
     parts.peers.join(&parts.seeds, now);
     let mut buffer = vec![0_u8; 65_536];
     loop {
@@ -70,7 +70,7 @@
                 async {
                     socket.recv_from(&mut buffer).await.map_or(Woken::Time, |(n, at)| Woken::Datagram(n, at))
                 },
-                async { facts.next().await.map_or(Woken::Closed, Woken::Fact) },
+                async { facts.recv().await.map_or(Woken::Closed, Woken::Fact) },
             ),
             async {
                 Timer::after(pause).await;
@@ -96,7 +96,7 @@
                 return;
             }
         }
-        while let Some(fact) = facts.try_next() {
+        while let Some(fact) = facts.try_recv() {
             take(&mut parts, now, fact);
         }
         turn(&mut parts, &mut course, now, facts.dropped());
@@ -114,12 +114,16 @@
 fn take(parts: &mut Parts, now: Micros, fact: Fact) {
     let skew = parts.skew;
     match (fact, &mut parts.replica, &mut parts.judge) {
-        (Fact::Seen(seen), ..) if seen.answered => parts.zones.observe(now, &seen.zone, seen.member, true),
-        (Fact::Seen(seen), ..) => parts.zones.silence(now, seen.sent + skew, &seen.zone, seen.member),
-        (Fact::Position(at, member, epoch, told), Some(r), _) => r.position(at + skew, member, epoch, told),
-        (Fact::Suspects(at, member, suspects), Some(r), _) => r.suspects(at + skew, member, suspects),
-        (Fact::Count(at, counter), Some(r), _) => r.count(at + skew, counter, 1),
-        (Fact::Doubt(at, write, doubt), Some(r), _) => r.doubt(at + skew, write, doubt),
+        (Fact::Seen(seen), ..) if seen.answered => {
+            parts.zones.record(now, &seen.zone, seen.member, MemberOutcome::Answered)
+        }
+        (Fact::Seen(seen), ..) => parts.zones.record_timeout(now, seen.sent + skew, &seen.zone, seen.member),
+        (Fact::Position(at, member, epoch, told), Some(r), _) => {
+            r.record_position(at + skew, member, epoch, told)
+        }
+        (Fact::Suspects(at, member, status), Some(r), _) => r.record_member_status(at + skew, member, status),
+        (Fact::Count(at, counter), Some(r), _) => r.add_to_counter(at + skew, counter, 1),
+        (Fact::Doubt(at, write, outcome), Some(r), _) => r.record_write_outcome(at + skew, write, outcome),
         (Fact::Listed(member, names, born_ms), _, Some(judge)) => {
             judge.listed(member, &names.0, &names.1, born_ms)
         }
@@ -138,17 +142,17 @@
     }
     hear(parts, now);
     if let Some(factors) = judge(parts, now) {
-        course.told.push(Told::Factors(factors));
+        course.told.send(Told::Factors(factors));
     }
     if let Some(replica) = &mut parts.replica {
-        replica.alive(now, parts.peers.alive().map(|peer| peer.addr));
+        replica.set_live_peers(now, parts.peers.alive().map(|peer| peer.addr));
         replica.tick(now);
-        let news = if course.told.room() > NEWS_ROOM { replica.take_news() } else { Vec::new() };
+        let news = if course.told.free_slots() > NEWS_ROOM { replica.take_updates() } else { Vec::new() };
         if !news.is_empty() {
-            course.told.push(Told::News(news));
+            course.told.send(Told::News(news));
         }
     }
-    if parts.zones.decide(now) || !course.shares.is_empty() {
+    if parts.zones.evaluate(now) || !course.shares.is_empty() {
         tell(parts, now, course);
     }
     if now >= course.tell_at {
@@ -160,7 +164,7 @@
         course.digest_at = now + DIGEST_EVERY;
         let digest = replica.store().digest();
         if digest != std::mem::replace(&mut course.digest, digest) {
-            (parts.say)(Said::Replica(replica));
+            (parts.say)(Said::SharedState(replica));
         }
     }
     if let Some(keep) = parts.keep.as_ref().filter(|_| now >= course.keep_at) {
@@ -169,32 +173,35 @@
     }
 }
 
-/// Hands the notes of peers that are alive to the decision, and publishes this proxy's opinions where they changed.
+/// Hands the notes of peers that are alive to the decision, and publishes this proxy's votes where they changed.
 fn hear(parts: &mut Parts, now: Micros) {
     let me = parts.peers.me().addr;
     let alive: Vec<u64> = parts.peers.alive().map(|p| key(p.addr)).collect();
-    let notes: Vec<(u64, (u64, u64), Vec<u8>)> = parts
+    let notes: Vec<(u64, VoteVersion, Vec<u8>)> = parts
         .peers
         .board()
         .topic(TOPIC)
         .filter(|note| note.origin != me)
-        .map(|note| (key(note.origin), (note.generation, note.version), note.body.clone()))
+        .map(|note| {
+            let version = VoteVersion { generation: note.generation, version: note.version };
+            (key(note.origin), version, note.body.clone())
+        })
         .collect();
-    for (from, note, body) in notes {
-        if let Some(opinions) = decode(&body) {
-            parts.zones.heard(now, from, note, &opinions);
+    for (from, version, body) in notes {
+        if let Ok(votes) = decode_votes(&body) {
+            parts.zones.on_peer_votes(now, from, version, &votes);
         }
     }
-    parts.zones.alive(now, alive.into_iter());
-    if let Some(opinions) = parts.zones.to_publish(now) {
-        parts.peers.publish(TOPIC, encode(&opinions));
+    parts.zones.set_live_peers(now, alive.into_iter());
+    if let Some(votes) = parts.zones.votes_to_publish(now) {
+        parts.peers.publish(TOPIC, encode_votes(&votes));
     }
 }
 
 /// Tells the broker the shares where one changed, and the log where a standing did.
 fn tell(parts: &mut Parts, now: Micros, course: &mut Course) {
     let told = &course.shares;
-    let shares: BTreeMap<String, f64> = parts.zones.shares(now).into_iter().collect();
+    let shares: BTreeMap<String, f64> = parts.zones.reduced_shares(now).into_iter().collect();
     let moved = shares.len() != told.len()
         || shares
             .iter()
@@ -203,17 +210,17 @@
         return;
     }
     let alive = parts.peers.alive().count();
-    let alone = parts.zones.is_alone();
+    let alone = parts.zones.is_isolated();
     let named: std::collections::BTreeSet<&String> = shares.keys().chain(told.keys()).collect();
     for zone in named {
         let (was, share) = (told.get(zone).copied().unwrap_or(1.0), shares.get(zone).copied().unwrap_or(1.0));
-        let standing = parts.zones.standing(zone);
+        let standing = parts.zones.zone_state(zone);
         if (was == 0.0) != (share == 0.0) || (was == 1.0) != (share == 1.0) {
             (parts.say)(Said::Standing { zone, standing, share, alive, alone });
         }
     }
     // What does not fit is told with the next turn.
-    if course.told.push(Told::Shares(shares.clone().into_iter().collect())) {
+    if course.told.send(Told::Shares(shares.clone().into_iter().collect())) {
         course.shares = shares;
     }
 }
@@ -221,25 +228,29 @@
 /// A datagram is the membership's, with or without a message of the replicated state behind it.
 fn received(parts: &mut Parts, now: Micros, from: SocketAddr, datagram: &[u8]) {
     // A frame that cannot be read is handed on as it is: the membership counts it among what it rejects.
-    let (membership, message) = unframe(datagram).unwrap_or((datagram, &[]));
+    let undecoded = Frame { membership: datagram, shared_state: &[] };
+    let Frame { membership, shared_state: message } = Frame::decode(datagram).unwrap_or(undecoded);
     if !membership.is_empty() {
         parts.peers.received(now, membership);
     }
     if let (Some(replica), SocketAddr::V4(from), false) = (&mut parts.replica, from, message.is_empty()) {
-        replica.received(now, from, message);
+        replica.on_message(now, from, message);
     }
 }
 
 async fn send_all(parts: &mut Parts, now: Micros, socket: &Async<UdpSocket>) {
     // A datagram that cannot go is as one lost on the wire: SWIM sends again, and so do exchanges.
     for (to, datagram) in parts.peers.take_sends() {
-        let room = PACKET_BYTES.saturating_sub(datagram.len() + FRAME_BYTES);
-        let rides = parts.replica.as_mut().and_then(|replica| replica.ride(now, room));
-        let datagram = rides.map_or_else(|| datagram.clone(), |message| frame(&datagram, &message));
+        let room = PACKET_BYTES.saturating_sub(datagram.len() + FRAME_OVERHEAD);
+        let rides = parts.replica.as_mut().and_then(|replica| replica.piggyback(now, room));
+        let datagram = match &rides {
+            Some(message) => Frame { membership: &datagram, shared_state: message }.encode(),
+            None => datagram,
+        };
         let _ = socket.send_to(&datagram, to).await;
     }
-    let sends = parts.replica.as_mut().map(|replica| replica.take_sends());
+    let sends = parts.replica.as_mut().map(|replica| replica.take_datagrams());
     for (to, message) in sends.into_iter().flatten() {
-        let _ = socket.send_to(&frame(&[], &message), to).await;
+        let _ = socket.send_to(&Frame { membership: &[], shared_state: &message }.encode(), to).await;
     }
 }
--- a/crates/transport/src/release.rs
+++ b/crates/transport/src/release.rs
@@ -3,7 +3,7 @@
 //! for it:
 //! the broker's views come over a ring, and what was done goes back over another.
 
-use crate::duty::{self, Inbox, Outbox};
+use crate::worker::{self, RingReceiver, RingSender};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::fs::File;
@@ -51,14 +51,14 @@
 pub fn start<Now, Say>(
     parts: Parts<Now, Say>,
     service: impl FnOnce(Option<PermitLedger>) -> RolloutService + Send + 'static,
-) -> std::io::Result<(Outbox<FleetView>, Inbox<ServiceEvent>)>
+) -> std::io::Result<(RingSender<FleetView>, RingReceiver<ServiceEvent>)>
 where
     Now: Fn() -> Micros + Send + 'static,
     Say: Fn(Told<'_>) + Send + 'static,
 {
     parts.socket.set_nonblocking(true)?;
     let ledger = parts.ledger.as_deref().and_then(|path| kept(path, &parts.say));
-    duty::start("release", RING, move |views, notes| async move {
+    worker::start("release", RING, move |views, notes| async move {
         let Ok(socket) = Async::new(parts.socket) else { return };
         let files = Files { ledger: parts.ledger, signal: parts.signal, ..Files::default() };
         drive(service(ledger), socket, files, parts.now, parts.say, (views, notes)).await;
@@ -82,7 +82,7 @@
     mut files: Files,
     now: impl Fn() -> Micros,
     say: impl Fn(Told<'_>),
-    (mut views, mut notes): (Inbox<FleetView>, Outbox<ServiceEvent>),
+    (mut views, mut notes): (RingReceiver<FleetView>, RingSender<ServiceEvent>),
 ) {
     let mut buffer = vec![0_u8; 65_536];
     enum Woken {
@@ -94,7 +94,7 @@
         let datagram = async {
             socket.recv_from(&mut buffer).await.map_or(Woken::Time, |(n, at)| Woken::Datagram(n, at))
         };
-        let view = async { Woken::View(views.next().await) };
+        let view = async { Woken::View(views.recv().await) };
         let time = async {
             Timer::after(TICK).await;
             Woken::Time
@@ -121,7 +121,7 @@
         files.keep(&mut service, at, &say);
         for event in service.take_events() {
             say(Told::Event(&event));
-            notes.leave(event);
+            notes.send_lazy(event);
         }
     }
 }
