--- a/crates/failover/tests/fleet.rs
+++ b/crates/failover/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many proxies in virtual time, each with its own membership (the real `Peers` on a modelled wire) and its own
+//! Many proxies in virtual time, each with its own membership (the real `Membership` on a modelled network) and its own
 //! decision, and members whose zone is lost: how many proxies hold the same decision how soon, against the same
 //! fleet in which each decides alone. Counts only; no clock of the machine is read.
 
@@ -8,8 +8,8 @@
     decode_votes, encode_votes, FailoverController, FailoverTerms, IsolationPolicy, MemberOutcome,
     VoteVersion, ZoneState, TOPIC,
 };
-use wharfplank_gossip::net::{Net, Wire};
-use wharfplank_gossip::{Micros, Terms as PeerTerms};
+use wharfplank_gossip::simulation::{LinkFaults, SimulatedNetwork};
+use wharfplank_gossip::{Micros, SwimConfig};
 
 const MS: Micros = 1_000;
 const STEP: Micros = 10 * MS;
@@ -31,7 +31,7 @@
 }
 
 struct Fleet {
-    net: Net,
+    network: SimulatedNetwork,
     controllers: Vec<FailoverController>,
     /// What each proxy sent and is not answered yet.
     pending: Vec<Vec<Pending>>,
@@ -43,14 +43,19 @@
 }
 
 impl Fleet {
-    fn new(n: usize, together: bool, wire: Wire, seed: u64) -> Fleet {
-        let mut net =
-            Net::new(n, &ZONES, PeerTerms { expected: n as u32, ..PeerTerms::default() }, wire, seed);
+    fn new(n: usize, together: bool, faults: LinkFaults, seed: u64) -> Fleet {
+        let mut network = SimulatedNetwork::new(
+            n,
+            &ZONES,
+            SwimConfig { expected_proxies: n as u32, ..SwimConfig::default() },
+            faults,
+            seed,
+        );
         if !together {
             let all: Vec<usize> = (0..n).collect();
             for a in &all {
                 for b in &all {
-                    net.cut.insert((*a, *b));
+                    network.blocked.insert((*a, *b));
                 }
             }
         }
@@ -58,15 +63,15 @@
         let controllers =
             (0..n).map(|_| FailoverController::new(FailoverTerms::default(), isolation)).collect();
         let pending = (0..n).map(|_| Vec::new()).collect();
-        Fleet { net, controllers, pending, rng: SmallRng::seed_from_u64(seed) }
+        Fleet { network, controllers, pending, rng: SmallRng::seed_from_u64(seed) }
     }
 
     /// One step of 10 ms: sends, their outcomes, notes in and out, decisions.
     fn step(&mut self, lost: Option<&str>) {
-        let now = self.net.now + STEP;
-        self.net.run(now, STEP);
+        let now = self.network.now + STEP;
+        self.network.run(now, STEP);
         for i in 0..self.controllers.len() {
-            let near = self.net.nodes[i].zone.clone();
+            let near = self.network.proxies[i].zone.clone();
             for zone in ZONES {
                 let share = self.controllers[i].read_share(zone, now);
                 let reads = if zone == near { NEAR } else { 0.0 } * share;
@@ -88,17 +93,17 @@
             for sent in due {
                 self.controllers[i].record(sent.ends_at, &sent.zone, sent.member, sent.outcome);
             }
-            let Some(peers) = self.net.nodes[i].peers.as_mut() else { continue };
-            let alive: Vec<u64> = peers.alive().map(|p| key(p.addr)).collect();
-            let notes: Vec<_> = peers
-                .board()
-                .topic(TOPIC)
-                .map(|n| {
-                    let version = VoteVersion { generation: n.generation, version: n.version };
-                    (key(n.origin), version, n.body.clone())
+            let Some(membership) = self.network.proxies[i].membership.as_mut() else { continue };
+            let alive: Vec<u64> = membership.live_peers().map(|peer| key(peer.addr)).collect();
+            let notes: Vec<_> = membership
+                .notes()
+                .by_topic(TOPIC)
+                .map(|note| {
+                    let version = VoteVersion { generation: note.generation, version: note.version };
+                    (key(note.origin), version, note.body.clone())
                 })
                 .collect();
-            let me = key(peers.me().addr);
+            let me = key(membership.local_peer().addr);
             for (from, version, body) in notes.into_iter().filter(|(from, ..)| *from != me) {
                 if let Ok(votes) = decode_votes(&body) {
                     self.controllers[i].on_peer_votes(now, from, version, &votes);
@@ -106,7 +111,7 @@
             }
             self.controllers[i].set_live_peers(now, alive.into_iter());
             if let Some(votes) = self.controllers[i].votes_to_publish(now) {
-                peers.publish(TOPIC, encode_votes(&votes));
+                membership.publish(TOPIC, encode_votes(&votes)).unwrap();
             }
             self.controllers[i].evaluate(now);
         }
@@ -128,8 +133,8 @@
 
 /// The part of the proxies that have evacuated the lost zone, and that hold the same decision, 1, 2 and 5 s after it is
 /// lost.
-fn agreement(n: usize, together: bool, wire: Wire, seed: u64) -> ([f64; 3], [f64; 3]) {
-    let mut fleet = Fleet::new(n, together, wire, seed);
+fn agreement(n: usize, together: bool, faults: LinkFaults, seed: u64) -> ([f64; 3], [f64; 3]) {
+    let mut fleet = Fleet::new(n, together, faults, seed);
     (0..300).for_each(|_| fleet.step(None));
     let mut left = [0.0; 3];
     let mut same = [0.0; 3];
@@ -150,8 +155,8 @@
 #[test]
 fn proxies_that_reach_each_other_evacuate_a_lost_zone_together_within_two_seconds() {
     for seed in [3, 4] {
-        let (together, same) = agreement(30, true, Wire::default(), seed);
-        let (alone, alone_same) = agreement(30, false, Wire::default(), seed);
+        let (together, same) = agreement(30, true, LinkFaults::default(), seed);
+        let (alone, alone_same) = agreement(30, false, LinkFaults::default(), seed);
         println!(
             "seed {seed}, 30 proxies, at 1, 2, 5 s: left together {together:.2?}, the same {same:.2?}; \
              left alone {alone:.2?}, the same {alone_same:.2?}"
@@ -163,21 +168,21 @@
 
 #[test]
 fn proxies_still_agree_under_loss_and_reordering_between_them() {
-    let wire = Wire { loss: 0.2, duplicate: 0.1, delay: MS, jitter: 5 * MS };
-    let (seen, _) = agreement(30, true, wire, 5);
+    let faults = LinkFaults { loss: 0.2, duplicate: 0.1, delay: MS, jitter: 5 * MS };
+    let (seen, _) = agreement(30, true, faults, 5);
     println!("left the lost zone at 1, 2, 5 s under 20% loss: {seen:.2?}");
     assert!(seen[2] >= 0.95, "only {:.2} had left after 5 s", seen[2]);
 }
 
 #[test]
 fn a_healthy_zone_is_never_evacuated() {
-    let mut fleet = Fleet::new(30, true, Wire { loss: 0.2, ..Wire::default() }, 9);
+    let mut fleet = Fleet::new(30, true, LinkFaults { loss: 0.2, ..LinkFaults::default() }, 9);
     for _ in 0..1_000 {
         fleet.step(None);
         assert!(
             ZONES.iter().all(|z| fleet.evacuated_part(z) == 0.0),
             "a healthy zone was left at {} µs",
-            fleet.net.now
+            fleet.network.now
         );
     }
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,39 +1,50 @@
-//! Membership between proxies, where an installation lets them talk: which proxies are alive, found with SWIM
-//! (the `foca` crate), and notes that each proxy publishes and that ride along on SWIM's messages. It does no I/O:
-//! datagrams and the time go in, datagrams to send and what changed come out. The driver owns the socket.
+//! Membership between proxies, where an installation lets them talk to each other: which proxies are alive, found with
+//! SWIM (the `foca` crate), and notes that each proxy publishes and that are disseminated piggybacked on SWIM's
+//! messages. The crate does no I/O: datagrams and the time go in, datagrams to send and what changed come out. The
+//! driver owns the socket.
 //!
-//! - [`Peer`]: who a proxy is: the address others send to, its zone, and the generation of its process.
-//! - [`Peers`]: one proxy's view of the others, and its notes.
-//! - [`Note`], [`Board`]: what proxies tell each other; the newest of each proxy and topic wins.
-//! - [`net`]: many proxies' `Peers` on a network in virtual time with faults, for tests and models.
+//! - [`Peer`]: the identity of a proxy: the address others send to, its zone, and the generation of its process.
+//! - [`Membership`]: one proxy's view of the others, and its notes.
+//! - [`SwimConfig`]: how often proxies ping and gossip, and when a suspect is declared down.
+//! - [`Note`], [`NoteStore`]: what proxies tell each other; the newest of each proxy and topic wins.
+//! - [`simulation`]: many proxies' memberships on a network in virtual time with faults, for tests and models.
 //!
 //! ```
-//! use wharfplank_gossip::{Peer, Peers, Terms};
+//! use wharfplank_gossip::{Membership, Peer, SwimConfig};
 //!
 //! let a = Peer::new("127.0.0.1:7001".parse().unwrap(), "a", 1);
 //! let b = Peer::new("127.0.0.1:7002".parse().unwrap(), "b", 1);
-//! let (mut one, mut two) = (Peers::new(a.clone(), Terms::default(), 1, 0), Peers::new(b, Terms::default(), 2, 0));
+//! let mut one = Membership::new(a.clone(), SwimConfig::default(), 1, 0);
+//! let mut two = Membership::new(b, SwimConfig::default(), 2, 0);
 //! one.join(&["127.0.0.1:7002".parse().unwrap()], 0);
 //! for now in (0..3_000_000).step_by(10_000) {
-//!     for (to, datagram) in one.take_sends() {
-//!         if to == two.me().addr { two.received(now, &datagram); }
+//!     for datagram in one.take_datagrams() {
+//!         if datagram.to == two.local_peer().addr { two.on_datagram(now, &datagram.payload); }
 //!     }
-//!     for (to, datagram) in two.take_sends() {
-//!         if to == one.me().addr { one.received(now, &datagram); }
+//!     for datagram in two.take_datagrams() {
+//!         if datagram.to == one.local_peer().addr { one.on_datagram(now, &datagram.payload); }
 //!     }
 //!     one.tick(now);
 //!     two.tick(now);
 //! }
-//! assert_eq!(one.alive().count(), 1);
-//! assert_eq!(two.alive().count(), 1);
+//! assert_eq!(one.live_peers().count(), 1);
+//! assert_eq!(two.live_peers().count(), 1);
 //! ```
 
-mod board;
-pub mod net;
-mod swim;
+mod config;
+mod dissemination;
+mod membership;
+mod note;
+mod note_store;
+mod peer;
+pub mod simulation;
+mod timers;
 
-pub use board::{Board, Note, NOTES_MOST, NOTE_BYTES_MOST};
-pub use swim::{Change, Peer, Peers, Terms, Traffic};
+pub use config::SwimConfig;
+pub use membership::{Datagram, Membership, MembershipEvent, PublishError, Traffic};
+pub use note::{Note, NoteKey, MAX_NOTE_BYTES};
+pub use note_store::{NoteStore, RejectedNote, MAX_NOTES};
+pub use peer::{Peer, MAX_ZONE_BYTES};
 
 /// A time or a span of time, in microseconds, on the caller's clock.
 pub type Micros = i64;
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use wharfplank_failover::{FailoverController, FailoverTerms, IsolationPolicy};
-use wharfplank_gossip::{Peer, Peers, Terms as PeerTerms};
+use wharfplank_gossip::{Membership, Peer, SwimConfig};
 use wharfplank_settings::{AloneChoice, Peers as PeerSettings, Replica as ReplicaSettings};
 use wharfplank_shared_state::{snapshot, SharedState, SharedStateConfig};
 use wharfplank_transport::fleet::{self, Judge, Parts, Side, Witness};
@@ -47,14 +47,14 @@
     let now = clock.now() + skew;
     // A restarted process is a newer generation: its views and notes replace those of the one before.
     let me = Peer::new(advertise, &config.terms.zone, (now / 1000).max(1) as u64);
-    let terms = PeerTerms {
-        probe_ms: settings.probe_ms,
-        probe_rtt_ms: (settings.probe_ms * 3 / 10).max(1),
-        suspect_ms: settings.suspect_ms,
-        gossip_ms: settings.gossip_ms,
-        fanout: settings.fanout,
-        expected: settings.expected,
-        ..PeerTerms::default()
+    let swim = SwimConfig {
+        ping_interval_ms: settings.probe_ms,
+        ping_timeout_ms: (settings.probe_ms * 3 / 10).max(1),
+        suspicion_timeout_ms: settings.suspect_ms,
+        gossip_interval_ms: settings.gossip_ms,
+        gossip_fanout: settings.fanout,
+        expected_proxies: settings.expected,
+        ..SwimConfig::default()
     };
     let seed = config.settings.seed;
     // A returning zone grows as a cold member does, by the platform's own figures where it gives them.
@@ -88,7 +88,7 @@
     let seeds = settings.seeds();
     let parts = move || Parts {
         judge: health.then(|| Judge::new(me.addr)),
-        peers: Peers::new(me, terms, seed, now),
+        peers: Membership::new(me, swim, seed, now),
         zones: FailoverController::new(failover, isolation),
         replica: state,
         keep: keep.map(|keep| Box::new(keep) as fleet::Keep),
--- a/crates/proxy/src/log/fleet.rs
+++ b/crates/proxy/src/log/fleet.rs
@@ -3,7 +3,7 @@
 use crate::fleet::{FAILED, REFUSED, SERVED};
 use tracing::{error, info, warn};
 use wharfplank_failover::ZoneState;
-use wharfplank_gossip::Change;
+use wharfplank_gossip::MembershipEvent;
 use wharfplank_transport::fleet::Said;
 
 /// Notes where the fleet's talk listens, and where the others send to.
@@ -19,9 +19,9 @@
         }
         Said::Changed(change) => {
             let (how, peer) = match change {
-                Change::Up(peer) => ("up", peer),
-                Change::Down(peer) => ("down", peer),
-                Change::Renewed(peer) => ("renewed", peer),
+                MembershipEvent::Up(peer) => ("up", peer),
+                MembershipEvent::Down(peer) => ("down", peer),
+                MembershipEvent::Rejoined(peer) => ("renewed", peer),
             };
             info!(change = how, addr = %peer.addr, zone = peer.zone.as_str(), generation = peer.generation, "peer");
         }
@@ -75,16 +75,16 @@
         }
         Said::Failed => error!(what = "the fleet's thread failed; this proxy goes on alone", "peers_failed"),
         Said::Traffic(peers, seen_dropped, told_dropped) => {
-            let board = peers.board();
+            let notes = peers.notes();
             info!(
-                alive = peers.alive().count() as u64,
+                alive = peers.live_peers().count() as u64,
                 sent_datagrams = peers.sent.datagrams,
                 sent_bytes = peers.sent.bytes,
                 received_datagrams = peers.received.datagrams,
                 received_bytes = peers.received.bytes,
                 rejected = peers.rejected,
-                notes = board.len() as u64,
-                stale_notes = board.stale,
+                notes = notes.len() as u64,
+                stale_notes = notes.stale,
                 seen_dropped,
                 told_dropped,
                 "peers"
--- a/crates/transport/src/fleet/drive.rs
+++ b/crates/transport/src/fleet/drive.rs
@@ -10,6 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use wharfplank_failover::{decode_votes, encode_votes, MemberOutcome, VoteVersion, TOPIC};
+use wharfplank_gossip::Datagram;
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{Frame, FRAME_OVERHEAD};
 
@@ -56,7 +57,7 @@
     // A socket that the reactor does not take is one that hears nothing: this proxy then decides alone.
     let Ok(socket) = Async::new(socket) else { return };
     let now = (parts.now)();
-    (parts.say)(Said::Started(parts.peers.me()));
+    (parts.say)(Said::Started(parts.peers.local_peer()));
     let (shares, tell_at, keep_at) = (BTreeMap::new(), now + TELL_EVERY, now + KEEP_EVERY);
     let mut course = Course { told, shares, tell_at, digest: 0, digest_at: now, keep_at };
     // The router hears at once that zones are decided in common: near members win among ties from now on.
@@ -137,7 +138,7 @@
 /// What is due: each part does its own, and what changed goes to the others, the broker and the log.
 fn turn(parts: &mut Parts, course: &mut Course, now: Micros, facts_dropped: u64) {
     parts.peers.tick(now);
-    for change in parts.peers.take_changes() {
+    for change in parts.peers.take_events() {
         (parts.say)(Said::Changed(&change));
     }
     hear(parts, now);
@@ -145,7 +146,7 @@
         course.told.push(Told::Factors(factors));
     }
     if let Some(replica) = &mut parts.replica {
-        replica.set_live_peers(now, parts.peers.alive().map(|peer| peer.addr));
+        replica.set_live_peers(now, parts.peers.live_peers().map(|peer| peer.addr));
         replica.tick(now);
         let news = if course.told.room() > NEWS_ROOM { replica.take_updates() } else { Vec::new() };
         if !news.is_empty() {
@@ -175,12 +176,12 @@
 
 /// Hands the notes of peers that are alive to the decision, and publishes this proxy's votes where they changed.
 fn hear(parts: &mut Parts, now: Micros) {
-    let me = parts.peers.me().addr;
-    let alive: Vec<u64> = parts.peers.alive().map(|p| key(p.addr)).collect();
+    let me = parts.peers.local_peer().addr;
+    let alive: Vec<u64> = parts.peers.live_peers().map(|p| key(p.addr)).collect();
     let notes: Vec<(u64, VoteVersion, Vec<u8>)> = parts
         .peers
-        .board()
-        .topic(TOPIC)
+        .notes()
+        .by_topic(TOPIC)
         .filter(|note| note.origin != me)
         .map(|note| {
             let version = VoteVersion { generation: note.generation, version: note.version };
@@ -194,7 +195,8 @@
     }
     parts.zones.set_live_peers(now, alive.into_iter());
     if let Some(votes) = parts.zones.votes_to_publish(now) {
-        parts.peers.publish(TOPIC, encode_votes(&votes));
+        // Votes that do not fit a note are not published: the peers keep the older ones.
+        let _ = parts.peers.publish(TOPIC, encode_votes(&votes));
     }
 }
 
@@ -209,7 +211,7 @@
     if !moved {
         return;
     }
-    let alive = parts.peers.alive().count();
+    let alive = parts.peers.live_peers().count();
     let alone = parts.zones.is_isolated();
     let named: std::collections::BTreeSet<&String> = shares.keys().chain(told.keys()).collect();
     for zone in named {
@@ -231,7 +233,7 @@
     let undecoded = Frame { membership: datagram, shared_state: &[] };
     let Frame { membership, shared_state: message } = Frame::decode(datagram).unwrap_or(undecoded);
     if !membership.is_empty() {
-        parts.peers.received(now, membership);
+        parts.peers.on_datagram(now, membership);
     }
     if let (Some(replica), SocketAddr::V4(from), false) = (&mut parts.replica, from, message.is_empty()) {
         replica.on_message(now, from, message);
@@ -240,7 +242,7 @@
 
 async fn send_all(parts: &mut Parts, now: Micros, socket: &Async<UdpSocket>) {
     // A datagram that cannot go is as one lost on the wire: SWIM sends again, and so do exchanges.
-    for (to, datagram) in parts.peers.take_sends() {
+    for Datagram { to, payload: datagram } in parts.peers.take_datagrams() {
         let room = PACKET_BYTES.saturating_sub(datagram.len() + FRAME_OVERHEAD);
         let rides = parts.replica.as_mut().and_then(|replica| replica.piggyback(now, room));
         let datagram = match &rides {
--- a/crates/transport/src/fleet/judge.rs
+++ b/crates/transport/src/fleet/judge.rs
@@ -51,9 +51,9 @@
         return None;
     }
     judge.due = now + Verdicts::EVERY;
-    let me = parts.peers.me().clone();
+    let me = parts.peers.local_peer().clone();
     let router = |addr: SocketAddrV4, zone: &str| (key(addr), hash_name(zone));
-    let others = parts.peers.alive().map(|peer| router(peer.addr, &peer.zone));
+    let others = parts.peers.live_peers().map(|peer| router(peer.addr, &peer.zone));
     judge.health.routers(others.chain([router(me.addr, &me.zone)]));
     for (member, voice) in judge.health.to_tell(now) {
         replica.record_health(now, member, key(me.addr), voice);
--- a/crates/transport/src/fleet/mod.rs
+++ b/crates/transport/src/fleet/mod.rs
@@ -30,7 +30,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use wharfplank_failover::FailoverController;
-use wharfplank_gossip::Peers;
+use wharfplank_gossip::Membership;
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{SharedState, WriteRecord};
 
@@ -44,7 +44,7 @@
 /// What the thread is made of; it is made there.
 pub struct Parts {
     /// The membership.
-    pub peers: Peers,
+    pub peers: Membership,
     /// The decision.
     pub zones: FailoverController,
     /// The replicated state, where it is on.
--- a/crates/transport/src/fleet/said.rs
+++ b/crates/transport/src/fleet/said.rs
@@ -1,7 +1,7 @@
 //! What the driver tells the log.
 
 use wharfplank_failover::ZoneState;
-use wharfplank_gossip::{Change, Peer, Peers};
+use wharfplank_gossip::{Membership, MembershipEvent, Peer};
 use wharfplank_health::Verdict;
 use wharfplank_shared_state::SharedState;
 
@@ -11,7 +11,7 @@
     /// It listens, as this peer.
     Started(&'a Peer),
     /// A peer came or went.
-    Changed(&'a Change),
+    Changed(&'a MembershipEvent),
     /// A zone's standing changed.
     Standing {
         /// The zone.
@@ -26,7 +26,7 @@
         alone: bool,
     },
     /// What went over the wire so far, and how many facts of the broker, and how much for it, did not fit their rings.
-    Traffic(&'a Peers, u64, u64),
+    Traffic(&'a Membership, u64, u64),
     /// The thread failed: from now on this proxy is as one without peers.
     Failed,
     /// What the replicated state holds, once it changed.
