--- a/crates/proxy/src/release.rs
+++ b/crates/proxy/src/release.rs
@@ -4,6 +4,7 @@
 
 use super::clock::Clock;
 use super::config::Config;
+use super::error::{Component, StartError};
 use super::log;
 use std::collections::{BTreeMap, HashMap};
 use std::net::UdpSocket;
@@ -14,15 +15,15 @@
 use wharfplank_routing::{self as routing, AttemptOutcome, ClassId, HostId, Micros};
 use wharfplank_settings::{Release as ReleaseSettings, Undo};
 use wharfplank_shared_state::hash_name;
-use wharfplank_transport::duty::{Inbox, Outbox};
 use wharfplank_transport::release::{self, Parts};
+use wharfplank_transport::worker::{RingReceiver, RingSender};
 
 /// Members whose sums are kept at most; past that those that are not in the roster go.
 const TRIALS_MOST: usize = 4096;
 
 struct On {
-    views: Outbox<View>,
-    notes: Inbox<Said>,
+    views: RingSender<View>,
+    notes: RingReceiver<Said>,
     /// The roster's members by name.
     ids: BTreeMap<String, u64>,
     names: BTreeMap<u64, String>,
@@ -38,9 +39,9 @@
 
 impl Releases {
     /// Binds the socket and starts the thread.
-    pub fn start(settings: &ReleaseSettings, config: &Config, clock: Clock) -> Result<Releases, String> {
+    pub fn start(settings: &ReleaseSettings, config: &Config, clock: Clock) -> Result<Releases, StartError> {
         let at = settings.listen();
-        let socket = UdpSocket::bind(at).map_err(|e| format!("release: listen on {at}: {e}"))?;
+        let socket = UdpSocket::bind(at).map_err(StartError::component_listen(Component::Rollout, at))?;
         log::release_bound(socket.local_addr().unwrap_or(at.into()));
         let ids: BTreeMap<String, u64> =
             settings.members.iter().map(|member| (member.name.clone(), hash_name(&member.name))).collect();
@@ -60,7 +61,8 @@
             say: move |told: release::Told<'_>| log::release(&shown, &told),
         };
         let desk = move |ledger| Desk::new(me, (roster, terms), proxies, agents, ledger, clock.now());
-        let (views, notes) = release::start(parts, desk).map_err(|e| format!("release: {e}"))?;
+        let (views, notes) =
+            release::start(parts, desk).map_err(StartError::component_start(Component::Rollout))?;
         let aims = config.settings.classes.iter().map(|class| class.latency_objective).collect();
         Ok(Releases { on: Some(On { views, notes, ids, names }), aims, trials: HashMap::new() })
     }
@@ -94,8 +96,8 @@
             Some((*id, look(host, views.get(number), cordons.is_cordoned(name), trial)))
         };
         let members = on.ids.iter().filter_map(look).collect();
-        on.views.push(View { at: now, members });
-        while let Some(said) = on.notes.try_next() {
+        on.views.send(View { at: now, members });
+        while let Some(said) = on.notes.try_recv() {
             note(&said, &on.names);
         }
         if self.trials.len() > TRIALS_MOST {
