--- /dev/null
+++ b/crates/transport/tests/listen_backlog.rs
@@ -0,0 +1,79 @@
+//! What becomes of connections that the operating system has queued when the listener closes.
+
+use async_channel::Receiver;
+use async_executor::LocalExecutor;
+use async_io::{block_on, Async};
+use std::cell::{Cell, RefCell};
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+use wharfplank_transport::client_listener::ClientListener;
+use wharfplank_transport::{ConnectionEnd, ConnectionEndObserver, MemoryBudget, ProxyEvent};
+
+/// A socket with so many connections in its queue.
+fn socket_with_backlog(connections: usize) -> (Async<TcpListener>, Vec<TcpStream>) {
+    let socket = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
+    let address = socket.get_ref().local_addr().unwrap();
+    let clients = (0..connections).map(|_| TcpStream::connect(address).unwrap()).collect();
+    (socket, clients)
+}
+
+/// A listener with these limits, and the events that it sends.
+fn client_listener(
+    executor: &Rc<LocalExecutor<'static>>,
+    on_connection_end: ConnectionEndObserver,
+    max_connections: usize,
+) -> (Rc<ClientListener>, Receiver<ProxyEvent>) {
+    let (events, received) = async_channel::bounded(8);
+    let memory_budget = MemoryBudget::new(1 << 20);
+    let executor = Rc::clone(executor);
+    let listener = ClientListener::new(executor, events, on_connection_end, max_connections, memory_budget);
+    (listener, received)
+}
+
+/// How many of three queued connections are accepted by a listener that finds itself closed.
+fn accepted_at_close(accepting: bool) -> usize {
+    let (socket, clients) = socket_with_backlog(3);
+    let (listener, _received) = client_listener(&Rc::new(LocalExecutor::new()), Rc::new(|_| {}), 8);
+    listener.set_accepting(accepting);
+    listener.stop_accepting();
+    block_on(Rc::clone(&listener).listen(Rc::new(socket)));
+    drop(clients);
+    listener.open_connections()
+}
+
+/// Guards against connections that are reset with what was written to them, since they came in the moment in which
+/// the listener closed. If another process has taken the socket over, they belong to it.
+#[test]
+fn a_listener_accepts_its_backlog_before_it_closes() {
+    assert_eq!(accepted_at_close(true), 3);
+    assert_eq!(accepted_at_close(false), 0);
+}
+
+/// Guards against a listener that accepts a whole backlog at its end, and holds more descriptors than its limit allows.
+#[test]
+fn a_backlog_is_accepted_within_the_limit() {
+    const MAX_CONNECTIONS: usize = 8;
+    let (socket, clients) = socket_with_backlog(100);
+    let executor = Rc::new(LocalExecutor::new());
+    let listener_slot: Rc<RefCell<Option<Rc<ClientListener>>>> = Rc::default();
+    let peak = Rc::new(Cell::new(0));
+    let ended = Rc::new(Cell::new(0));
+    let on_connection_end = {
+        let (listener_slot, peak, ended) = (Rc::clone(&listener_slot), Rc::clone(&peak), Rc::clone(&ended));
+        move |_: &ConnectionEnd<'_>| {
+            let open = listener_slot.borrow().as_ref().map_or(0, |listener| listener.open_connections());
+            peak.set(peak.get().max(open));
+            ended.set(ended.get() + 1);
+        }
+    };
+    let (listener, _received) = client_listener(&executor, Rc::new(on_connection_end), MAX_CONNECTIONS);
+    *listener_slot.borrow_mut() = Some(Rc::clone(&listener));
+    listener.stop_accepting();
+    block_on(executor.run(Rc::clone(&listener).listen(Rc::new(socket))));
+    // What is open at the end counts as well.
+    peak.set(peak.get().max(listener.open_connections()));
+    let (peak, ended) = (peak.get(), ended.get());
+    assert!(ended >= clients.len() - 2 * MAX_CONNECTIONS, "{ended} of {} have ended", clients.len());
+    assert!(peak <= 2 * MAX_CONNECTIONS, "{peak} were open at a time");
+    listener_slot.borrow_mut().take();
+}
