--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -13,7 +13,7 @@
 //! assert_eq!(desk.next(0).ask, Ask::Whole);
 //! let list = br#"{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}"#;
 //! let heard = desk.heard(10_000, parse(list).unwrap());
-//! assert_eq!(heard.list.unwrap().hosts.len(), 1);
+//! assert_eq!(heard.list.unwrap().endpoints.len(), 1);
 //! assert_eq!(desk.next(10_000).ask, Ask::Watch { seq: 7 });
 //! ```
 
