--- a/crates/fleet-harness/src/relay/links.rs
+++ b/crates/fleet-harness/src/relay/links.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_lab::stand::Stand;
-use wharfplank_protocol::comment;
+use wharfplank_protocol::request_comment;
 
 /// Bytes between a proxy and a member of another zone take this much longer each way, as between data centres.
 const FAR: Duration = Duration::from_millis(2);
@@ -200,7 +200,8 @@
                 let text = String::from_utf8_lossy(&self.bytes[head..whole]);
                 let text = text.trim_end_matches('\0');
                 let names = wharfplank_lab::fleet::CLASSES.iter().map(|c| c.name);
-                let class = comment::read(text).ok().and_then(|c| names.clone().position(|n| n == c.class));
+                let class =
+                    request_comment::parse(text).ok().and_then(|c| names.clone().position(|n| n == c.class));
                 classes.extend(class);
             }
             self.started = true;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -18,7 +18,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_protocol::client::{self, Client, Verdict};
+use wharfplank_protocol::member_request;
+use wharfplank_protocol::member_response::{ResponseKind, ResponseReader};
 use wire::{statement, Connection};
 
 /// Connections to one proxy that are kept for the next request.
@@ -153,7 +154,7 @@
             },
         };
         loop {
-            let message = client::query(|out| out.extend_from_slice(text.as_bytes()));
+            let message = member_request::query_message(|out| out.extend_from_slice(text.as_bytes()));
             let written = connection.stream.write_all(&message).await;
             let answer = match written {
                 Ok(()) => connection.answer().await,
@@ -165,8 +166,8 @@
                         self.kept[proxy].borrow_mut().push(connection);
                     }
                     return match verdict {
-                        Verdict::Row => Seen::Served,
-                        Verdict::Full | Verdict::NotReady => Seen::Refused,
+                        ResponseKind::Row => Seen::Served,
+                        ResponseKind::Overloaded | ResponseKind::NotReady => Seen::Refused,
                         _ => Seen::Failed,
                     };
                 }
@@ -187,16 +188,16 @@
     async fn connect(&self, proxy: usize) -> Option<Connection> {
         let stream = Async::<TcpStream>::connect(self.proxies[proxy].get()?).await.ok()?;
         stream.get_ref().set_nodelay(true).ok()?;
-        let mut connection = Connection { stream, client: Client::default() };
-        connection.stream.write_all(&client::startup("web", "orders")).await.ok()?;
+        let mut connection = Connection { stream, client: ResponseReader::default() };
+        connection.stream.write_all(&member_request::startup_message("web", "orders")).await.ok()?;
         connection.answer().await.map(|_| connection)
     }
 
     /// Whether a proxy answers an empty query, which it does once it can serve.
     pub async fn ready(&self, proxy: usize) -> bool {
         let Some(mut connection) = self.connect(proxy).await else { return false };
-        let asked = connection.stream.write_all(&client::query(|_| {})).await;
-        asked.is_ok() && connection.answer().await == Some(Verdict::Done)
+        let asked = connection.stream.write_all(&member_request::query_message(|_| {})).await;
+        asked.is_ok() && connection.answer().await == Some(ResponseKind::Done)
     }
 
     /// Forgets connections to a proxy that has ended.
--- a/crates/lab/src/load/wire.rs
+++ b/crates/lab/src/load/wire.rs
@@ -4,26 +4,26 @@
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use std::net::TcpStream;
-use wharfplank_protocol::client::{Client, Step, Verdict};
+use wharfplank_protocol::member_response::{ResponseEvent, ResponseKind, ResponseReader};
 
 /// A connection to a proxy.
 pub(super) struct Connection {
     pub(super) stream: Async<TcpStream>,
-    pub(super) client: Client,
+    pub(super) client: ResponseReader,
 }
 
 impl Connection {
-    pub(super) async fn answer(&mut self) -> Option<Verdict> {
+    pub(super) async fn answer(&mut self) -> Option<ResponseKind> {
         loop {
             match self.client.advance(false) {
-                Ok(Some(Step::Whole(answer))) => return Some(answer.verdict),
-                Ok(Some(Step::Begun(..) | Step::Piece(_))) => continue,
+                Ok(Some(ResponseEvent::Complete(answer))) => return Some(answer.kind),
+                Ok(Some(ResponseEvent::StreamStarted { .. } | ResponseEvent::StreamChunk(_))) => continue,
                 Ok(None) => {}
                 Err(_) => return None,
             }
-            match self.stream.read(self.client.buffer.space()).await {
+            match self.stream.read(self.client.buffer.spare()).await {
                 Ok(0) | Err(_) => return None,
-                Ok(count) => self.client.buffer.filled(count),
+                Ok(count) => self.client.buffer.commit(count),
             }
         }
     }
--- a/crates/lab/src/stand.rs
+++ b/crates/lab/src/stand.rs
@@ -9,9 +9,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use wharfplank_protocol::buffer::{message, text};
-use wharfplank_protocol::comment;
-use wharfplank_protocol::server::{Command, Server};
+use wharfplank_protocol::client_session::{ClientSession, Command};
+use wharfplank_protocol::framing::{write_c_string, write_message};
+use wharfplank_protocol::request_comment;
 
 /// The stand-ins of one run.
 pub struct Stand {
@@ -29,39 +29,39 @@
 
 /// A value as a member answers a request with it.
 fn row(out: &mut Vec<u8>, value: &[u8], role: &str, position: i64) {
-    message(out, b'T', |out| {
+    write_message(out, b'T', |out| {
         out.extend_from_slice(&1_u16.to_be_bytes());
-        text(out, "payload");
+        write_c_string(out, "payload");
         out.extend_from_slice(&[0; 6]);
         out.extend_from_slice(&17_u32.to_be_bytes());
         out.extend_from_slice(&(-1_i16).to_be_bytes());
         out.extend_from_slice(&(-1_i32).to_be_bytes());
         out.extend_from_slice(&1_u16.to_be_bytes());
     });
-    message(out, b'D', |out| {
+    write_message(out, b'D', |out| {
         out.extend_from_slice(&1_u16.to_be_bytes());
         out.extend_from_slice(&(value.len() as u32).to_be_bytes());
         out.extend_from_slice(value);
     });
-    message(out, b'C', |out| text(out, "SELECT 1"));
+    write_message(out, b'C', |out| write_c_string(out, "SELECT 1"));
     status(out, role, position);
 }
 
 fn status(out: &mut Vec<u8>, role: &str, position: i64) {
     for (name, value) in [("role", role), ("applied_ms", &position.to_string())] {
-        message(out, b'S', |out| {
-            text(out, name);
-            text(out, value);
+        write_message(out, b'S', |out| {
+            write_c_string(out, name);
+            write_c_string(out, value);
         });
     }
-    message(out, b'Z', |out| out.push(b'I'));
+    write_message(out, b'Z', |out| out.push(b'I'));
 }
 
 fn error(out: &mut Vec<u8>, code: &str, role: &str, position: i64) {
-    message(out, b'E', |out| {
+    write_message(out, b'E', |out| {
         for (field, value) in [(b'S', "ERROR"), (b'C', code), (b'M', "turned away")] {
             out.push(field);
-            text(out, value);
+            write_c_string(out, value);
         }
         out.push(0);
     });
@@ -119,7 +119,7 @@
 
     async fn talk(&self, member: usize, mut stream: Async<TcpStream>) -> std::io::Result<()> {
         stream.get_ref().set_nodelay(true)?;
-        let mut server = Server::default();
+        let mut server = ClientSession::default();
         loop {
             enum Ask {
                 Class(usize, i64, String, Option<i64>),
@@ -128,22 +128,22 @@
             }
             let ask = match server.advance() {
                 Ok(Some(Command::Started)) => None,
-                Ok(Some(Command::Empty)) => Some(Ask::Empty),
+                Ok(Some(Command::EmptyQuery)) => Some(Ask::Empty),
                 Ok(Some(Command::Query("SHOW load"))) => Some(Ask::Report),
-                Ok(Some(Command::Query(query))) => comment::read(query).ok().and_then(|c| {
+                Ok(Some(Command::Query(query))) => request_comment::parse(query).ok().and_then(|c| {
                     let class = CLASSES.iter().position(|k| k.name == c.class)?;
-                    Some(Ask::Class(class, i64::from(c.wait_ms), c.id.to_string(), c.after_ms))
+                    Some(Ask::Class(class, i64::from(c.deadline_ms), c.id.to_string(), c.min_position_ms))
                 }),
                 Ok(None) => {
-                    if !server.out.is_empty() {
+                    if !server.output.is_empty() {
                         if !self.speaks(member).await {
                             return Ok(());
                         }
-                        stream.write_all(&std::mem::take(&mut server.out)).await?;
+                        stream.write_all(&std::mem::take(&mut server.output)).await?;
                     }
-                    match stream.read(server.buffer.space()).await? {
+                    match stream.read(server.buffer.spare()).await? {
                         0 => return Ok(()),
-                        count => server.buffer.filled(count),
+                        count => server.buffer.commit(count),
                     }
                     continue;
                 }
@@ -155,11 +155,11 @@
             let role = |fleet: &Fleet| if fleet.members[member].primary { "primary" } else { "replica" };
             match ask {
                 None => {}
-                Some(Ask::Empty) => server.empty(),
+                Some(Ask::Empty) => server.write_empty_query_response(),
                 Some(Ask::Report) => {
                     let fleet = self.fleet.borrow();
                     let report = fleet.report(member);
-                    row(&mut server.out, report.as_bytes(), role(&fleet), fleet.position_ms(member));
+                    row(&mut server.output, report.as_bytes(), role(&fleet), fleet.position_ms(member));
                 }
                 Some(Ask::Class(class, wait, id, after)) => {
                     let verdict = self.fleet.borrow_mut().asked(member, class, Some(&id), after);
@@ -175,9 +175,9 @@
                     let fleet = self.fleet.borrow();
                     let (role, position) = (role(&fleet), fleet.position_ms(member));
                     match verdict {
-                        Verdict::At(_) => row(&mut server.out, b"value", role, position),
-                        Verdict::Miss => error(&mut server.out, "25006", role, position),
-                        Verdict::Full => error(&mut server.out, "53300", role, position),
+                        Verdict::At(_) => row(&mut server.output, b"value", role, position),
+                        Verdict::Miss => error(&mut server.output, "25006", role, position),
+                        Verdict::Full => error(&mut server.output, "53300", role, position),
                     }
                 }
             }
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -1,139 +1,202 @@
-//! Discovery's HTTP/1.1, from the asking side: one answer at a time, by length or in chunks.
+//! The client side of HTTP/1.1 for service discovery: one response at a time, delimited by its length, by chunks or by
+//! the end of the connection.
 
-use super::buffer::Buffer;
+use super::read_buffer::ReadBuffer;
+use thiserror::Error;
 
-/// The longest head and body that are taken.
-const HEAD_MOST: usize = 16 * 1024;
-const BODY_MOST: usize = 4 * 1024 * 1024;
+/// The longest head and the longest body, in bytes, that are accepted.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why an answer cannot be used.
-pub type Flaw = &'static str;
+const LINE_END: &[u8] = b"\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A whole answer.
+/// Why a response cannot be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum HttpError {
+    /// The head is longer than what is accepted.
+    #[error("the head is too long")]
+    HeadTooLong,
+    /// The head is not UTF-8.
+    #[error("the head is not text")]
+    HeadNotText,
+    /// The status line names another protocol.
+    #[error("the answer is not HTTP/1.1")]
+    NotHttp,
+    /// The status line has no status code.
+    #[error("the answer has no status")]
+    NoStatus,
+    /// `Content-Length` is not a number.
+    #[error("the length is not a number")]
+    InvalidLength,
+    /// A chunk does not start with its size.
+    #[error("a chunk has no size")]
+    InvalidChunkSize,
+    /// The body is longer than what is accepted.
+    #[error("the body is too long")]
+    BodyTooLong,
+}
+
+/// A complete response.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Answer {
-    /// Its status.
+pub struct HttpResponse {
+    /// The status code.
     pub status: u16,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
     /// Whether the connection can be used again.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
+/// How the end of a body is recognised.
 #[derive(Clone, Copy, Debug)]
-enum Body {
+enum BodyFraming {
     Length(usize),
     Chunked,
-    UntilEnd,
+    UntilClose,
+}
+
+/// What the head of a response says.
+#[derive(Clone, Copy, Debug)]
+struct Head {
+    status: u16,
+    framing: BodyFraming,
+    keep_alive: bool,
 }
 
-/// Reads answers out of the bytes of a connection.
+/// Reads responses from the bytes of a connection.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct HttpResponseReader {
     /// The bytes of the connection.
-    pub buffer: Buffer,
-    head: Option<(u16, Body, bool)>,
+    pub buffer: ReadBuffer,
+    head: Option<Head>,
     body: Vec<u8>,
 }
 
-/// The request line and head of a GET.
-pub fn get(target: &str, host: &str) -> Vec<u8> {
+/// Encodes a GET request.
+pub fn get_request(target: &str, host: &str) -> Vec<u8> {
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
 }
 
-impl Reader {
-    /// The next answer, once it is whole; `ended` says that no more bytes will come.
-    pub fn advance(&mut self, ended: bool) -> Result<Option<Answer>, Flaw> {
-        if self.head.is_none() && !self.read_head()? {
-            return Ok(None);
+impl HttpResponseReader {
+    /// Returns the next response once it is complete. `is_closed` states that no more bytes will come.
+    pub fn advance(&mut self, is_closed: bool) -> Result<Option<HttpResponse>, HttpError> {
+        if self.head.is_none() {
+            self.head = self.read_head()?;
         }
-        let Some((status, body, keep)) = self.head else { return Ok(None) };
-        let whole = match body {
-            Body::Length(length) => {
-                if length > BODY_MOST {
-                    return Err("the body is too long");
-                }
-                let have = self.buffer.bytes().len();
-                if have >= length {
-                    self.move_body(length);
-                }
-                have >= length
+        let Some(head) = self.head else { return Ok(None) };
+        let is_complete = match head.framing {
+            BodyFraming::Length(length) => self.read_sized_body(length)?,
+            BodyFraming::UntilClose => {
+                let available = self.buffer.unread().len();
+                self.move_to_body(available);
+                is_closed
             }
-            Body::UntilEnd => {
-                let have = self.buffer.bytes().len();
-                self.move_body(have);
-                ended
-            }
-            Body::Chunked => self.read_chunks()?,
+            BodyFraming::Chunked => self.read_chunks()?,
         };
-        if self.body.len() > BODY_MOST || self.buffer.bytes().len() > BODY_MOST {
-            return Err("the body is too long");
+        if self.body.len() > MAX_BODY_BYTES || self.buffer.unread().len() > MAX_BODY_BYTES {
+            return Err(HttpError::BodyTooLong);
         }
-        if !whole {
+        if !is_complete {
             return Ok(None);
         }
         self.head = None;
-        Ok(Some(Answer { status, body: std::mem::take(&mut self.body), keep }))
+        let body = std::mem::take(&mut self.body);
+        Ok(Some(HttpResponse { status: head.status, body, keep_alive: head.keep_alive }))
     }
 
-    fn move_body(&mut self, length: usize) {
-        let range = self.buffer.take(length);
-        self.body.extend_from_slice(self.buffer.at(range));
+    /// Moves `length` bytes from the buffer to the body.
+    fn move_to_body(&mut self, length: usize) {
+        let range = self.buffer.consume(length);
+        self.body.extend_from_slice(self.buffer.get(range));
     }
 
-    fn read_head(&mut self) -> Result<bool, Flaw> {
-        let bytes = self.buffer.bytes();
-        let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
-            return if bytes.len() > HEAD_MOST { Err("the head is too long") } else { Ok(false) };
-        };
-        let head = std::str::from_utf8(&bytes[..end]).map_err(|_| "the head is not text")?;
-        let mut lines = head.split("\r\n");
-        let mut first = lines.next().unwrap_or_default().split(' ');
-        let version = first.next().unwrap_or_default();
-        if !version.starts_with("HTTP/1.") {
-            return Err("the answer is not HTTP/1.1");
+    /// Reads a body of a known length once all of it has arrived.
+    fn read_sized_body(&mut self, length: usize) -> Result<bool, HttpError> {
+        if length > MAX_BODY_BYTES {
+            return Err(HttpError::BodyTooLong);
         }
-        let status = first.next().and_then(|s| s.parse().ok()).ok_or("the answer has no status")?;
-        let (mut body, mut keep) = (Body::UntilEnd, version != "HTTP/1.0");
-        for line in lines {
-            let Some((name, value)) = line.split_once(':') else { continue };
-            let value = value.trim();
-            if name.eq_ignore_ascii_case("content-length") && !matches!(body, Body::Chunked) {
-                body = Body::Length(value.parse().map_err(|_| "the length is not a number")?);
-            } else if name.eq_ignore_ascii_case("transfer-encoding") && value.eq_ignore_ascii_case("chunked")
-            {
-                body = Body::Chunked;
-            } else if name.eq_ignore_ascii_case("connection") {
-                keep = !value.eq_ignore_ascii_case("close");
-            }
+        let is_complete = self.buffer.unread().len() >= length;
+        if is_complete {
+            self.move_to_body(length);
         }
-        self.buffer.take(end + 4);
-        self.head = Some((status, body, keep && !matches!(body, Body::UntilEnd)));
-        Ok(true)
+        Ok(is_complete)
+    }
+
+    /// Reads the head once it is complete.
+    fn read_head(&mut self) -> Result<Option<Head>, HttpError> {
+        let bytes = self.buffer.unread();
+        let Some(end) = find(bytes, HEAD_END) else {
+            return if bytes.len() > MAX_HEAD_BYTES { Err(HttpError::HeadTooLong) } else { Ok(None) };
+        };
+        let text = std::str::from_utf8(&bytes[..end]).map_err(|_| HttpError::HeadNotText)?;
+        let head = Head::parse(text)?;
+        self.buffer.consume(end + HEAD_END.len());
+        Ok(Some(head))
     }
 
-    /// Moves whole chunks to the body; true at the last one.
-    fn read_chunks(&mut self) -> Result<bool, Flaw> {
+    /// Moves complete chunks to the body; returns true at the last one.
+    fn read_chunks(&mut self) -> Result<bool, HttpError> {
         loop {
-            let bytes = self.buffer.bytes();
-            let Some(line) = bytes.windows(2).position(|w| w == b"\r\n") else {
-                return if bytes.len() > HEAD_MOST { Err("a chunk has no size") } else { Ok(false) };
+            let bytes = self.buffer.unread();
+            let Some(line) = find(bytes, LINE_END) else {
+                let is_too_long = bytes.len() > MAX_HEAD_BYTES;
+                return if is_too_long { Err(HttpError::InvalidChunkSize) } else { Ok(false) };
             };
-            let size = std::str::from_utf8(&bytes[..line]).unwrap_or_default();
-            let size = size.split(';').next().unwrap_or_default().trim();
-            let size = usize::from_str_radix(size, 16).map_err(|_| "a chunk has no size")?;
-            if size > BODY_MOST || self.body.len() + size > BODY_MOST {
-                return Err("the body is too long");
+            let size = chunk_size(&bytes[..line])?;
+            if size > MAX_BODY_BYTES || self.body.len() + size > MAX_BODY_BYTES {
+                return Err(HttpError::BodyTooLong);
             }
-            if bytes.len() < line + 2 + size + 2 {
+            if bytes.len() < line + LINE_END.len() + size + LINE_END.len() {
                 return Ok(false);
             }
-            self.buffer.take(line + 2);
-            self.move_body(size);
-            self.buffer.take(2);
+            self.buffer.consume(line + LINE_END.len());
+            self.move_to_body(size);
+            self.buffer.consume(LINE_END.len());
             if size == 0 {
                 return Ok(true);
             }
         }
     }
 }
+
+impl Head {
+    fn parse(text: &str) -> Result<Head, HttpError> {
+        let mut lines = text.split("\r\n");
+        let mut status_line = lines.next().unwrap_or_default().split(' ');
+        let version = status_line.next().unwrap_or_default();
+        if !version.starts_with("HTTP/1.") {
+            return Err(HttpError::NotHttp);
+        }
+        let status = status_line.next().and_then(|status| status.parse().ok()).ok_or(HttpError::NoStatus)?;
+        let mut framing = BodyFraming::UntilClose;
+        let mut keep_alive = version != "HTTP/1.0";
+        for line in lines {
+            let Some((name, value)) = line.split_once(':') else { continue };
+            let value = value.trim();
+            let is_header = |header: &str| name.eq_ignore_ascii_case(header);
+            if is_header("content-length") && !matches!(framing, BodyFraming::Chunked) {
+                let length = value.parse().map_err(|_| HttpError::InvalidLength)?;
+                framing = BodyFraming::Length(length);
+            } else if is_header("transfer-encoding") && value.eq_ignore_ascii_case("chunked") {
+                framing = BodyFraming::Chunked;
+            } else if is_header("connection") {
+                keep_alive = !value.eq_ignore_ascii_case("close");
+            }
+        }
+        // A body that ends with the connection leaves none to use again.
+        keep_alive &= !matches!(framing, BodyFraming::UntilClose);
+        Ok(Head { status, framing, keep_alive })
+    }
+}
+
+/// Parses the line before a chunk; extensions behind a semicolon are ignored.
+fn chunk_size(line: &[u8]) -> Result<usize, HttpError> {
+    let text = std::str::from_utf8(line).unwrap_or_default();
+    let size = text.split(';').next().unwrap_or_default().trim();
+    usize::from_str_radix(size, 16).map_err(|_| HttpError::InvalidChunkSize)
+}
+
+fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes.windows(pattern.len()).position(|window| window == pattern)
+}
--- /dev/null
+++ b/crates/protocol/src/member_response.rs
@@ -0,0 +1,322 @@
+//! The client side of PostgreSQL's protocol, version 3: what a member responds to the startup message and to queries.
+
+use super::framing::{message_length, split_c_string, Framing, TAGGED_HEADER_BYTES};
+use super::read_buffer::ReadBuffer;
+use super::row::{
+    describes_one_column, is_printable_c_string, row_length, sqlstate, MAX_BUFFERED_ROW_BYTES,
+    ROW_HEADER_BYTES,
+};
+use std::ops::Range;
+use thiserror::Error;
+
+/// The longest message other than a row, and all of those of one response, in bytes: noise must not be waited for as
+/// if it were a message.
+const MAX_MESSAGE_BYTES: usize = 16 * 1024;
+const MAX_OTHER_MESSAGES_BYTES: usize = 64 * 1024;
+
+/// The end of a command that returned no row.
+const NO_ROW_SELECTED: &[u8] = b"SELECT 0\0";
+
+/// The tags of the messages that a response may consist of.
+mod tag {
+    pub const ROW_DESCRIPTION: u8 = b'T';
+    pub const DATA_ROW: u8 = b'D';
+    pub const COMMAND_COMPLETE: u8 = b'C';
+    pub const ERROR: u8 = b'E';
+    pub const PARAMETER_STATUS: u8 = b'S';
+    pub const READY_FOR_QUERY: u8 = b'Z';
+    pub const NOTICE: u8 = b'N';
+    pub const NOTIFICATION: u8 = b'A';
+    pub const EMPTY_QUERY: u8 = b'I';
+    pub const AUTHENTICATION: u8 = b'R';
+    pub const CANCEL_KEY: u8 = b'K';
+    pub const NEGOTIATE_VERSION: u8 = b'v';
+}
+
+/// The member broke the protocol; the connection cannot be used any more.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the member broke the protocol")]
+pub struct ProtocolError;
+
+/// The kind of a member's response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ResponseKind {
+    /// A row.
+    Row,
+    /// Rejected without an effect: the member is not the primary, or too far behind.
+    Miss,
+    /// Rejected unseen: the member is at capacity, draining, or has too many connections.
+    Overloaded,
+    /// The member is not ready yet.
+    NotReady,
+    /// A described result without a row; accepted only if [`ResponseReader::accepts_no_row`] is set.
+    NoRow,
+    /// Neither a row nor an error, as after the startup message or an empty query.
+    Done,
+    /// Anything else; the statement may have run.
+    Error,
+}
+
+/// A complete response.
+#[derive(Debug)]
+pub struct MemberResponse {
+    /// The kind of the response.
+    pub kind: ResponseKind,
+    /// The messages to forward: the description of the row, the row and the end of the command.
+    pub messages: Vec<u8>,
+    /// Where the value of the one column stands in `messages`.
+    pub value: Range<usize>,
+    /// Whether the member is the primary of its group, if it said so.
+    pub primary: Option<bool>,
+    /// The log position of the member, or the commit position of a write, in Unix milliseconds.
+    pub applied_ms: Option<i64>,
+}
+
+/// What was read of a response.
+#[derive(Debug)]
+pub enum ResponseEvent {
+    /// A complete response. After a streamed row it holds what follows the row.
+    Complete(MemberResponse),
+    /// A long row has begun; from here on it is streamed.
+    StreamStarted {
+        /// The description of the row and the part of the row that has arrived.
+        bytes: Vec<u8>,
+        /// The bytes of the row that are still to come as chunks.
+        remaining: usize,
+    },
+    /// The next part of a streamed row.
+    StreamChunk(Vec<u8>),
+}
+
+/// What was read so far of the present response.
+#[derive(Debug, Default)]
+struct PartialResponse {
+    messages: Vec<u8>,
+    /// The bytes of all messages but the row.
+    other_bytes: usize,
+    is_described: bool,
+    rows: u32,
+    is_completed: bool,
+    /// Whether the command ended by stating that there is no row.
+    has_no_row: bool,
+    value: Range<usize>,
+    /// The bytes of a streamed row that are still to come.
+    stream_remaining: usize,
+    /// Whether a row is streamed whatever its length.
+    streams_any_row: bool,
+    error_code: Option<[u8; 5]>,
+    primary: Option<bool>,
+    applied_ms: Option<i64>,
+}
+
+/// Reads the responses of a member from the bytes of a connection.
+#[derive(Debug, Default)]
+pub struct ResponseReader {
+    /// The bytes of the connection.
+    pub buffer: ReadBuffer,
+    /// Whether a response that is described and has no row is accepted; otherwise it breaks the protocol.
+    pub accepts_no_row: bool,
+    response: PartialResponse,
+}
+
+impl ResponseReader {
+    /// Returns the next part of the response to the startup message or to a query. A response is complete once the
+    /// member is ready for the next query; `is_closed` states that no more bytes will come, when an error is
+    /// complete without that.
+    ///
+    /// A response with a row of up to [`MAX_BUFFERED_ROW_BYTES`] is checked completely before any of it is forwarded: a
+    /// malformed one must not reach a client as a value. A longer row is streamed from its first bytes, since its
+    /// latency counts to them; its lengths are checked before, and what follows it afterwards.
+    pub fn advance(&mut self, is_closed: bool) -> Result<Option<ResponseEvent>, ProtocolError> {
+        loop {
+            if self.response.stream_remaining > 0 {
+                return Ok(self.take_stream_bytes().map(ResponseEvent::StreamChunk));
+            }
+            let length = self.next_message_length()?;
+            if let Some(length) = length.filter(|length| self.starts_stream(*length)) {
+                return Ok(Some(self.start_stream(length)));
+            }
+            let is_whole = |length: &usize| self.buffer.unread().len() >= *length;
+            let Some(length) = length.filter(is_whole) else {
+                let ended_by_error = is_closed && self.response.error_code.is_some();
+                return Ok(ended_by_error.then(|| ResponseEvent::Complete(self.finish())));
+            };
+            let range = self.buffer.consume(length);
+            let message = self.buffer.get(range);
+            if self.response.add_message(message, self.accepts_no_row)? {
+                return Ok(Some(ResponseEvent::Complete(self.finish())));
+            }
+        }
+    }
+
+    /// The length of the message at the front of the buffer, once its header has arrived.
+    fn next_message_length(&self) -> Result<Option<usize>, ProtocolError> {
+        let bytes = self.buffer.unread();
+        match bytes.first() {
+            None => Ok(None),
+            Some(&tag::DATA_ROW) => {
+                if !self.response.may_have_row() {
+                    return Err(ProtocolError);
+                }
+                row_length(bytes)
+            }
+            Some(
+                &(tag::ROW_DESCRIPTION
+                | tag::COMMAND_COMPLETE
+                | tag::ERROR
+                | tag::PARAMETER_STATUS
+                | tag::READY_FOR_QUERY
+                | tag::NOTICE
+                | tag::NOTIFICATION
+                | tag::EMPTY_QUERY
+                | tag::AUTHENTICATION
+                | tag::CANCEL_KEY
+                | tag::NEGOTIATE_VERSION),
+            ) => message_length(bytes, Framing::Tagged, MAX_MESSAGE_BYTES).map_err(|_| ProtocolError),
+            Some(_) => Err(ProtocolError),
+        }
+    }
+
+    /// Whether the message of this length at the front is a row to stream, of whose value the first byte has arrived.
+    fn starts_stream(&self, length: usize) -> bool {
+        let bytes = self.buffer.unread();
+        let is_long = length > ROW_HEADER_BYTES + MAX_BUFFERED_ROW_BYTES;
+        let is_forced = self.response.streams_any_row && bytes.len() < length;
+        bytes.first() == Some(&tag::DATA_ROW) && bytes.len() > ROW_HEADER_BYTES && (is_long || is_forced)
+    }
+
+    fn start_stream(&mut self, length: usize) -> ResponseEvent {
+        self.response.rows += 1;
+        self.response.stream_remaining = length;
+        let arrived = self.take_stream_bytes().unwrap_or_default();
+        let mut bytes = std::mem::take(&mut self.response.messages);
+        bytes.extend_from_slice(&arrived);
+        ResponseEvent::StreamStarted { bytes, remaining: self.response.stream_remaining }
+    }
+
+    /// Takes what has arrived of a streamed row; `None` if that is nothing.
+    fn take_stream_bytes(&mut self) -> Option<Vec<u8>> {
+        let count = self.response.stream_remaining.min(self.buffer.unread().len());
+        let range = self.buffer.consume(count);
+        self.response.stream_remaining -= count;
+        (count > 0).then(|| self.buffer.get(range).to_vec())
+    }
+
+    /// Streams the row of the present response whatever its length, since there is no memory to buffer it. Returns
+    /// false if that was so before.
+    pub fn stream_any_row(&mut self) -> bool {
+        !std::mem::replace(&mut self.response.streams_any_row, true)
+    }
+
+    /// Whether a streamed row is incomplete.
+    pub fn is_streaming(&self) -> bool {
+        self.response.stream_remaining > 0
+    }
+
+    /// Whether the response has begun to arrive and is incomplete.
+    pub fn has_partial_response(&self) -> bool {
+        self.response.other_bytes > 0 || !self.buffer.unread().is_empty()
+    }
+
+    fn finish(&mut self) -> MemberResponse {
+        let response = std::mem::take(&mut self.response);
+        MemberResponse {
+            kind: response.kind(self.accepts_no_row),
+            messages: response.messages,
+            value: response.value,
+            primary: response.primary,
+            applied_ms: response.applied_ms,
+        }
+    }
+}
+
+impl PartialResponse {
+    /// Whether a row may come next. One that may not is an error before its value has been read.
+    fn may_have_row(&self) -> bool {
+        self.is_described && !self.is_completed && self.rows == 0 && self.error_code.is_none()
+    }
+
+    /// Adds a complete message; returns true at the last message of a response.
+    fn add_message(&mut self, message: &[u8], accepts_no_row: bool) -> Result<bool, ProtocolError> {
+        let (tag, body) = (message[0], &message[TAGGED_HEADER_BYTES..]);
+        if tag != tag::DATA_ROW {
+            self.other_bytes += message.len();
+        }
+        if !self.accepts(tag, body, accepts_no_row) || self.other_bytes > MAX_OTHER_MESSAGES_BYTES {
+            return Err(ProtocolError);
+        }
+        match tag {
+            tag::ROW_DESCRIPTION | tag::COMMAND_COMPLETE => {
+                self.has_no_row = self.rows == 0 && body == NO_ROW_SELECTED;
+                self.messages.extend_from_slice(message);
+            }
+            tag::DATA_ROW => {
+                self.rows += 1;
+                let start = self.messages.len();
+                self.messages.extend_from_slice(message);
+                self.value = start + ROW_HEADER_BYTES..self.messages.len();
+            }
+            tag::ERROR => self.error_code = self.error_code.or(Some(sqlstate(body))),
+            tag::PARAMETER_STATUS => self.read_parameter(body)?,
+            _ => {}
+        }
+        Ok(tag == tag::READY_FOR_QUERY)
+    }
+
+    /// Whether a message is well formed and in its place; marks what may come only once.
+    fn accepts(&mut self, tag: u8, body: &[u8], accepts_no_row: bool) -> bool {
+        match tag {
+            tag::ROW_DESCRIPTION => {
+                let is_repeated = std::mem::replace(&mut self.is_described, true);
+                !is_repeated && describes_one_column(body)
+            }
+            tag::COMMAND_COMPLETE => {
+                let is_repeated = std::mem::replace(&mut self.is_completed, true);
+                !is_repeated && is_printable_c_string(body)
+            }
+            // Only a member that asks for no password is accepted.
+            tag::AUTHENTICATION => body == [0; 4],
+            tag::READY_FOR_QUERY => {
+                let is_unfinished = self.is_described && !self.is_finished(accepts_no_row);
+                matches!(body, [b'I' | b'T' | b'E']) && !is_unfinished
+            }
+            _ => true,
+        }
+    }
+
+    fn read_parameter(&mut self, body: &[u8]) -> Result<(), ProtocolError> {
+        let (name, rest) = split_c_string(body).ok_or(ProtocolError)?;
+        let (value, _) = split_c_string(rest).ok_or(ProtocolError)?;
+        let value = std::str::from_utf8(value).unwrap_or_default();
+        match (name, value) {
+            (b"role", "primary") => self.primary = Some(true),
+            (b"role", "replica") => self.primary = Some(false),
+            (b"applied_ms", _) => self.applied_ms = parse_position(value),
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Whether a described response came to its end: with its row, or with an error.
+    fn is_finished(&self, accepts_no_row: bool) -> bool {
+        let has_expected_rows = self.rows == 1 || (accepts_no_row && self.has_no_row);
+        self.error_code.is_some() || (self.is_completed && has_expected_rows)
+    }
+
+    fn kind(&self, accepts_no_row: bool) -> ResponseKind {
+        match self.error_code.as_ref().map(|code| &code[..]) {
+            None if self.rows == 1 && self.is_completed => ResponseKind::Row,
+            None if self.is_described && self.is_finished(accepts_no_row) => ResponseKind::NoRow,
+            None if self.rows == 0 => ResponseKind::Done,
+            Some(b"25006" | b"72000") => ResponseKind::Miss,
+            Some(b"53300") => ResponseKind::Overloaded,
+            Some(b"57P03") => ResponseKind::NotReady,
+            _ => ResponseKind::Error,
+        }
+    }
+}
+
+/// Parses a position in milliseconds, rounded down: a member must not be taken for newer than it is.
+fn parse_position(text: &str) -> Option<i64> {
+    text.split('.').next().and_then(|whole| whole.parse().ok())
+}
--- a/crates/protocol/src/pipeline.rs
+++ b/crates/protocol/src/pipeline.rs
@@ -1,233 +1,271 @@
-//! The order of answers on one client connection.
+//! The order of responses on one client connection.
 //!
-//! Commands that a client sends ahead are all asked at once, each with its own number and clock, and their
-//! answers may come in any order; they leave in the order of the commands. A [`Pipeline`] holds one place for
-//! each: what comes early waits there, and a place that waits for nothing more is taken from the front. It knows
-//! no socket and no clock. A place stands for whatever the protocol answers as one piece: a simple query here.
+//! Commands that a client pipelines are all processed at once, each with its own number and deadline, and their
+//! responses may come in any order; they are written in the order of the commands. A [`Pipeline`] has one slot for
+//! each command: a response that comes early is buffered there until those before it are written. The pipeline
+//! knows no socket and no clock.
 
-use super::server::Violation;
+use super::client_session::ProtocolViolation;
 use std::collections::VecDeque;
 
-/// Commands of one connection that may be open at a time: asked and not answered, or answered and not yet taken.
-/// A client that sends a thousand at once must not fill the members with them alone.
-pub const PLACES_MOST: usize = 32;
-/// Bytes that the statements and the early answers of one connection may hold beyond the first place. Past half
-/// of it nothing more is asked ahead; an answer past it fails.
-pub const AHEAD_MOST: usize = 2 * 1024 * 1024;
+/// The commands of one connection that may be open at a time: without a response, or with one that is not written yet.
+/// A client that sends a thousand commands at once must not fill the members with them alone.
+pub const MAX_OPEN_COMMANDS: usize = 32;
+/// The bytes that the statements and the early responses of one connection may buffer beyond the first slot. Past half
+/// of it no further command is accepted; a response past it fails.
+pub const MAX_BUFFERED_BYTES: usize = 2 * 1024 * 1024;
 
-/// Numbers the requests of this process.
+/// The number of a request, unique within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct RequestNumber(pub u64);
 
-/// A final answer.
+/// The final response to a request.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// Served: the messages that a member answered with.
+pub enum FinalResponse {
+    /// Served: the messages that a member responded with.
     Served(Vec<u8>),
-    /// Refused: a further try is harmless; milliseconds after which to come back, 0 for no advice.
-    Refused(i64),
+    /// Rejected without an effect, so that a retry is harmless.
+    Rejected {
+        /// Milliseconds after which to retry; 0 for no advice.
+        retry_after_ms: i64,
+    },
     /// Failed, with no promise about its effect.
     Failed,
-    /// Ended by a cancel request, with no promise either.
+    /// Ended by a cancel request, with no promise about its effect.
     Cancelled,
-    /// The request cannot be used; in words.
+    /// The request cannot be used, for this reason.
     Malformed(&'static str),
 }
 
-/// What stands in a place.
+impl FinalResponse {
+    /// The bytes that it occupies while it is buffered.
+    fn buffered_bytes(&self) -> usize {
+        match self {
+            FinalResponse::Served(messages) => messages.len(),
+            _ => 0,
+        }
+    }
+}
+
+/// The state of one command.
 #[derive(Debug, PartialEq, Eq)]
-enum Place {
-    /// A request that is open, and the bytes of its statement.
-    Open(Ticket, usize),
-    /// Its answer, which waits for those before it.
-    Done(Answer),
-    /// Its answer has begun and passes through; the driver holds what there is of it.
-    Passing(Ticket),
-    /// A command without a request in it, which is answered once the proxy can serve.
-    Empty,
+enum Slot {
+    /// A request without a response, and the bytes of its statement.
+    Open { request: RequestNumber, statement_bytes: usize },
+    /// A response that is not written yet.
+    Done(FinalResponse),
+    /// A response that is being streamed; the driver holds what has arrived of it.
+    Streaming(RequestNumber),
+    /// An empty query, which is answered once the proxy is ready to serve.
+    EmptyQuery,
+}
+
+/// How the connection ends once all open commands have their responses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Closing {
+    /// The code of the reason, for the log.
+    pub reason: &'static str,
+    /// The error to tell the client, if it broke the protocol.
+    pub violation: Option<ProtocolViolation>,
 }
 
 /// What is to be written next.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Next {
-    /// The answer to a request.
-    Answer(Answer),
-    /// More of the answer that passes through for this request, until [`Pipeline::passed`] says that it is over.
-    Pass(Ticket),
-    /// The answer to a command with nothing in it.
-    Empty,
-    /// The last word; the connection ends with this reason.
-    End(&'static str, Option<Violation>),
+pub enum NextWrite {
+    /// The response to a request.
+    Response(FinalResponse),
+    /// More of the response that is streamed for this request, until [`Pipeline::finish_stream`].
+    Stream(RequestNumber),
+    /// The response to an empty query.
+    EmptyQuery,
+    /// Nothing more; the connection closes.
+    Close(Closing),
 }
 
 /// The open commands of one connection, in their order.
 #[derive(Debug, Default)]
 pub struct Pipeline {
-    places: VecDeque<Place>,
-    /// Bytes of open statements and of answers that wait.
-    bytes: usize,
-    /// Whether any request on the connection could be used.
-    usable: bool,
-    /// Why nothing more is taken: once all that is open has been answered, the connection ends so.
-    end: Option<(&'static str, Option<Violation>)>,
+    slots: VecDeque<Slot>,
+    /// The bytes of open statements and buffered responses.
+    buffered_bytes: usize,
+    /// Whether any request of the connection was well formed.
+    had_valid_request: bool,
+    closing: Option<Closing>,
 }
 
 impl Pipeline {
-    /// Whether a further command may be asked before those in hand are answered.
-    pub fn has_room(&self) -> bool {
-        let little = self.places.is_empty() || self.bytes <= AHEAD_MOST / 2;
-        self.end.is_none() && self.places.len() < PLACES_MOST && little
+    /// Whether a further command may be accepted before the open ones have their responses.
+    pub fn has_capacity(&self) -> bool {
+        let has_bytes = self.slots.is_empty() || self.buffered_bytes <= MAX_BUFFERED_BYTES / 2;
+        self.closing.is_none() && self.slots.len() < MAX_OPEN_COMMANDS && has_bytes
     }
 
-    /// Whether all that was asked has been answered and taken.
+    /// Whether no command is open.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.slots.is_empty()
     }
 
-    /// Whether nothing more is taken from the client.
-    pub fn ending(&self) -> bool {
-        self.end.is_some()
+    /// Whether no further command is accepted, see [`Pipeline::close`].
+    pub fn is_closing(&self) -> bool {
+        self.closing.is_some()
     }
 
-    /// Whether the first place is an empty command's, which waits for the proxy's start.
-    pub fn waits(&self) -> bool {
-        self.places.front() == Some(&Place::Empty)
+    /// Whether the first open command is an empty query, which waits for the proxy to become ready.
+    pub fn awaits_readiness(&self) -> bool {
+        self.slots.front() == Some(&Slot::EmptyQuery)
     }
 
-    /// Bytes that it holds.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    /// The bytes of open statements and buffered responses.
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffered_bytes
     }
 
-    /// Requests that are open, in their order, with those whose answers pass through.
-    pub fn open(&self) -> impl Iterator<Item = Ticket> + '_ {
-        self.places.iter().filter_map(|place| match place {
-            Place::Open(ticket, _) | Place::Passing(ticket) => Some(*ticket),
-            _ => None,
+    /// The requests without a complete response, in their order.
+    pub fn open_requests(&self) -> impl Iterator<Item = RequestNumber> + '_ {
+        self.slots.iter().filter_map(|slot| match slot {
+            Slot::Open { request, .. } | Slot::Streaming(request) => Some(*request),
+            Slot::Done(_) | Slot::EmptyQuery => None,
         })
     }
 
-    /// Gives a request the next place.
-    pub fn ask(&mut self, ticket: Ticket, bytes: usize) {
-        self.places.push_back(Place::Open(ticket, bytes));
-        self.bytes += bytes;
+    /// Adds a request.
+    pub fn push_request(&mut self, request: RequestNumber, statement_bytes: usize) {
+        self.slots.push_back(Slot::Open { request, statement_bytes });
+        self.buffered_bytes += statement_bytes;
     }
 
-    /// Gives a command without a request the next place.
-    pub fn ask_nothing(&mut self) {
-        self.places.push_back(Place::Empty);
+    /// Adds an empty query.
+    pub fn push_empty_query(&mut self) {
+        self.slots.push_back(Slot::EmptyQuery);
     }
 
-    /// A command that cannot be used takes the next place, with its error; see [`Pipeline::answer`].
-    pub fn ask_wrongly(&mut self, what: &'static str) {
-        if self.usable || !self.places.is_empty() {
-            self.places.push_back(Place::Done(Answer::Malformed(what)));
+    /// Adds a command that cannot be used, with its error as the response; see [`Pipeline::complete`].
+    pub fn push_malformed(&mut self, message: &'static str) {
+        if self.had_valid_request || !self.slots.is_empty() {
+            self.slots.push_back(Slot::Done(FinalResponse::Malformed(message)));
         } else {
-            self.end("malformed_request", Some(Violation { code: "08P01", what }));
+            self.close_as_malformed(message);
         }
     }
 
-    /// Nothing more is taken: after the answers of what is open the connection ends. The first reason stands.
-    pub fn end(&mut self, reason: &'static str, violation: Option<Violation>) {
-        self.end.get_or_insert((reason, violation));
+    /// Accepts no further command: the connection closes after the responses to the open ones. The first reason
+    /// counts.
+    pub fn close(&mut self, reason: &'static str, violation: Option<ProtocolViolation>) {
+        self.closing.get_or_insert(Closing { reason, violation });
     }
 
-    /// Takes the final answer of a request; true when it can be written now. An answer that has to wait and does
-    /// not fit into what may be held, of which others leave `room`, is given up: it failed, and may have run.
-    pub fn answer(&mut self, ticket: Ticket, answer: Answer, room: usize) -> bool {
-        let Some(at) = self.find(ticket) else { return false };
-        if let Place::Open(_, bytes) = self.places[at] {
-            self.bytes -= bytes;
-        }
-        let size = |answer: &Answer| if let Answer::Served(messages) = answer { messages.len() } else { 0 };
-        let fits = at == 0 || size(&answer) <= room.min(AHEAD_MOST.saturating_sub(self.bytes));
-        let answer = match answer {
-            // One that has never asked anything usable is told so and closed. Otherwise the error keeps its place and
-            // the connection goes on: a client has other requests behind it, which a close would lose.
-            Answer::Malformed(what) if !self.usable && self.places.len() == 1 => {
-                self.places.pop_back();
-                self.end("malformed_request", Some(Violation { code: "08P01", what }));
+    fn close_as_malformed(&mut self, message: &'static str) {
+        let violation = ProtocolViolation { code: "08P01", message };
+        self.close("malformed_request", Some(violation));
+    }
+
+    /// Takes the final response to a request. Returns whether something can be written now.
+    ///
+    /// A response that has to wait and exceeds what may be buffered, of which other connections leave
+    /// `available_bytes`, is dropped and the request fails, since it may have run.
+    ///
+    /// If no request of the connection was ever well formed, a malformed one closes it. Otherwise the error is written in
+    /// its turn and the connection goes on: closing it would lose the requests behind it.
+    pub fn complete(
+        &mut self,
+        request: RequestNumber,
+        response: FinalResponse,
+        available_bytes: usize,
+    ) -> bool {
+        let Some(index) = self.find_open(request) else { return false };
+        self.release_statement(index);
+        if let FinalResponse::Malformed(message) = response {
+            if !self.had_valid_request && self.slots.len() == 1 {
+                self.slots.pop_back();
+                self.close_as_malformed(message);
                 return true;
             }
-            answer if fits => answer,
-            _ => Answer::Failed,
-        };
-        self.bytes += size(&answer);
-        self.usable |= !matches!(answer, Answer::Malformed(_));
-        self.places[at] = Place::Done(answer);
-        at == 0
-    }
-
-    /// The answer of a request has begun and passes through from now on; `None` where none is awaited, else whether
-    /// it can be written now.
-    pub fn begin(&mut self, ticket: Ticket) -> Option<bool> {
-        let at = self.find(ticket)?;
-        if let Place::Open(_, bytes) = self.places[at] {
-            self.bytes -= bytes;
         }
-        self.usable = true;
-        self.places[at] = Place::Passing(ticket);
-        Some(at == 0)
+        let is_first = index == 0;
+        let capacity = available_bytes.min(MAX_BUFFERED_BYTES.saturating_sub(self.buffered_bytes));
+        let fits = is_first || response.buffered_bytes() <= capacity;
+        let response = if fits { response } else { FinalResponse::Failed };
+        self.buffered_bytes += response.buffered_bytes();
+        self.had_valid_request |= !matches!(response, FinalResponse::Malformed(_));
+        self.slots[index] = Slot::Done(response);
+        is_first
+    }
+
+    /// Starts to stream the response to a request. Returns whether it can be written now, or `None` if the request
+    /// awaits no response.
+    pub fn start_stream(&mut self, request: RequestNumber) -> Option<bool> {
+        let index = self.find_open(request)?;
+        self.release_statement(index);
+        self.had_valid_request = true;
+        self.slots[index] = Slot::Streaming(request);
+        Some(index == 0)
     }
 
-    /// The answer that passes through at the front is over.
-    pub fn passed(&mut self) {
-        if matches!(self.places.front(), Some(Place::Passing(_))) {
-            self.places.pop_front();
+    /// Ends the streamed response at the front.
+    pub fn finish_stream(&mut self) {
+        if matches!(self.slots.front(), Some(Slot::Streaming(_))) {
+            self.slots.pop_front();
         }
     }
 
-    /// Ends all that is open with [`Answer::Cancelled`] in its place, and tells what that was. An answer that has
-    /// begun passes on, and what waits for its turn has ended before.
-    pub fn cancel(&mut self) -> Vec<Ticket> {
-        let mut ended = Vec::new();
-        for place in &mut self.places {
-            if let Place::Open(ticket, bytes) = *place {
-                self.bytes -= bytes;
-                self.usable = true;
-                *place = Place::Done(Answer::Cancelled);
-                ended.push(ticket);
+    /// Responds to all open requests with [`FinalResponse::Cancelled`] and returns them. Streamed and buffered
+    /// responses are left as they are.
+    pub fn cancel_open(&mut self) -> Vec<RequestNumber> {
+        let mut cancelled = Vec::new();
+        for slot in &mut self.slots {
+            if let Slot::Open { request, statement_bytes } = *slot {
+                self.buffered_bytes -= statement_bytes;
+                self.had_valid_request = true;
+                *slot = Slot::Done(FinalResponse::Cancelled);
+                cancelled.push(request);
             }
         }
-        ended
+        cancelled
     }
 
-    /// Whether any request waits for its answer to begin.
-    pub fn waits_for_members(&self) -> bool {
-        self.places.iter().any(|place| matches!(place, Place::Open(..)))
+    /// Whether any request waits for its response to begin.
+    pub fn has_open_request(&self) -> bool {
+        self.slots.iter().any(|slot| matches!(slot, Slot::Open { .. }))
     }
 
-    /// Whether this request still waits for its answer.
-    pub fn awaits(&self, ticket: Ticket) -> bool {
-        self.find(ticket).is_some()
+    /// Whether this request waits for its response to begin.
+    pub fn is_open(&self, request: RequestNumber) -> bool {
+        self.find_open(request).is_some()
     }
 
-    /// Whether a command stands behind the one whose turn it is.
-    pub fn has_more(&self) -> bool {
-        self.places.len() > 1
+    /// Whether a command stands behind the first open one.
+    pub fn has_following(&self) -> bool {
+        self.slots.len() > 1
     }
 
-    fn find(&self, ticket: Ticket) -> Option<usize> {
-        self.places.iter().position(|p| matches!(p, Place::Open(t, _) if *t == ticket))
+    fn find_open(&self, wanted: RequestNumber) -> Option<usize> {
+        let is_wanted = |slot: &Slot| matches!(slot, Slot::Open { request, .. } if *request == wanted);
+        self.slots.iter().position(is_wanted)
+    }
+
+    /// No longer counts the statement of the open request in this slot.
+    fn release_statement(&mut self, index: usize) {
+        if let Slot::Open { statement_bytes, .. } = self.slots[index] {
+            self.buffered_bytes -= statement_bytes;
+        }
     }
 
-    /// What is to be written next, if it is there; `ready` says whether commands without a request are answered.
-    pub fn next(&mut self, ready: bool) -> Option<Next> {
-        match self.places.front() {
-            Some(Place::Open(..)) => return None,
-            Some(Place::Passing(ticket)) => return Some(Next::Pass(*ticket)),
-            Some(Place::Empty) if !ready => return None,
-            _ => {}
+    /// Takes what is to be written next, if it is there. `is_ready` states whether the proxy is ready to serve, which
+    /// empty queries wait for.
+    pub fn next_write(&mut self, is_ready: bool) -> Option<NextWrite> {
+        match self.slots.front() {
+            Some(Slot::Open { .. }) => return None,
+            Some(Slot::Streaming(request)) => return Some(NextWrite::Stream(*request)),
+            Some(Slot::EmptyQuery) if !is_ready => return None,
+            Some(Slot::EmptyQuery | Slot::Done(_)) => {}
+            None => return self.closing.map(NextWrite::Close),
         }
-        match self.places.pop_front() {
-            Some(Place::Done(answer)) => {
-                if let Answer::Served(messages) = &answer {
-                    self.bytes -= messages.len();
-                }
-                Some(Next::Answer(answer))
+        match self.slots.pop_front() {
+            Some(Slot::Done(response)) => {
+                self.buffered_bytes -= response.buffered_bytes();
+                Some(NextWrite::Response(response))
             }
-            Some(_) => Some(Next::Empty),
-            None => self.end.map(|(reason, violation)| Next::End(reason, violation)),
+            _ => Some(NextWrite::EmptyQuery),
         }
     }
 }
--- a/crates/protocol/src/row.rs
+++ b/crates/protocol/src/row.rs
@@ -1,51 +1,66 @@
-//! What the parts of a member's answer must look like: a description of one column, a row of one value, the end
-//! of a command. What is found wrong here never reaches a client.
-
-use super::buffer::{frame, until_zero};
-
-/// The longest row that is taken from a member, its message counted from the length on. Values reach 4 MiB; a
-/// length far past that is noise, and must not be waited for.
-pub const ROW_MOST: usize = 16 * 1024 * 1024;
-
-/// Up to this length a row is checked to the end of its answer before any of it is passed on, so that a spoilt one
-/// can be asked for elsewhere; what is longer passes through as it comes, from its first byte on.
-pub const WHOLE_MOST: usize = 64 * 1024;
-
-/// The bytes of a row's message before its value: the tag, its length, one column, the value's length.
-pub const HEAD: usize = 11;
-
-/// The length of the whole message of the row that `bytes` starts with, as soon as its head is there: one column,
-/// and lengths that agree. `Err` where it is no such row.
-pub fn head(bytes: &[u8]) -> Result<Option<usize>, ()> {
-    let length = frame(bytes, true, ROW_MOST).map_err(|_| ())?;
-    let (Some(length), Some(head)) = (length, bytes.get(5..HEAD)) else { return Ok(None) };
-    let value = head[2..].iter().fold(0, |value, byte| value << 8 | usize::from(*byte));
-    match head[..2] == [0, 1] && length == HEAD + value {
-        true => Ok(Some(length)),
-        false => Err(()),
+//! The parts that the response of a member consists of: the description of one column, a row of one value and the
+//! end of the command. What fails a check here never reaches a client.
+
+use super::framing::{message_length, split_c_string, Framing, TAGGED_HEADER_BYTES};
+use super::member_response::ProtocolError;
+
+/// The longest row, in bytes, that is accepted from a member. Values reach 4 MiB; a length far past that is noise
+/// and must not be waited for.
+pub const MAX_ROW_BYTES: usize = 16 * 1024 * 1024;
+
+/// A row of up to this many bytes is checked to the end of its response before any of it is forwarded, so that a
+/// malformed one can be retried elsewhere. A longer row is streamed from its first byte on.
+pub const MAX_BUFFERED_ROW_BYTES: usize = 64 * 1024;
+
+/// The bytes of the message of a row before its value: the tag, the length, the number of columns and the length of the
+/// value.
+pub const ROW_HEADER_BYTES: usize = TAGGED_HEADER_BYTES + 2 + 4;
+
+/// The number of columns of an accepted row, as the message encodes it.
+const ONE_COLUMN: [u8; 2] = [0, 1];
+
+/// The fields of a column description after its name: table, column, type, size, modifier and format.
+const COLUMN_DESCRIPTION_BYTES: usize = 18;
+
+/// The SQLSTATE of an error that carries no usable code.
+const INTERNAL_ERROR: [u8; 5] = *b"XX000";
+
+/// Returns the length of the whole message of the row that `bytes` starts with, or `None` while its header is
+/// incomplete. The row must have one column, and its lengths must agree.
+pub fn row_length(bytes: &[u8]) -> Result<Option<usize>, ProtocolError> {
+    let length = message_length(bytes, Framing::Tagged, MAX_ROW_BYTES).map_err(|_| ProtocolError)?;
+    let header = bytes.get(TAGGED_HEADER_BYTES..ROW_HEADER_BYTES);
+    let (Some(length), Some(header)) = (length, header) else { return Ok(None) };
+    let (columns, value_length) = header.split_at(ONE_COLUMN.len());
+    let value_length = value_length.iter().fold(0, |value, byte| value << 8 | usize::from(*byte));
+    if columns != ONE_COLUMN || length != ROW_HEADER_BYTES + value_length {
+        return Err(ProtocolError);
     }
+    Ok(Some(length))
 }
 
-/// Whether a description tells of one column.
-pub fn describes_one(body: &[u8]) -> bool {
+/// Whether the body of a row description describes just one column.
+pub fn describes_one_column(body: &[u8]) -> bool {
     let [0, 1, column @ ..] = body else { return false };
-    until_zero(column).is_some_and(|(_, rest)| matches!(rest, [.., 0, 0 | 1] if rest.len() == 18))
+    split_c_string(column).is_some_and(|(_, fields)| {
+        fields.len() == COLUMN_DESCRIPTION_BYTES && matches!(fields, [.., 0, 0 | 1])
+    })
 }
 
-/// Whether it is one text that can be printed.
-pub fn is_text(body: &[u8]) -> bool {
-    until_zero(body)
-        .is_some_and(|(text, rest)| rest.is_empty() && text.iter().all(|b| (b' '..=b'~').contains(b)))
+/// Whether a body is one zero-terminated string of printable ASCII characters.
+pub fn is_printable_c_string(body: &[u8]) -> bool {
+    split_c_string(body)
+        .is_some_and(|(text, rest)| rest.is_empty() && text.iter().all(|byte| (b' '..=b'~').contains(byte)))
 }
 
-/// The code of an error.
-pub fn code(mut fields: &[u8]) -> [u8; 5] {
+/// The SQLSTATE in the body of an error message.
+pub fn sqlstate(mut fields: &[u8]) -> [u8; 5] {
     while let [field, rest @ ..] = fields {
-        let Some((value, rest)) = until_zero(rest) else { break };
+        let Some((value, rest)) = split_c_string(rest) else { break };
         if *field == b'C' {
-            return value.try_into().unwrap_or(*b"XX000");
+            return value.try_into().unwrap_or(INTERNAL_ERROR);
         }
         fields = rest;
     }
-    *b"XX000"
+    INTERNAL_ERROR
 }
--- a/crates/protocol/tests/cancel.rs
+++ b/crates/protocol/tests/cancel_request.rs
@@ -1,13 +1,13 @@
 //! Cancel requests as bytes: what a greeting tells, and what a cancel request names.
 
-use wharfplank_protocol::server::{Command, Key, Server};
+use wharfplank_protocol::client_session::{CancelKey, ClientSession, Command};
 
-const KEY: Key = Key { process: 0x0102_0304, secret: 0xa1b2_c3d4 };
+const KEY: CancelKey = CancelKey { process_id: 0x0102_0304, secret: 0xa1b2_c3d4 };
 
-fn server(bytes: &[u8]) -> Server {
-    let mut server = Server::new(KEY);
-    server.buffer.space()[..bytes.len()].copy_from_slice(bytes);
-    server.buffer.filled(bytes.len());
+fn server(bytes: &[u8]) -> ClientSession {
+    let mut server = ClientSession::new(KEY);
+    server.buffer.spare()[..bytes.len()].copy_from_slice(bytes);
+    server.buffer.commit(bytes.len());
     server
 }
 
@@ -17,7 +17,7 @@
     let mut server = server(b"\0\0\0\x09\0\x03\0\0\0");
     assert_eq!(server.advance(), Ok(Some(Command::Started)));
     let wanted = b"K\0\0\0\x0c\x01\x02\x03\x04\xa1\xb2\xc3\xd4";
-    assert!(server.out.windows(wanted.len()).any(|part| part == wanted));
+    assert!(server.output.windows(wanted.len()).any(|part| part == wanted));
 }
 
 /// Guards against a cancel request that is answered, or read in part.
@@ -29,7 +29,7 @@
     }
     let mut server = server(whole);
     assert_eq!(server.advance(), Ok(Some(Command::Cancel(Some(KEY)))));
-    assert!(server.out.is_empty());
+    assert!(server.output.is_empty());
 }
 
 /// Guards against a cancel request of another length that is taken for what its first bytes name.
--- a/crates/protocol/src/client/tests.rs
+++ b/crates/protocol/tests/member_response.rs
@@ -1,18 +1,21 @@
 //! Answers fed in pieces of any size: what passes through, what is checked whole, and what is broken.
 
-use super::super::buffer::{message, text};
-use super::*;
+use wharfplank_protocol::framing::{write_c_string, write_message};
+use wharfplank_protocol::member_response::{
+    MemberResponse, ProtocolError, ResponseEvent, ResponseKind, ResponseReader,
+};
+use wharfplank_protocol::row::{MAX_BUFFERED_ROW_BYTES, ROW_HEADER_BYTES};
 
 fn described(out: &mut Vec<u8>) {
-    message(out, b'T', |out| {
+    write_message(out, b'T', |out| {
         out.extend_from_slice(&[0, 1]);
-        text(out, "payload");
+        write_c_string(out, "payload");
         out.extend_from_slice(&[0, 0, 0, 0, 0, 0, 0, 0, 0, 17, 255, 255, 255, 255, 255, 255, 0, 1]);
     });
 }
 
 fn row(out: &mut Vec<u8>, value: usize) {
-    message(out, b'D', |out| {
+    write_message(out, b'D', |out| {
         out.extend_from_slice(&[0, 1]);
         out.extend_from_slice(&(value as u32).to_be_bytes());
         out.extend((0..value).map(|at| at as u8));
@@ -20,15 +23,15 @@
 }
 
 fn ended(out: &mut Vec<u8>) {
-    message(out, b'C', |out| text(out, "SELECT 1"));
+    write_message(out, b'C', |out| write_c_string(out, "SELECT 1"));
 }
 
 fn ready(out: &mut Vec<u8>) {
-    message(out, b'S', |out| {
-        text(out, "applied_ms");
-        text(out, "1767225600123.9");
+    write_message(out, b'S', |out| {
+        write_c_string(out, "applied_ms");
+        write_c_string(out, "1767225600123.9");
     });
-    message(out, b'Z', |out| out.push(b'I'));
+    write_message(out, b'Z', |out| out.push(b'I'));
 }
 
 /// An answer with a value of this length, up to its last message but one, and whole.
@@ -43,16 +46,20 @@
 }
 
 /// Feeds bytes in pieces of a length: the steps in their order, up to what is broken.
-fn feed(client: &mut Client, bytes: &[u8], piece: usize) -> Result<Vec<Step>, Broken> {
+fn feed(
+    reader: &mut ResponseReader,
+    bytes: &[u8],
+    piece: usize,
+) -> Result<Vec<ResponseEvent>, ProtocolError> {
     let mut steps = Vec::new();
     for mut part in bytes.chunks(piece) {
         while !part.is_empty() {
-            let space = client.buffer.space();
+            let space = reader.buffer.spare();
             let count = space.len().min(part.len());
             space[..count].copy_from_slice(&part[..count]);
-            client.buffer.filled(count);
+            reader.buffer.commit(count);
             part = &part[count..];
-            while let Some(step) = client.advance(false)? {
+            while let Some(step) = reader.advance(false)? {
                 steps.push(step);
             }
         }
@@ -61,15 +68,15 @@
 }
 
 /// All that is passed on, and how many steps before the last were parts of a row.
-fn passed(steps: Vec<Step>) -> (Vec<u8>, usize, Option<Answer>) {
+fn passed(steps: Vec<ResponseEvent>) -> (Vec<u8>, usize, Option<MemberResponse>) {
     let (mut out, mut parts, mut last) = (Vec::new(), 0, None);
     for step in steps {
         match step {
-            Step::Begun(bytes, _) | Step::Piece(bytes) => {
+            ResponseEvent::StreamStarted { bytes, .. } | ResponseEvent::StreamChunk(bytes) => {
                 parts += 1;
                 out.extend(bytes);
             }
-            Step::Whole(answer) => {
+            ResponseEvent::Complete(answer) => {
                 out.extend_from_slice(&answer.messages);
                 last = Some(answer);
             }
@@ -81,17 +88,17 @@
 /// Guards against values that change on their way, whatever the pieces, and against long ones held whole in memory.
 #[test]
 fn a_value_passes_unchanged_in_pieces_of_any_size() {
-    for value in [0, 1, WHOLE_MOST, WHOLE_MOST + 1, 3 * WHOLE_MOST] {
+    for value in [0, 1, MAX_BUFFERED_ROW_BYTES, MAX_BUFFERED_ROW_BYTES + 1, 3 * MAX_BUFFERED_ROW_BYTES] {
         for piece in [1, 7, 4096, usize::MAX] {
             let (wanted, given) = answer(value);
-            let mut client = Client::default();
-            let (out, parts, last) = passed(feed(&mut client, &given, piece).expect("well formed"));
+            let mut reader = ResponseReader::default();
+            let (out, parts, last) = passed(feed(&mut reader, &given, piece).expect("well formed"));
             assert!(out == wanted, "{value} in pieces of {piece}");
-            assert_eq!(parts > 0, value > WHOLE_MOST, "{value} in pieces of {piece}");
+            assert_eq!(parts > 0, value > MAX_BUFFERED_ROW_BYTES, "{value} in pieces of {piece}");
             let last = last.expect("whole");
-            assert_eq!((last.verdict, last.applied_ms), (Verdict::Row, Some(1_767_225_600_123)));
-            assert!(client.buffer.capacity() <= 2 * WHOLE_MOST + 4096);
-            assert!(!client.begun() && !client.passing());
+            assert_eq!((last.kind, last.applied_ms), (ResponseKind::Row, Some(1_767_225_600_123)));
+            assert!(reader.buffer.capacity() <= 2 * MAX_BUFFERED_ROW_BYTES + 4096);
+            assert!(!reader.has_partial_response() && !reader.is_streaming());
         }
     }
 }
@@ -100,14 +107,17 @@
 /// lengths are known to agree.
 #[test]
 fn a_long_value_begins_with_its_first_byte() {
-    let (_, given) = answer(WHOLE_MOST + 1);
+    let (_, given) = answer(MAX_BUFFERED_ROW_BYTES + 1);
     let mut described_only = Vec::new();
     described(&mut described_only);
-    let first = described_only.len() + HEAD + 1;
-    let mut client = Client::default();
-    assert!(feed(&mut client, &given[..first - 1], 1).expect("well formed").is_empty());
-    let steps = feed(&mut client, &given[first - 1..first], 1).expect("well formed");
-    assert!(matches!(&steps[..], [Step::Begun(bytes, WHOLE_MOST)] if bytes == &given[..first]), "{steps:?}");
+    let first = described_only.len() + ROW_HEADER_BYTES + 1;
+    let mut reader = ResponseReader::default();
+    assert!(feed(&mut reader, &given[..first - 1], 1).expect("well formed").is_empty());
+    let steps = feed(&mut reader, &given[first - 1..first], 1).expect("well formed");
+    assert!(
+        matches!(&steps[..], [ResponseEvent::StreamStarted { bytes, remaining: MAX_BUFFERED_ROW_BYTES }] if bytes == &given[..first]),
+        "{steps:?}"
+    );
 }
 
 /// Guards against noise that is taken for a value: lengths that disagree or are past all values, a second row, and
@@ -125,29 +135,29 @@
         out
     };
     for (length, value) in [(3_000_000_000, 2_999_999_990), (100_010, 100_001), (100_010, u32::MAX)] {
-        assert!(feed(&mut Client::default(), &long(length, value), 1).is_err(), "{length} {value}");
+        assert!(feed(&mut ResponseReader::default(), &long(length, value), 1).is_err(), "{length} {value}");
     }
     let mut twice = head.clone();
-    row(&mut twice, WHOLE_MOST + 1);
-    row(&mut twice, WHOLE_MOST + 1);
-    assert!(feed(&mut Client::default(), &twice, 4096).is_err());
+    row(&mut twice, MAX_BUFFERED_ROW_BYTES + 1);
+    row(&mut twice, MAX_BUFFERED_ROW_BYTES + 1);
+    assert!(feed(&mut ResponseReader::default(), &twice, 4096).is_err());
     let mut endless = head;
-    row(&mut endless, WHOLE_MOST + 1);
+    row(&mut endless, MAX_BUFFERED_ROW_BYTES + 1);
     ready(&mut endless);
-    assert!(feed(&mut Client::default(), &endless, 4096).is_err());
+    assert!(feed(&mut ResponseReader::default(), &endless, 4096).is_err());
 }
 
 /// Guards against an answer that fails, or grows on, where memory is short: its row passes through from there.
 #[test]
 fn without_memory_a_short_row_passes_too() {
     let (wanted, given) = answer(1000);
-    let mut client = Client::default();
-    assert!(feed(&mut client, &given[..500], 100).expect("well formed").is_empty());
-    assert!(client.hurry() && !client.hurry());
-    let (out, parts, last) = passed(feed(&mut client, &given[500..], 100).expect("well formed"));
+    let mut reader = ResponseReader::default();
+    assert!(feed(&mut reader, &given[..500], 100).expect("well formed").is_empty());
+    assert!(reader.stream_any_row() && !reader.stream_any_row());
+    let (out, parts, last) = passed(feed(&mut reader, &given[500..], 100).expect("well formed"));
     assert!(out == wanted && parts > 1);
-    assert_eq!(last.expect("whole").verdict, Verdict::Row);
-    assert!(client.hurry(), "the next answer is not hurried");
+    assert_eq!(last.expect("whole").kind, ResponseKind::Row);
+    assert!(reader.stream_any_row(), "the next answer is not hurried");
 }
 
 /// Guards against an answer that lost its row and looks like one without, and against a taste for answers without a
@@ -157,23 +167,25 @@
     let given = |end: &str| {
         let mut bytes = Vec::new();
         described(&mut bytes);
-        message(&mut bytes, b'C', |out| text(out, end));
+        write_message(&mut bytes, b'C', |out| write_c_string(out, end));
         let wanted = bytes.clone();
         ready(&mut bytes);
         (wanted, bytes)
     };
     let (wanted, bytes) = given("SELECT 0");
     for piece in [1, 7, 1000] {
-        let mut client = Client { rowless: true, ..Client::default() };
+        let mut reader = ResponseReader::default();
+        reader.accepts_no_row = true;
         // Of the second answer too: what it takes stays as it was set.
         for _ in 0..2 {
-            let (messages, left, end) = passed(feed(&mut client, &bytes, piece).expect("whole"));
+            let (messages, left, end) = passed(feed(&mut reader, &bytes, piece).expect("whole"));
             let end = end.expect("an end");
             assert_eq!((messages, left), (wanted.clone(), 0));
-            assert_eq!((end.verdict, end.applied_ms), (Verdict::NoRow, Some(1_767_225_600_123)));
+            assert_eq!((end.kind, end.applied_ms), (ResponseKind::NoRow, Some(1_767_225_600_123)));
         }
     }
-    assert!(feed(&mut Client::default(), &bytes, 9).is_err());
-    let mut client = Client { rowless: true, ..Client::default() };
-    assert!(feed(&mut client, &given("SELECT 1").1, 9).is_err());
+    assert!(feed(&mut ResponseReader::default(), &bytes, 9).is_err());
+    let mut reader = ResponseReader::default();
+    reader.accepts_no_row = true;
+    assert!(feed(&mut reader, &given("SELECT 1").1, 9).is_err());
 }
--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -74,7 +74,7 @@
                 Action::Refuse { id, retry_after, reason } => {
                     self.count(id, "refused", recorded(reason).name());
                     self.note_end(id, |journal, ended| journal.given_up(ended, true, reason));
-                    self.answer(id, Answer::Refused((retry_after + 999) / 1000))
+                    self.answer(id, FinalResponse::Rejected { retry_after_ms: (retry_after + 999) / 1000 })
                 }
                 Action::Fail(id, reason) => {
                     if let Some(open) = self.requests.get(&id) {
@@ -82,7 +82,7 @@
                     }
                     self.count(id, "failed", recorded(reason).name());
                     self.note_end(id, |journal, ended| journal.given_up(ended, false, reason));
-                    self.answer(id, Answer::Failed)
+                    self.answer(id, FinalResponse::Failed)
                 }
                 Action::Cancel { id, attempt } => self.end(id, attempt.0, Ending::Cancelled),
                 Action::Probe(host, why) => {
@@ -189,7 +189,7 @@
                 let member = Some(flight.host);
                 self.count(id, "served", if answer.primary == Some(true) { "primary" } else { "replica" });
                 self.note_end(id, |journal, ended| journal.served(Ended { member, ..ended }));
-                self.answer(id, Answer::Served(std::mem::take(&mut answer.messages)));
+                self.answer(id, FinalResponse::Served(std::mem::take(&mut answer.messages)));
             }
         }
         self.counts.one("attempt", counts::ending(report.ending), "");
--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -20,13 +20,13 @@
 
     pub(super) fn probed(&mut self, host: HostId, report: Option<String>) {
         // A report that cannot be read, or is ahead of the clock, counts as none.
-        let values = report.as_deref().and_then(|text| client::report(text, &self.terms.columns));
+        let values = report.as_deref().and_then(|text| load_report::parse(text, &self.terms.columns));
         let ok = values.is_some();
         let mut probed = Probed { host, ok, role: None, position: None, queue: None };
-        for (name, value) in values.unwrap_or_default() {
+        for ReportValue { name, value } in values.unwrap_or_default() {
             match name {
                 "x0" => {
-                    let at = client::seconds(value);
+                    let at = load_report::seconds_to_micros(value);
                     probed.ok &= at.is_some_and(|at| at <= self.clock.now() + AHEAD_MOST);
                     probed.position = at.filter(|at| *at > 0);
                 }
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -39,10 +39,11 @@
 use wharfplank_admin::{Cordons, Succession};
 use wharfplank_discovery::{SendDeadline, Staleness, SuspectReason, WatchEvent};
 use wharfplank_pool_policy::Opening;
-use wharfplank_protocol::client;
-use wharfplank_protocol::comment::ID_MOST;
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
-use wharfplank_protocol::pipeline::{Answer, Ticket};
+use wharfplank_protocol::load_report::{self, ReportValue};
+use wharfplank_protocol::member_response::MemberResponse;
+use wharfplank_protocol::pipeline::{FinalResponse, RequestNumber};
+use wharfplank_protocol::request_comment::MAX_ID_BYTES;
 use wharfplank_routing::settings::Terms;
 use wharfplank_routing::{
     self as routing, Action, AttemptNo, ClassId, Ending, Entry, GroupId, HostId, Listed, Micros, Outcome,
@@ -88,7 +89,7 @@
     journal: Journal,
     counts: Counts,
     requests: HashMap<RequestId, Open>,
-    tickets: HashMap<Ticket, RequestId>,
+    tickets: HashMap<RequestNumber, RequestId>,
     /// The ids of open requests, as clients gave them.
     ids: HashSet<String>,
     flights: HashMap<(RequestId, u32), Flight>,
--- a/crates/proxy/src/broker/negative_cache.rs
+++ b/crates/proxy/src/broker/negative_cache.rs
@@ -19,19 +19,19 @@
         if let Some(messages) = known {
             self.count(id, "served", "missing");
             self.note_end(id, |journal, ended| journal.served(ended));
-            self.answer(id, Answer::Served(messages));
+            self.answer(id, FinalResponse::Served(messages));
             return true;
         }
         if self.lookups.may_send(now, class) {
             return false;
         }
         self.count(id, "refused", "no_leave");
-        self.answer(id, Answer::Refused(LEAVE_MS));
+        self.answer(id, FinalResponse::Rejected { retry_after_ms: LEAVE_MS });
         true
     }
 
     /// A member's whole answer has come: what it tells of the key that was asked for.
-    pub(super) fn looked_up(&self, id: RequestId, position: Option<Micros>, answer: &client::Answer) {
+    pub(super) fn looked_up(&self, id: RequestId, position: Option<Micros>, answer: &MemberResponse) {
         let open = self.requests.get(&id);
         if let Some((open, asked)) = open.and_then(|open| Some((open, open.touch.as_ref()?))) {
             self.lookups.heard(self.clock.now(), open.class, asked, position, answer);
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -5,7 +5,7 @@
 
 /// A request that is open.
 pub(super) struct Open {
-    pub(super) ticket: Ticket,
+    pub(super) ticket: RequestNumber,
     /// The id that the client gave it.
     pub(super) name: String,
     pub(super) statement: Rc<Statement>,
@@ -27,12 +27,14 @@
             return;
         }
         let Some(class) = self.terms.names.iter().position(|name| *name == asked.class) else {
-            asked.lane.give(asked.ticket, Answer::Malformed("the class is not in the settings"));
+            asked.lane.give(asked.ticket, FinalResponse::Malformed("the class is not in the settings"));
             return;
         };
         // Members tell requests apart by their ids: a second one would be taken for a copy of the first.
         if !self.ids.insert(asked.id.clone()) {
-            asked.lane.give(asked.ticket, Answer::Malformed("the id is in use by another open request"));
+            asked
+                .lane
+                .give(asked.ticket, FinalResponse::Malformed("the id is in use by another open request"));
             return;
         }
         let now = self.clock.now();
@@ -82,10 +84,10 @@
     }
 
     /// A client cancelled a request, and its connection has answered it: none of its attempts goes on.
-    pub(super) fn cancelled(&mut self, ticket: Ticket) {
+    pub(super) fn cancelled(&mut self, ticket: RequestNumber) {
         if let Some(id) = self.tickets.get(&ticket).copied() {
             self.count(id, "failed", "cancelled");
-            let attempts = self.ended(id, &Answer::Cancelled).map_or(0, |open| open.attempts);
+            let attempts = self.ended(id, &FinalResponse::Cancelled).map_or(0, |open| open.attempts);
             self.withdraw(id, attempts, self.allowed.cancels);
             self.tell(routing::Event::Gone(id));
         }
@@ -118,7 +120,7 @@
     }
 
     /// A client went away: nothing more is owed.
-    pub(super) fn gone(&mut self, ticket: Ticket) {
+    pub(super) fn gone(&mut self, ticket: RequestNumber) {
         if let Some(id) = self.tickets.get(&ticket).copied() {
             let open = self.requests.get(&id);
             let out = |o: &&Open| {
@@ -184,20 +186,20 @@
     }
 
     /// Gives the one final answer, and counts it: nothing else answers a request that was taken.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         if let Some(open) = self.ended(id, &answer) {
             open.lane.give(open.ticket, answer);
         }
     }
 
     /// Counts the one final answer of a request that is still open, and takes it out of all tables.
-    pub(super) fn ended(&mut self, id: RequestId, answer: &Answer) -> Option<Open> {
+    pub(super) fn ended(&mut self, id: RequestId, answer: &FinalResponse) -> Option<Open> {
         self.talk.answered(self.clock.now(), answer);
         let open = self.close(id)?;
         let end = match answer {
-            Answer::Served(_) => End::Success,
-            Answer::Refused(_) => End::Overload,
-            Answer::Failed | Answer::Cancelled | Answer::Malformed(_) => End::Error,
+            FinalResponse::Served(_) => End::Success,
+            FinalResponse::Rejected { .. } => End::Overload,
+            FinalResponse::Failed | FinalResponse::Cancelled | FinalResponse::Malformed(_) => End::Error,
         };
         self.shared.figures.ended(open.class.0, end);
         Some(open)
@@ -205,10 +207,10 @@
 }
 
 /// The module's id: the ticket, which keeps equal ids of clients apart, and the client's id.
-fn request_id(ticket: Ticket, id: &str) -> RequestId {
+fn request_id(ticket: RequestNumber, id: &str) -> RequestId {
     let mut bytes = [b'.'; 36];
     bytes[..16].copy_from_slice(format!("{:016x}", ticket.0).as_bytes());
-    let id = &id.as_bytes()[..id.len().min(ID_MOST)];
+    let id = &id.as_bytes()[..id.len().min(MAX_ID_BYTES)];
     bytes[16..16 + id.len()].copy_from_slice(id);
     RequestId(bytes)
 }
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -75,10 +75,10 @@
                 let member = Some(flight.host);
                 self.count(id, "served", if primary { "primary" } else { "replica" });
                 self.note_end(id, |journal, ended| journal.served(Ended { member, ..ended }));
-                Answer::Served(Vec::new())
+                FinalResponse::Served(Vec::new())
             } else {
                 self.count(id, "failed", "cut_off");
-                Answer::Failed
+                FinalResponse::Failed
             };
             self.ended(id, &answer);
         }
--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -9,8 +9,8 @@
 use std::net::UdpSocket;
 use std::rc::Rc;
 use wharfplank_negative_cache::{Asked, Hasher, Node, Terms, Ticket};
-use wharfplank_protocol::client::{Answer, Verdict};
 use wharfplank_protocol::endpoint_list::EndpointRecord;
+use wharfplank_protocol::member_response::{MemberResponse, ResponseKind};
 use wharfplank_routing::{ClassId, Consistency, Ending, GroupId, HostId, Micros, RequestId};
 use wharfplank_settings::Missing as MissingSettings;
 use wharfplank_shared_state::named;
@@ -184,14 +184,14 @@
         class: ClassId,
         asked: &Asked,
         position: Option<Micros>,
-        answer: &Answer,
+        answer: &MemberResponse,
     ) {
         let (Some(on), Kind::Read(_)) = (&self.on, self.kind(class)) else { return };
-        match (answer.verdict, position) {
-            (Verdict::NoRow, Some(position)) if self.primaries.values().any(|p| *p == asked.primary) => {
+        match (answer.kind, position) {
+            (ResponseKind::NoRow, Some(position)) if self.primaries.values().any(|p| *p == asked.primary) => {
                 on.node.borrow_mut().heard(now, asked, position, &answer.messages)
             }
-            (Verdict::Row, _) => on.node.borrow_mut().found(asked),
+            (ResponseKind::Row, _) => on.node.borrow_mut().found(asked),
             _ => {}
         }
     }
--- a/crates/proxy/src/talk.rs
+++ b/crates/proxy/src/talk.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use wharfplank_health::Outcome;
 use wharfplank_protocol::endpoint_list::EndpointRecord;
-use wharfplank_protocol::pipeline::Answer;
+use wharfplank_protocol::pipeline::FinalResponse;
 use wharfplank_routing::{Class, ClassId, Effect, Ending, HostId, Micros, RequestId, Told};
 use wharfplank_shared_state::{named, Doubt, News};
 use wharfplank_transport::fleet::{Seen, Witness, GAP, WAKING};
@@ -188,11 +188,11 @@
     }
 
     /// A request got its final answer.
-    pub fn answered(&self, now: Micros, answer: &Answer) {
+    pub fn answered(&self, now: Micros, answer: &FinalResponse) {
         let Some(witness) = &self.witness else { return };
         let counter = match answer {
-            Answer::Served(_) => SERVED,
-            Answer::Refused(_) => REFUSED,
+            FinalResponse::Served(_) => SERVED,
+            FinalResponse::Rejected { .. } => REFUSED,
             _ => FAILED,
         };
         witness.count(now, counter);
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -18,9 +18,9 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::comment;
-use wharfplank_protocol::pipeline::Ticket;
-use wharfplank_protocol::server::{Command, Server};
+use wharfplank_protocol::client_session::{ClientSession, Command};
+use wharfplank_protocol::pipeline::RequestNumber;
+use wharfplank_protocol::request_comment;
 
 /// What a client may take, from its accept on, until it has asked something for the first time, and from its
 /// first byte on until a message is whole: within 3 s of connecting it is to hear what is wrong.
@@ -49,7 +49,7 @@
 pub(super) struct Connection {
     /// Shared with its own writes, during which it is read all the same.
     stream: Rc<Async<TcpStream>>,
-    server: Server,
+    server: ClientSession,
     peer: Rc<Peer>,
     lane: Rc<Lane>,
     accepted: Instant,
@@ -108,7 +108,7 @@
             let at = c.arrived();
             let query = match c.server.advance() {
                 Ok(None) => {
-                    c.begun = match c.server.buffer.bytes() {
+                    c.begun = match c.server.buffer.unread() {
                         [] => None,
                         _ => c.begun.or(Some(Instant::now())),
                     };
@@ -119,7 +119,7 @@
                     c.begun = None;
                     continue;
                 }
-                Ok(Some(Command::Empty)) => None,
+                Ok(Some(Command::EmptyQuery)) => None,
                 // What was asked before is answered first.
                 Ok(Some(Command::Terminate)) => {
                     c.lane.end("terminated", None);
@@ -131,15 +131,15 @@
                     }
                     return Err("cancel_request");
                 }
-                Ok(Some(Command::Query(query))) => match comment::read(query) {
+                Ok(Some(Command::Query(query))) => match request_comment::parse(query) {
                     Ok(comment) => {
-                        let ticket = Ticket(self.number());
+                        let ticket = RequestNumber(self.number());
                         Some(ask(query, &comment, ticket, Rc::clone(&c.lane)))
                     }
-                    Err(what) => {
+                    Err(error) => {
                         c.begun = None;
                         self.count(&c.peer);
-                        c.lane.pipeline.borrow_mut().ask_wrongly(what);
+                        c.lane.pipeline.borrow_mut().push_malformed(error.message());
                         continue;
                     }
                 },
@@ -151,14 +151,14 @@
             c.begun = None;
             self.count(&c.peer);
             let Some((mut asked, bytes)) = query else {
-                c.lane.pipeline.borrow_mut().ask_nothing();
+                c.lane.pipeline.borrow_mut().push_empty_query();
                 continue;
             };
             asked.arrived = at.unwrap_or(asked.arrived);
-            c.lane.pipeline.borrow_mut().ask(asked.ticket, bytes);
+            c.lane.pipeline.borrow_mut().push_request(asked.ticket, bytes);
             c.lane.hold();
             c.requests += 1;
-            if !c.server.out.is_empty() {
+            if !c.server.output.is_empty() {
                 c.flush().await?;
             }
             if self.events.send(Event::Asked(Box::new(asked))).await.is_err() {
@@ -171,18 +171,23 @@
 }
 
 /// A request, and the bytes of its statement.
-fn ask(query: &str, comment: &comment::Comment<'_>, ticket: Ticket, lane: Rc<Lane>) -> (Asked, usize) {
+fn ask(
+    query: &str,
+    comment: &request_comment::RequestComment<'_>,
+    ticket: RequestNumber,
+    lane: Rc<Lane>,
+) -> (Asked, usize) {
     let asked = Asked {
         ticket,
         id: comment.id.to_string(),
         class: comment.class.to_string(),
         arrived: Instant::now(),
-        wait_ms: comment.wait_ms,
+        wait_ms: comment.deadline_ms,
         group: comment.group,
-        after_ms: comment.after_ms,
-        key: comment.key.map(str::to_string),
+        after_ms: comment.min_position_ms,
+        key: comment.session_key.map(str::to_string),
         // It outlives the read buffer: attempts go out and end while the next query is read.
-        statement: Rc::new(Statement::new(query.as_bytes().to_vec(), comment.wait_at.clone())),
+        statement: Rc::new(Statement::new(query.as_bytes().to_vec(), comment.deadline_range.clone())),
         lane,
     };
     (asked, query.len())
@@ -194,7 +199,7 @@
         peer.lane.serve(&stream);
         Connection {
             stream,
-            server: Server::new(peer.key),
+            server: ClientSession::new(peer.key),
             lane: Rc::clone(&peer.lane),
             peer,
             accepted,
@@ -215,8 +220,8 @@
 
     /// When the last byte of the whole command at the front of the buffer arrived.
     fn arrived(&mut self) -> Option<Instant> {
-        let length = self.server.length()?;
-        let end = self.read - self.server.buffer.bytes().len() as u64 + length as u64;
+        let length = self.server.next_command_bytes()?;
+        let end = self.read - self.server.buffer.unread().len() as u64 + length as u64;
         while self.marks.front().is_some_and(|(to, _)| *to < end) {
             self.marks.pop_front();
         }
--- a/crates/transport/src/client/input.rs
+++ b/crates/transport/src/client/input.rs
@@ -7,13 +7,13 @@
 use futures_lite::future;
 use std::net::Shutdown;
 use std::time::Instant;
-use wharfplank_protocol::server::Violation;
+use wharfplank_protocol::client_session::ProtocolViolation;
 
 impl Clients {
     /// Waits until something has been read, an answer is there, or a time is up.
     pub(super) async fn wait(&self, c: &mut Connection, bell: EventListener) -> Result<(), Reason> {
         let now = Instant::now();
-        let (open, empty) = (!c.lane.is_empty(), c.server.buffer.bytes().is_empty());
+        let (open, empty) = (!c.lane.is_empty(), c.server.buffer.unread().is_empty());
         let idle = c.started && empty && !open;
         c.rests = if idle { c.rests.or(Some(now)) } else { None };
         let mute = !c.peer.asked.get();
@@ -26,7 +26,7 @@
             Leaving::All => !open,
         };
         // An empty query that waits for a start that will not come.
-        let unstarted = self.leaving.get() != Leaving::No && c.lane.pipeline.borrow().waits();
+        let unstarted = self.leaving.get() != Leaving::No && c.lane.pipeline.borrow().awaits_readiness();
         if unstarted && !self.answers_empty(c) && c.hangs_up() {
             return Err("shutdown");
         }
@@ -95,7 +95,8 @@
     /// process was asked to end before, it is answered for the sake of what stands behind it.
     pub(super) fn answers_empty(&self, c: &Connection) -> bool {
         let pipeline = c.lane.pipeline.borrow();
-        let behind = pipeline.has_more() || pipeline.ending() || !c.server.buffer.bytes().is_empty();
+        let behind =
+            pipeline.has_following() || pipeline.is_closing() || !c.server.buffer.unread().is_empty();
         self.ready.get() || (behind && self.leaving.get() != Leaving::No)
     }
 }
@@ -112,11 +113,11 @@
 }
 
 /// What the client is told where the connection ends for this reason, if anything.
-fn violation(reason: Reason) -> Option<Violation> {
+fn violation(reason: Reason) -> Option<ProtocolViolation> {
     let (code, what) = match reason {
         "out_of_memory" => ("53200", "no memory for the message"),
         "startup_timeout" | "request_timeout" => ("57P05", "nothing whole was asked in time"),
         _ => return None,
     };
-    Some(Violation { code, what })
+    Some(ProtocolViolation { code, message: what })
 }
--- a/crates/transport/src/client/lane.rs
+++ b/crates/transport/src/client/lane.rs
@@ -10,8 +10,8 @@
 use std::io::ErrorKind;
 use std::net::TcpStream;
 use std::rc::{Rc, Weak};
-use wharfplank_protocol::pipeline::{Answer, Pipeline, Ticket};
-use wharfplank_protocol::server::Violation;
+use wharfplank_protocol::client_session::ProtocolViolation;
+use wharfplank_protocol::pipeline::{FinalResponse, Pipeline, RequestNumber};
 
 /// The answers of one client connection, where the broker leaves them.
 pub struct Lane {
@@ -26,7 +26,7 @@
     /// What the connection reads into.
     pub(super) buffer: Cell<usize>,
     /// Answers that have begun and wait for their turn, or for the rest of themselves.
-    flows: RefCell<BTreeMap<Ticket, Flow>>,
+    flows: RefCell<BTreeMap<RequestNumber, Flow>>,
 }
 
 impl std::fmt::Debug for Lane {
@@ -52,8 +52,8 @@
     }
 
     /// Takes the final answer of a request, and wakes the connection if it can be written now.
-    pub fn give(&self, ticket: Ticket, answer: Answer) {
-        let due = self.pipeline.borrow_mut().answer(ticket, answer, self.memory.room());
+    pub fn give(&self, ticket: RequestNumber, answer: FinalResponse) {
+        let due = self.pipeline.borrow_mut().complete(ticket, answer, self.memory.room());
         self.hold();
         if due {
             self.ring();
@@ -62,8 +62,8 @@
 
     /// Takes the beginning of a request's final answer; the rest follows in the flow. Where nobody awaits it, the
     /// flow ends here, and the member's connection with it.
-    pub fn begin(&self, ticket: Ticket, flow: Flow) {
-        let due = self.pipeline.borrow_mut().begin(ticket);
+    pub fn begin(&self, ticket: RequestNumber, flow: Flow) {
+        let due = self.pipeline.borrow_mut().start_stream(ticket);
         self.hold();
         if due.is_some() {
             self.flows.borrow_mut().insert(ticket, flow);
@@ -74,13 +74,13 @@
     }
 
     /// Whether this request still waits for its answer here: the event that says otherwise may stand behind others.
-    pub fn awaits(&self, ticket: Ticket) -> bool {
-        !self.left.get() && self.pipeline.borrow().awaits(ticket)
+    pub fn awaits(&self, ticket: RequestNumber) -> bool {
+        !self.left.get() && self.pipeline.borrow().is_open(ticket)
     }
 
     /// The same, with a look at the socket. Asked just before an attempt's first byte: what the attempt waited for and the
     /// client's end may have come in one moment, and in either order.
-    pub fn awaits_now(&self, ticket: Ticket) -> bool {
+    pub fn awaits_now(&self, ticket: RequestNumber) -> bool {
         let ended = |socket: Rc<Async<TcpStream>>| match socket.get_ref().peek(&mut [0]) {
             Ok(count) => count == 0,
             Err(e) => !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
@@ -102,21 +102,21 @@
     }
 
     /// The client has gone: nothing is awaited any more. Tells what was open.
-    pub(super) fn leave(&self) -> Vec<Ticket> {
+    pub(super) fn leave(&self) -> Vec<RequestNumber> {
         self.left.set(true);
-        self.pipeline.borrow().open().collect()
+        self.pipeline.borrow().open_requests().collect()
     }
 
     /// Ends what is open on request, and tells what that was.
-    pub(super) fn cancel(&self) -> Vec<Ticket> {
-        let ended = self.pipeline.borrow_mut().cancel();
+    pub(super) fn cancel(&self) -> Vec<RequestNumber> {
+        let ended = self.pipeline.borrow_mut().cancel_open();
         self.hold();
         self.ring();
         ended
     }
 
     /// Hands over the flow of an answer whose turn it is.
-    pub(super) fn flow(&self, ticket: Ticket) -> Option<Flow> {
+    pub(super) fn flow(&self, ticket: RequestNumber) -> Option<Flow> {
         self.flows.borrow_mut().remove(&ticket)
     }
 
@@ -127,21 +127,21 @@
 
     /// Counts what it holds; false where it is large and all together have too much.
     pub(super) fn hold(&self) -> bool {
-        let bytes = self.pipeline.borrow().bytes();
+        let bytes = self.pipeline.borrow().buffered_bytes();
         self.part.borrow_mut().hold(self.buffer.get() + bytes)
     }
 
     /// Whether a further command may be asked now.
     pub(super) fn has_room(&self) -> bool {
         let pipeline = self.pipeline.borrow();
-        pipeline.has_room() && (pipeline.is_empty() || pipeline.bytes() <= self.memory.room())
+        pipeline.has_capacity() && (pipeline.is_empty() || pipeline.buffered_bytes() <= self.memory.room())
     }
 
     pub(super) fn is_empty(&self) -> bool {
         self.pipeline.borrow().is_empty()
     }
 
-    pub(super) fn end(&self, reason: Reason, violation: Option<Violation>) {
-        self.pipeline.borrow_mut().end(reason, violation);
+    pub(super) fn end(&self, reason: Reason, violation: Option<ProtocolViolation>) {
+        self.pipeline.borrow_mut().close(reason, violation);
     }
 }
--- a/crates/transport/src/client/output.rs
+++ b/crates/transport/src/client/output.rs
@@ -9,8 +9,8 @@
 use std::net::Shutdown;
 use std::rc::Rc;
 use std::time::Instant;
-use wharfplank_protocol::pipeline::{Answer, Next, Ticket};
-use wharfplank_protocol::server::Violation;
+use wharfplank_protocol::client_session::ProtocolViolation;
+use wharfplank_protocol::pipeline::{Closing, FinalResponse, NextWrite, RequestNumber};
 
 /// The answer that passes through at present.
 pub(super) struct Passing {
@@ -51,17 +51,17 @@
         let mut wrote = false;
         loop {
             let ready = self.answers_empty(c);
-            let next = c.lane.pipeline.borrow_mut().next(ready);
+            let next = c.lane.pipeline.borrow_mut().next_write(ready);
             match next {
                 None => break,
-                Some(Next::Pass(ticket)) => match c.pass(ticket)? {
+                Some(NextWrite::Stream(ticket)) => match c.pass(ticket)? {
                     Passed::Some => {}
                     Passed::Nothing => break,
                     Passed::Cut(left) => c.cut(left).await?,
                 },
-                Some(Next::Empty) => c.server.empty(),
-                Some(Next::Answer(answer)) => c.server.answer(answer),
-                Some(Next::End(reason, violation)) => {
+                Some(NextWrite::EmptyQuery) => c.server.write_empty_query_response(),
+                Some(NextWrite::Response(answer)) => c.server.write_response(answer),
+                Some(NextWrite::Close(Closing { reason, violation })) => {
                     match violation {
                         Some(violation) => self.fatal(c, violation).await,
                         None => c.flush().await?,
@@ -70,11 +70,11 @@
                 }
             }
             wrote = true;
-            if c.server.out.len() >= GATHER {
+            if c.server.output.len() >= GATHER {
                 c.flush().await?;
             }
         }
-        if !c.server.out.is_empty() {
+        if !c.server.output.is_empty() {
             c.flush().await?;
         }
         if wrote {
@@ -85,8 +85,8 @@
     }
 
     /// Tells the client why the connection ends, and waits a little until it has it, unless many wait.
-    pub(crate) async fn fatal(&self, c: &mut Connection, violation: Violation) {
-        c.server.fatal(violation);
+    pub(crate) async fn fatal(&self, c: &mut Connection, violation: ProtocolViolation) {
+        c.server.write_fatal(violation);
         let waits = self.may_linger();
         if c.flush().await.is_err() || c.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
@@ -104,12 +104,12 @@
 
 impl Connection {
     /// Puts the next part of the answer that passes through into the output.
-    fn pass(&mut self, ticket: Ticket) -> Result<Passed, Reason> {
+    fn pass(&mut self, ticket: RequestNumber) -> Result<Passed, Reason> {
         let lane = &self.lane;
         let found = || lane.flow(ticket).map(|flow| Passing { flow, begun: false, next: None });
         let Some(passing) = self.passing.take().or_else(found) else { return Ok(Passed::Cut(None)) };
         let passing = self.passing.insert(passing);
-        let out = &mut self.server.out;
+        let out = &mut self.server.output;
         if !passing.begun {
             if passing.flow.is_cut() {
                 return Ok(Passed::Cut(None));
@@ -126,7 +126,7 @@
             }
             Ok(Piece::End(mut rest)) => {
                 out.append(&mut rest);
-                self.server.ready();
+                self.server.write_ready();
                 self.over();
             }
             Err(TryRecvError::Empty) => return Ok(Passed::Nothing),
@@ -139,7 +139,7 @@
     /// none of it is told in words. Else the connection ends, unless other requests stand behind it, which would
     /// be lost: then the row is filled up, so that the error behind it can be read, and the connection goes on.
     async fn cut(&mut self, left: Option<usize>) -> Result<(), Reason> {
-        let behind = self.lane.pipeline.borrow().has_more() || !self.server.buffer.bytes().is_empty();
+        let behind = self.lane.pipeline.borrow().has_following() || !self.server.buffer.unread().is_empty();
         let more = behind || matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..));
         let mut left = match left {
             Some(1..) if !more => {
@@ -150,29 +150,29 @@
         };
         while left > 0 {
             let count = left.min(GATHER);
-            let filled = self.server.out.len() + count;
-            self.server.out.resize(filled, 0);
+            let filled = self.server.output.len() + count;
+            self.server.output.resize(filled, 0);
             left -= count;
             self.flush().await?;
         }
-        self.server.answer(Answer::Failed);
+        self.server.write_response(FinalResponse::Failed);
         self.over();
         Ok(())
     }
 
     fn over(&mut self) {
         self.passing = None;
-        self.lane.pipeline.borrow_mut().passed();
+        self.lane.pipeline.borrow_mut().finish_stream();
     }
 
     /// Writes all that is to go out, and hears the client meanwhile: one that goes while it takes nothing must not
     /// leave requests behind.
     pub(super) async fn flush(&mut self) -> Result<(), Reason> {
-        if self.server.out.is_empty() {
+        if self.server.output.is_empty() {
             return Ok(());
         }
         // Large answers are rare: their memory goes back.
-        let (out, stream) = (std::mem::take(&mut self.server.out), Rc::clone(&self.stream));
+        let (out, stream) = (std::mem::take(&mut self.server.output), Rc::clone(&self.stream));
         let (mut at, mut hears, most) = (0, true, Instant::now() + FLUSH_MOST);
         // Slow is not stalled: what it takes shows that it still reads.
         let mut until = Instant::now() + WRITE_WAIT;
@@ -203,8 +203,8 @@
     /// Whether nothing that it asked may still have to be sent on.
     fn waits_for_nothing(&self) -> bool {
         let pipeline = self.lane.pipeline.borrow();
-        let unasked = !pipeline.ending() && self.server.length().is_some();
-        !unasked && !pipeline.waits_for_members()
+        let unasked = !pipeline.is_closing() && self.server.next_command_bytes().is_some();
+        !unasked && !pipeline.has_open_request()
     }
 
     /// Reads past what the client still sends, for a moment: a connection closed over unread bytes is reset,
--- a/crates/transport/src/client/presence.rs
+++ b/crates/transport/src/client/presence.rs
@@ -22,7 +22,7 @@
     /// Reads what has come; 0 is the client's end. Where nothing may be read it waits for that alone. While a message
     /// grows (`bound`) it may be more than all may buffer.
     pub(super) async fn hear(&mut self, bound: bool) -> Result<usize, Reason> {
-        if self.lane.pipeline.borrow().ending() {
+        if self.lane.pipeline.borrow().is_closing() {
             return self.read_past().await;
         }
         if !self.reads(!bound) {
@@ -45,10 +45,10 @@
 
     /// Whether more may be read: not much that cannot be asked yet (`ahead`).
     pub(super) fn reads(&self, ahead: bool) -> bool {
-        let held = self.server.buffer.bytes().len();
+        let held = self.server.buffer.unread().len();
         // A message that is not yet whole grows on behind open ones where there is memory for it.
         let grows = || self.lane.memory.room() >= self.server.buffer.capacity();
-        let far = || held < AHEAD_MOST || self.server.length().is_none();
+        let far = || held < AHEAD_MOST || self.server.next_command_bytes().is_none();
         !ahead || held < AHEAD_LEAST || (far() && grows())
     }
 
@@ -57,7 +57,7 @@
         if !self.has_memory() && bound {
             return Err("out_of_memory");
         }
-        let count = (&*self.stream).read(self.server.buffer.space()).await.map_err(|_| "client_reset")?;
+        let count = (&*self.stream).read(self.server.buffer.spare()).await.map_err(|_| "client_reset")?;
         self.filled(count);
         Ok(count)
     }
@@ -65,7 +65,7 @@
     /// Reads what is there now; `None` where nothing is.
     fn read_at_once(&mut self) -> Result<Option<usize>, Reason> {
         self.has_memory();
-        let count = match self.stream.get_ref().read(self.server.buffer.space()) {
+        let count = match self.stream.get_ref().read(self.server.buffer.spare()) {
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return Ok(None),
             read => read.map_err(|_| "client_reset")?,
         };
@@ -75,13 +75,13 @@
 
     /// Makes room to read into; false where it is large and all together have too much.
     fn has_memory(&mut self) -> bool {
-        self.server.buffer.space();
+        self.server.buffer.spare();
         self.lane.buffer.set(self.server.buffer.capacity());
         self.lane.hold()
     }
 
     fn filled(&mut self, count: usize) {
-        self.server.buffer.filled(count);
+        self.server.buffer.commit(count);
         self.read += count as u64;
         if self.marks.len() >= MARKS {
             self.marks.pop_back().into_iter().for_each(|(_, at)| self.marks.push_back((self.read, at)));
@@ -92,11 +92,11 @@
 
     /// Reads past what comes behind the last command that is taken, up to the end.
     async fn read_past(&mut self) -> Result<usize, Reason> {
-        let held = self.server.buffer.bytes().len();
-        self.server.buffer.take(held);
+        let held = self.server.buffer.unread().len();
+        self.server.buffer.consume(held);
         while self.past < PAST_MOST {
             for _ in 0..READS_MOST {
-                let read = (&*self.stream).read(self.server.buffer.space()).await;
+                let read = (&*self.stream).read(self.server.buffer.spare()).await;
                 match read.map_err(|_| "client_reset")? {
                     0 => return Ok(0),
                     count => self.past += count,
--- a/crates/transport/src/clients.rs
+++ b/crates/transport/src/clients.rs
@@ -16,7 +16,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::server::{Key, Violation};
+use wharfplank_protocol::client_session::{CancelKey, ProtocolViolation};
 
 /// The most connections that the machine holds accepted for a listener.
 const BACKLOG: usize = 4096;
@@ -64,7 +64,7 @@
     /// Its answers. Its bell is rung for this connection alone: one for all would wake hundreds to close one.
     pub(super) lane: Rc<Lane>,
     /// What cancels its requests.
-    pub(super) key: Key,
+    pub(super) key: CancelKey,
     /// Since when it stands between requests, or since when it has not asked any.
     pub(super) idle: Cell<Option<Instant>>,
     /// Whether it has asked something.
@@ -198,7 +198,7 @@
         let task = async move {
             let mut connection = Connection::new(stream, Rc::clone(&peer), since);
             let reason = if full {
-                let violation = Violation { code: "53300", what: "too many connections" };
+                let violation = ProtocolViolation { code: "53300", message: "too many connections" };
                 clients.fatal(&mut connection, violation).await;
                 "too_many_connections"
             } else {
--- a/crates/transport/src/discovery/call.rs
+++ b/crates/transport/src/discovery/call.rs
@@ -105,7 +105,7 @@
                 Err(_) => ("malformed_list", false),
                 Ok(list) => {
                     connection.line.calls += 1;
-                    if answer.keep {
+                    if answer.keep_alive {
                         return Ok((list, Some(connection)));
                     }
                     connection.line.reason = Some("server_closed");
@@ -123,7 +123,7 @@
         match within(until, Async::<TcpStream>::connect(self.address)).await {
             Some(Ok(stream)) => {
                 let _ = stream.get_ref().set_nodelay(true);
-                Some(Connection { stream, reader: http::Reader::default(), line, begun: false })
+                Some(Connection { stream, reader: http::HttpResponseReader::default(), line, begun: false })
             }
             _ => {
                 line.reason = Some("connect_failed");
--- a/crates/transport/src/discovery/connection.rs
+++ b/crates/transport/src/discovery/connection.rs
@@ -13,7 +13,7 @@
 /// A connection to discovery; its line of the log is written when it ends.
 pub(super) struct Connection {
     pub(super) stream: Async<TcpStream>,
-    pub(super) reader: http::Reader,
+    pub(super) reader: http::HttpResponseReader,
     pub(super) line: Line,
     /// Whether a byte of the answer that is waited for has come.
     pub(super) begun: bool,
@@ -43,10 +43,10 @@
         target: &str,
         host: &str,
         limits: Limits,
-    ) -> Result<http::Answer, &'static str> {
+    ) -> Result<http::HttpResponse, &'static str> {
         let Limits { mut until, still, most } = limits;
         self.begun = false;
-        let asked = within(until, self.stream.write_all(&http::get(target, host))).await;
+        let asked = within(until, self.stream.write_all(&http::get_request(target, host))).await;
         asked.ok_or("timeout")?.map_err(|_| "reset")?;
         let mut ended = false;
         loop {
@@ -56,9 +56,9 @@
             if ended {
                 return Err("server_closed");
             }
-            let read = within(until, self.stream.read(self.reader.buffer.space())).await;
+            let read = within(until, self.stream.read(self.reader.buffer.spare())).await;
             let count = read.ok_or("timeout")?.map_err(|_| "reset")?;
-            self.reader.buffer.filled(count);
+            self.reader.buffer.commit(count);
             self.begun |= count > 0;
             ended = count == 0;
             until = until.max(Instant::now() + still).min(most);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -23,9 +23,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 use wharfplank_discovery::{Staleness, WatchEvent};
-use wharfplank_protocol::buffer::MODEST;
-use wharfplank_protocol::comment;
-use wharfplank_protocol::pipeline::Ticket;
+use wharfplank_protocol::pipeline::RequestNumber;
+use wharfplank_protocol::read_buffer::MAX_RETAINED_CAPACITY;
+use wharfplank_protocol::request_comment;
 use wharfplank_routing::{HostId, Micros, RequestId};
 
 /// A client's statement: kept once, and shared by all attempts of its request.
@@ -49,7 +49,7 @@
 
     /// Writes it with the time that is left.
     fn write(&self, out: &mut Vec<u8>, wait_ms: i64) {
-        comment::rewrite(out, &self.bytes, self.wait_at.clone(), wait_ms);
+        request_comment::write_with_deadline(out, &self.bytes, self.wait_at.clone(), wait_ms);
     }
 }
 
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub struct Asked {
     /// Its number.
-    pub ticket: Ticket,
+    pub ticket: RequestNumber,
     /// The id that the client gave it.
     pub id: String,
     /// The name of its class.
@@ -84,9 +84,9 @@
     /// A client asks.
     Asked(Box<Asked>),
     /// A client went away with its request open.
-    Gone(Ticket),
+    Gone(RequestNumber),
     /// A client cancelled a request, which has been answered.
-    Cancelled(Ticket),
+    Cancelled(RequestNumber),
     /// An attempt ended.
     Attempt {
         /// The request.
@@ -183,7 +183,7 @@
 
     /// Counts a buffer of this capacity; false where it is large and all together have too much.
     fn hold(&mut self, capacity: usize) -> bool {
-        let (used, bytes) = (&self.memory.used, capacity.saturating_sub(MODEST));
+        let (used, bytes) = (&self.memory.used, capacity.saturating_sub(MAX_RETAINED_CAPACITY));
         used.set(used.get() - self.bytes + bytes);
         self.bytes = bytes;
         bytes == 0 || used.get() <= self.memory.most
--- a/crates/transport/src/members.rs
+++ b/crates/transport/src/members.rs
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant};
 use wharfplank_admin::Figures;
 use wharfplank_pool_policy::Demand;
-use wharfplank_protocol::client::Answer;
+use wharfplank_protocol::member_response::MemberResponse;
 use wharfplank_routing::Ending;
 
 /// The most connections to a member that open at one time.
@@ -45,7 +45,7 @@
     /// In the module's words.
     pub ending: Ending,
     /// The member's answer, if it gave one.
-    pub answer: Option<Answer>,
+    pub answer: Option<MemberResponse>,
     /// A served answer that has only begun: it passes through, and ends with a report of its own.
     pub flow: Option<Flow>,
 }
--- a/crates/transport/src/members/attempt.rs
+++ b/crates/transport/src/members/attempt.rs
@@ -9,7 +9,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wharfplank_admin::Figures;
-use wharfplank_protocol::client::{self, Answer, Step, Verdict};
+use wharfplank_protocol::member_request;
+use wharfplank_protocol::member_response::{MemberResponse, ResponseEvent, ResponseKind};
 use wharfplank_routing::Ending;
 
 /// A value that passes through has come to its end by then, however slowly it is given and taken.
@@ -43,7 +44,7 @@
         let stage = Cell::default();
         let show = |out: &mut Vec<u8>| out.extend_from_slice(b"SHOW load");
         let (report, _) = self.ask(show, &stage, Instant::now() + timeout, None, None).await;
-        let answer = report.answer.filter(|answer| answer.verdict == Verdict::Row)?;
+        let answer = report.answer.filter(|answer| answer.kind == ResponseKind::Row)?;
         String::from_utf8(answer.messages.get(answer.value)?.to_vec()).ok()
     }
 
@@ -69,13 +70,13 @@
         connection.reason = IN_USE;
         connection.requests += 1;
         let idle = connection.used.elapsed();
-        let message = client::query(write);
+        let message = member_request::query_message(write);
         match within(until, connection.stream.write_all(&message)).await {
             Some(Ok(())) => {
                 stage.set(Stage::Written);
                 client.into_iter().for_each(|(figures, _)| figures.dispatched());
             }
-            // Broken before the last byte: it never ran. Cut off by the clock: it was never whole.
+            // ProtocolError before the last byte: it never ran. Cut off by the clock: it was never whole.
             Some(Err(_)) => {
                 connection.reason = "reset";
                 return bare(Ending::ConnectFailed);
@@ -84,18 +85,18 @@
         }
         drop(message);
         match within(deadline, connection.step()).await {
-            Some(Ok(Step::Whole(answer))) => (connection.over(answer), None),
-            Some(Ok(Step::Begun(first, left))) => {
+            Some(Ok(ResponseEvent::Complete(answer))) => (connection.over(answer), None),
+            Some(Ok(ResponseEvent::StreamStarted { bytes: first, remaining: left })) => {
                 self.heard.set(Instant::now());
                 let (flow, source) = Flow::new(first, left, &self.shared.memory);
                 let report = Report { ending: Ending::Ok, answer: None, flow: Some(flow) };
                 (report, Some(Stream { connection, source }))
             }
             // Nothing passes through that has not begun.
-            Some(Ok(Step::Piece(_))) => bare(Ending::Error),
+            Some(Ok(ResponseEvent::StreamChunk(_))) => bare(Ending::Error),
             Some(Err(reason)) => {
                 connection.reason = reason;
-                if !connection.client.begun() {
+                if !connection.client.has_partial_response() {
                     self.shared.died(idle);
                 }
                 bare(failed(reason))
@@ -149,18 +150,18 @@
 
 impl Connection {
     /// Takes a whole answer's meaning, and gives the connection back.
-    fn over(mut self, answer: Answer) -> Report {
+    fn over(mut self, answer: MemberResponse) -> Report {
         let now = Instant::now();
         self.member.heard.set(now);
         self.used = now;
-        let ending = match answer.verdict {
-            Verdict::Row | Verdict::NoRow => Ending::Ok,
-            Verdict::Miss => Ending::Miss,
-            Verdict::Full => Ending::Full,
-            Verdict::NotReady | Verdict::Done | Verdict::Error => Ending::Error,
+        let ending = match answer.kind {
+            ResponseKind::Row | ResponseKind::NoRow => Ending::Ok,
+            ResponseKind::Miss => Ending::Miss,
+            ResponseKind::Overloaded => Ending::Full,
+            ResponseKind::NotReady | ResponseKind::Done | ResponseKind::Error => Ending::Error,
         };
         if self.reason == IN_USE {
-            self.client.buffer.release();
+            self.client.buffer.release_memory();
             self.memory.hold(0);
             let member = Rc::clone(&self.member);
             member.rest(self);
@@ -186,7 +187,7 @@
                 None => Err(STALLED),
             };
             let answer = match step {
-                Ok(Step::Piece(bytes)) => {
+                Ok(ResponseEvent::StreamChunk(bytes)) => {
                     self.connection.member.heard.set(Instant::now());
                     match self.source.give(bytes).await {
                         true => continue,
@@ -194,8 +195,8 @@
                         false => return Report::bare(Ending::Cancelled),
                     }
                 }
-                Ok(Step::Whole(answer)) => answer,
-                Ok(Step::Begun(..)) => return Report::bare(Ending::Error),
+                Ok(ResponseEvent::Complete(answer)) => answer,
+                Ok(ResponseEvent::StreamStarted { .. }) => return Report::bare(Ending::Error),
                 Err(reason) => {
                     self.connection.reason = reason;
                     return Report::bare(failed(reason));
--- a/crates/transport/src/members/connection.rs
+++ b/crates/transport/src/members/connection.rs
@@ -7,7 +7,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::client::{self, Answer, Broken, Client, Step, Verdict};
+use wharfplank_protocol::member_request;
+use wharfplank_protocol::member_response::{
+    MemberResponse, ProtocolError, ResponseEvent, ResponseKind, ResponseReader,
+};
 
 /// An empty query is answered at once.
 const CHECK_WAIT: Duration = Duration::from_millis(100);
@@ -29,7 +32,7 @@
 
 pub(super) struct Connection {
     pub(super) stream: Async<TcpStream>,
-    pub(super) client: Client,
+    pub(super) client: ResponseReader,
     pub(super) peer: SocketAddr,
     pub(super) member: Rc<Member>,
     pub(super) since: Instant,
@@ -62,7 +65,7 @@
 
     /// Whether the member has neither closed it nor said something unasked.
     pub(super) fn quiet(&self) -> bool {
-        if self.client.begun() {
+        if self.client.has_partial_response() {
             return false;
         }
         let peeked = self.stream.get_ref().peek(&mut [0]);
@@ -72,9 +75,9 @@
     /// Whether the member answers an empty query; `None` when it says nothing.
     pub(super) async fn alive(&mut self) -> Option<bool> {
         let ask = async {
-            let written = self.stream.write_all(&client::query(|_| {})).await;
+            let written = self.stream.write_all(&member_request::query_message(|_| {})).await;
             let answer = if written.is_ok() { self.answer().await.ok() } else { None };
-            answer.is_some_and(|a| a.verdict == Verdict::Done)
+            answer.is_some_and(|a| a.kind == ResponseKind::Done)
         };
         let alive = within(Instant::now() + CHECK_WAIT, ask).await?;
         self.used = Instant::now();
@@ -82,15 +85,15 @@
     }
 
     /// The next whole answer; one with a row that passes through is none.
-    pub(super) async fn answer(&mut self) -> Result<Answer, Reason> {
+    pub(super) async fn answer(&mut self) -> Result<MemberResponse, Reason> {
         match self.step().await? {
-            Step::Whole(answer) => Ok(answer),
-            Step::Begun(..) | Step::Piece(_) => Err(MALFORMED),
+            ResponseEvent::Complete(answer) => Ok(answer),
+            ResponseEvent::StreamStarted { .. } | ResponseEvent::StreamChunk(_) => Err(MALFORMED),
         }
     }
 
     /// What the member gives next.
-    pub(super) async fn step(&mut self) -> Result<Step, Reason> {
+    pub(super) async fn step(&mut self) -> Result<ResponseEvent, Reason> {
         // Why no more bytes will come, once that is so.
         let mut over = None;
         loop {
@@ -101,25 +104,25 @@
                 }
                 (Ok(None), Some(reason)) => return Err(reason),
                 (Ok(None), None) => {}
-                (Err(Broken), _) => return Err(MALFORMED),
+                (Err(ProtocolError), _) => return Err(MALFORMED),
             }
-            let passing = self.client.passing();
+            let passing = self.client.is_streaming();
             let least = if passing && self.memory.memory.room() >= PASS_READ { PASS_READ } else { 0 };
             let holds = self.memory.hold(self.client.buffer.next_capacity(least));
             if !holds && !passing {
                 // What there is of a row passes on, so that no memory is needed for the rest.
-                match self.client.hurry() {
+                match self.client.stream_any_row() {
                     true => continue,
                     false => return Err(OUT_OF_MEMORY),
                 }
             }
             let stall = if passing { PASS_STALL } else { STALL };
-            let begun = self.client.begun();
-            let read = self.stream.read(self.client.buffer.space_of(least));
+            let begun = self.client.has_partial_response();
+            let read = self.stream.read(self.client.buffer.spare_with_capacity(least));
             let read = if begun { within(Instant::now() + stall, read).await } else { Some(read.await) };
             match read {
                 Some(Ok(0)) => over = Some("member_closed"),
-                Some(Ok(count)) => self.client.buffer.filled(count),
+                Some(Ok(count)) => self.client.buffer.commit(count),
                 Some(Err(_)) => over = Some("reset"),
                 None => return Err(STALLED),
             }
--- a/crates/transport/src/members/pool.rs
+++ b/crates/transport/src/members/pool.rs
@@ -9,7 +9,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Instant;
-use wharfplank_protocol::client::{self, Broken, Client, Step, Verdict};
+use wharfplank_protocol::member_request;
+use wharfplank_protocol::member_response::{ProtocolError, ResponseEvent, ResponseKind, ResponseReader};
 
 impl Member {
     pub(super) fn top_up(self: &Rc<Self>) {
@@ -65,21 +66,24 @@
     }
 
     /// Connects and greets.
-    async fn connect(self: &Rc<Self>, peer: SocketAddr) -> Result<Connection, Broken> {
-        let mut stream = Async::<TcpStream>::connect(peer).await.map_err(|_| Broken)?;
+    async fn connect(self: &Rc<Self>, peer: SocketAddr) -> Result<Connection, ProtocolError> {
+        let mut stream = Async::<TcpStream>::connect(peer).await.map_err(|_| ProtocolError)?;
         let _ = stream.get_ref().set_nodelay(true);
-        stream.write_all(&client::startup("web", "orders")).await.map_err(|_| Broken)?;
-        let mut client = Client::default();
-        client.rowless = self.shared.rowless;
+        stream
+            .write_all(&member_request::startup_message("web", "orders"))
+            .await
+            .map_err(|_| ProtocolError)?;
+        let mut client = ResponseReader::default();
+        client.accepts_no_row = self.shared.rowless;
         loop {
             match client.advance(false) {
-                Ok(Some(Step::Whole(answer))) if answer.verdict == Verdict::Done => break,
-                Ok(Some(_)) | Err(_) => return Err(Broken),
+                Ok(Some(ResponseEvent::Complete(answer))) if answer.kind == ResponseKind::Done => break,
+                Ok(Some(_)) | Err(_) => return Err(ProtocolError),
                 Ok(None) => {}
             }
-            match stream.read(client.buffer.space()).await {
-                Ok(0) | Err(_) => return Err(Broken),
-                Ok(count) => client.buffer.filled(count),
+            match stream.read(client.buffer.spare()).await {
+                Ok(0) | Err(_) => return Err(ProtocolError),
+                Ok(count) => client.buffer.commit(count),
             }
         }
         self.open.set(self.open.get() + 1);
@@ -109,7 +113,7 @@
             }
         }
         connection.reason = IDLE;
-        connection.client.buffer.release();
+        connection.client.buffer.release_memory();
         if self.wanted.get() {
             self.idle.borrow_mut().push(connection);
         } else {
@@ -122,15 +126,15 @@
         self.resting.set(self.resting.get() + 1);
         let member = Rc::clone(self);
         let task = async move {
-            if !connection.client.begun() {
+            if !connection.client.has_partial_response() {
                 within(Instant::now() + REST, connection.stream.readable()).await;
             }
             member.resting.set(member.resting.get() - 1);
             if connection.quiet() {
                 return member.put(connection);
             }
-            let spoke =
-                connection.client.begun() || matches!(connection.stream.get_ref().peek(&mut [0]), Ok(1..));
+            let spoke = connection.client.has_partial_response()
+                || matches!(connection.stream.get_ref().peek(&mut [0]), Ok(1..));
             connection.end(if spoke { "unasked" } else { "member_closed" });
             member.top_up();
         };
