--- a/crates/transport/src/client/output.rs
+++ b/crates/transport/src/client_connection/output.rs
@@ -1,9 +1,9 @@
 //! What a connection writes: answers in the order of their commands, whole or as they pass through.
 
 use super::{Connection, Reason, FLUSH_MOST, GATHER, LINGER, WRITE_WAIT};
-use crate::clients::{Clients, Leaving};
-use crate::flow::{Flow, Piece};
-use crate::within;
+use crate::client_listener::{ClientListener, Leaving};
+use crate::response_stream::{ResponseStream, StreamPiece};
+use crate::with_deadline;
 use async_channel::{Receiver, TryRecvError};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::net::Shutdown;
@@ -14,11 +14,11 @@
 
 /// The answer that passes through at present.
 pub(super) struct Passing {
-    flow: Flow,
+    flow: ResponseStream,
     /// Whether the client was given any of it.
     begun: bool,
     /// A piece that came while the connection waited.
-    pub(super) next: Option<Piece>,
+    pub(super) next: Option<StreamPiece>,
 }
 
 /// What there was of an answer that passes through.
@@ -40,12 +40,12 @@
 }
 
 impl Passing {
-    pub(super) fn pieces(&self) -> Receiver<Piece> {
-        self.flow.pieces.clone()
+    pub(super) fn pieces(&self) -> Receiver<StreamPiece> {
+        self.flow.pieces()
     }
 }
 
-impl Clients {
+impl ClientListener {
     /// Writes what can be written in order; whether that was anything. The end of the connection is an error.
     pub(super) async fn write(&self, c: &mut Connection) -> Result<bool, Reason> {
         let mut wrote = false;
@@ -78,7 +78,7 @@
             c.flush().await?;
         }
         if wrote {
-            c.lane.hold();
+            c.lane.update_reservation();
             c.peer.settled.set(c.peer.settled.get() || self.leaving.get() != Leaving::No);
         }
         Ok(wrote)
@@ -111,26 +111,26 @@
         let passing = self.passing.insert(passing);
         let out = &mut self.server.output;
         if !passing.begun {
-            if passing.flow.is_cut() {
+            if passing.flow.is_cut_off() {
                 return Ok(Passed::Cut(None));
             }
             passing.begun = true;
             out.append(&mut passing.flow.first);
             return Ok(Passed::Some);
         }
-        let next = passing.next.take().map_or_else(|| passing.flow.pieces.try_recv(), Ok);
+        let next = passing.next.take().map_or_else(|| passing.flow.try_next(), Ok);
         match next {
-            Ok(Piece::Row(mut bytes, _part)) => {
-                passing.flow.left = passing.flow.left.saturating_sub(bytes.len());
-                out.append(&mut bytes);
+            Ok(StreamPiece::Row(mut row)) => {
+                passing.flow.remaining = passing.flow.remaining.saturating_sub(row.bytes.len());
+                out.append(&mut row.bytes);
             }
-            Ok(Piece::End(mut rest)) => {
+            Ok(StreamPiece::End(mut rest)) => {
                 out.append(&mut rest);
                 self.server.write_ready();
                 self.over();
             }
             Err(TryRecvError::Empty) => return Ok(Passed::Nothing),
-            Err(TryRecvError::Closed) => return Ok(Passed::Cut(Some(passing.flow.left))),
+            Err(TryRecvError::Closed) => return Ok(Passed::Cut(Some(passing.flow.remaining))),
         }
         Ok(Passed::Some)
     }
@@ -184,7 +184,7 @@
                     false => future::pending().await,
                 }
             };
-            match within(most.min(until), future::or(taken, heard)).await {
+            match with_deadline(most.min(until), future::or(taken, heard)).await {
                 Some(Woken::Taken(0)) => return Err("client_reset"),
                 Some(Woken::Taken(count)) => {
                     at += count;
@@ -212,6 +212,6 @@
     pub(super) async fn drain(&mut self) {
         let mut sink = [0; 4096];
         let drain = async { while matches!((&*self.stream).read(&mut sink).await, Ok(1..)) {} };
-        within(Instant::now() + LINGER, drain).await;
+        with_deadline(Instant::now() + LINGER, drain).await;
     }
 }
--- a/crates/transport/src/client/lane.rs
+++ b/crates/transport/src/client_connection/response_writer.rs
@@ -1,8 +1,8 @@
 //! The answers of one client connection, between the broker and the connection.
 
 use super::Reason;
-use crate::flow::Flow;
-use crate::{Memory, Part};
+use crate::response_stream::ResponseStream;
+use crate::{MemoryBudget, MemoryReservation};
 use async_io::Async;
 use event_listener::Event as Bell;
 use std::cell::{Cell, RefCell};
@@ -14,73 +14,74 @@
 use wharfplank_protocol::pipeline::{FinalResponse, Pipeline, RequestNumber};
 
 /// The answers of one client connection, where the broker leaves them.
-pub struct Lane {
+pub struct ResponseWriter {
     pub(super) pipeline: RefCell<Pipeline>,
     pub(super) bell: Bell,
     /// Whether its client has gone.
     left: Cell<bool>,
     /// Its socket, while it is served.
     socket: RefCell<Weak<Async<TcpStream>>>,
-    pub(super) memory: Rc<Memory>,
-    part: RefCell<Part>,
+    pub(super) memory: Rc<MemoryBudget>,
+    reservation: RefCell<MemoryReservation>,
     /// What the connection reads into.
     pub(super) buffer: Cell<usize>,
     /// Answers that have begun and wait for their turn, or for the rest of themselves.
-    flows: RefCell<BTreeMap<RequestNumber, Flow>>,
+    flows: RefCell<BTreeMap<RequestNumber, ResponseStream>>,
 }
 
-impl std::fmt::Debug for Lane {
+impl std::fmt::Debug for ResponseWriter {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.pipeline.borrow().fmt(f)
     }
 }
 
-impl Lane {
+impl ResponseWriter {
     /// A connection that has asked nothing yet.
-    pub fn new(memory: &Rc<Memory>) -> Self {
-        let (pipeline, bell, part) = (RefCell::default(), Bell::new(), RefCell::new(Part::of(memory)));
-        Lane {
+    pub fn new(memory: &Rc<MemoryBudget>) -> Self {
+        let (pipeline, bell, reservation) =
+            (RefCell::default(), Bell::new(), RefCell::new(MemoryReservation::new(memory)));
+        ResponseWriter {
             pipeline,
             bell,
             left: Cell::new(false),
             socket: RefCell::default(),
             memory: Rc::clone(memory),
-            part,
+            reservation,
             buffer: Cell::new(0),
             flows: RefCell::default(),
         }
     }
 
     /// Takes the final answer of a request, and wakes the connection if it can be written now.
-    pub fn give(&self, ticket: RequestNumber, answer: FinalResponse) {
-        let due = self.pipeline.borrow_mut().complete(ticket, answer, self.memory.room());
-        self.hold();
+    pub fn respond(&self, ticket: RequestNumber, answer: FinalResponse) {
+        let due = self.pipeline.borrow_mut().complete(ticket, answer, self.memory.available());
+        self.update_reservation();
         if due {
-            self.ring();
+            self.wake();
         }
     }
 
     /// Takes the beginning of a request's final answer; the rest follows in the flow. Where nobody awaits it, the
     /// flow ends here, and the member's connection with it.
-    pub fn begin(&self, ticket: RequestNumber, flow: Flow) {
+    pub fn begin_stream(&self, ticket: RequestNumber, flow: ResponseStream) {
         let due = self.pipeline.borrow_mut().start_stream(ticket);
-        self.hold();
+        self.update_reservation();
         if due.is_some() {
             self.flows.borrow_mut().insert(ticket, flow);
         }
         if due == Some(true) {
-            self.ring();
+            self.wake();
         }
     }
 
     /// Whether this request still waits for its answer here: the event that says otherwise may stand behind others.
-    pub fn awaits(&self, ticket: RequestNumber) -> bool {
+    pub fn is_awaited(&self, ticket: RequestNumber) -> bool {
         !self.left.get() && self.pipeline.borrow().is_open(ticket)
     }
 
-    /// The same, with a look at the socket. Asked just before an attempt's first byte: what the attempt waited for and the
+    /// The same, with a look at the socket. ClientRequest just before an attempt's first byte: what the attempt waited for and the
     /// client's end may have come in one moment, and in either order.
-    pub fn awaits_now(&self, ticket: RequestNumber) -> bool {
+    pub fn is_awaited_now(&self, ticket: RequestNumber) -> bool {
         let ended = |socket: Rc<Async<TcpStream>>| match socket.get_ref().peek(&mut [0]) {
             Ok(count) => count == 0,
             Err(e) => !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
@@ -88,53 +89,54 @@
         if self.socket.borrow().upgrade().is_some_and(ended) {
             self.left.set(true);
         }
-        self.awaits(ticket)
+        self.is_awaited(ticket)
     }
 
     /// It is served on this socket from now on.
-    pub(super) fn serve(&self, socket: &Rc<Async<TcpStream>>) {
+    pub(super) fn attach_socket(&self, socket: &Rc<Async<TcpStream>>) {
         *self.socket.borrow_mut() = Rc::downgrade(socket);
     }
 
     /// Whether its client has gone.
-    pub fn has_left(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         self.left.get()
     }
 
     /// The client has gone: nothing is awaited any more. Tells what was open.
-    pub(super) fn leave(&self) -> Vec<RequestNumber> {
+    pub(super) fn disconnect(&self) -> Vec<RequestNumber> {
         self.left.set(true);
         self.pipeline.borrow().open_requests().collect()
     }
 
-    /// Ends what is open on request, and tells what that was.
+    /// ConnectionEndObserver what is open on request, and tells what that was.
     pub(super) fn cancel(&self) -> Vec<RequestNumber> {
         let ended = self.pipeline.borrow_mut().cancel_open();
-        self.hold();
-        self.ring();
+        self.update_reservation();
+        self.wake();
         ended
     }
 
     /// Hands over the flow of an answer whose turn it is.
-    pub(super) fn flow(&self, ticket: RequestNumber) -> Option<Flow> {
+    pub(super) fn flow(&self, ticket: RequestNumber) -> Option<ResponseStream> {
         self.flows.borrow_mut().remove(&ticket)
     }
 
     /// Wakes the connection.
-    pub fn ring(&self) {
+    pub fn wake(&self) {
         self.bell.notify(usize::MAX);
     }
 
     /// Counts what it holds; false where it is large and all together have too much.
-    pub(super) fn hold(&self) -> bool {
+    pub(super) fn update_reservation(&self) -> bool {
         let bytes = self.pipeline.borrow().buffered_bytes();
-        self.part.borrow_mut().hold(self.buffer.get() + bytes)
+        self.reservation.borrow_mut().resize(self.buffer.get() + bytes)
     }
 
     /// Whether a further command may be asked now.
-    pub(super) fn has_room(&self) -> bool {
+    pub(super) fn has_capacity(&self) -> bool {
         let pipeline = self.pipeline.borrow();
-        pipeline.has_capacity() && (pipeline.is_empty() || pipeline.buffered_bytes() <= self.memory.room())
+        pipeline.has_capacity()
+            && (pipeline.is_empty() || pipeline.buffered_bytes() <= self.memory.available())
     }
 
     pub(super) fn is_empty(&self) -> bool {
--- a/crates/transport/src/fleet/heard.rs
+++ b/crates/transport/src/fleet/heard.rs
@@ -3,14 +3,14 @@
 
 use super::Said;
 use crate::duty::Inbox;
-use crate::Event;
+use crate::ProxyEvent;
 use async_channel::Sender;
 use std::cell::RefCell;
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use wharfplank_routing::Micros;
-use wharfplank_shared_state::{Doubt, Doubts, News, ENTRIES_MOST};
+use wharfplank_shared_state::{InDoubtWrites, StateUpdate, WriteOutcome, WriteRecord, MAX_ENTRIES};
 
 /// News that may wait for the broker; past that the oldest go. They are lower bounds, and come again.
 const NEWS_MOST: usize = 4096;
@@ -23,30 +23,30 @@
     /// The members that the fleet does not hold sound, and what the latency of each counts for.
     Factors(Vec<(u64, f64)>),
     /// What other proxies learned.
-    News(Vec<News>),
+    News(Vec<StateUpdate>),
 }
 
 /// The serving thread's end.
 pub(super) struct Heard {
     told: Inbox<Told>,
-    doubts: Doubts,
+    doubts: InDoubtWrites,
     shares: Option<Vec<(String, f64)>>,
     factors: Option<Vec<(u64, f64)>>,
-    news: Vec<News>,
+    news: Vec<StateUpdate>,
 }
 
 impl Heard {
     /// Nothing heard yet but the writes in doubt that a snapshot brought.
-    pub(super) fn new(told: Inbox<Told>, known: Vec<(u64, Doubt, Micros)>) -> Heard {
-        let mut doubts = Doubts::bounded(ENTRIES_MOST);
-        known.into_iter().for_each(|(write, doubt, at)| doubts.merge(write, doubt, at));
+    pub(super) fn new(told: Inbox<Told>, known: Vec<WriteRecord>) -> Heard {
+        let mut doubts = InDoubtWrites::new(MAX_ENTRIES);
+        known.into_iter().for_each(|record| doubts.merge(record));
         Heard { told, doubts, shares: None, factors: None, news: Vec::new() }
     }
 
     /// What this proxy knows itself of a write: it holds here at once, whatever the fleet's thread does.
-    pub(super) fn doubt(&mut self, now: Micros, write: u64, doubt: Doubt) {
+    pub(super) fn doubt(&mut self, now: Micros, write: u64, outcome: WriteOutcome) {
         self.doubts.expire(now);
-        self.doubts.merge(write, doubt, now);
+        self.doubts.merge(WriteRecord { write, outcome, refreshed_at: now });
     }
 
     /// Whether a write may have run, by all that the fleet's thread has told until now.
@@ -54,7 +54,7 @@
         while let Some(told) = self.told.try_next() {
             self.take(told);
         }
-        self.doubts.has(write)
+        self.doubts.contains(write)
     }
 
     fn take(&mut self, told: Told) {
@@ -62,7 +62,7 @@
             Told::Shares(shares) => self.shares = Some(shares),
             Told::Factors(factors) => self.factors = Some(factors),
             Told::News(news) => news.into_iter().for_each(|news| match news {
-                News::Doubt { write, doubt, at } => self.doubts.merge(write, doubt, at),
+                StateUpdate::Write(record) => self.doubts.merge(record),
                 other => self.news.push(other),
             }),
         }
@@ -71,7 +71,7 @@
     }
 
     /// The next event for the broker; `None` once the thread has ended.
-    fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<Option<Event>> {
+    fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<Option<ProxyEvent>> {
         let ended = loop {
             match self.told.poll_next(cx) {
                 Poll::Ready(Some(told)) => self.take(told),
@@ -79,11 +79,11 @@
                 Poll::Pending => break false,
             }
         };
-        let shares = self.shares.take().map(Event::Shares);
-        let factors = || self.factors.take().map(Event::Factors);
-        let next = shares
-            .or_else(factors)
-            .or_else(|| (!self.news.is_empty()).then(|| Event::Told(std::mem::take(&mut self.news))));
+        let shares = self.shares.take().map(ProxyEvent::ZoneShares);
+        let factors = || self.factors.take().map(ProxyEvent::MemberFactors);
+        let next = shares.or_else(factors).or_else(|| {
+            (!self.news.is_empty()).then(|| ProxyEvent::PeerNews(std::mem::take(&mut self.news)))
+        });
         match next {
             Some(event) => Poll::Ready(Some(event)),
             None if ended => Poll::Ready(None),
@@ -94,13 +94,13 @@
 
 /// Passes on to the broker what is told. Where the thread failed, nobody will say when a zone is back or a member sound:
 /// all zones and members count in full again, as they do alone.
-pub(super) async fn relay(heard: Rc<RefCell<Heard>>, events: Sender<Event>, say: fn(Said<'_>)) {
+pub(super) async fn relay(heard: Rc<RefCell<Heard>>, events: Sender<ProxyEvent>, say: fn(Said<'_>)) {
     while let Some(event) = poll_fn(|cx| heard.borrow_mut().poll_event(cx)).await {
         let _ = events.send(event).await;
     }
     if heard.borrow().told.failed() {
         say(Said::Failed);
-        for event in [Event::Shares(Vec::new()), Event::Factors(Vec::new())] {
+        for event in [ProxyEvent::ZoneShares(Vec::new()), ProxyEvent::MemberFactors(Vec::new())] {
             let _ = events.send(event).await;
         }
     }
@@ -112,26 +112,32 @@
     use crate::duty::ring;
     use futures_lite::future::{block_on, poll_once};
 
-    fn doubt(write: u64) -> News {
-        News::Doubt { write, doubt: Doubt::Open, at: 1 }
+    fn doubt(write: u64) -> StateUpdate {
+        StateUpdate::Write(WriteRecord { write, outcome: WriteOutcome::InDoubt, refreshed_at: 1 })
     }
 
     #[test]
     fn a_doubt_holds_as_soon_as_it_is_told_and_the_broker_still_hears_the_rest() {
         let (mut told, inbox) = ring(8);
-        let mut heard = Heard::new(inbox, vec![(1, Doubt::Ran, 1)]);
+        let mut heard = Heard::new(
+            inbox,
+            vec![WriteRecord { write: 1, outcome: WriteOutcome::Executed, refreshed_at: 1 }],
+        );
         told.push(Told::Shares(vec![("a".to_string(), 0.0)]));
-        told.push(Told::News(vec![doubt(2), News::Suspected { member: 7, at: 3 }]));
+        told.push(Told::News(vec![doubt(2), StateUpdate::Suspected { member: 7, since: 3 }]));
         assert!(heard.in_doubt(1) && heard.in_doubt(2) && !heard.in_doubt(3));
-        heard.doubt(5, 3, Doubt::Open);
+        heard.doubt(5, 3, WriteOutcome::InDoubt);
         assert!(heard.in_doubt(3));
         told.push(Told::Shares(vec![("a".to_string(), 1.0)]));
         drop(told);
-        let events: Vec<Option<Event>> =
+        let events: Vec<Option<ProxyEvent>> =
             (0..3).map(|_| block_on(poll_fn(|cx| heard.poll_event(cx)))).collect();
-        assert!(matches!(&events[0], Some(Event::Shares(shares)) if shares[0].1 == 1.0), "the newest alone");
-        let news = |news: &[News]| news == [News::Suspected { member: 7, at: 3 }];
-        assert!(matches!(&events[1], Some(Event::Told(told)) if news(told)));
+        assert!(
+            matches!(&events[0], Some(ProxyEvent::ZoneShares(shares)) if shares[0].1 == 1.0),
+            "the newest alone"
+        );
+        let news = |news: &[StateUpdate]| news == [StateUpdate::Suspected { member: 7, since: 3 }];
+        assert!(matches!(&events[1], Some(ProxyEvent::PeerNews(told)) if news(told)));
         assert!(events[2].is_none());
     }
 
@@ -140,13 +146,13 @@
         let (mut told, inbox) = ring(8);
         let mut heard = Heard::new(inbox, Vec::new());
         for nth in 0..3 * NEWS_MOST as u64 {
-            told.push(Told::News(vec![News::Suspected { member: nth, at: 1 }]));
+            told.push(Told::News(vec![StateUpdate::Suspected { member: nth, since: 1 }]));
             assert!(!heard.in_doubt(9));
         }
         assert_eq!((heard.news.len(), told.dropped()), (NEWS_MOST, 0));
         assert!(matches!(
             block_on(poll_once(poll_fn(|cx| heard.poll_event(cx)))),
-            Some(Some(Event::Told(_)))
+            Some(Some(ProxyEvent::PeerNews(_)))
         ));
     }
 
@@ -161,8 +167,10 @@
         });
         assert!(failing.join().is_err());
         block_on(relay(heard, events, |said| assert!(matches!(said, Said::Failed))));
-        let heard: Vec<Event> = std::iter::from_fn(|| received.try_recv().ok()).collect();
-        assert!(matches!(&heard[..], [Event::Shares(left), Event::Shares(back), Event::Factors(none)]
-            if left.len() == 1 && back.is_empty() && none.is_empty()));
+        let heard: Vec<ProxyEvent> = std::iter::from_fn(|| received.try_recv().ok()).collect();
+        assert!(
+            matches!(&heard[..], [ProxyEvent::ZoneShares(left), ProxyEvent::ZoneShares(back), ProxyEvent::MemberFactors(none)]
+            if left.len() == 1 && back.is_empty() && none.is_empty())
+        );
     }
 }
