--- a/crates/transport/src/fleet/mod.rs
+++ b/crates/transport/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 pub use turns::{Turns, GAP, WAKING};
 pub use witness::{Fact, Seen, Witness};
 
-use super::{duty, Now, ProxyEvent};
+use super::{worker, Now, ProxyEvent};
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use heard::Heard;
@@ -30,7 +30,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use wharfplank_failover::FailoverController;
-use wharfplank_gossip::Peers;
+use wharfplank_gossip::Membership;
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{SharedState, WriteRecord};
 
@@ -44,7 +44,7 @@
 /// What the thread is made of; it is made there.
 pub struct Parts {
     /// The membership.
-    pub peers: Peers,
+    pub peers: Membership,
     /// The decision.
     pub zones: FailoverController,
     /// The replicated state, where it is on.
@@ -91,7 +91,7 @@
     let turns = Arc::new(Turns::new(side.now));
     let at = Arc::clone(&turns);
     let work = move |facts, told| drive::drive(parts(), socket, facts, told, at);
-    let (facts, told) = duty::start("fleet", RING, work)?;
+    let (facts, told) = worker::start("fleet", RING, work)?;
     let replicated = side.doubts.is_some();
     let heard = Rc::new(RefCell::new(Heard::new(told, side.doubts.unwrap_or_default())));
     let witness = Witness {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -8,7 +8,6 @@
 mod connection_end;
 mod deadline;
 pub mod discovery;
-pub mod duty;
 mod event;
 pub mod fleet;
 pub mod handover;
@@ -19,6 +18,7 @@
 mod request;
 pub mod response_stream;
 pub mod signals;
+pub mod worker;
 
 pub use connection_end::{ConnectionEnd, ConnectionEndObserver};
 pub use event::ProxyEvent;
