--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -1,7 +1,7 @@
 //! Health checks of members: starting them, and reading their load reports.
 
 use super::*;
-use wharfplank_protocol::client;
+use wharfplank_protocol::load_report::{self, ReportValue};
 use wharfplank_routing::ProbeResult;
 
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
@@ -46,13 +46,13 @@
     /// Reads the columns of a load report. A report that cannot be read, or whose position is ahead of the clock,
     /// counts as a failed check.
     fn read_load_report(&self, host: HostId, report: Option<&str>) -> ProbeResult {
-        let columns = report.and_then(|text| client::report(text, &self.parameters.report_columns));
+        let columns = report.and_then(|text| load_report::parse(text, &self.parameters.report_columns));
         let mut result =
             ProbeResult { host, answered: columns.is_some(), role: None, position: None, queued: None };
-        for (name, value) in columns.unwrap_or_default() {
+        for ReportValue { name, value } in columns.unwrap_or_default() {
             match name {
                 "x0" => {
-                    let position = client::seconds(value);
+                    let position = load_report::seconds_to_micros(value);
                     let latest = self.clock.now() + MAX_POSITION_AHEAD;
                     result.answered &= position.is_some_and(|position| position <= latest);
                     result.position = position.filter(|position| *position > 0);
--- a/crates/proxy/src/broker/request_table.rs
+++ b/crates/proxy/src/broker/request_table.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 use std::collections::{HashMap, HashSet};
-use wharfplank_protocol::pipeline::Ticket;
+use wharfplank_protocol::pipeline::RequestNumber;
 use wharfplank_transport::client_connection::ResponseWriter;
 use wharfplank_transport::Statement;
 
 /// A request that has no final answer yet.
 pub(super) struct OpenRequest {
-    pub(super) ticket: Ticket,
+    pub(super) ticket: RequestNumber,
     /// The id that the client gave the request.
     pub(super) client_id: String,
     pub(super) statement: Rc<Statement>,
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, OpenRequest>,
-    ids_by_ticket: HashMap<Ticket, RequestId>,
+    ids_by_ticket: HashMap<RequestNumber, RequestId>,
     client_ids: HashSet<String>,
 }
 
@@ -72,7 +72,7 @@
         self.requests.contains_key(&id)
     }
 
-    pub(super) fn id_of(&self, ticket: Ticket) -> Option<RequestId> {
+    pub(super) fn id_of(&self, ticket: RequestNumber) -> Option<RequestId> {
         self.ids_by_ticket.get(&ticket).copied()
     }
 
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -96,10 +96,10 @@
         if report.outcome == AttemptOutcome::Ok {
             let primary = report.answer.as_ref().and_then(|answer| answer.primary);
             self.record_served(id, host, primary);
-            self.finish(id, &Answer::Served(Vec::new()));
+            self.finish(id, &FinalResponse::Served(Vec::new()));
         } else {
             self.count_request(id, Disposition::Failed, "cut_off");
-            self.finish(id, &Answer::Failed);
+            self.finish(id, &FinalResponse::Failed);
         }
     }
 
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -3,6 +3,7 @@
 
 use super::clock::Clock;
 use super::config::Config;
+use super::error::{Component, StartError};
 use super::log;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
@@ -11,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use wharfplank_failover::{FailoverController, FailoverTerms, IsolationPolicy};
-use wharfplank_gossip::{Peer, Peers, Terms as PeerTerms};
+use wharfplank_gossip::{Membership, Peer, SwimConfig};
 use wharfplank_settings::{AloneChoice, Peers as PeerSettings, Replica as ReplicaSettings};
 use wharfplank_shared_state::{snapshot, SharedState, SharedStateConfig};
 use wharfplank_transport::fleet::{self, Judge, Parts, Side, Witness};
@@ -34,27 +35,27 @@
     clock: Clock,
     events: Sender<ProxyEvent>,
     executor: &LocalExecutor<'static>,
-) -> Result<(Witness, Task<()>), String> {
+) -> Result<(Witness, Task<()>), StartError> {
     let socket = UdpSocket::bind(settings.listen())
-        .map_err(|e| format!("peers: listen on {}: {e}", settings.listen))?;
+        .map_err(StartError::component_listen(Component::Peers, &settings.listen))?;
     let bound = match socket.local_addr() {
         Ok(std::net::SocketAddr::V4(bound)) => bound,
-        Ok(other) => return Err(format!("peers: bound to {other}, which is no IPv4 address")),
-        Err(e) => return Err(format!("peers: {e}")),
+        Ok(other) => return Err(StartError::PeersNotIpv4(other)),
+        Err(source) => return Err(StartError::component_start(Component::Peers)(source)),
     };
     let advertise: SocketAddrV4 = settings.advertise().unwrap_or(bound);
     let skew = settings.clock_skew_ms * 1000;
     let now = clock.now() + skew;
     // A restarted process is a newer generation: its views and notes replace those of the one before.
     let me = Peer::new(advertise, &config.terms.zone, (now / 1000).max(1) as u64);
-    let terms = PeerTerms {
-        probe_ms: settings.probe_ms,
-        probe_rtt_ms: (settings.probe_ms * 3 / 10).max(1),
-        suspect_ms: settings.suspect_ms,
-        gossip_ms: settings.gossip_ms,
-        fanout: settings.fanout,
-        expected: settings.expected,
-        ..PeerTerms::default()
+    let swim = SwimConfig {
+        ping_interval_ms: settings.probe_ms,
+        ping_timeout_ms: (settings.probe_ms * 3 / 10).max(1),
+        suspicion_timeout_ms: settings.suspect_ms,
+        gossip_interval_ms: settings.gossip_ms,
+        gossip_fanout: settings.fanout,
+        expected_proxies: settings.expected,
+        ..SwimConfig::default()
     };
     let seed = config.settings.seed;
     // A returning zone grows as a cold member does, by the platform's own figures where it gives them.
@@ -88,7 +89,7 @@
     let seeds = settings.seeds();
     let parts = move || Parts {
         judge: health.then(|| Judge::new(me.addr)),
-        peers: Peers::new(me, terms, seed, now),
+        peers: Membership::new(me, swim, seed, now),
         zones: FailoverController::new(failover, isolation),
         replica: state,
         keep: keep.map(|keep| Box::new(keep) as fleet::Keep),
@@ -98,7 +99,7 @@
         say: log::fleet,
     };
     log::peers_bound(bound, advertise);
-    fleet::start(parts, side, socket, executor).map_err(|e| format!("peers: {e}"))
+    fleet::start(parts, side, socket, executor).map_err(StartError::component_start(Component::Peers))
 }
 
 /// This process's copy of the replicated state, with what its snapshot still has to say.
@@ -130,7 +131,7 @@
 
 /// Writes snapshots on a thread of its own: beside the file, then in its place, so that a kill leaves a whole one.
 /// One may wait; a newer one meanwhile is dropped, since another follows.
-fn keeper(path: PathBuf) -> Result<impl Fn(Vec<u8>) + Send, String> {
+fn keeper(path: PathBuf) -> Result<impl Fn(Vec<u8>) + Send, StartError> {
     let (sender, received) = std::sync::mpsc::sync_channel::<Vec<u8>>(1);
     let work = move || {
         let beside = path.with_extension("new");
@@ -146,6 +147,6 @@
     std::thread::Builder::new()
         .name("replica".to_string())
         .spawn(work)
-        .map_err(|e| format!("replica: {e}"))?;
+        .map_err(StartError::component_start(Component::Replica))?;
     Ok(move |bytes| drop(sender.try_send(bytes)))
 }
--- a/crates/proxy/src/journal.rs
+++ b/crates/proxy/src/journal.rs
@@ -2,14 +2,15 @@
 
 use super::clock::Clock;
 use super::config::Config;
+use super::error::{Component, StartError};
 use super::log;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
 use wharfplank_records::recorder::Terms;
 use wharfplank_records::{record, store::Limits, Outcome, Record, Recorder, Seen};
-use wharfplank_rollout::status::name;
-use wharfplank_rollout::Said;
+use wharfplank_rollout::status::rollout_name;
+use wharfplank_rollout::ServiceEvent;
 use wharfplank_routing::{ClassId, GroupId, HostId, MemberView, Micros, RejectReason};
 use wharfplank_settings::Records;
 
@@ -57,7 +58,7 @@
 
 impl Journal {
     /// Starts the recorder that the settings ask for.
-    pub fn start(settings: Option<&Records>, config: &Config, clock: Clock) -> Result<Journal, String> {
+    pub fn start(settings: Option<&Records>, config: &Config, clock: Clock) -> Result<Journal, StartError> {
         let aims = config.settings.classes.iter().map(|c| c.latency_objective).collect();
         let mut journal = Journal { recorder: None, aims, listed: HashMap::new() };
         if let Some(settings) = settings {
@@ -75,7 +76,7 @@
                 limits,
             };
             let recorder = Recorder::start(terms, move || clock.now(), log::records);
-            journal.recorder = Some(recorder.map_err(|e| format!("records: {e}"))?);
+            journal.recorder = Some(recorder.map_err(StartError::component_start(Component::Records))?);
         }
         journal.note(|| Record::Proxy { zone: config.terms.zone.clone() });
         for (class, (name, aim)) in config.terms.class_names.iter().zip(journal.aims.clone()).enumerate() {
@@ -186,11 +187,11 @@
     }
 
     /// Something was done in a release that this proxy drives.
-    pub fn released(&self, said: &Said, names: &BTreeMap<u64, String>) {
-        let Said::Did(plan, action) = said else { return };
+    pub fn released(&self, event: &ServiceEvent, names: &BTreeMap<u64, String>) {
+        let ServiceEvent::Action(rollout, action) = event else { return };
         self.note(|| {
             let (what, member, detail) = log::words(names, action);
-            let (release, what, member) = (name(*plan), what.to_string(), member.to_string());
+            let (release, what, member) = (rollout_name(*rollout), what.to_string(), member.to_string());
             Record::Release { release, what, member, detail }
         });
     }
--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -3,14 +3,15 @@
 
 use super::clock::Clock;
 use super::config::Config;
+use super::error::{Component, StartError};
 use async_executor::LocalExecutor;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::UdpSocket;
 use std::rc::Rc;
 use wharfplank_negative_cache::{Asked, Hasher, Node, Terms, Ticket};
-use wharfplank_protocol::client::{Answer, Verdict};
 use wharfplank_protocol::endpoint_list::EndpointRecord;
+use wharfplank_protocol::member_response::{MemberResponse, ResponseKind};
 use wharfplank_routing::{AttemptOutcome, ClassId, Consistency, GroupId, HostId, Micros, RequestId};
 use wharfplank_settings::Missing as MissingSettings;
 use wharfplank_shared_state::hash_name;
@@ -59,9 +60,10 @@
         config: &Config,
         clock: Clock,
         executor: &LocalExecutor<'static>,
-    ) -> Result<Lookups, String> {
+    ) -> Result<Lookups, StartError> {
         let at = settings.listen();
-        let socket = UdpSocket::bind(at).map_err(|e| format!("missing: listen on {at}: {e}"))?;
+        let socket =
+            UdpSocket::bind(at).map_err(StartError::component_listen(Component::NegativeCache, at))?;
         let terms = Terms {
             apart: settings.apart_ms * 1000,
             late: settings.late_ms * 1000,
@@ -75,7 +77,7 @@
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
         let start = missing::start(Rc::clone(&node), socket, now_of, tell, executor);
-        start.map_err(|e| format!("missing: {e}"))?;
+        start.map_err(StartError::component_start(Component::NegativeCache))?;
         let is = |names: &str, name: &str| names.split(' ').any(|n| n == name);
         let kinds = config.terms.class_names.iter().zip(&config.settings.classes).map(|(name, class)| {
             match class.consistency {
@@ -187,14 +189,14 @@
         class: ClassId,
         asked: &Asked,
         position: Option<Micros>,
-        answer: &Answer,
+        answer: &MemberResponse,
     ) {
         let (Some(on), Kind::Read(_)) = (&self.on, self.kind(class)) else { return };
-        match (answer.verdict, position) {
-            (Verdict::NoRow, Some(position)) if self.primaries.values().any(|p| *p == asked.primary) => {
+        match (answer.kind, position) {
+            (ResponseKind::NoRow, Some(position)) if self.primaries.values().any(|p| *p == asked.primary) => {
                 on.node.borrow_mut().heard(now, asked, position, &answer.messages)
             }
-            (Verdict::Row, _) => on.node.borrow_mut().found(asked),
+            (ResponseKind::Row, _) => on.node.borrow_mut().found(asked),
             _ => {}
         }
     }
--- a/crates/transport/src/discovery/connection.rs
+++ b/crates/transport/src/discovery/connection.rs
@@ -56,7 +56,7 @@
 /// A connection to discovery.
 pub(super) struct Connection {
     pub(super) stream: Async<TcpStream>,
-    pub(super) reader: http::Reader,
+    pub(super) reader: http::HttpResponseReader,
     pub(super) log_entry: LogEntry,
     /// Whether a byte of the current response has arrived.
     pub(super) response_begun: bool,
@@ -96,15 +96,15 @@
         target: &str,
         host: &str,
         limits: Limits,
-    ) -> Result<http::Answer, CloseReason> {
+    ) -> Result<http::HttpResponse, CloseReason> {
         self.response_begun = false;
-        let request = http::get(target, host);
+        let request = http::get_request(target, host);
         let written = with_deadline(limits.first_byte_by, self.stream.write_all(&request)).await;
         written.ok_or(CloseReason::Timeout)?.map_err(|_| CloseReason::Reset)?;
         self.read_response(limits).await
     }
 
-    async fn read_response(&mut self, limits: Limits) -> Result<http::Answer, CloseReason> {
+    async fn read_response(&mut self, limits: Limits) -> Result<http::HttpResponse, CloseReason> {
         let mut next_byte_by = limits.first_byte_by;
         let mut at_end = false;
         loop {
@@ -124,9 +124,9 @@
 
     /// Reads into the buffer; 0 where discovery closed the connection.
     async fn read_some(&mut self, deadline: Instant) -> Result<usize, CloseReason> {
-        let read = with_deadline(deadline, self.stream.read(self.reader.buffer.space())).await;
+        let read = with_deadline(deadline, self.stream.read(self.reader.buffer.spare())).await;
         let count = read.ok_or(CloseReason::Timeout)?.map_err(|_| CloseReason::Reset)?;
-        self.reader.buffer.filled(count);
+        self.reader.buffer.commit(count);
         Ok(count)
     }
 }
--- a/crates/transport/src/discovery/poll.rs
+++ b/crates/transport/src/discovery/poll.rs
@@ -174,7 +174,12 @@
             Some(Ok(stream)) => {
                 // Without the option polls are slower, and no less correct.
                 let _ = stream.get_ref().set_nodelay(true);
-                Ok(Connection { stream, reader: http::Reader::default(), log_entry, response_begun: false })
+                Ok(Connection {
+                    stream,
+                    reader: http::HttpResponseReader::default(),
+                    log_entry,
+                    response_begun: false,
+                })
             }
             Some(Err(_)) | None => {
                 log_entry.reason = Some(CloseReason::ConnectFailed);
@@ -203,12 +208,12 @@
 }
 
 /// The list of a response, and whether its connection can be used again.
-fn read_list(response: http::Answer) -> Result<(EndpointList, bool), CloseReason> {
+fn read_list(response: http::HttpResponse) -> Result<(EndpointList, bool), CloseReason> {
     if response.status != STATUS_OK {
         return Err(CloseReason::HttpStatus);
     }
     let list = endpoint_list::parse(&response.body).map_err(|_| CloseReason::MalformedList)?;
-    Ok((list, response.keep))
+    Ok((list, response.keep_alive))
 }
 
 /// Whether so little time has passed that an idle connection must have been closed before it was used.
