--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use wharfplank_admin::ReplyStatus;
-use wharfplank_protocol::comment::ID_MOST;
-use wharfplank_protocol::pipeline::Ticket;
+use wharfplank_protocol::pipeline::RequestNumber;
+use wharfplank_protocol::request_comment::MAX_ID_BYTES;
 use wharfplank_routing::{Request, SessionKey};
 use wharfplank_transport::ClientRequest;
 
@@ -30,14 +30,14 @@
         let Some(class) = self.class_id(&asked.class) else {
             asked
                 .response_writer
-                .respond(asked.ticket, Answer::Malformed("the class is not in the settings"));
+                .respond(asked.ticket, FinalResponse::Malformed("the class is not in the settings"));
             return;
         };
         // Members tell requests apart by their ids: a second one would be taken for a copy of the first.
         if !self.requests.reserve_client_id(&asked.id) {
             asked
                 .response_writer
-                .respond(asked.ticket, Answer::Malformed("the id is in use by another open request"));
+                .respond(asked.ticket, FinalResponse::Malformed("the id is in use by another open request"));
             return;
         }
         let now = self.clock.now();
@@ -106,10 +106,10 @@
     }
 
     /// A client cancelled a request, which its connection has answered: none of its attempts continues.
-    pub(super) fn on_request_cancelled(&mut self, ticket: Ticket) {
+    pub(super) fn on_request_cancelled(&mut self, ticket: RequestNumber) {
         let Some(id) = self.requests.id_of(ticket) else { return };
         self.count_request(id, Disposition::Failed, "cancelled");
-        let attempts = self.finish(id, &Answer::Cancelled).map_or(0, |request| request.attempts);
+        let attempts = self.finish(id, &FinalResponse::Cancelled).map_or(0, |request| request.attempts);
         let begun = match self.attempt_policy.may_cancel {
             true => BegunAttempts::Cancel,
             false => BegunAttempts::Continue,
@@ -119,7 +119,7 @@
     }
 
     /// A client disconnected: its request needs no answer any more.
-    pub(super) fn on_client_disconnected(&mut self, ticket: Ticket) {
+    pub(super) fn on_client_disconnected(&mut self, ticket: RequestNumber) {
         let Some(id) = self.requests.id_of(ticket) else { return };
         self.note_abandoned_write(id);
         let attempts = self.close(id).map_or(0, |request| request.attempts);
@@ -173,20 +173,22 @@
     }
 
     /// Gives a request its one final answer.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         if let Some(request) = self.finish(id, &answer) {
             request.responses.respond(request.ticket, answer);
         }
     }
 
     /// Counts the one final answer of an open request, and removes the request from the tables.
-    pub(super) fn finish(&mut self, id: RequestId, answer: &Answer) -> Option<OpenRequest> {
+    pub(super) fn finish(&mut self, id: RequestId, answer: &FinalResponse) -> Option<OpenRequest> {
         self.gossip.answered(self.clock.now(), answer);
         let request = self.close(id)?;
         let end = match answer {
-            Answer::Served(_) => ReplyStatus::Success,
-            Answer::Refused(_) => ReplyStatus::Overload,
-            Answer::Failed | Answer::Cancelled | Answer::Malformed(_) => ReplyStatus::Error,
+            FinalResponse::Served(_) => ReplyStatus::Success,
+            FinalResponse::Rejected { .. } => ReplyStatus::Overload,
+            FinalResponse::Failed | FinalResponse::Cancelled | FinalResponse::Malformed(_) => {
+                ReplyStatus::Error
+            }
         };
         self.pools.metrics.record_reply(request.class.0, end);
         Some(request)
@@ -194,11 +196,11 @@
 }
 
 /// The router's id of a request: the ticket, which keeps equal ids of several clients apart, and the client's id.
-fn request_id(ticket: Ticket, client_id: &str) -> RequestId {
+fn request_id(ticket: RequestNumber, client_id: &str) -> RequestId {
     const TICKET_DIGITS: usize = 16;
     let mut bytes = [b'.'; 36];
     bytes[..TICKET_DIGITS].copy_from_slice(format!("{:016x}", ticket.0).as_bytes());
-    let client_id = &client_id.as_bytes()[..client_id.len().min(ID_MOST)];
+    let client_id = &client_id.as_bytes()[..client_id.len().min(MAX_ID_BYTES)];
     bytes[TICKET_DIGITS..TICKET_DIGITS + client_id.len()].copy_from_slice(client_id);
     RequestId(bytes)
 }
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -71,7 +71,7 @@
     fn reject(&mut self, id: RequestId, retry_after: Micros, reason: routing::RejectReason) {
         self.count_request(id, Disposition::Rejected, recorded(reason).name());
         self.record_request(id, |journal, ended| journal.given_up(ended, true, reason));
-        self.answer(id, Answer::Refused((retry_after + 999) / 1000));
+        self.answer(id, FinalResponse::Rejected { retry_after_ms: (retry_after + 999) / 1000 });
     }
 
     /// Answers a request that the router has given up.
@@ -81,6 +81,6 @@
         }
         self.count_request(id, Disposition::Failed, recorded(reason).name());
         self.record_request(id, |journal, ended| journal.given_up(ended, false, reason));
-        self.answer(id, Answer::Failed);
+        self.answer(id, FinalResponse::Failed);
     }
 }
--- a/crates/transport/src/client_listener.rs
+++ b/crates/transport/src/client_listener.rs
@@ -18,14 +18,15 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::server::Violation;
+use wharfplank_protocol::client_session::ProtocolViolation;
 
 /// The most connections that the operating system queues for the listener.
 const BACKLOG: usize = 4096;
 /// The pause after a connection could not be accepted, most likely since no descriptor was left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// What a client is told for whose connection there is no place.
-const TOO_MANY_CONNECTIONS: Violation = Violation { code: "53300", what: "too many connections" };
+const TOO_MANY_CONNECTIONS: ProtocolViolation =
+    ProtocolViolation { code: "53300", message: "too many connections" };
 
 /// The listener for clients, with all their connections.
 pub struct ClientListener {
--- a/crates/transport/src/client_listener/connection_state.rs
+++ b/crates/transport/src/client_listener/connection_state.rs
@@ -4,14 +4,14 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Instant;
-use wharfplank_protocol::server::Key;
+use wharfplank_protocol::client_session::CancelKey;
 
 /// The state of a client connection that the listener and other connections see.
 pub(crate) struct ConnectionState {
     /// Its responses. It is woken by itself: one event for all would wake hundreds to close one.
     pub(crate) response_writer: Rc<ResponseWriter>,
     /// The key that a cancel request has to name.
-    pub(crate) cancel_key: Key,
+    pub(crate) cancel_key: CancelKey,
     /// Since when it waits without an open request, while it does. Before its first command that is since it was
     /// accepted.
     pub(crate) idle_since: Cell<Option<Instant>>,
@@ -26,7 +26,7 @@
 
 impl ConnectionState {
     /// The state of a connection that has just been accepted.
-    pub(super) fn new(response_writer: Rc<ResponseWriter>, cancel_key: Key) -> Self {
+    pub(super) fn new(response_writer: Rc<ResponseWriter>, cancel_key: CancelKey) -> Self {
         ConnectionState {
             response_writer,
             cancel_key,
--- a/crates/transport/src/member_pool/attempt.rs
+++ b/crates/transport/src/member_pool/attempt.rs
@@ -10,7 +10,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::client::{self, Step, Verdict};
+use wharfplank_protocol::member_request;
+use wharfplank_protocol::member_response::{ResponseEvent, ResponseKind};
 use wharfplank_routing::AttemptOutcome;
 
 /// The query for a member's load report.
@@ -77,7 +78,7 @@
 #[derive(Clone, Copy)]
 enum Sender<'a> {
     /// A client's, whose attempts are counted. It is not sent if the client does not await it any more.
-    Client { is_awaited: &'a dyn Fn() -> bool },
+    ResponseReader { is_awaited: &'a dyn Fn() -> bool },
     /// A health check of this proxy.
     HealthCheck,
 }
@@ -99,7 +100,7 @@
             let remaining = limits.deadline.saturating_duration_since(Instant::now());
             statement.write_with_timeout(out, remaining.as_millis().max(1) as i64);
         };
-        let sender = Sender::Client { is_awaited: &is_awaited };
+        let sender = Sender::ResponseReader { is_awaited: &is_awaited };
         self.exchange(write_query, &stage, limits, sender).await
     }
 
@@ -109,7 +110,7 @@
         let limits = AttemptLimits { deadline: Instant::now() + timeout, send_by: None };
         let stage = Cell::default();
         let completion = self.exchange(write_query, &stage, limits, Sender::HealthCheck).await;
-        let answer = completion.report.answer.filter(|answer| answer.verdict == Verdict::Row)?;
+        let answer = completion.report.answer.filter(|answer| answer.kind == ResponseKind::Row)?;
         String::from_utf8(answer.messages.get(answer.value)?.to_vec()).ok()
     }
 
@@ -127,24 +128,28 @@
             Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
         };
-        if matches!(sender, Sender::Client { is_awaited } if !is_awaited()) {
+        if matches!(sender, Sender::ResponseReader { is_awaited } if !is_awaited()) {
             self.release(connection);
             return AttemptOutcome::NotSent.into();
         }
         stage.set(AttemptStage::Writing);
         let idle_time = connection.begin_request();
-        if let Err(error) = connection.send_query(client::query(write_query), send_until).await {
+        if let Err(error) =
+            connection.send_query(member_request::query_message(write_query), send_until).await
+        {
             return error.attempt_outcome().into();
         }
         stage.set(AttemptStage::Written);
-        if let Sender::Client { .. } = sender {
+        if let Sender::ResponseReader { .. } = sender {
             self.context.metrics.record_dispatch();
         }
         match with_deadline(limits.deadline, connection.read_step()).await {
-            Some(Ok(Step::Whole(answer))) => connection.complete(answer).into(),
-            Some(Ok(Step::Begun(first, remaining))) => self.begin_stream(connection, first, remaining),
+            Some(Ok(ResponseEvent::Complete(answer))) => connection.complete(answer).into(),
+            Some(Ok(ResponseEvent::StreamStarted { bytes: first, remaining })) => {
+                self.begin_stream(connection, first, remaining)
+            }
             // Nothing is streamed that has not begun.
-            Some(Ok(Step::Piece(_))) => AttemptOutcome::Error.into(),
+            Some(Ok(ResponseEvent::StreamChunk(_))) => AttemptOutcome::Error.into(),
             Some(Err(error)) => self.on_read_failed(connection, error, idle_time),
             None => self.on_response_timeout(connection, started),
         }
@@ -206,7 +211,7 @@
         idle_time: Duration,
     ) -> AttemptCompletion {
         connection.end_reason = error.into();
-        if !connection.client.begun() {
+        if !connection.client.has_partial_response() {
             self.context.on_dead_connection(idle_time);
         }
         error.attempt_outcome().into()
