--- /dev/null
+++ b/crates/fleet-harness/tests/schedule.rs
@@ -0,0 +1,25 @@
+//! Schedules that are drawn, written out and read back.
+
+use wharfplank_fleet_harness::schedule::{Fault, Scenario, Schedule};
+
+#[test]
+fn a_schedule_is_drawn_alike_from_a_seed_and_read_back_as_written() {
+    for scenario in Scenario::ALL {
+        let one = Schedule::draw(scenario, 7, 11, true);
+        assert_eq!(one, Schedule::draw(scenario, 7, 11, true));
+        let text = serde_json::to_string(&one).unwrap();
+        assert_eq!(Schedule::read(&text), Ok(one));
+        assert_eq!(Scenario::named(scenario.name()), Some(scenario));
+    }
+    let killed = Schedule::draw(Scenario::Kill70, 10, 3, true);
+    assert!(killed.faults.iter().any(|f| matches!(f, Fault::Kill { proxies, .. } if proxies.len() == 7)));
+}
+
+#[test]
+fn a_schedule_that_names_what_the_run_lacks_is_refused() {
+    let mut schedule = Schedule::draw(Scenario::Pause, 5, 1, true);
+    schedule.faults.push(Fault::Pause { at_ms: 0, for_ms: 1, proxy: 9 });
+    assert!(Schedule::read(&serde_json::to_string(&schedule).unwrap()).is_err());
+    schedule.proxies = 1000;
+    assert!(Schedule::read(&serde_json::to_string(&schedule).unwrap()).is_err());
+}
