--- /dev/null
+++ b/crates/fleet-harness/src/goodput.rs
@@ -0,0 +1,101 @@
+//! The goodput of a run weighted by the classes' priorities: what the requests were worth, what of it was served, and
+//! what a router that always knows the truth could have served. Agreement among proxies is judged by this, not by
+//! itself.
+
+use crate::ground_truth::GroundTruth;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use wharfplank_lab::fleet::{Class, Micros, CLASSES};
+use wharfplank_lab::load::{Done, Seen};
+
+/// The weighted goodput of one class's requests, or of all.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Goodput {
+    /// The weight of all requests.
+    #[serde(rename = "asked")]
+    pub offered: f64,
+    /// The weight served: a late answer has the class's part of it.
+    pub served: f64,
+    /// The most that any router could have served.
+    #[serde(rename = "bound")]
+    pub upper_bound: f64,
+    /// Answers within the class's latency objective.
+    pub in_time: u64,
+    /// Answers that were later.
+    pub late: u64,
+    /// Requests rejected.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+}
+
+impl Goodput {
+    fn add(&mut self, other: Goodput) {
+        self.offered += other.offered;
+        self.served += other.served;
+        self.upper_bound += other.upper_bound;
+        self.in_time += other.in_time;
+        self.late += other.late;
+        self.rejected += other.rejected;
+    }
+
+    /// The goodput of one request.
+    fn of(request: &Done, truth: &GroundTruth, zone: &str) -> Goodput {
+        let class = &CLASSES[request.class];
+        let is_served = request.seen == Seen::Served;
+        let is_in_time = request.at - request.due <= class.aim;
+        Goodput {
+            offered: class.worth,
+            served: if is_served { weight(class, request.due, request.at) } else { 0.0 },
+            upper_bound: truth
+                .earliest_answer(request, zone)
+                .map_or(0.0, |answered_at| weight(class, request.due, answered_at)),
+            in_time: u64::from(is_served && is_in_time),
+            late: u64::from(is_served && !is_in_time),
+            rejected: u64::from(request.seen == Seen::Refused),
+        }
+    }
+
+    /// For people: the part of the weight that was served, the part that could be, and the late share of answers.
+    pub fn render(&self, name: &str) -> String {
+        let part = |value: f64| value / self.offered.max(f64::MIN_POSITIVE);
+        let late = self.late as f64 / (self.late + self.in_time).max(1) as f64;
+        format!(
+            "worth of {name}: {:.3} served, {:.3} within reach; {:.3} of answers late, {} refused\n",
+            part(self.served),
+            part(self.upper_bound),
+            late,
+            self.rejected
+        )
+    }
+}
+
+/// The weight of an answer to a request that was due at `due`.
+fn weight(class: &Class, due: Micros, answered_at: Micros) -> f64 {
+    if answered_at - due <= class.aim {
+        class.worth
+    } else {
+        class.worth * class.late
+    }
+}
+
+/// The goodput by class; `zone_of` tells in which zone a proxy is.
+pub fn by_class(
+    truth: &GroundTruth,
+    requests: &[Done],
+    zone_of: impl Fn(usize) -> &'static str,
+) -> BTreeMap<String, Goodput> {
+    let mut by_class: BTreeMap<String, Goodput> = BTreeMap::new();
+    for request in requests {
+        let class = CLASSES[request.class].name.to_string();
+        let goodput = Goodput::of(request, truth, zone_of(request.proxy));
+        by_class.entry(class).or_default().add(goodput);
+    }
+    by_class
+}
+
+/// The goodput of all classes.
+pub fn total(by_class: &BTreeMap<String, Goodput>) -> Goodput {
+    let mut total = Goodput::default();
+    by_class.values().for_each(|goodput| total.add(*goodput));
+    total
+}
--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -12,11 +12,14 @@
 //! - [`check`], [`health`], [`report`]: what a run showed.
 //! - [`budgets`]: runs whose proxies share budgets, and the checker of these.
 //! - [`run`]: one run.
+//! - [`goodput`], [`ground_truth`]: what was served, weighted by priority, and what could have been.
 //! - [`sweep`]: many runs, some beside each other, added up by scenario.
 
 pub mod agent;
 pub mod budgets;
 pub mod check;
+pub mod goodput;
+pub mod ground_truth;
 pub mod health;
 pub mod proxies;
 pub mod relay;
@@ -26,4 +29,3 @@
 pub mod scenario;
 pub mod schedule;
 pub mod sweep;
-pub mod worth;
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -1,7 +1,7 @@
 //! What a run showed, for programs and for people.
 
+use crate::goodput::{total, Goodput};
 use crate::health::Health;
-use crate::worth::{total, Worth};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -19,8 +19,8 @@
     /// Requests by what their clients saw.
     pub requests: BTreeMap<String, u64>,
     /// What they were worth, by class, and what a router could have served that knows the truth.
-    #[serde(default)]
-    pub worth: BTreeMap<String, Worth>,
+    #[serde(default, rename = "worth")]
+    pub goodput: BTreeMap<String, Goodput>,
     /// Requests given up by all proxies, by class, group and reason; and by the second of the load.
     #[serde(default)]
     pub given_up: BTreeMap<String, u64>,
@@ -100,8 +100,8 @@
             "broken rules {}: lost {}, stale reads {}, writes twice {}, cold members fallen {}, crashes {}, diverged {}\n",
             self.broken, self.lost, self.stale, self.twice, self.fallen, self.crashed, self.diverged
         ));
-        out.push_str(&total(&self.worth).render("all"));
-        self.worth.iter().for_each(|(class, worth)| out.push_str(&worth.render(class)));
+        out.push_str(&total(&self.goodput).render("all"));
+        self.goodput.iter().for_each(|(class, goodput)| out.push_str(&goodput.render(class)));
         self.given_up.iter().for_each(|(what, count)| out.push_str(&format!("given up: {count} {what}\n")));
         let seconds: Vec<String> = self.given_up_at.iter().map(|(s, n)| format!("{s}:{n}")).collect();
         out.push_str(&format!("given up by second: {}\n", seconds.join(" ")));
--- a/crates/fleet-harness/src/run.rs
+++ b/crates/fleet-harness/src/run.rs
@@ -7,10 +7,11 @@
 
 use crate::agent;
 use crate::check::{check, differing, Report};
+use crate::goodput;
+use crate::ground_truth::GroundTruth;
 use crate::proxies::{Heard, Plan, Proxy};
 use crate::relay::{Links, Mesh};
 use crate::schedule::{Fault, Schedule, ZONES};
-use crate::worth::{self, Truth};
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use script::timeline;
@@ -70,7 +71,7 @@
     crashed: RefCell<u64>,
     old_snapshot: bool,
     /// The members as they truly were.
-    truth: RefCell<Truth>,
+    truth: RefCell<GroundTruth>,
     /// The most that the rig itself was late: a machine that has no time for the rig has none for the proxies.
     late: std::cell::Cell<Micros>,
 }
@@ -208,7 +209,7 @@
         executor.spawn(async move {
             loop {
                 rig.hear();
-                rig.truth.borrow_mut().look(now(), &stand.fleet(), &rig.links);
+                rig.truth.borrow_mut().sample(now(), &stand.fleet(), &rig.links);
                 rig.crashes()?;
                 let due = now() + 5_000;
                 Timer::after(Duration::from_millis(5)).await;
@@ -242,7 +243,7 @@
     let done = load.done.borrow().clone();
     let again = load.seen_again.borrow().clone();
     let mut report = check(schedule, begin, &done, &again, &counted, &rig.place.directory);
-    report.worth = worth::by_class(&rig.truth.borrow(), &done, Plan::zone);
+    report.goodput = goodput::by_class(&rig.truth.borrow(), &done, Plan::zone);
     let bad_ends = ends.iter().filter(|e| e.is_err()).count() as u64;
     report.crashed += bad_ends;
     report.broken += bad_ends;
--- /dev/null
+++ b/crates/fleet-harness/tests/goodput.rs
@@ -0,0 +1,75 @@
+//! What a router that knows the truth could have served, and what requests were worth.
+
+use wharfplank_fleet_harness::goodput::{by_class, total};
+use wharfplank_fleet_harness::ground_truth::{GroundTruth, MemberSite, MemberState, Sample, SAMPLE_INTERVAL};
+use wharfplank_lab::fleet::{Micros, CLASSES};
+use wharfplank_lab::load::{Done, Seen};
+
+const BOUNDED_READ: usize = 0;
+const SESSION_READ: usize = 1;
+const WRITE: usize = 3;
+
+fn site(group: usize, zone: &'static str) -> MemberSite {
+    MemberSite { group, zone }
+}
+
+fn state(is_serving: bool, is_primary: bool, position: Micros) -> MemberState {
+    MemberState { is_serving, is_primary, position }
+}
+
+fn done(class: usize, due: Micros, after_ms: Option<i64>, seen: Seen) -> Done {
+    Done { proxy: 0, class, group: 0, after_ms, due, at: due + 10_000, seen }
+}
+
+/// Guards against a bound that calls served what nobody could have served, and the other way round.
+#[test]
+fn the_upper_bound_is_what_a_router_could_have_done_that_knows_the_truth() {
+    let sites = vec![site(0, "a"), site(0, "b"), site(1, "a")];
+    // The primary of group 0 is away from 1 s to 3 s, its replica stands still meanwhile.
+    let samples = (0..200).map(|i| {
+        let at = i * SAMPLE_INTERVAL;
+        let is_away = (1_000_000..3_000_000).contains(&at);
+        let position = if is_away { 1_000_000 } else { at };
+        let members = vec![state(!is_away, true, at), state(true, false, position), state(true, true, at)];
+        Sample { at, cut_zone: None, members }
+    });
+    let truth = GroundTruth::new(sites, samples.collect());
+    let first = |request: Done| truth.earliest_answer(&request, "a");
+    assert_eq!(first(done(WRITE, 500_000, None, Seen::Served)), Some(500_000));
+    assert_eq!(first(done(WRITE, 1_500_000, None, Seen::Served)), Some(3_000_000), "once it is back");
+    assert_eq!(first(done(WRITE, 900_000, None, Seen::Served)), Some(900_000));
+    assert_eq!(first(done(BOUNDED_READ, 1_100_000, None, Seen::Served)), Some(1_100_000), "not yet too old");
+    assert_eq!(
+        first(done(BOUNDED_READ, 1_500_000, None, Seen::Served)),
+        None,
+        "too old, and given up by 2.5 s"
+    );
+    assert_eq!(first(done(SESSION_READ, 1_500_000, Some(900), Seen::Served)), Some(1_500_000));
+    assert_eq!(first(done(SESSION_READ, 1_500_000, Some(1_400), Seen::Served)), None);
+    let all = [
+        done(BOUNDED_READ, 1_500_000, None, Seen::Refused),
+        done(WRITE, 500_000, None, Seen::Served),
+        Done { at: 4_000_000, ..done(WRITE, 2_500_000, None, Seen::Served) },
+    ];
+    let sum = total(&by_class(&truth, &all, |_| "a"));
+    let (read, write) = (&CLASSES[BOUNDED_READ], &CLASSES[WRITE]);
+    assert_eq!(sum.offered, read.worth + 2.0 * write.worth);
+    assert!((sum.served - write.worth * (1.0 + write.late)).abs() < 1e-9, "{sum:?}");
+    assert_eq!(sum.upper_bound, 2.0 * write.worth, "the second was possible in time, the read never");
+    assert_eq!((sum.in_time, sum.late, sum.rejected), (1, 1, 1));
+}
+
+/// Guards against a bound that reaches over a cut.
+#[test]
+fn a_cut_zone_reaches_only_itself() {
+    let samples = (0..100).map(|i| {
+        let at = i * SAMPLE_INTERVAL;
+        let members = vec![state(true, true, at), state(true, false, at)];
+        Sample { at, cut_zone: Some("b".to_string()), members }
+    });
+    let truth = GroundTruth::new(vec![site(0, "a"), site(0, "b")], samples.collect());
+    let write = done(WRITE, 0, None, Seen::Served);
+    assert_eq!(truth.earliest_answer(&write, "a"), Some(0));
+    assert_eq!(truth.earliest_answer(&write, "b"), None, "the primary is on the other side");
+    assert_eq!(truth.earliest_answer(&done(BOUNDED_READ, 0, None, Seen::Served), "b"), Some(0));
+}
--- a/tests/fleetrig.rs
+++ b/tests/fleetrig.rs
@@ -64,11 +64,18 @@
     let old = of(Scenario::OldSnapshot);
     let served = ["Served", "Unreachable"].iter().filter_map(|seen| old.requests.get(*seen)).sum::<u64>();
     assert_eq!(served, old.requests.values().sum::<u64>(), "old-snapshot: {:?}", old.requests);
-    // Worth is judged against what the truth allows: nothing is served beyond it, and a lost zone costs some.
+    // Goodput is judged against what the truth allows: nothing is served beyond it, and a lost zone costs some.
     for (scenario, report) in &reports {
-        let worth = wharfplank::fleetrig::worth::total(&report.worth);
-        assert!(worth.asked > 0.0 && worth.served <= worth.bound + 0.01 * worth.asked, "{}", report.render());
-        assert!(*scenario != Scenario::ZoneLoss || worth.bound < worth.asked, "a lost zone costs nothing");
+        let goodput = wharfplank::fleetrig::goodput::total(&report.goodput);
+        assert!(
+            goodput.offered > 0.0 && goodput.served <= goodput.upper_bound + 0.01 * goodput.offered,
+            "{}",
+            report.render()
+        );
+        assert!(
+            *scenario != Scenario::ZoneLoss || goodput.upper_bound < goodput.offered,
+            "a lost zone costs nothing"
+        );
     }
     // A cut zone is left by the proxies outside it at most: its own proxies reach its members.
     assert!(of(Scenario::ZoneCut).left_after[0][2] < 1.0, "the cut zone's own proxies left it too");
