--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -159,7 +159,7 @@
         let Some(answer) = &mut report.answer else { return };
         self.update_negative_cache(id, attempt.position_at_send, answer);
         self.record_served(id, attempt.host, answer.primary);
-        self.answer(id, Answer::Served(std::mem::take(&mut answer.messages)));
+        self.answer(id, FinalResponse::Served(std::mem::take(&mut answer.messages)));
     }
 
     /// The result of an attempt as the router takes it. A position that is ahead of the clock is left out.
--- a/crates/transport/src/client_connection/response_writer.rs
+++ b/crates/transport/src/client_connection/response_writer.rs
@@ -10,8 +10,8 @@
 use std::io::ErrorKind;
 use std::net::TcpStream;
 use std::rc::{Rc, Weak};
-use wharfplank_protocol::pipeline::{Answer, Pipeline, Ticket};
-use wharfplank_protocol::server::Violation;
+use wharfplank_protocol::client_session::ProtocolViolation;
+use wharfplank_protocol::pipeline::{FinalResponse, Pipeline, RequestNumber};
 
 /// Takes the responses of one client connection from the broker, in any order. The connection writes them in the order
 /// of their requests.
@@ -28,7 +28,7 @@
     /// The size of the buffer that the connection reads into.
     pub(super) read_buffer_size: Cell<usize>,
     /// Streamed responses that wait for their turn.
-    streams: RefCell<BTreeMap<Ticket, ResponseStream>>,
+    streams: RefCell<BTreeMap<RequestNumber, ResponseStream>>,
 }
 
 impl std::fmt::Debug for ResponseWriter {
@@ -53,8 +53,8 @@
     }
 
     /// Takes the final response of a request, and wakes the connection if it can be written now.
-    pub fn respond(&self, ticket: Ticket, answer: Answer) {
-        let due = self.pipeline.borrow_mut().answer(ticket, answer, self.available_memory());
+    pub fn respond(&self, ticket: RequestNumber, answer: FinalResponse) {
+        let due = self.pipeline.borrow_mut().complete(ticket, answer, self.available_memory());
         self.update_reservation();
         if due {
             self.wake();
@@ -63,8 +63,8 @@
 
     /// Takes the beginning of a request's final response; the rest follows in the stream. If nobody awaits it, the
     /// stream is dropped, and the member's connection with it.
-    pub fn begin_stream(&self, ticket: Ticket, stream: ResponseStream) {
-        let due = self.pipeline.borrow_mut().begin(ticket);
+    pub fn begin_stream(&self, ticket: RequestNumber, stream: ResponseStream) {
+        let due = self.pipeline.borrow_mut().start_stream(ticket);
         self.update_reservation();
         if due.is_some() {
             self.streams.borrow_mut().insert(ticket, stream);
@@ -76,14 +76,14 @@
 
     /// Whether the client still awaits the response to this request. It may have disconnected although the event that
     /// says so is still queued.
-    pub fn is_awaited(&self, ticket: Ticket) -> bool {
-        !self.disconnected.get() && self.pipeline.borrow().awaits(ticket)
+    pub fn is_awaited(&self, ticket: RequestNumber) -> bool {
+        !self.disconnected.get() && self.pipeline.borrow().is_open(ticket)
     }
 
     /// Like [`ResponseWriter::is_awaited`], with a look at the socket. To be called just before an attempt's first
     /// byte: what the attempt waited for and the client's disconnect may have come at the same moment, in either
     /// order.
-    pub fn is_awaited_now(&self, ticket: Ticket) -> bool {
+    pub fn is_awaited_now(&self, ticket: RequestNumber) -> bool {
         let socket = self.socket.borrow().upgrade();
         if socket.is_some_and(|socket| has_ended(socket.get_ref())) {
             self.disconnected.set(true);
@@ -112,21 +112,21 @@
     }
 
     /// Notes that the client has disconnected, and returns the requests that were open.
-    pub(super) fn disconnect(&self) -> Vec<Ticket> {
+    pub(super) fn disconnect(&self) -> Vec<RequestNumber> {
         self.disconnected.set(true);
-        self.pipeline.borrow().open().collect()
+        self.pipeline.borrow().open_requests().collect()
     }
 
     /// Cancels the open requests, and returns them.
-    pub(super) fn cancel(&self) -> Vec<Ticket> {
-        let cancelled = self.pipeline.borrow_mut().cancel();
+    pub(super) fn cancel(&self) -> Vec<RequestNumber> {
+        let cancelled = self.pipeline.borrow_mut().cancel_open();
         self.update_reservation();
         self.wake();
         cancelled
     }
 
     /// Hands over the streamed response of a request.
-    pub(super) fn take_stream(&self, ticket: Ticket) -> Option<ResponseStream> {
+    pub(super) fn take_stream(&self, ticket: RequestNumber) -> Option<ResponseStream> {
         self.streams.borrow_mut().remove(&ticket)
     }
 
@@ -137,14 +137,15 @@
 
     /// Reserves the memory that the connection uses now. Returns false if it is large and the budget is exceeded.
     pub(super) fn update_reservation(&self) -> bool {
-        let pipeline_size = self.pipeline.borrow().bytes();
+        let pipeline_size = self.pipeline.borrow().buffered_bytes();
         self.reservation.borrow_mut().resize(self.read_buffer_size.get() + pipeline_size)
     }
 
     /// Whether a further command may be handled before those in hand are answered.
     pub(super) fn has_capacity(&self) -> bool {
         let pipeline = self.pipeline.borrow();
-        pipeline.has_room() && (pipeline.is_empty() || pipeline.bytes() <= self.available_memory())
+        pipeline.has_capacity()
+            && (pipeline.is_empty() || pipeline.buffered_bytes() <= self.available_memory())
     }
 
     /// Whether all commands have been answered.
@@ -153,8 +154,8 @@
     }
 
     /// Ends the connection after the responses that are due, with this error if any. The first reason counts.
-    pub(super) fn end(&self, reason: CloseReason, violation: Option<Violation>) {
-        self.pipeline.borrow_mut().end(reason.as_str(), violation);
+    pub(super) fn end(&self, reason: CloseReason, violation: Option<ProtocolViolation>) {
+        self.pipeline.borrow_mut().close(reason.as_str(), violation);
     }
 }
 
--- a/crates/transport/src/client_listener/admission.rs
+++ b/crates/transport/src/client_listener/admission.rs
@@ -3,7 +3,7 @@
 use super::{ClientListener, ConnectionState};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::server::Key;
+use wharfplank_protocol::client_session::CancelKey;
 
 /// Connections that have sent no command for so long are evicted first: a client sends its startup at once.
 const MUTE_TIME: Duration = Duration::from_millis(20);
@@ -102,7 +102,7 @@
     }
 
     /// The connection that this cancel key names, if any.
-    pub(crate) fn connection_with_key(&self, key: Key) -> Option<Rc<ConnectionState>> {
+    pub(crate) fn connection_with_key(&self, key: CancelKey) -> Option<Rc<ConnectionState>> {
         self.connections.borrow().values().find(|state| state.cancel_key == key).cloned()
     }
 }
--- a/crates/transport/src/event.rs
+++ b/crates/transport/src/event.rs
@@ -3,7 +3,7 @@
 use crate::request::ClientRequest;
 use crate::{handover, member_pool};
 use wharfplank_discovery::{Staleness, WatchEvent};
-use wharfplank_protocol::pipeline::Ticket;
+use wharfplank_protocol::pipeline::RequestNumber;
 use wharfplank_routing::{HostId, RequestId};
 
 /// Something that happened outside the broker and that the broker has to handle.
@@ -12,9 +12,9 @@
     /// A client sent a request.
     RequestReceived(Box<ClientRequest>),
     /// A client disconnected while its request was open.
-    ClientDisconnected(Ticket),
+    ClientDisconnected(RequestNumber),
     /// A client cancelled a request, which has been answered accordingly.
-    RequestCancelled(Ticket),
+    RequestCancelled(RequestNumber),
     /// An attempt finished, or its streamed response began.
     AttemptFinished {
         /// The request.
--- a/crates/transport/src/member_pool/connection.rs
+++ b/crates/transport/src/member_pool/connection.rs
@@ -9,7 +9,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::client::{self, Answer, Broken, Client, Step, Verdict};
+use wharfplank_protocol::member_request;
+use wharfplank_protocol::member_response::{
+    MemberResponse, ProtocolError, ResponseEvent, ResponseKind, ResponseReader,
+};
 use wharfplank_routing::AttemptOutcome;
 
 /// How long the response to an empty query may take; a member sends it at once.
@@ -35,7 +38,7 @@
 /// An established connection to a member. Dropping it closes it, releases its place and reports its end.
 pub(super) struct MemberConnection {
     pub(super) stream: Async<TcpStream>,
-    pub(super) client: Client,
+    pub(super) client: ResponseReader,
     pub(super) peer: SocketAddr,
     pub(super) pool: Rc<MemberPool>,
     pub(super) opened_at: Instant,
@@ -68,7 +71,7 @@
         pool: Rc<MemberPool>,
         peer: SocketAddr,
         stream: Async<TcpStream>,
-        client: Client,
+        client: ResponseReader,
     ) -> Self {
         pool.open.set(pool.open.get() + 1);
         let now = Instant::now();
@@ -93,7 +96,7 @@
 
     /// Whether the member has neither closed the connection nor sent anything without a request.
     pub(super) fn is_quiet(&self) -> bool {
-        if self.client.begun() {
+        if self.client.has_partial_response() {
             return false;
         }
         let peeked = self.stream.get_ref().peek(&mut [0]);
@@ -102,7 +105,7 @@
 
     /// Whether the member has sent something that was not consumed yet.
     pub(super) fn has_unread_bytes(&self) -> bool {
-        self.client.begun() || matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..))
+        self.client.has_partial_response() || matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..))
     }
 
     /// Checks with an empty query whether the connection works.
@@ -121,11 +124,11 @@
 
     /// Whether the member responds to an empty query as it should.
     async fn exchange_empty_query(&mut self) -> bool {
-        if self.stream.write_all(&client::query(|_| {})).await.is_err() {
+        if self.stream.write_all(&member_request::query_message(|_| {})).await.is_err() {
             return false;
         }
         let response = self.read_step().await;
-        matches!(response, Ok(Step::Whole(answer)) if answer.verdict == Verdict::Done)
+        matches!(response, Ok(ResponseEvent::Complete(answer)) if answer.kind == ResponseKind::Done)
     }
 
     /// Reads the next part of a response, or all of it.
@@ -134,10 +137,10 @@
     ///
     /// Returns why nothing more can be read. What the member sent completely before it closed the connection, or
     /// before the connection broke, is returned first.
-    pub(super) async fn read_step(&mut self) -> Result<Step, ReadError> {
+    pub(super) async fn read_step(&mut self) -> Result<ResponseEvent, ReadError> {
         let mut ended: Option<ReadError> = None;
         loop {
-            let step = self.client.advance(ended.is_some()).map_err(|Broken| ReadError::Malformed)?;
+            let step = self.client.advance(ended.is_some()).map_err(|ProtocolError| ReadError::Malformed)?;
             match (step, ended) {
                 (Some(step), ended) => {
                     if let Some(error) = ended {
@@ -148,12 +151,12 @@
                 (None, Some(error)) => return Err(error),
                 (None, None) => {}
             }
-            let streaming = self.client.passing();
+            let streaming = self.client.is_streaming();
             let min_capacity = self.min_read_capacity(streaming);
             let fits = self.memory.resize(self.client.buffer.next_capacity(min_capacity));
             if !fits && !streaming {
                 // What there is of a row is streamed, so that no memory is needed for the rest.
-                if !self.client.hurry() {
+                if !self.client.stream_any_row() {
                     return Err(ReadError::OutOfMemory);
                 }
                 continue;
@@ -178,8 +181,8 @@
     /// Reads once. A response that has begun may pause only for a limited time.
     async fn read_into_buffer(&mut self, streaming: bool, min_capacity: usize) -> Result<(), ReadError> {
         let stall_timeout = if streaming { STREAM_STALL_TIMEOUT } else { STALL_TIMEOUT };
-        let begun = self.client.begun();
-        let read = self.stream.read(self.client.buffer.space_of(min_capacity));
+        let begun = self.client.has_partial_response();
+        let read = self.stream.read(self.client.buffer.spare_with_capacity(min_capacity));
         let result = if begun {
             with_deadline(Instant::now() + stall_timeout, read).await.ok_or(ReadError::Stalled)?
         } else {
@@ -188,7 +191,7 @@
         match result {
             Ok(0) => Err(ReadError::Closed),
             Ok(count) => {
-                self.client.buffer.filled(count);
+                self.client.buffer.commit(count);
                 Ok(())
             }
             Err(_) => Err(ReadError::Reset),
@@ -196,18 +199,18 @@
     }
 
     /// Evaluates a complete response, and returns the connection to its pool if it is still usable.
-    pub(super) fn complete(mut self, answer: Answer) -> AttemptReport {
+    pub(super) fn complete(mut self, answer: MemberResponse) -> AttemptReport {
         let now = Instant::now();
         self.pool.last_response.set(now);
         self.last_used = now;
-        let outcome = match answer.verdict {
-            Verdict::Row | Verdict::NoRow => AttemptOutcome::Ok,
-            Verdict::Miss => AttemptOutcome::Misrouted,
-            Verdict::Full => AttemptOutcome::Overloaded,
-            Verdict::NotReady | Verdict::Done | Verdict::Error => AttemptOutcome::Error,
+        let outcome = match answer.kind {
+            ResponseKind::Row | ResponseKind::NoRow => AttemptOutcome::Ok,
+            ResponseKind::Miss => AttemptOutcome::Misrouted,
+            ResponseKind::Overloaded => AttemptOutcome::Overloaded,
+            ResponseKind::NotReady | ResponseKind::Done | ResponseKind::Error => AttemptOutcome::Error,
         };
         if self.end_reason == EndReason::Abandoned {
-            self.client.buffer.release();
+            self.client.buffer.release_memory();
             self.memory.resize(0);
             let pool = Rc::clone(&self.pool);
             pool.settle_and_release(self);
--- a/crates/transport/src/request.rs
+++ b/crates/transport/src/request.rs
@@ -4,8 +4,8 @@
 use std::ops::Range;
 use std::rc::Rc;
 use std::time::Instant;
-use wharfplank_protocol::comment;
-use wharfplank_protocol::pipeline::Ticket;
+use wharfplank_protocol::pipeline::RequestNumber;
+use wharfplank_protocol::request_comment;
 
 /// The text of a client's statement. It is stored once and shared by all attempts of its request.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
 
     /// Appends the statement to `out`, with `remaining_ms` milliseconds as its remaining time.
     pub(crate) fn write_with_timeout(&self, out: &mut Vec<u8>, remaining_ms: i64) {
-        comment::rewrite(out, &self.bytes, self.timeout_range.clone(), remaining_ms);
+        request_comment::write_with_deadline(out, &self.bytes, self.timeout_range.clone(), remaining_ms);
     }
 }
 
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The number of the request, unique in this process.
-    pub ticket: Ticket,
+    pub ticket: RequestNumber,
     /// The id that the client gave the request.
     pub id: String,
     /// The name of the request's class.
