--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -55,7 +55,7 @@
 use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::DiscoveryWatch;
-use wharfplank_transport::fleet::Witness;
+use wharfplank_transport::gossip::GossipHandle;
 use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, PoolContext};
 use wharfplank_transport::ProxyEvent;
 
@@ -138,8 +138,8 @@
     }
 
     /// Reports what members do to the gossip thread from now on.
-    pub fn enable_gossip(&mut self, witness: Witness) {
-        self.gossip.start(witness);
+    pub fn enable_gossip(&mut self, handle: GossipHandle) {
+        self.gossip.start(handle);
     }
 
     /// Reports the state of members to the release thread from now on.
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -15,7 +15,7 @@
 use wharfplank_gossip::{Membership, Peer, SwimConfig};
 use wharfplank_settings::{AloneChoice, Peers as PeerSettings, Replica as ReplicaSettings};
 use wharfplank_shared_state::{snapshot, SharedState, SharedStateConfig};
-use wharfplank_transport::fleet::{self, Judge, Parts, Side, Witness};
+use wharfplank_transport::gossip::{self, GossipHandle, GossipWorker, HandleConfig, HealthEvaluator};
 use wharfplank_transport::ProxyEvent;
 
 /// The fleet's counters: requests answered with a value, refused, and failed.
@@ -25,8 +25,8 @@
 /// See [`SERVED`].
 pub const FAILED: u32 = 3;
 
-/// Binds the socket and starts the thread; what members do then reaches the decision through the witness. The task ends
-/// once the witness is gone and the thread has said farewell.
+/// Binds the socket and starts the thread; what members do then reaches the decision through the handle. The task ends
+/// once the handle is dropped and the thread has announced that it leaves.
 pub fn start(
     settings: &PeerSettings,
     replica: Option<&ReplicaSettings>,
@@ -35,7 +35,7 @@
     clock: Clock,
     events: Sender<ProxyEvent>,
     executor: &LocalExecutor<'static>,
-) -> Result<(Witness, Task<()>), StartError> {
+) -> Result<(GossipHandle, Task<()>), StartError> {
     let socket = UdpSocket::bind(settings.listen())
         .map_err(StartError::component_listen(Component::Peers, &settings.listen))?;
     let bound = match socket.local_addr() {
@@ -78,28 +78,29 @@
         state = Some(copy(settings, &me, seed, now));
         keep = settings.snapshot().map(keeper).transpose()?;
     }
-    let side = Side {
+    let handle_config = HandleConfig {
         now,
-        skew,
-        doubts: state.as_ref().map(|state: &SharedState| state.write_records().collect()),
-        judged: health,
+        clock_offset: skew,
+        write_records: state.as_ref().map(|state: &SharedState| state.write_records().collect()),
+        evaluates_health: health,
         events,
-        say: log::fleet,
+        log: log::fleet,
     };
     let seeds = settings.seeds();
-    let parts = move || Parts {
-        judge: health.then(|| Judge::new(me.addr)),
-        peers: Membership::new(me, swim, seed, now),
-        zones: FailoverController::new(failover, isolation),
-        replica: state,
-        keep: keep.map(|keep| Box::new(keep) as fleet::Keep),
-        skew,
+    let make_worker = move || GossipWorker {
+        health: health.then(|| HealthEvaluator::new(me.addr)),
+        membership: Membership::new(me, swim, seed, now),
+        failover: FailoverController::new(failover, isolation),
+        shared_state: state,
+        save_snapshot: keep.map(|keep| Box::new(keep) as gossip::SaveSnapshot),
+        clock_offset: skew,
         seeds,
         now: Rc::new(move || clock.now() + skew),
-        say: log::fleet,
+        log: log::fleet,
     };
     log::peers_bound(bound, advertise);
-    fleet::start(parts, side, socket, executor).map_err(StartError::component_start(Component::Peers))
+    gossip::start(make_worker, handle_config, socket, executor)
+        .map_err(StartError::component_start(Component::Peers))
 }
 
 /// This process's copy of the replicated state, with what its snapshot still has to say.
--- a/crates/proxy/src/log/fleet.rs
+++ b/crates/proxy/src/log/fleet.rs
@@ -4,7 +4,7 @@
 use tracing::{error, info, warn};
 use wharfplank_failover::ZoneState;
 use wharfplank_gossip::MembershipEvent;
-use wharfplank_transport::fleet::Said;
+use wharfplank_transport::gossip::GossipLogEvent;
 
 /// Notes where the fleet's talk listens, and where the others send to.
 pub fn peers_bound(listen: std::net::SocketAddrV4, advertise: std::net::SocketAddrV4) {
@@ -12,12 +12,12 @@
 }
 
 /// Notes what the fleet's talk did.
-pub fn fleet(said: Said<'_>) {
-    match said {
-        Said::Started(me) => {
+pub fn fleet(event: GossipLogEvent<'_>) {
+    match event {
+        GossipLogEvent::Started(me) => {
             info!(addr = %me.addr, zone = me.zone.as_str(), generation = me.generation, "peer_me")
         }
-        Said::Changed(change) => {
+        GossipLogEvent::PeerChanged(change) => {
             let (how, peer) = match change {
                 MembershipEvent::Up(peer) => ("up", peer),
                 MembershipEvent::Down(peer) => ("down", peer),
@@ -25,8 +25,8 @@
             };
             info!(change = how, addr = %peer.addr, zone = peer.zone.as_str(), generation = peer.generation, "peer");
         }
-        Said::Standing { zone, standing, share, alive, alone } => {
-            let (standing, since) = match standing {
+        GossipLogEvent::ZoneChanged { zone, state, share, live_peers, is_isolated } => {
+            let (standing, since) = match state {
                 ZoneState::InService => ("served", 0),
                 ZoneState::Evacuated { since } => ("left", since / 1000),
                 ZoneState::Recovering { since } => ("returning", since / 1000),
@@ -37,18 +37,18 @@
                 standing,
                 since_ms = since,
                 share = share.as_str(),
-                alive = alive as u64,
-                alone,
+                alive = live_peers as u64,
+                alone = is_isolated,
                 "zone"
             );
         }
-        Said::Member { name, verdict, score, voices } => {
+        GossipLogEvent::MemberHealthChanged { name, verdict, score, observers } => {
             let (verdict, score) =
                 (format!("{verdict:?}").to_lowercase(), format!("{:.2}", score.unwrap_or(0.0)));
             let (verdict, score) = (verdict.as_str(), score.as_str());
-            info!(name, verdict, score, voices = voices as u64, "member_health");
+            info!(name, verdict, score, voices = observers as u64, "member_health");
         }
-        Said::SharedState(state) => {
+        GossipLogEvent::SharedStateChanged(state) => {
             let (store, stats) = (state.store(), state.stats);
             let digest = format!("{:016x}", store.digest());
             let total = |counter| state.counter_total(counter);
@@ -73,8 +73,10 @@
                 "replica"
             );
         }
-        Said::Failed => error!(what = "the fleet's thread failed; this proxy goes on alone", "peers_failed"),
-        Said::Traffic(peers, seen_dropped, told_dropped) => {
+        GossipLogEvent::WorkerFailed => {
+            error!(what = "the fleet's thread failed; this proxy goes on alone", "peers_failed")
+        }
+        GossipLogEvent::Traffic { membership: peers, observations_dropped, updates_dropped } => {
             let notes = peers.notes();
             info!(
                 alive = peers.live_peers().count() as u64,
@@ -85,8 +87,8 @@
                 rejected = peers.rejected,
                 notes = notes.len() as u64,
                 stale_notes = notes.stale,
-                seen_dropped,
-                told_dropped,
+                seen_dropped = observations_dropped,
+                told_dropped = updates_dropped,
                 "peers"
             );
         }
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -175,7 +175,7 @@
     /// ends once this process has announced that it leaves.
     fn start_gossip(&self, config: &Config, broker: &mut Broker) -> Result<Option<Task<()>>, StartError> {
         let Some(peers) = &self.settings.peers else { return Ok(None) };
-        let (witness, ended) = fleet::start(
+        let (handle, ended) = fleet::start(
             peers,
             self.settings.replica.as_ref(),
             self.settings.health.is_some(),
@@ -184,7 +184,7 @@
             self.events.clone(),
             &self.executor,
         )?;
-        broker.enable_gossip(witness);
+        broker.enable_gossip(handle);
         Ok(Some(ended))
     }
 
--- a/crates/proxy/src/talk.rs
+++ b/crates/proxy/src/talk.rs
@@ -11,7 +11,7 @@
     AttemptOutcome, Class, ClassId, HostId, Idempotency, Micros, PeerObservation, RequestId,
 };
 use wharfplank_shared_state::{hash_name, MemberStatus, StateUpdate, WriteOutcome};
-use wharfplank_transport::fleet::{Seen, Witness, GAP, WAKING};
+use wharfplank_transport::gossip::{GossipHandle, MemberContact, CATCH_UP_TIME, STALL_TIMEOUT};
 
 /// What the fleet knows a member by, on all proxies alike.
 struct Site {
@@ -22,7 +22,7 @@
 
 /// The broker's side of the fleet's talk.
 pub struct Talk {
-    witness: Option<Witness>,
+    handle: Option<GossipHandle>,
     /// Members by their numbers, and numbers by what the fleet knows them by; bounded as the broker's names are.
     sites: HashMap<HostId, Site>,
     hosts: HashMap<u64, HostId>,
@@ -42,7 +42,7 @@
     /// No peers yet.
     pub fn new(classes: &[Class]) -> Talk {
         Talk {
-            witness: None,
+            handle: None,
             sites: HashMap::new(),
             hosts: HashMap::new(),
             marked: HashSet::new(),
@@ -54,15 +54,15 @@
     }
 
     /// Passes things on from now on.
-    pub fn start(&mut self, witness: Witness) {
-        self.witness = Some(witness);
+    pub fn start(&mut self, handle: GossipHandle) {
+        self.handle = Some(handle);
     }
 
     /// A member as the list has it, by its number.
     pub fn listed(&mut self, host: HostId, listed: &EndpointRecord) {
-        let Some(witness) = &self.witness else { return };
+        let Some(handle) = &self.handle else { return };
         let (key, born_ms) = (hash_name(&listed.name), listed.started_at_ms);
-        witness.listed(key, &listed.name, &listed.zone, born_ms);
+        handle.on_endpoint_listed(key, &listed.name, &listed.zone, born_ms);
         let old = self.sites.get(&host).map(|site| &site.zone).filter(|zone| ***zone == *listed.zone);
         let zone = old.map_or_else(|| Arc::from(listed.zone.as_str()), Arc::clone);
         self.sites.insert(host, Site { zone, key, born_ms });
@@ -74,13 +74,13 @@
         self.sites.retain(|host, _| known(host));
         let sites = &self.sites;
         self.hosts.retain(|_, host| sites.contains_key(host));
-        self.witness.iter().for_each(|witness| witness.retain(self.hosts.keys().copied()));
+        self.handle.iter().for_each(|handle| handle.retain_members(self.hosts.keys().copied()));
     }
 
     /// How an attempt of a class at a member ended, for the fleet's judgement of it: one that its member did not take,
     /// or that was taken back, tells nothing of how it does.
     pub fn tried(&self, now: Micros, host: HostId, class: ClassId, sent: Micros, ending: AttemptOutcome) {
-        let (Some(witness), Some(site)) = (&self.witness, self.sites.get(&host)) else { return };
+        let (Some(handle), Some(site)) = (&self.handle, self.sites.get(&host)) else { return };
         let outcome = match ending {
             AttemptOutcome::Ok => Outcome::Answered { class: class.0, took: now - sent },
             AttemptOutcome::Error => Outcome::Failed,
@@ -91,7 +91,7 @@
             | AttemptOutcome::Cancelled
             | AttemptOutcome::NotSent => return,
         };
-        witness.outcome(now, site.key, outcome);
+        handle.record_request_outcome(now, site.key, outcome);
     }
 
     /// The factors of members in the module's numbers.
@@ -102,7 +102,7 @@
     /// How what was sent to a member at `sent` ended: any answer is the member speaking, no connection or no answer in
     /// time is silence, and the rest tells nothing of its zone.
     pub fn saw(&self, host: HostId, sent: Micros, ending: AttemptOutcome) {
-        let (Some(witness), Some(site)) = (&self.witness, self.sites.get(&host)) else { return };
+        let (Some(handle), Some(site)) = (&self.handle, self.sites.get(&host)) else { return };
         let answered = match ending {
             AttemptOutcome::Ok
             | AttemptOutcome::Error
@@ -111,15 +111,20 @@
             AttemptOutcome::ConnectFailed | AttemptOutcome::Timeout => false,
             AttemptOutcome::Reset | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return,
         };
-        witness.saw(Seen { zone: Arc::clone(&site.zone), member: host.0, sent, answered });
+        handle.record_contact(MemberContact {
+            zone: Arc::clone(&site.zone),
+            member: host.0,
+            sent_at: sent,
+            answered,
+        });
     }
 
     /// A position that a member told itself.
     pub fn learned(&self, now: Micros, host: HostId, position: Option<Micros>) {
-        let (Some(witness), Some(site)) = (&self.witness, self.sites.get(&host)) else { return };
+        let (Some(handle), Some(site)) = (&self.handle, self.sites.get(&host)) else { return };
         if let Some(at) = position {
-            witness.position(now, site.key, site.born_ms, at);
-            witness.lags(now, site.key, now - at);
+            handle.record_position(now, site.key, site.born_ms, at);
+            handle.record_lag(now, site.key, now - at);
         }
     }
 
@@ -146,13 +151,13 @@
 
     /// The members that this proxy suspects now: told while it does, and once when it no longer does.
     pub fn suspicions(&mut self, now: Micros, suspected: impl Iterator<Item = HostId>) {
-        let Some(witness) = &self.witness else { return };
+        let Some(handle) = &self.handle else { return };
         let suspected: HashSet<HostId> = suspected.collect();
         for host in suspected.union(&self.marked) {
             if let Some(site) = self.sites.get(host) {
                 let status =
                     if suspected.contains(host) { MemberStatus::Suspected } else { MemberStatus::Alive };
-                witness.suspects(now, site.key, status);
+                handle.record_member_status(now, site.key, status);
             }
         }
         self.marked = suspected;
@@ -160,7 +165,7 @@
 
     /// The broker runs.
     pub fn runs(&mut self, now: Micros) {
-        if self.ran_at.is_some_and(|at| now - at > GAP) {
+        if self.ran_at.is_some_and(|at| now - at > STALL_TIMEOUT) {
             self.woke_at = Some(now);
         }
         self.ran_at = Some(now);
@@ -169,9 +174,9 @@
     /// Whether the request of this id may have run: a proxy said so, or this one stood still until just now, and the
     /// client may have sent it elsewhere meanwhile.
     pub fn in_doubt(&self, now: Micros, id: &str) -> bool {
-        let Some(witness) = &self.witness else { return false };
-        let waking = self.woke_at.is_some_and(|at| now - at < WAKING);
-        waking || witness.in_doubt(now, hash_name(id))
+        let Some(handle) = &self.handle else { return false };
+        let waking = self.woke_at.is_some_and(|at| now - at < CATCH_UP_TIME);
+        waking || handle.is_in_doubt(now, hash_name(id))
     }
 
     /// A request has failed after so many attempts: one that must not run twice may have run.
@@ -183,7 +188,7 @@
 
     /// A client went away with an attempt of its request out: it may run, and its end is awaited.
     pub fn gone(&mut self, now: Micros, request: RequestId, class: ClassId, id: &str) {
-        if self.witness.is_some() && self.fragile.get(class.0) == Some(&true) {
+        if self.handle.is_some() && self.fragile.get(class.0) == Some(&true) {
             let write = hash_name(id);
             self.left.insert(request, write);
             self.doubt(now, write, WriteOutcome::InDoubt);
@@ -208,16 +213,16 @@
 
     /// A request got its final answer.
     pub fn answered(&self, now: Micros, answer: &FinalResponse) {
-        let Some(witness) = &self.witness else { return };
+        let Some(handle) = &self.handle else { return };
         let counter = match answer {
             FinalResponse::Served(_) => SERVED,
             FinalResponse::Rejected { .. } => REFUSED,
             _ => FAILED,
         };
-        witness.count(now, counter);
+        handle.increment_counter(now, counter);
     }
 
     fn doubt(&self, now: Micros, write: u64, outcome: WriteOutcome) {
-        self.witness.iter().for_each(|witness| witness.doubt(now, write, outcome));
+        self.handle.iter().for_each(|handle| handle.record_write_outcome(now, write, outcome));
     }
 }
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -3,7 +3,7 @@
 //! kind (a state-based CRDT), so no leader, order or reliable delivery is needed.
 //!
 //! The crate does no I/O: local facts, datagrams and the time go in; datagrams to send and updates come out. The driver
-//! in `transport::fleet` carries the datagrams on the membership's socket.
+//! in `transport::gossip` carries the datagrams on the membership's socket.
 //!
 //! - [`SharedState`]: one proxy's copy, and the entry point of the crate.
 //! - [`HybridClock`], [`HybridTimestamp`]: the hybrid logical clock.
--- /dev/null
+++ b/crates/transport/src/gossip/handle.rs
@@ -0,0 +1,166 @@
+//! The broker's side of the gossip driver: it passes observations on without waiting.
+
+use super::{StallDetector, UpdateQueue};
+use crate::worker::RingSender;
+use std::cell::RefCell;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::sync::Arc;
+use wharfplank_health::Outcome;
+use wharfplank_routing::Micros;
+use wharfplank_shared_state::{MemberStatus, WriteOutcome};
+
+/// Whether a member answered, as the broker saw it.
+#[derive(Clone, Debug)]
+pub struct MemberContact {
+    /// The member's zone.
+    pub zone: Arc<str>,
+    /// The member.
+    pub member: u32,
+    /// When the request to it was sent.
+    pub sent_at: Micros,
+    /// Whether it answered at all, be it with an error; false where there was no connection or no answer in time.
+    pub answered: bool,
+}
+
+/// What the broker reports to the worker. Members and writes have the numbers that all proxies share, and `at` is on the
+/// broker's clock.
+#[derive(Clone, Debug)]
+pub(super) enum Observation {
+    /// Whether a member answered, for its zone.
+    Contact(MemberContact),
+    /// A member itself reported its log position.
+    Position {
+        at: Micros,
+        member: u64,
+        /// When the member was started, in Unix milliseconds.
+        epoch: i64,
+        position: Micros,
+    },
+    /// Whether this proxy suspects a member.
+    MemberStatus { at: Micros, member: u64, status: MemberStatus },
+    /// One more of one of the fleet's counters.
+    Counter { at: Micros, counter: u32 },
+    /// What is known of a write whose client got no success.
+    WriteOutcome { at: Micros, write: u64, outcome: WriteOutcome },
+    /// A member as the endpoint list has it.
+    EndpointListed(Box<ListedEndpoint>),
+    /// The members that are still on the endpoint list.
+    MembersRetained(BTreeSet<u64>),
+    /// The outcome of a request to a member, for its health.
+    RequestOutcome { at: Micros, member: u64, outcome: Outcome },
+    /// How far a member's log is behind.
+    Lag { at: Micros, member: u64, lag: Micros },
+}
+
+/// A member as the endpoint list has it.
+#[derive(Clone, Debug)]
+pub(super) struct ListedEndpoint {
+    pub(super) member: u64,
+    pub(super) name: String,
+    pub(super) zone: String,
+    /// When the member was started, in Unix milliseconds.
+    pub(super) started_at_ms: i64,
+}
+
+/// Passes the broker's observations to the worker. Where the ring is full they are dropped and counted.
+pub struct GossipHandle {
+    pub(super) observations: RefCell<RingSender<Observation>>,
+    /// The worker's updates, where state is shared.
+    pub(super) updates: Option<Rc<RefCell<UpdateQueue>>>,
+    pub(super) stall_detector: Arc<StallDetector>,
+    /// How far the worker's clock is ahead of the broker's.
+    pub(super) clock_offset: Micros,
+    pub(super) evaluates_health: bool,
+}
+
+impl GossipHandle {
+    /// Reports whether a member answered. A timeout wakes the worker; the many answers wait until it is awake.
+    pub fn record_contact(&self, contact: MemberContact) {
+        if contact.answered {
+            self.send_lazy(Observation::Contact(contact));
+        } else {
+            self.send(Observation::Contact(contact));
+        }
+    }
+
+    /// Reports the log position that a member itself reported, with the time of its last start as its epoch.
+    pub fn record_position(&self, now: Micros, member: u64, epoch: i64, position: Micros) {
+        if self.shares_state() {
+            self.send_lazy(Observation::Position { at: now, member, epoch, position });
+        }
+    }
+
+    /// Reports whether this proxy suspects a member: while it does, and once when it no longer does.
+    pub fn record_member_status(&self, now: Micros, member: u64, status: MemberStatus) {
+        if self.shares_state() {
+            self.send(Observation::MemberStatus { at: now, member, status });
+        }
+    }
+
+    /// Adds one to one of the fleet's counters.
+    pub fn increment_counter(&self, now: Micros, counter: u32) {
+        if self.shares_state() {
+            self.send_lazy(Observation::Counter { at: now, counter });
+        }
+    }
+
+    /// Reports what is known of a write whose client got no success. It holds on this thread at once, whatever the worker
+    /// does.
+    pub fn record_write_outcome(&self, now: Micros, write: u64, outcome: WriteOutcome) {
+        if let Some(updates) = &self.updates {
+            updates.borrow_mut().record_write_outcome(now + self.clock_offset, write, outcome);
+            self.send(Observation::WriteOutcome { at: now, write, outcome });
+        }
+    }
+
+    /// Whether this write may have been executed as far as any proxy reported, or the worker is behind and cannot tell.
+    pub fn is_in_doubt(&self, now: Micros, write: u64) -> bool {
+        let Some(updates) = &self.updates else { return false };
+        let is_behind =
+            self.stall_detector.is_behind(now + self.clock_offset) && !self.observations.borrow().is_closed();
+        is_behind || updates.borrow_mut().is_in_doubt(write)
+    }
+
+    /// Reports a member as the endpoint list has it, with the time of its last start in Unix milliseconds.
+    pub fn on_endpoint_listed(&self, member: u64, name: &str, zone: &str, started_at_ms: i64) {
+        if self.evaluates_health {
+            let endpoint =
+                ListedEndpoint { member, name: name.to_string(), zone: zone.to_string(), started_at_ms };
+            self.send(Observation::EndpointListed(Box::new(endpoint)));
+        }
+    }
+
+    /// Forgets the members that are not on the endpoint list any more.
+    pub fn retain_members(&self, listed: impl Iterator<Item = u64>) {
+        if self.evaluates_health {
+            self.send(Observation::MembersRetained(listed.collect()));
+        }
+    }
+
+    /// Reports the outcome of a request to a member, for its health.
+    pub fn record_request_outcome(&self, now: Micros, member: u64, outcome: Outcome) {
+        if self.evaluates_health {
+            self.send_lazy(Observation::RequestOutcome { at: now, member, outcome });
+        }
+    }
+
+    /// Reports how far a member's log is behind.
+    pub fn record_lag(&self, now: Micros, member: u64, lag: Micros) {
+        if self.evaluates_health {
+            self.send_lazy(Observation::Lag { at: now, member, lag });
+        }
+    }
+
+    fn shares_state(&self) -> bool {
+        self.updates.is_some()
+    }
+
+    fn send(&self, observation: Observation) {
+        self.observations.borrow_mut().send(observation);
+    }
+
+    fn send_lazy(&self, observation: Observation) {
+        self.observations.borrow_mut().send_lazy(observation);
+    }
+}
--- /dev/null
+++ b/crates/transport/src/gossip/health.rs
@@ -0,0 +1,106 @@
+//! The driver of the members' health: it passes the fleet's observations to the evaluation, shares this router's own, and
+//! reports the factors to the broker where they change. It decides nothing itself.
+
+use super::driver::Driver;
+use super::handle::ListedEndpoint;
+use super::{peer_key, GossipLogEvent, GossipUpdate, LogGossip};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddrV4;
+use wharfplank_health::{Health, Outcome, Verdict, Verdicts};
+use wharfplank_routing::Micros;
+use wharfplank_shared_state::hash_name;
+
+/// The evaluation with the members' names for the log. It is bounded by what the evaluation keeps and the broker retains.
+pub struct HealthEvaluator {
+    health: Health,
+    member_names: BTreeMap<u64, String>,
+    logged_verdicts: BTreeMap<u64, Verdict>,
+    reported_factors: Vec<(u64, f64)>,
+    next_evaluation_at: Micros,
+}
+
+impl HealthEvaluator {
+    /// The evaluator of the router at this address.
+    pub fn new(local_addr: SocketAddrV4) -> HealthEvaluator {
+        HealthEvaluator {
+            health: Health::new(peer_key(local_addr)),
+            member_names: BTreeMap::new(),
+            logged_verdicts: BTreeMap::new(),
+            reported_factors: Vec::new(),
+            next_evaluation_at: 0,
+        }
+    }
+
+    pub(super) fn on_endpoint_listed(&mut self, endpoint: &ListedEndpoint) {
+        self.health.listed(endpoint.member, hash_name(&endpoint.zone), endpoint.started_at_ms);
+        self.member_names.insert(endpoint.member, endpoint.name.clone());
+    }
+
+    pub(super) fn retain_members(&mut self, listed: &BTreeSet<u64>) {
+        self.health.retain(|member| listed.contains(&member));
+        self.member_names.retain(|member, _| listed.contains(member));
+        self.logged_verdicts.retain(|member, _| listed.contains(member));
+    }
+
+    pub(super) fn record_request_outcome(&mut self, at: Micros, member: u64, outcome: Outcome) {
+        self.health.saw(at, member, outcome);
+    }
+
+    pub(super) fn record_lag(&mut self, at: Micros, member: u64, lag: Micros) {
+        self.health.lags(at, member, lag);
+    }
+
+    pub(super) fn next_evaluation_at(&self) -> Micros {
+        self.next_evaluation_at
+    }
+
+    fn log_changed_verdicts(&mut self, log: LogGossip) {
+        for (member, name) in &self.member_names {
+            let verdict = self.health.verdict(*member);
+            let logged = self.logged_verdicts.entry(*member).or_default();
+            if *logged == verdict {
+                continue;
+            }
+            *logged = verdict;
+            let (score, observers) = self.health.parts().1.score(*member);
+            log(GossipLogEvent::MemberHealthChanged { name, verdict, score, observers });
+        }
+    }
+
+    /// The factors, where they differ from those that were returned last.
+    fn take_changed_factors(&mut self) -> Option<Vec<(u64, f64)>> {
+        let factors = self.health.factors();
+        if factors == self.reported_factors {
+            return None;
+        }
+        self.reported_factors = factors.clone();
+        Some(factors)
+    }
+}
+
+impl Driver {
+    /// Evaluates the health of members where that is due, and reports the factors where they changed.
+    pub(super) fn evaluate_health(&mut self, now: Micros) {
+        let worker = &mut self.worker;
+        let (Some(evaluator), Some(shared_state)) = (&mut worker.health, &mut worker.shared_state) else {
+            return;
+        };
+        if now < evaluator.next_evaluation_at {
+            return;
+        }
+        evaluator.next_evaluation_at = now + Verdicts::EVERY;
+        let local_peer = worker.membership.local_peer();
+        let router = |addr: SocketAddrV4, zone: &str| (peer_key(addr), hash_name(zone));
+        let remote_routers = worker.membership.live_peers().map(|peer| router(peer.addr, &peer.zone));
+        let local_router = router(local_peer.addr, &local_peer.zone);
+        evaluator.health.routers(remote_routers.chain([local_router]));
+        for (member, observation) in evaluator.health.to_tell(now) {
+            shared_state.record_health(now, member, peer_key(local_peer.addr), observation);
+        }
+        evaluator.health.decide(now, shared_state.health_observations());
+        evaluator.log_changed_verdicts(worker.log);
+        if let Some(factors) = evaluator.take_changed_factors() {
+            self.updates.send(GossipUpdate::MemberFactors(factors));
+        }
+    }
+}
--- /dev/null
+++ b/crates/transport/src/gossip/mod.rs
@@ -0,0 +1,127 @@
+//! The driver of gossip between proxies, on a worker thread with one UDP socket.
+//!
+//! It passes datagrams and the time to the membership protocol (`gossip`) and the zone failover (`failover`), feeds them
+//! what this proxy observes of members, publishes its votes, and reports each zone's share of reads to the broker when it
+//! changes. Where state is shared, its rumours ride on the membership's datagrams, and its exchanges go beside them. It
+//! decides nothing itself.
+//!
+//! - [`GossipHandle`]: the serving thread's side, which never waits. Observations go to the worker over a bounded ring.
+//! - [`GossipUpdate`] and [`UpdateQueue`]: what the worker reports, and the serving thread's own copy of the writes in
+//!   doubt.
+//! - [`GossipWorker`]: what the worker is made of; `driver` is its loop, `zones` and `health` are its decisions' drivers.
+//! - [`StallDetector`]: whether the worker stands still.
+
+mod driver;
+mod handle;
+mod health;
+mod log;
+mod stall;
+mod updates;
+mod zones;
+
+pub use handle::{GossipHandle, MemberContact};
+pub use health::HealthEvaluator;
+pub use log::GossipLogEvent;
+pub use stall::{StallDetector, CATCH_UP_TIME, STALL_TIMEOUT};
+pub use updates::{forward_updates, GossipUpdate, UpdateQueue, MAX_QUEUED_UPDATES};
+
+use super::{worker, Now, ProxyEvent};
+use async_channel::Sender;
+use async_executor::{LocalExecutor, Task};
+use std::cell::RefCell;
+use std::net::{SocketAddrV4, UdpSocket};
+use std::rc::Rc;
+use std::sync::Arc;
+use wharfplank_failover::FailoverController;
+use wharfplank_gossip::Membership;
+use wharfplank_routing::Micros;
+use wharfplank_shared_state::{SharedState, WriteRecord};
+
+/// Observations that may wait for the worker, and updates that may wait for the broker. Past that they are dropped and
+/// counted, since serving must not wait.
+pub const RING_CAPACITY: usize = 4096;
+
+/// Takes the bytes of a snapshot without waiting.
+pub type SaveSnapshot = Box<dyn Fn(Vec<u8>)>;
+
+/// Writes an event to the log; both threads use it.
+pub type LogGossip = fn(GossipLogEvent<'_>);
+
+/// What the worker is made of; it is made on the worker's thread.
+pub struct GossipWorker {
+    /// The membership protocol.
+    pub membership: Membership,
+    /// Decides which zones take reads.
+    pub failover: FailoverController,
+    /// The shared state, where the settings ask for it.
+    pub shared_state: Option<SharedState>,
+    /// Evaluates the health of members, where the settings ask for it; it needs the shared state.
+    pub health: Option<HealthEvaluator>,
+    /// Saves snapshots of the shared state, where the settings ask for it.
+    pub save_snapshot: Option<SaveSnapshot>,
+    /// How far `now` is ahead of the broker's clock.
+    pub clock_offset: Micros,
+    /// The peers to join.
+    pub seeds: Vec<SocketAddrV4>,
+    /// The worker's clock.
+    pub now: Now,
+    /// The log.
+    pub log: LogGossip,
+}
+
+/// What the serving thread's side is made of.
+pub struct HandleConfig {
+    /// The worker's time now.
+    pub now: Micros,
+    /// How far the worker's clock is ahead of the broker's.
+    pub clock_offset: Micros,
+    /// The write records of a snapshot, where state is shared.
+    pub write_records: Option<Vec<WriteRecord>>,
+    /// Whether the worker evaluates the health of members.
+    pub evaluates_health: bool,
+    /// Takes the events for the broker.
+    pub events: Sender<ProxyEvent>,
+    /// The log.
+    pub log: LogGossip,
+}
+
+/// Starts the worker.
+///
+/// The handle takes the broker's observations. The task forwards the worker's updates to the broker; it ends once the
+/// handle is dropped and the worker has announced that it leaves, or when the worker panics, after which the proxy serves
+/// on as one without peers.
+///
+/// # Errors
+///
+/// Fails if the socket cannot be made non-blocking or the thread cannot be started.
+pub fn start(
+    make_worker: impl FnOnce() -> GossipWorker + Send + 'static,
+    config: HandleConfig,
+    socket: UdpSocket,
+    executor: &LocalExecutor<'static>,
+) -> std::io::Result<(GossipHandle, Task<()>)> {
+    socket.set_nonblocking(true)?;
+    let stall_detector = Arc::new(StallDetector::new(config.now));
+    let worker_stall_detector = Arc::clone(&stall_detector);
+    let run = move |observations, updates| {
+        driver::run(make_worker(), socket, observations, updates, worker_stall_detector)
+    };
+    let (observations, updates) = worker::start("fleet", RING_CAPACITY, run)?;
+    let shares_state = config.write_records.is_some();
+    let queue = UpdateQueue::new(updates, config.write_records.unwrap_or_default());
+    let queue = Rc::new(RefCell::new(queue));
+    let handle = GossipHandle {
+        observations: RefCell::new(observations),
+        updates: shares_state.then(|| Rc::clone(&queue)),
+        stall_detector,
+        clock_offset: config.clock_offset,
+        evaluates_health: config.evaluates_health,
+    };
+    let task = executor.spawn(forward_updates(queue, config.events, config.log));
+    Ok((handle, task))
+}
+
+/// A peer's number in the failover and health decisions.
+fn peer_key(addr: SocketAddrV4) -> u64 {
+    u64::from(u32::from(*addr.ip())) << 16 | u64::from(addr.port())
+}
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -9,7 +9,7 @@
 mod deadline;
 pub mod discovery;
 mod event;
-pub mod fleet;
+pub mod gossip;
 pub mod handover;
 pub mod member_pool;
 mod memory;
