--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -115,7 +115,7 @@
 
     /// Tells gossip and the negative cache how an attempt ended: a write may now be settled, or in doubt.
     pub(super) fn note_attempt_ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
-        self.gossip.ended(self.clock.now(), key.request, outcome);
+        self.gossip.on_attempt_finished(self.clock.now(), key.request, outcome);
         self.negative_cache.ended(self.clock.now(), key.into(), outcome);
     }
 
@@ -139,9 +139,9 @@
         }
         self.counts.one("attempt", counts::ending(outcome), "");
         self.note_attempt_outcome(key.request, attempt.host, outcome);
-        self.gossip.saw(attempt.host, attempt.sent_at, outcome);
+        self.gossip.report_reachability(attempt.host, attempt.sent_at, outcome);
         let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
-        self.gossip.learned(self.clock.now(), attempt.host, result.position);
+        self.gossip.report_position(self.clock.now(), attempt.host, result.position);
         self.negative_cache.learned(attempt.host, result.position);
         self.notify_router(routing::Event::AttemptFinished(result));
     }
@@ -150,7 +150,7 @@
     fn report_attempt_latency(&mut self, id: RequestId, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get(id) else { return };
         let now = self.clock.now();
-        self.gossip.tried(now, attempt.host, request.class, attempt.sent_at, outcome);
+        self.gossip.report_attempt_health(now, attempt.host, request.class, attempt.sent_at, outcome);
         self.releases.ended(attempt.host, request.class, now - attempt.sent_at, outcome);
     }
 
--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -72,7 +72,7 @@
     fn forget_old_names(&mut self) {
         if self.endpoints.forget_old_names() {
             let endpoints = &self.endpoints;
-            self.gossip.retain(|host| endpoints.knows(host));
+            self.gossip.retain_members(|host| endpoints.knows(host));
             self.negative_cache.retain(|host| endpoints.knows(host));
         }
     }
@@ -86,7 +86,7 @@
             self.journal.named(host, record);
         }
         self.journal.listed(version, host, record);
-        self.gossip.listed(host, record);
+        self.gossip.update_member(host, record);
         self.negative_cache.listed(host, record);
         self.update_pool(host, record);
         Endpoint {
--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -32,10 +32,10 @@
         self.counts.one("probed", if result.answered { "ok" } else { "failed" }, "");
         self.journal.probed(host, result.answered);
         let position = result.position.filter(|_| result.answered);
-        self.gossip.learned(self.clock.now(), host, position);
+        self.gossip.report_position(self.clock.now(), host, position);
         self.negative_cache.learned(host, position);
         let sent_at = self.clock.now() - HEALTH_CHECK_TIMEOUT.as_micros() as Micros;
-        self.gossip.saw(
+        self.gossip.report_reachability(
             host,
             sent_at,
             if result.answered { AttemptOutcome::Ok } else { AttemptOutcome::Timeout },
--- a/crates/proxy/src/broker/maintenance.rs
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -71,7 +71,7 @@
     fn run_maintenance(&mut self, now: Micros) {
         self.log_counts(now);
         self.pools.relax_liveness_check();
-        self.gossip.suspicions(now, suspected_members(&self.router));
+        self.gossip.report_suspects(now, suspected_members(&self.router));
         self.cancel_attempts_over_budget();
         self.endpoints.members.values().for_each(|member| member.maintain());
         self.report_to_releases(now);
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -35,11 +35,11 @@
 use super::clock::Clock;
 use super::config::{Config, SEND_MARGIN};
 use super::counts::{self, Counts};
+use super::gossip_client::GossipClient;
 use super::journal::{recorded, Ended, Journal};
 use super::log;
 use super::missing::Lookups;
 use super::release::Releases;
-use super::talk::Talk;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
@@ -94,7 +94,7 @@
     budget_denials: BudgetDenials,
     /// Present where another process may take over from this one while it serves.
     handover: Option<HandoverController>,
-    gossip: Talk,
+    gossip: GossipClient,
     negative_cache: Lookups,
     releases: Releases,
 }
@@ -131,7 +131,7 @@
             timers: MaintenanceTimers::new(now),
             budget_denials: BudgetDenials::default(),
             handover: None,
-            gossip: Talk::new(&config.settings.classes),
+            gossip: GossipClient::new(&config.settings.classes),
             negative_cache: Lookups::default(),
             releases: Releases::default(),
         }
@@ -139,7 +139,7 @@
 
     /// Reports what members do to the gossip thread from now on.
     pub fn enable_gossip(&mut self, witness: Witness) {
-        self.gossip.start(witness);
+        self.gossip.connect(witness);
     }
 
     /// Reports the state of members to the release thread from now on.
@@ -162,7 +162,7 @@
         self.start(known);
         loop {
             let wakeup = self.wait_for_wakeup(&events, &admin_calls).await;
-            self.gossip.runs(self.clock.now());
+            self.gossip.on_event_loop_turn(self.clock.now());
             match wakeup {
                 Wakeup::AdminCall(call) => self.on_admin_call(call),
                 Wakeup::Event(event) => self.on_event(event),
@@ -221,7 +221,8 @@
             }
             ProxyEvent::ProbeFinished { host, report } => self.on_health_check_result(host, report),
             ProxyEvent::PeerNews(updates) => {
-                let observations = self.gossip.told(&updates, self.clock.now() + MAX_POSITION_AHEAD);
+                let observations =
+                    self.gossip.peer_observations(&updates, self.clock.now() + MAX_POSITION_AHEAD);
                 self.notify_router(routing::Event::PeerObservations(observations));
             }
             ProxyEvent::EndpointsChanged(event, staleness) => self.on_watch_event(event, staleness),
@@ -230,7 +231,7 @@
                 self.notify_router(routing::Event::ZoneReadShares(shares));
             }
             ProxyEvent::MemberFactors(factors) => {
-                let factors = self.gossip.factors(&factors);
+                let factors = self.gossip.latency_factors(&factors);
                 self.notify_router(routing::Event::LatencyFactors(factors));
             }
             ProxyEvent::Handover(event) => self.on_handover_event(event),
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -22,28 +22,28 @@
 impl Broker {
     /// Takes a request that a client connection has read: answers it at once where it is invalid, over budget or
     /// known from the negative cache, and hands it to the router otherwise.
-    pub(super) fn on_client_request(&mut self, asked: ClientRequest) {
+    pub(super) fn on_client_request(&mut self, received: ClientRequest) {
         // The client disconnected or cancelled before the request got here: it has its answer, or needs none.
-        if !asked.response_writer.is_awaited(asked.ticket) {
+        if !received.response_writer.is_awaited(received.ticket) {
             return;
         }
-        let Some(class) = self.class_id(&asked.class) else {
-            asked
+        let Some(class) = self.class_id(&received.class) else {
+            received
                 .response_writer
-                .respond(asked.ticket, Answer::Malformed("the class is not in the settings"));
+                .respond(received.ticket, Answer::Malformed("the class is not in the settings"));
             return;
         };
         // Members tell requests apart by their ids: a second one would be taken for a copy of the first.
-        if !self.requests.reserve_client_id(&asked.id) {
-            asked
+        if !self.requests.reserve_client_id(&received.id) {
+            received
                 .response_writer
-                .respond(asked.ticket, Answer::Malformed("the id is in use by another open request"));
+                .respond(received.ticket, Answer::Malformed("the id is in use by another open request"));
             return;
         }
         let now = self.clock.now();
-        let min_position_ms = asked.min_position_ms;
-        let request = self.router_request(now, class, &asked);
-        self.open_request(&request, asked);
+        let min_position_ms = received.min_position_ms;
+        let request = self.router_request(now, class, &received);
+        self.open_request(&request, received);
         self.admit(now, request, min_position_ms);
     }
 
@@ -52,37 +52,37 @@
     }
 
     /// The request as the router takes it.
-    fn router_request(&self, now: Micros, class: ClassId, asked: &ClientRequest) -> Request {
-        let arrived_at = self.clock.at(asked.arrived_at);
+    fn router_request(&self, now: Micros, class: ClassId, received: &ClientRequest) -> Request {
+        let arrived_at = self.clock.at(received.arrived_at);
         Request {
-            id: request_id(asked.ticket, &asked.id),
+            id: request_id(received.ticket, &received.id),
             class,
-            group: GroupId(asked.group),
-            session: asked.session_key.as_ref().map(|key| SessionKey(fnv1a(key.as_bytes()))),
+            group: GroupId(received.group),
+            session: received.session_key.as_ref().map(|key| SessionKey(fnv1a(key.as_bytes()))),
             // The wait runs from the request's last byte, however long it was queued behind others.
-            deadline: arrived_at + (Micros::from(asked.timeout_ms) * 1000 - ANSWER_MARGIN).max(1),
-            may_have_run: self.gossip.in_doubt(now, &asked.id),
-            last_write_age: asked.min_position_ms.map(|ms| now - ms.saturating_mul(1000)),
+            deadline: arrived_at + (Micros::from(received.timeout_ms) * 1000 - ANSWER_MARGIN).max(1),
+            may_have_run: self.gossip.may_have_run(now, &received.id),
+            last_write_age: received.min_position_ms.map(|ms| now - ms.saturating_mul(1000)),
         }
     }
 
-    fn open_request(&mut self, request: &Request, asked: ClientRequest) {
+    fn open_request(&mut self, request: &Request, received: ClientRequest) {
         let touched_key = self.negative_cache.asked(
             request.class,
             request.group,
-            asked.session_key.as_deref(),
-            &asked.statement,
+            received.session_key.as_deref(),
+            &received.statement,
         );
         let open = OpenRequest {
-            ticket: asked.ticket,
-            client_id: asked.id,
-            statement: asked.statement,
-            responses: asked.response_writer,
+            ticket: received.ticket,
+            client_id: received.id,
+            statement: received.statement,
+            responses: received.response_writer,
             attempts: 0,
             class: request.class,
             group: request.group,
             touched_key,
-            arrived_at: self.clock.at(asked.arrived_at),
+            arrived_at: self.clock.at(received.arrived_at),
             attempt_outcomes: Vec::new(),
         };
         self.requests.insert(request.id, open);
@@ -132,7 +132,7 @@
         let Some(request) = self.requests.get(id) else { return };
         let last_attempt = AttemptKey::new(id, request.attempts.saturating_sub(1));
         if self.attempts.contains(last_attempt) || self.streaming.contains(last_attempt) {
-            self.gossip.gone(self.clock.now(), id, request.class, &request.client_id);
+            self.gossip.on_request_abandoned(self.clock.now(), id, request.class, &request.client_id);
         }
     }
 
@@ -181,14 +181,14 @@
 
     /// Counts the one final answer of an open request, and removes the request from the tables.
     pub(super) fn finish(&mut self, id: RequestId, answer: &Answer) -> Option<OpenRequest> {
-        self.gossip.answered(self.clock.now(), answer);
+        self.gossip.count_answer(self.clock.now(), answer);
         let request = self.close(id)?;
-        let end = match answer {
+        let status = match answer {
             Answer::Served(_) => ReplyStatus::Success,
             Answer::Refused(_) => ReplyStatus::Overload,
             Answer::Failed | Answer::Cancelled | Answer::Malformed(_) => ReplyStatus::Error,
         };
-        self.pools.metrics.record_reply(request.class.0, end);
+        self.pools.metrics.record_reply(request.class.0, status);
         Some(request)
     }
 }
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -34,7 +34,7 @@
     fn report_finished_attempt(&mut self, finished: &FinishedAttempt) {
         let FinishedAttempt { key, host, sent_at, outcome } = *finished;
         self.note_attempt_outcome(key.request, host, outcome);
-        self.gossip.saw(host, sent_at, outcome);
+        self.gossip.report_reachability(host, sent_at, outcome);
         self.close_if_client_left(key.request);
         let result = self.attempt_result(key, host, sent_at, &AttemptReport::without_answer(outcome));
         self.route(self.clock.now(), routing::Event::AttemptFinished(result));
@@ -77,7 +77,12 @@
     /// Answers a request that the router has given up.
     fn fail(&mut self, id: RequestId, reason: routing::RejectReason) {
         if let Some(request) = self.requests.get(id) {
-            self.gossip.failed(self.clock.now(), request.class, request.attempts, &request.client_id);
+            self.gossip.on_request_failed(
+                self.clock.now(),
+                request.class,
+                request.attempts,
+                &request.client_id,
+            );
         }
         self.count_request(id, Disposition::Failed, recorded(reason).name());
         self.record_request(id, |journal, ended| journal.given_up(ended, false, reason));
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -73,14 +73,14 @@
         let Some(stream) = self.streaming.streams.remove(&key) else { return };
         let StreamingAttempt { attempt, deferred_result } = stream;
         self.note_attempt_ended(key, report.outcome);
-        self.gossip.saw(attempt.host, attempt.sent_at, report.outcome);
+        self.gossip.report_reachability(attempt.host, attempt.sent_at, report.outcome);
         self.counts.one("attempt", counts::ending(report.outcome), "");
         // Where the client left meanwhile, there is nothing more to answer or count.
         if self.requests.contains(key.request) {
             self.finish_streamed_request(key.request, attempt.host, &report);
         }
         let final_result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
-        self.gossip.learned(self.clock.now(), attempt.host, final_result.position);
+        self.gossip.report_position(self.clock.now(), attempt.host, final_result.position);
         match deferred_result {
             Some(deferred) => {
                 let result =
--- /dev/null
+++ b/crates/proxy/src/gossip_client/abandoned_writes.rs
@@ -0,0 +1,45 @@
+//! Writes whose clients disconnected while an attempt was in flight.
+
+use std::collections::HashMap;
+use wharfplank_routing::{AttemptOutcome, RequestId};
+use wharfplank_shared_state::WriteOutcome;
+
+/// What became of a write in doubt.
+pub(super) struct SettledWrite {
+    /// The hash of the client's id of the request.
+    pub(super) write: u64,
+    pub(super) outcome: WriteOutcome,
+}
+
+/// The abandoned writes whose attempts are in flight; bounded as attempts are.
+#[derive(Default)]
+pub(super) struct AbandonedWrites {
+    writes: HashMap<RequestId, u64>,
+}
+
+impl AbandonedWrites {
+    pub(super) fn insert(&mut self, id: RequestId, write: u64) {
+        self.writes.insert(id, write);
+    }
+
+    /// Forgets the write of a request whose attempt ended; returns what became of it, if the outcome tells.
+    pub(super) fn on_attempt_finished(
+        &mut self,
+        id: RequestId,
+        outcome: AttemptOutcome,
+    ) -> Option<SettledWrite> {
+        let write = self.writes.remove(&id)?;
+        let outcome = match outcome {
+            AttemptOutcome::Ok => WriteOutcome::Executed,
+            AttemptOutcome::Overloaded
+            | AttemptOutcome::Misrouted
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::NotSent => WriteOutcome::NotExecuted,
+            AttemptOutcome::Error
+            | AttemptOutcome::Timeout
+            | AttemptOutcome::Reset
+            | AttemptOutcome::Cancelled => return None,
+        };
+        Some(SettledWrite { write, outcome })
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -7,12 +7,12 @@
 mod counts;
 pub mod error;
 mod fleet;
+mod gossip_client;
 mod journal;
 pub mod log;
 mod missing;
 mod release;
 mod startup;
-mod talk;
 
 pub use broker::shutdown_timing;
 pub use error::StartError;
