--- a/crates/admin/src/handover/message.rs
+++ b/crates/admin/src/handover/message.rs
@@ -11,9 +11,9 @@
 pub const PROTOCOL_VERSION: u32 = 1;
 
 /// The largest concurrency limit of a member that a successor accepts.
-pub const MAX_LIMIT: f64 = 64.0;
+pub const MAX_CONCURRENCY_LIMIT: f64 = 64.0;
 /// Bounds of the other [`MemberTraits`] that a successor accepts.
-const MAX_SLOWNESS: f64 = 8.0;
+const MAX_RELATIVE_LATENCY: f64 = 8.0;
 const MAX_RATE_PER_SECOND: f64 = 1e5;
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -57,11 +57,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberTraits {
     /// The concurrency limit: how many requests of this process it may have in flight.
-    pub limit: f64,
+    #[serde(rename = "limit")]
+    pub concurrency_limit: f64,
     /// The mean latency of its answers relative to the usual one.
-    pub slowness: f64,
+    #[serde(rename = "slowness")]
+    pub relative_latency: f64,
     /// Its answers to this process per second.
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub answer_rate: f64,
     /// When it was last known to be the primary of its group; 0 where it never was.
     pub primary_at: Micros,
     /// When it was last known to be a replica; 0 where it never was.
@@ -71,9 +74,9 @@
 impl From<LearnedTraits> for MemberTraits {
     fn from(traits: LearnedTraits) -> Self {
         MemberTraits {
-            limit: traits.concurrency_limit,
-            slowness: traits.relative_latency,
-            rate: traits.answer_rate * MICROS_PER_SECOND,
+            concurrency_limit: traits.concurrency_limit,
+            relative_latency: traits.relative_latency,
+            answer_rate: traits.answer_rate * MICROS_PER_SECOND,
             primary_at: traits.primary_at,
             replica_at: traits.replica_at,
         }
@@ -85,9 +88,9 @@
     /// numbers within bounds, and no time in the future.
     pub fn to_learned(self, now: Micros) -> LearnedTraits {
         LearnedTraits {
-            concurrency_limit: clamp_finite(self.limit, 1.0, MAX_LIMIT),
-            relative_latency: clamp_finite(self.slowness, 0.0, MAX_SLOWNESS),
-            answer_rate: clamp_finite(self.rate, 0.0, MAX_RATE_PER_SECOND) / MICROS_PER_SECOND,
+            concurrency_limit: clamp_finite(self.concurrency_limit, 1.0, MAX_CONCURRENCY_LIMIT),
+            relative_latency: clamp_finite(self.relative_latency, 0.0, MAX_RELATIVE_LATENCY),
+            answer_rate: clamp_finite(self.answer_rate, 0.0, MAX_RATE_PER_SECOND) / MICROS_PER_SECOND,
             primary_at: self.primary_at.clamp(0, now),
             replica_at: self.replica_at.clamp(0, now),
         }
--- a/crates/admin/src/handover/mod.rs
+++ b/crates/admin/src/handover/mod.rs
@@ -5,7 +5,7 @@
 mod message;
 
 pub use message::{
-    HandoverMessage, HandoverState, MemberKnowledge, MemberTraits, MAX_LIMIT, PROTOCOL_VERSION,
+    HandoverMessage, HandoverState, MemberKnowledge, MemberTraits, MAX_CONCURRENCY_LIMIT, PROTOCOL_VERSION,
 };
 
 use serde::{Deserialize, Serialize};
--- a/crates/admin/tests/handover.rs
+++ b/crates/admin/tests/handover.rs
@@ -1,6 +1,6 @@
 //! The hand-over between a predecessor and its successor.
 
-use wharfplank_admin::handover::{CONFIRMATION_TIMEOUT, MAX_LIMIT, MAX_UNCONFIRMED};
+use wharfplank_admin::handover::{CONFIRMATION_TIMEOUT, MAX_CONCURRENCY_LIMIT, MAX_UNCONFIRMED};
 use wharfplank_admin::{
     CommandId, ConnectionCounts, Handover, HandoverMessage, HandoverState, MemberKnowledge, MemberTraits,
 };
@@ -74,7 +74,13 @@
     for (message, wanted) in message_texts {
         assert_eq!(serde_json::to_string(&message).expect("text"), wanted);
     }
-    let traits = MemberTraits { limit: 7.5, slowness: 1.5, rate: 40.0, primary_at: 9, replica_at: 3 };
+    let traits = MemberTraits {
+        concurrency_limit: 7.5,
+        relative_latency: 1.5,
+        answer_rate: 40.0,
+        primary_at: 9,
+        replica_at: 3,
+    };
     let member = MemberKnowledge { id: "m1".to_string(), position: 5, suspected_at: 0, traits: Some(traits) };
     let state = HandoverState {
         version: 1,
@@ -100,10 +106,32 @@
     let bare: MemberKnowledge =
         serde_json::from_str(r#"{"id":"m1","position":5,"suspected_at":0}"#).expect("as before");
     assert_eq!(bare.traits, None);
-    let traits = MemberTraits { limit: 7.5, slowness: 1.5, rate: 40.0, primary_at: 9, replica_at: 3 };
+    let traits = MemberTraits {
+        concurrency_limit: 7.5,
+        relative_latency: 1.5,
+        answer_rate: 40.0,
+        primary_at: 9,
+        replica_at: 3,
+    };
     assert_eq!(MemberTraits::from(traits.to_learned(10)), traits);
-    let wild = MemberTraits { limit: 0.0, slowness: f64::NAN, rate: -1.0, primary_at: 99, replica_at: -9 };
-    let clamped = MemberTraits { limit: 1.0, slowness: 0.0, rate: 0.0, primary_at: 10, replica_at: 0 };
+    let wild = MemberTraits {
+        concurrency_limit: 0.0,
+        relative_latency: f64::NAN,
+        answer_rate: -1.0,
+        primary_at: 99,
+        replica_at: -9,
+    };
+    let clamped = MemberTraits {
+        concurrency_limit: 1.0,
+        relative_latency: 0.0,
+        answer_rate: 0.0,
+        primary_at: 10,
+        replica_at: 0,
+    };
     assert_eq!(MemberTraits::from(wild.to_learned(10)), clamped);
-    assert_eq!(MemberTraits::from(MemberTraits { limit: 1e9, ..traits }.to_learned(10)).limit, MAX_LIMIT);
+    assert_eq!(
+        MemberTraits::from(MemberTraits { concurrency_limit: 1e9, ..traits }.to_learned(10))
+            .concurrency_limit,
+        MAX_CONCURRENCY_LIMIT
+    );
 }
--- a/crates/proxy/src/broker/admin_calls.rs
+++ b/crates/proxy/src/broker/admin_calls.rs
@@ -57,7 +57,7 @@
     }
 
     fn log_avoided_members(&self) {
-        if self.counts.on() {
+        if self.counts.is_enabled() {
             let avoided = self.avoided_members().map(|(id, reason)| format!("{id}:{}", reason.as_str()));
             log::avoided(&avoided.collect::<Vec<_>>().join(","));
         }
--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -33,8 +33,8 @@
         let bound = holds_until.map(|until| until + SEND_MARGIN - WRITE_MARGIN);
         let last_byte = bound.into_iter().chain(write_until).min();
         let limits = AttemptLimits {
-            deadline: self.clock.instant(now.saturating_add(timeout)),
-            send_by: last_byte.map(|until| self.clock.instant(until)),
+            deadline: self.clock.to_instant(now.saturating_add(timeout)),
+            send_by: last_byte.map(|until| self.clock.to_instant(until)),
         };
         self.spawn_attempt(now, key, host, &member, limits);
     }
@@ -103,7 +103,7 @@
         };
         let Some(attempt) = self.attempts.remove(key) else { return };
         drop(attempt.task);
-        self.counts.one("attempt", counts::ending(outcome), "");
+        self.counts.increment("attempt", activity_counts::outcome_name(outcome), "");
         self.note_attempt_ended(key, outcome);
         self.attempts.push_finished(FinishedAttempt {
             key,
@@ -137,7 +137,7 @@
         if outcome == AttemptOutcome::Ok {
             self.serve_answer(key.request, &attempt, &mut report);
         }
-        self.counts.one("attempt", counts::ending(outcome), "");
+        self.counts.increment("attempt", activity_counts::outcome_name(outcome), "");
         self.note_attempt_outcome(key.request, attempt.host, outcome);
         self.gossip.saw(attempt.host, attempt.sent_at, outcome);
         let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
--- a/crates/proxy/src/broker/budgets.rs
+++ b/crates/proxy/src/broker/budgets.rs
@@ -24,7 +24,7 @@
     pub(super) fn is_over_budget(&mut self, group: GroupId) -> bool {
         let is_denied = self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.request(group.0));
         if is_denied {
-            self.counts.one("budget", "denied", "");
+            self.counts.increment("budget", "denied", "");
         }
         is_denied
     }
@@ -42,7 +42,7 @@
     /// taken for faulty.
     pub(super) fn report_denied_health_checks(&mut self) {
         while let Some(host) = self.budget_denials.health_checks.pop_front() {
-            self.counts.one("probed", "denied", "");
+            self.counts.increment("probed", "denied", "");
             let result =
                 routing::ProbeResult { host, answered: false, role: None, position: None, queued: None };
             self.route(self.clock.now(), routing::Event::ProbeFinished(result));
@@ -75,7 +75,7 @@
     }
 
     fn cancel_over_budget(&mut self, key: AttemptKey) {
-        self.counts.one("budget", "broken_off", "");
+        self.counts.increment("budget", "broken_off", "");
         if self.streaming.contains(key) {
             self.on_stream_finished(key, AttemptReport::without_answer(AttemptOutcome::Cancelled));
         } else {
--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -16,11 +16,14 @@
         }
         if event.suspect.is_some() || staleness.is_some() {
             log::list(staleness.map(Staleness::as_str), event.suspect, event.deadlines.len());
-            self.journal.list(staleness.map(Staleness::as_str), event.suspect.map(SuspectReason::as_str));
+            self.recorder.record_list_state(
+                staleness.map(Staleness::as_str),
+                event.suspect.map(SuspectReason::as_str),
+            );
         }
         for SendDeadline { endpoint, until } in event.deadlines {
             if let Some(member) = self.endpoints.member_named(&endpoint) {
-                member.stop_sends_at(self.clock.instant(until));
+                member.stop_sends_at(self.clock.to_instant(until));
             }
         }
         if let Some(list) = event.update {
@@ -83,9 +86,9 @@
         let is_new = !self.endpoints.ids.contains_key(&record.name);
         let host = self.endpoints.assign_id(&record.name);
         if is_new {
-            self.journal.named(host, record);
+            self.recorder.record_member_name(host, record);
         }
-        self.journal.listed(version, host, record);
+        self.recorder.record_endpoint(version, host, record);
         self.gossip.listed(host, record);
         self.negative_cache.listed(host, record);
         self.update_pool(host, record);
--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -29,8 +29,8 @@
     /// Handles the end of a health check. Without a report, or with one that is invalid, the check has failed.
     pub(super) fn on_health_check_result(&mut self, host: HostId, report: Option<String>) {
         let result = self.read_load_report(host, report.as_deref());
-        self.counts.one("probed", if result.answered { "ok" } else { "failed" }, "");
-        self.journal.probed(host, result.answered);
+        self.counts.increment("probed", if result.answered { "ok" } else { "failed" }, "");
+        self.recorder.record_health_check(host, result.answered);
         let position = result.position.filter(|_| result.answered);
         self.gossip.learned(self.clock.now(), host, position);
         self.negative_cache.learned(host, position);
--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -70,7 +70,7 @@
             Ok(_) => ReloadResult::Applied,
             Err(_) => ReloadResult::Failed,
         });
-        self.journal.reloaded(config.is_ok());
+        self.recorder.record_reload(config.is_ok());
         match config {
             Ok(config) => {
                 self.discovery.set_address(config.discovery);
--- a/crates/proxy/src/broker/maintenance.rs
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -80,28 +80,28 @@
 
     fn log_counts(&mut self, now: Micros) {
         self.counts.add("connections", "open", "", self.pools.open_connections.get() as u64);
-        if let Some(counts) = self.counts.take() {
+        if let Some(counts) = self.counts.take_text() {
             log::counts(now as u64 / 1000, &counts);
         }
     }
 
     fn report_to_releases(&mut self, now: Micros) {
         let endpoints = &self.endpoints;
-        let journal = &self.journal;
+        let recorder = &self.recorder;
         self.releases.tell(
             now,
             &endpoints.records,
             &endpoints.cordons,
             &endpoints.ids,
             self.router.member_views(),
-            |action, names| journal.released(action, names),
+            |action, names| recorder.record_rollout_action(action, names),
         );
     }
 
     fn record_members(&self) {
-        if self.journal.records() {
-            self.router.member_views().for_each(|view| self.journal.seen(&view));
-            self.journal.hand_over();
+        if self.recorder.is_enabled() {
+            self.router.member_views().for_each(|view| self.recorder.record_member_state(&view));
+            self.recorder.flush();
         }
     }
 }
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -32,12 +32,12 @@
 use request_table::{OpenRequest, RequestTable};
 use streaming::StreamingAttempts;
 
+use super::activity_counts::{self, ActivityCounts};
 use super::clock::Clock;
 use super::config::{Config, SEND_MARGIN};
-use super::counts::{self, Counts};
-use super::journal::{recorded, Ended, Journal};
 use super::log;
 use super::missing::Lookups;
+use super::recording::{record_reason, DecisionRecorder, RequestSummary};
 use super::release::Releases;
 use super::talk::Talk;
 use async_channel::{Receiver, Sender};
@@ -83,8 +83,8 @@
     /// Where spawned tasks send their results; the event loop receives at the other end.
     events: Sender<ProxyEvent>,
     discovery: DiscoveryWatch,
-    journal: Journal,
-    counts: Counts,
+    recorder: DecisionRecorder,
+    counts: ActivityCounts,
     requests: RequestTable,
     attempts: AttemptTable,
     streaming: StreamingAttempts,
@@ -109,7 +109,7 @@
         clients: Rc<ClientListener>,
         events: Sender<ProxyEvent>,
         discovery: DiscoveryWatch,
-        journal: Journal,
+        recorder: DecisionRecorder,
     ) -> Self {
         let now = clock.now();
         Broker {
@@ -121,8 +121,8 @@
             clients,
             events,
             discovery,
-            journal,
-            counts: Counts::start(),
+            recorder,
+            counts: ActivityCounts::new(),
             requests: RequestTable::default(),
             attempts: AttemptTable::default(),
             streaming: StreamingAttempts::new(&config.settings),
--- a/crates/proxy/src/broker/negative_cache.rs
+++ b/crates/proxy/src/broker/negative_cache.rs
@@ -22,7 +22,7 @@
         let cached = key.and_then(|key| self.negative_cache.answer(now, class, key, min_position_ms));
         if let Some(messages) = cached {
             self.count_request(id, Disposition::Served, "missing");
-            self.record_request(id, |journal, ended| journal.served(ended));
+            self.record_request(id, |recorder, request| recorder.record_served(request));
             self.answer(id, Answer::Served(messages));
             return true;
         }
--- a/crates/proxy/src/broker/request_log.rs
+++ b/crates/proxy/src/broker/request_log.rs
@@ -25,12 +25,12 @@
     /// Counts how an open request is answered, and why. One that is not served gets a log line of its own, by which
     /// the client's id can be followed through the logs of all proxies.
     pub(super) fn count_request(&mut self, id: RequestId, disposition: Disposition, why: &'static str) {
-        if !self.counts.on() {
+        if !self.counts.is_enabled() {
             return;
         }
         let Some(request) = self.requests.get(id) else { return };
         if let Some(class) = self.parameters.class_names.get(request.class.0) {
-            self.counts.one(disposition.name(), why, class);
+            self.counts.increment(disposition.name(), why, class);
         }
         if disposition != Disposition::Served {
             self.log_unserved(request, disposition, why);
@@ -40,7 +40,7 @@
     fn log_unserved(&self, request: &OpenRequest, disposition: Disposition, why: &'static str) {
         let names = self.endpoints.names_by_id();
         let outcomes = request.attempt_outcomes.iter().map(|AttemptOutcomeAt { host, outcome }| {
-            format!("{}:{}", names.get(host).unwrap_or(&"-"), counts::ending(*outcome))
+            format!("{}:{}", names.get(host).unwrap_or(&"-"), activity_counts::outcome_name(*outcome))
         });
         let outcomes = outcomes.collect::<Vec<_>>().join(",");
         let took_ms = (self.clock.now() - request.arrived_at) / 1000;
@@ -51,7 +51,7 @@
 
     /// Keeps how an attempt ended, for the log line of a request that is not served.
     pub(super) fn note_attempt_outcome(&mut self, id: RequestId, host: HostId, outcome: AttemptOutcome) {
-        if !self.counts.on() {
+        if !self.counts.is_enabled() {
             return;
         }
         let max_outcomes = self.attempt_policy.max_attempts as usize;
@@ -65,22 +65,28 @@
     pub(super) fn record_served(&mut self, id: RequestId, host: HostId, primary: Option<bool>) {
         let role = if primary == Some(true) { "primary" } else { "replica" };
         self.count_request(id, Disposition::Served, role);
-        self.record_request(id, |journal, ended| journal.served(Ended { member: Some(host), ..ended }));
+        self.record_request(id, |recorder, request| {
+            recorder.record_served(RequestSummary { member: Some(host), ..request })
+        });
     }
 
     /// Records the end of an open request, where the settings ask for records.
-    pub(super) fn record_request(&self, id: RequestId, record: impl FnOnce(&Journal, Ended)) {
-        if !self.journal.records() {
+    pub(super) fn record_request(
+        &self,
+        id: RequestId,
+        record: impl FnOnce(&DecisionRecorder, RequestSummary),
+    ) {
+        if !self.recorder.is_enabled() {
             return;
         }
         let Some(request) = self.requests.get(id) else { return };
-        let ended = Ended {
+        let summary = RequestSummary {
             class: request.class,
             group: request.group,
             member: None,
             attempts: request.attempts,
             took: self.clock.now() - request.arrived_at,
         };
-        record(&self.journal, ended);
+        record(&self.recorder, summary);
     }
 }
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -53,7 +53,7 @@
 
     /// The request as the router takes it.
     fn router_request(&self, now: Micros, class: ClassId, asked: &ClientRequest) -> Request {
-        let arrived_at = self.clock.at(asked.arrived_at);
+        let arrived_at = self.clock.to_micros(asked.arrived_at);
         Request {
             id: request_id(asked.ticket, &asked.id),
             class,
@@ -82,7 +82,7 @@
             class: request.class,
             group: request.group,
             touched_key,
-            arrived_at: self.clock.at(asked.arrived_at),
+            arrived_at: self.clock.to_micros(asked.arrived_at),
             attempt_outcomes: Vec::new(),
         };
         self.requests.insert(request.id, open);
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -58,7 +58,7 @@
                 self.end_attempt(AttemptKey::new(id, attempt.0), AttemptOutcome::Cancelled)
             }
             Action::Probe { host, purpose } => {
-                self.counts.one("probe", counts::probe_purpose(purpose), "");
+                self.counts.increment("probe", activity_counts::probe_purpose_name(purpose), "");
                 self.start_health_check(host);
             }
             Action::SetTimer(delay) => self.timers.schedule_router_timer(self.clock.now() + delay),
@@ -69,8 +69,8 @@
 
     /// Answers a request that the router sheds. The wait until a retry is rounded up to whole milliseconds.
     fn reject(&mut self, id: RequestId, retry_after: Micros, reason: routing::RejectReason) {
-        self.count_request(id, Disposition::Rejected, recorded(reason).name());
-        self.record_request(id, |journal, ended| journal.given_up(ended, true, reason));
+        self.count_request(id, Disposition::Rejected, record_reason(reason).name());
+        self.record_request(id, |recorder, request| recorder.record_rejected(request, reason));
         self.answer(id, Answer::Refused((retry_after + 999) / 1000));
     }
 
@@ -79,8 +79,8 @@
         if let Some(request) = self.requests.get(id) {
             self.gossip.failed(self.clock.now(), request.class, request.attempts, &request.client_id);
         }
-        self.count_request(id, Disposition::Failed, recorded(reason).name());
-        self.record_request(id, |journal, ended| journal.given_up(ended, false, reason));
+        self.count_request(id, Disposition::Failed, record_reason(reason).name());
+        self.record_request(id, |recorder, request| recorder.record_failed(request, reason));
         self.answer(id, Answer::Failed);
     }
 }
--- a/crates/proxy/src/broker/shutdown.rs
+++ b/crates/proxy/src/broker/shutdown.rs
@@ -23,7 +23,7 @@
         let began_at = self.clock.now();
         let shutdown = Shutdown { began_at, is_listener_closed: false, has_given_up: false };
         self.lifecycle.shutdown = Some(shutdown);
-        self.journal.stopping();
+        self.recorder.record_shutdown();
         self.clients.begin_draining();
     }
 
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -74,7 +74,7 @@
         let StreamingAttempt { attempt, deferred_result } = stream;
         self.note_attempt_ended(key, report.outcome);
         self.gossip.saw(attempt.host, attempt.sent_at, report.outcome);
-        self.counts.one("attempt", counts::ending(report.outcome), "");
+        self.counts.increment("attempt", activity_counts::outcome_name(report.outcome), "");
         // Where the client left meanwhile, there is nothing more to answer or count.
         if self.requests.contains(key.request) {
             self.finish_streamed_request(key.request, attempt.host, &report);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,15 +1,15 @@
 //! The proxy program: its configuration, its start, the broker that owns the routing state, and the log.
 
+mod activity_counts;
 mod broker;
 mod budgets;
 pub mod clock;
 pub mod config;
-mod counts;
 pub mod error;
 mod fleet;
-mod journal;
 pub mod log;
 mod missing;
+mod recording;
 mod release;
 mod startup;
 mod talk;
--- /dev/null
+++ b/crates/proxy/src/recording.rs
@@ -0,0 +1,243 @@
+//! Turns what the broker decides and observes into records. Does nothing where the settings ask for no records.
+
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::error::{Component, StartError};
+use crate::log;
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
+use wharfplank_records::recorder::Terms;
+use wharfplank_records::{record, store::Limits, Outcome, Record, Recorder, Seen};
+use wharfplank_rollout::status::name;
+use wharfplank_rollout::Said;
+use wharfplank_routing::{ClassId, GroupId, HostId, MemberView, Micros, RejectReason};
+use wharfplank_settings::Records;
+
+const MICROS_PER_DAY: Micros = 86_400_000_000;
+/// Latency relative to the usual one is recorded in hundredths.
+const SLOWNESS_SCALE: f64 = 100.0;
+const MAX_RECORDED_SLOWNESS: f64 = 1e6;
+
+/// Records what one process decides and observes.
+pub struct DecisionRecorder {
+    recorder: Option<Recorder>,
+    /// The latency objective of each class.
+    latency_objectives: Vec<Micros>,
+    /// The last recorded health and start time of each listed member.
+    recorded_endpoints: HashMap<HostId, (EndpointHealth, i64)>,
+}
+
+/// What is known of a request when it has been answered.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestSummary {
+    /// Its class.
+    pub class: ClassId,
+    /// Its group.
+    pub group: GroupId,
+    /// The member that served it, if one did.
+    pub member: Option<HostId>,
+    /// The number of attempts that were sent.
+    pub attempts: u32,
+    /// The time since its last byte arrived.
+    pub took: Micros,
+}
+
+/// The reason of the routing policy as records and the log's counts name it.
+pub fn record_reason(reason: RejectReason) -> record::Reason {
+    match reason {
+        RejectReason::TooStale { .. } => record::Reason::TooStale,
+        RejectReason::NoPrimary => record::Reason::NoPrimary,
+        RejectReason::NoMember => record::Reason::NoMember,
+        RejectReason::LoadShed => record::Reason::Shed,
+        RejectReason::QueuedTooLong => record::Reason::Held,
+        RejectReason::DeadlineExceeded => record::Reason::OutOfTime,
+        RejectReason::AttemptsExhausted => record::Reason::Spent,
+        RejectReason::MayHaveRun => record::Reason::MayHaveRun,
+        RejectReason::ShuttingDown => record::Reason::Closing,
+        RejectReason::UnknownClass => record::Reason::Unusable,
+        RejectReason::OverQuota => record::Reason::OverBudget,
+    }
+}
+
+impl DecisionRecorder {
+    /// Starts the recorder that the settings ask for, and records the zone and the classes of this process.
+    pub fn start(settings: Option<&Records>, config: &Config, clock: Clock) -> Result<Self, StartError> {
+        let latency_objectives: Vec<Micros> =
+            config.settings.classes.iter().map(|class| class.latency_objective).collect();
+        let recorder = settings.map(|settings| start_recorder(settings, clock)).transpose()?;
+        let decisions = DecisionRecorder { recorder, latency_objectives, recorded_endpoints: HashMap::new() };
+        decisions.record(|| Record::Proxy { zone: config.terms.zone.clone() });
+        let classes = config.terms.class_names.iter().zip(&decisions.latency_objectives);
+        for (class, (name, objective)) in classes.enumerate() {
+            decisions.record(|| Record::Class { class: class as u16, name: name.clone(), aim: *objective });
+        }
+        Ok(decisions)
+    }
+
+    fn record(&self, record: impl FnOnce() -> Record) {
+        if let Some(recorder) = &self.recorder {
+            recorder.note(record());
+        }
+    }
+
+    /// Whether anything is recorded.
+    pub fn is_enabled(&self) -> bool {
+        self.recorder.is_some()
+    }
+
+    /// Hands the records since the last call to the writer; called at a steady pace.
+    pub fn flush(&self) {
+        if let Some(recorder) = &self.recorder {
+            recorder.hand_over();
+        }
+    }
+
+    /// A member was listed for the first time: its id in later records stands for this name and zone.
+    pub fn record_member_name(&self, member: HostId, endpoint: &EndpointRecord) {
+        self.record(|| Record::Name {
+            member: member.0,
+            name: endpoint.name.clone(),
+            zone: endpoint.zone.clone(),
+        });
+    }
+
+    /// The endpoint list of this version names a member; recorded where its health or start time has changed.
+    pub fn record_endpoint(&mut self, version: u64, member: HostId, endpoint: &EndpointRecord) {
+        if !self.is_enabled() {
+            return;
+        }
+        let state = (endpoint.health, endpoint.started_at_ms);
+        if self.recorded_endpoints.insert(member, state) == Some(state) {
+            return;
+        }
+        self.record(|| Record::Listed {
+            seq: version,
+            member: member.0,
+            health: recorded_health(endpoint.health).to_string(),
+            born: endpoint.started_at_ms * 1000,
+        });
+        if endpoint.health == EndpointHealth::Removed {
+            self.recorded_endpoints.remove(&member);
+        }
+    }
+
+    /// The staleness of the endpoint list has changed, or an answer of discovery is suspect.
+    pub fn record_list_state(&self, staleness: Option<&str>, suspect: Option<&str>) {
+        self.record(|| Record::List {
+            age: staleness.map(str::to_string),
+            doubt: suspect.map(str::to_string),
+        });
+    }
+
+    /// A request was served.
+    pub fn record_served(&self, request: RequestSummary) {
+        let objective = self.latency_objectives.get(request.class.0);
+        let is_late = objective.is_some_and(|objective| request.took > *objective);
+        let outcome = if is_late { Outcome::Late } else { Outcome::Served };
+        self.record_answer(request, outcome, None);
+    }
+
+    /// A request was rejected.
+    pub fn record_rejected(&self, request: RequestSummary, reason: RejectReason) {
+        self.record_answer(request, Outcome::Refused(record_reason(reason)), staleness_gap(reason));
+    }
+
+    /// A request has failed.
+    pub fn record_failed(&self, request: RequestSummary, reason: RejectReason) {
+        self.record_answer(request, Outcome::Failed(record_reason(reason)), staleness_gap(reason));
+    }
+
+    fn record_answer(&self, request: RequestSummary, outcome: Outcome, stale: Option<(Micros, Micros)>) {
+        self.record(|| Record::Answer {
+            class: request.class.0 as u16,
+            group: request.group.0,
+            member: request.member.map(|member| member.0),
+            attempts: request.attempts.min(u32::from(u16::MAX)) as u16,
+            took: request.took,
+            outcome,
+            stale,
+        });
+    }
+
+    /// A member as the router sees it.
+    pub fn record_member_state(&self, view: &MemberView) {
+        self.record(|| {
+            Record::Seen(Seen {
+                member: view.host.0,
+                group: view.group.0,
+                primary: view.primary,
+                active: view.active,
+                position: view.position,
+                heard: view.position_seen_at,
+                suspected: view.suspected_since,
+                in_flight: view.in_flight as u32,
+                slowness: (view.traits.relative_latency * SLOWNESS_SCALE).clamp(0.0, MAX_RECORDED_SLOWNESS)
+                    as u32,
+            })
+        });
+    }
+
+    /// A health check of a member has ended.
+    pub fn record_health_check(&self, member: HostId, answered: bool) {
+        self.record(|| Record::Probe { member: member.0, ok: answered });
+    }
+
+    /// The configuration was read again, successfully or not.
+    pub fn record_reload(&self, is_applied: bool) {
+        self.record(|| Record::Reload { ok: is_applied });
+    }
+
+    /// Something was done in a rollout that this proxy drives.
+    pub fn record_rollout_action(&self, said: &Said, names: &BTreeMap<u64, String>) {
+        let Said::Did(plan, action) = said else { return };
+        self.record(|| {
+            let (what, member, detail) = log::words(names, action);
+            Record::Release {
+                release: name(*plan),
+                what: what.to_string(),
+                member: member.to_string(),
+                detail,
+            }
+        });
+    }
+
+    /// The process was asked to end.
+    pub fn record_shutdown(&self) {
+        self.record(|| Record::Stopping);
+    }
+}
+
+fn start_recorder(settings: &Records, clock: Clock) -> Result<Recorder, StartError> {
+    let days = |days: u32| Micros::from(days) * MICROS_PER_DAY;
+    let terms = Terms {
+        directory: settings.directory.clone(),
+        proxy: settings.proxy.clone(),
+        queue: settings.queue,
+        flush: Duration::from_millis(settings.flush_ms),
+        limits: Limits {
+            bytes: settings.max_megabytes << 20,
+            blocks: days(settings.keep_days),
+            sums: days(settings.keep_sums_days),
+        },
+    };
+    Recorder::start(terms, move || clock.now(), log::records)
+        .map_err(StartError::component_start(Component::Records))
+}
+
+/// The name of a health in records.
+fn recorded_health(health: EndpointHealth) -> &'static str {
+    match health {
+        EndpointHealth::Active => "active",
+        EndpointHealth::Draining => "leaving",
+        EndpointHealth::Removed => "left",
+    }
+}
+
+/// The needed and the known log position, where a request failed for staleness.
+fn staleness_gap(reason: RejectReason) -> Option<(Micros, Micros)> {
+    match reason {
+        RejectReason::TooStale { needed, known } => Some((needed, known)),
+        _ => None,
+    }
+}
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -7,8 +7,8 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::error::StartError;
-use crate::journal::Journal;
 use crate::missing::Lookups;
+use crate::recording::DecisionRecorder;
 use crate::release::Releases;
 use crate::{budgets, fleet, log};
 use async_channel::{Receiver, Sender};
@@ -55,7 +55,7 @@
     let pool_context = context.member_pool_context(&config, limits, budgets.clone());
     let clients = context.client_listener(&config, limits);
     let watch = context.watch_discovery(&config, budgets);
-    let journal = Journal::start(settings.records.as_ref(), &config, context.clock)?;
+    let recorder = DecisionRecorder::start(settings.records.as_ref(), &config, context.clock)?;
     let mut broker = Broker::new(
         &config,
         context.clock,
@@ -63,7 +63,7 @@
         Rc::clone(&clients),
         context.events.clone(),
         watch,
-        journal,
+        recorder,
     );
     let gossip_end = context.start_gossip(&config, &mut broker)?;
     context.start_negative_cache(&config, &mut broker)?;
