--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -9,8 +9,8 @@
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
 use wharfplank_records::recorder::Terms;
 use wharfplank_records::{record, store::Limits, Outcome, Record, Recorder, Seen};
-use wharfplank_rollout::status::name;
-use wharfplank_rollout::Said;
+use wharfplank_rollout::status::rollout_name;
+use wharfplank_rollout::ServiceEvent;
 use wharfplank_routing::{ClassId, GroupId, HostId, MemberView, Micros, RejectReason};
 use wharfplank_settings::Records;
 
@@ -189,12 +189,12 @@
     }
 
     /// Something was done in a rollout that this proxy drives.
-    pub fn record_rollout_action(&self, said: &Said, names: &BTreeMap<u64, String>) {
-        let Said::Did(plan, action) = said else { return };
+    pub fn record_rollout_action(&self, event: &ServiceEvent, names: &BTreeMap<u64, String>) {
+        let ServiceEvent::Action(rollout, action) = event else { return };
         self.record(|| {
             let (what, member, detail) = log::words(names, action);
             Record::Release {
-                release: name(*plan),
+                release: rollout_name(*rollout),
                 what: what.to_string(),
                 member: member.to_string(),
                 detail,
