--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -46,7 +46,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_protocol::endpoint_list::EndpointList;
-use wharfplank_protocol::pipeline::Answer;
+use wharfplank_protocol::pipeline::FinalResponse;
 use wharfplank_routing::settings::ProxyParameters;
 use wharfplank_routing::{
     self as routing, Action, AttemptNo, AttemptOutcome, AttemptResult, ClassId, GroupId, HostId, Micros,
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -71,7 +71,7 @@
     fn reject(&mut self, id: RequestId, retry_after: Micros, reason: routing::RejectReason) {
         self.count_request(id, Disposition::Rejected, record_reason(reason).name());
         self.record_request(id, |recorder, request| recorder.record_rejected(request, reason));
-        self.answer(id, Answer::Refused((retry_after + 999) / 1000));
+        self.answer(id, FinalResponse::Rejected { retry_after_ms: (retry_after + 999) / 1000 });
     }
 
     /// Answers a request that the router has given up.
@@ -81,6 +81,6 @@
         }
         self.count_request(id, Disposition::Failed, record_reason(reason).name());
         self.record_request(id, |recorder, request| recorder.record_failed(request, reason));
-        self.answer(id, Answer::Failed);
+        self.answer(id, FinalResponse::Failed);
     }
 }
--- a/crates/transport/src/client_connection.rs
+++ b/crates/transport/src/client_connection.rs
@@ -29,13 +29,13 @@
 use std::rc::Rc;
 use std::time::Instant;
 use streaming::ActiveStream;
-use wharfplank_protocol::server::Server;
+use wharfplank_protocol::client_session::ClientSession;
 
 /// The connection of one client.
 pub(crate) struct ClientConnection {
     /// Shared with its own writes, during which it is read all the same.
     stream: Rc<Async<TcpStream>>,
-    server: Server,
+    server: ClientSession,
     state: Rc<ConnectionState>,
     response_writer: Rc<ResponseWriter>,
     accepted_at: Instant,
@@ -60,7 +60,7 @@
         state.response_writer.attach_socket(&stream);
         ClientConnection {
             stream,
-            server: Server::new(state.cancel_key),
+            server: ClientSession::new(state.cancel_key),
             response_writer: Rc::clone(&state.response_writer),
             state,
             accepted_at,
--- a/crates/transport/src/client_connection/commands.rs
+++ b/crates/transport/src/client_connection/commands.rs
@@ -5,9 +5,9 @@
 use crate::{ClientRequest, ProxyEvent, Statement};
 use std::rc::Rc;
 use std::time::Instant;
-use wharfplank_protocol::comment::{self, Comment};
-use wharfplank_protocol::pipeline::Ticket;
-use wharfplank_protocol::server::{Command, Key, Violation};
+use wharfplank_protocol::client_session::{CancelKey, Command, ProtocolViolation};
+use wharfplank_protocol::pipeline::RequestNumber;
+use wharfplank_protocol::request_comment::{self, RequestComment};
 
 /// What stands at the front of the input.
 enum Input {
@@ -24,9 +24,9 @@
     /// The client ends the connection.
     Terminate,
     /// A cancel request. It names nothing if it is malformed.
-    Cancel(Option<Key>),
+    Cancel(Option<CancelKey>),
     /// The client broke the protocol.
-    Violation(Violation),
+    ProtocolViolation(ProtocolViolation),
 }
 
 /// The length of a statement in bytes.
@@ -47,7 +47,7 @@
                 }
                 Input::EmptyQuery => {
                     self.on_command(listener);
-                    self.response_writer.pipeline.borrow_mut().ask_nothing();
+                    self.response_writer.pipeline.borrow_mut().push_empty_query();
                 }
                 Input::Request(request, length) => {
                     self.on_command(listener);
@@ -55,7 +55,7 @@
                 }
                 Input::InvalidRequest(what) => {
                     self.on_command(listener);
-                    self.response_writer.pipeline.borrow_mut().ask_wrongly(what);
+                    self.response_writer.pipeline.borrow_mut().push_malformed(what);
                 }
                 // Earlier requests are answered first.
                 Input::Terminate => {
@@ -68,7 +68,7 @@
                     }
                     return Err(CloseReason::CancelRequest);
                 }
-                Input::Violation(violation) => {
+                Input::ProtocolViolation(violation) => {
                     self.response_writer.end(CloseReason::ProtocolViolation, Some(violation));
                     break;
                 }
@@ -84,41 +84,41 @@
         match self.server.advance() {
             Ok(None) => Input::Incomplete,
             Ok(Some(Command::Started)) => Input::Started,
-            Ok(Some(Command::Empty)) => Input::EmptyQuery,
+            Ok(Some(Command::EmptyQuery)) => Input::EmptyQuery,
             Ok(Some(Command::Terminate)) => Input::Terminate,
             Ok(Some(Command::Cancel(key))) => Input::Cancel(key),
-            Ok(Some(Command::Query(query))) => match comment::read(query) {
+            Ok(Some(Command::Query(query))) => match request_comment::parse(query) {
                 Ok(comment) => {
                     let request = ClientRequest {
-                        ticket: Ticket(listener.next_number()),
+                        ticket: RequestNumber(listener.next_number()),
                         id: comment.id.to_string(),
                         class: comment.class.to_string(),
                         arrived_at: arrived_at.unwrap_or_else(Instant::now),
-                        timeout_ms: comment.wait_ms,
+                        timeout_ms: comment.deadline_ms,
                         group: comment.group,
-                        min_position_ms: comment.after_ms,
-                        session_key: comment.key.map(str::to_string),
+                        min_position_ms: comment.min_position_ms,
+                        session_key: comment.session_key.map(str::to_string),
                         statement: statement(query, &comment),
                         response_writer: Rc::clone(&self.response_writer),
                     };
                     Input::Request(Box::new(request), StatementLength(query.len()))
                 }
-                Err(what) => Input::InvalidRequest(what),
+                Err(error) => Input::InvalidRequest(error.message()),
             },
-            Err(violation) => Input::Violation(violation),
+            Err(violation) => Input::ProtocolViolation(violation),
         }
     }
 
     /// When the last byte of the complete command at the front of the buffer arrived.
     fn front_command_arrival(&mut self) -> Option<Instant> {
-        let length = self.server.length()?;
-        let buffered = self.server.buffer.bytes().len();
+        let length = self.server.next_command_bytes()?;
+        let buffered = self.server.buffer.unread().len();
         self.arrival_times.arrival_of(buffered, length)
     }
 
     /// Notes since when a message has been incomplete.
     fn note_incomplete_message(&mut self) {
-        self.message_begun_at = match self.server.buffer.bytes() {
+        self.message_begun_at = match self.server.buffer.unread() {
             [] => None,
             _ => self.message_begun_at.or(Some(Instant::now())),
         };
@@ -136,7 +136,7 @@
         request: Box<ClientRequest>,
         StatementLength(length): StatementLength,
     ) -> Result<(), CloseReason> {
-        self.response_writer.pipeline.borrow_mut().ask(request.ticket, length);
+        self.response_writer.pipeline.borrow_mut().push_request(request.ticket, length);
         self.response_writer.update_reservation();
         self.requests += 1;
         self.flush().await?;
@@ -146,6 +146,6 @@
 }
 
 /// The statement of a query. It outlives the read buffer: attempts begin and end while the next query is read.
-fn statement(query: &str, comment: &Comment<'_>) -> Rc<Statement> {
-    Rc::new(Statement::new(query.as_bytes().to_vec(), comment.wait_at.clone()))
+fn statement(query: &str, comment: &RequestComment<'_>) -> Rc<Statement> {
+    Rc::new(Statement::new(query.as_bytes().to_vec(), comment.deadline_range.clone()))
 }
--- a/crates/transport/src/member_pool/opening.rs
+++ b/crates/transport/src/member_pool/opening.rs
@@ -10,7 +10,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::client::{self, Client, Step, Verdict};
+use wharfplank_protocol::member_request;
+use wharfplank_protocol::member_response::{ResponseEvent, ResponseKind, ResponseReader};
 
 /// The most connections to a member that are opened at the same time.
 const MAX_OPENING: usize = 6;
@@ -136,18 +137,18 @@
     async fn connect(self: &Rc<Self>, peer: SocketAddr) -> Result<MemberConnection, ConnectError> {
         let mut stream = Async::<TcpStream>::connect(peer).await?;
         let _ = stream.get_ref().set_nodelay(true);
-        stream.write_all(&client::startup(USER, DATABASE)).await?;
-        let mut client = Client::default();
-        client.rowless = self.context.allow_empty_result;
+        stream.write_all(&member_request::startup_message(USER, DATABASE)).await?;
+        let mut client = ResponseReader::default();
+        client.accepts_no_row = self.context.allow_empty_result;
         loop {
             match client.advance(false) {
-                Ok(Some(Step::Whole(answer))) if answer.verdict == Verdict::Done => break,
+                Ok(Some(ResponseEvent::Complete(answer))) if answer.kind == ResponseKind::Done => break,
                 Ok(Some(_)) | Err(_) => return Err(ConnectError::Rejected),
                 Ok(None) => {}
             }
-            match stream.read(client.buffer.space()).await? {
+            match stream.read(client.buffer.spare()).await? {
                 0 => return Err(ConnectError::Closed),
-                count => client.buffer.filled(count),
+                count => client.buffer.commit(count),
             }
         }
         Ok(MemberConnection::new(Rc::clone(self), peer, stream, client))
--- a/crates/transport/src/member_pool/report.rs
+++ b/crates/transport/src/member_pool/report.rs
@@ -1,7 +1,7 @@
 //! The progress and the result of an attempt.
 
 use crate::response_stream::ResponseStream;
-use wharfplank_protocol::client::Answer;
+use wharfplank_protocol::member_response::MemberResponse;
 use wharfplank_routing::AttemptOutcome;
 
 /// The result of an attempt.
@@ -10,7 +10,7 @@
     /// The outcome as the router classifies it.
     pub outcome: AttemptOutcome,
     /// The member's complete response, if it sent one.
-    pub answer: Option<Answer>,
+    pub answer: Option<MemberResponse>,
     /// A successful response that has only begun. It is streamed to the client, and a second report follows at its
     /// end.
     pub stream: Option<ResponseStream>,
--- a/crates/transport/src/memory.rs
+++ b/crates/transport/src/memory.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 use std::rc::Rc;
-use wharfplank_protocol::buffer::MODEST;
+use wharfplank_protocol::read_buffer::MAX_RETAINED_CAPACITY;
 
 /// What all connections together may buffer beyond a modest size each, in bytes.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     /// Returns false if the buffer is larger than that and the budget is exceeded; the reservation is changed even
     /// then.
     pub(crate) fn resize(&mut self, capacity: usize) -> bool {
-        let charged = capacity.saturating_sub(MODEST);
+        let charged = capacity.saturating_sub(MAX_RETAINED_CAPACITY);
         let total = self.budget.reserved.get() - self.reserved + charged;
         self.budget.reserved.set(total);
         self.reserved = charged;
