--- a/crates/proxy/src/startup/descriptors.rs
+++ b/crates/proxy/src/startup/descriptors.rs
@@ -1,7 +1,7 @@
 //! How the file descriptors of the process are divided between clients and members.
 
 use wharfplank_admin::ConnectionCounts;
-use wharfplank_transport::admin::PLACES;
+use wharfplank_transport::admin::MAX_CONNECTIONS;
 use wharfplank_transport::client_listener;
 
 /// Descriptors reserved for what exists once: three standard streams, three of the reactor, two for signals, the
@@ -10,7 +10,7 @@
 const RESERVED: usize = 24;
 /// Descriptors reserved for operators' connections, where they may connect: the connections and their listening socket,
 /// the hand-over socket, and two of the link with the other process.
-const RESERVED_ADMIN: usize = PLACES + 4;
+const RESERVED_ADMIN: usize = MAX_CONNECTIONS + 4;
 /// The fewest descriptors for connections to clients and members, however low the limit is.
 const MIN_CONNECTIONS: usize = 8;
 
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -21,7 +21,7 @@
 use wharfplank_admin::{ConnectionCounts, Metrics};
 use wharfplank_discovery::{EndpointTracker, PollSchedule, SharedDiscovery};
 use wharfplank_settings::Settings;
-use wharfplank_transport::admin::{Admin, AdminCall, PLACES};
+use wharfplank_transport::admin::{AdminCall, AdminListener, MAX_CONNECTIONS};
 use wharfplank_transport::budgets::Budgets;
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::{DiscoveryWatch, WatchContext};
@@ -31,7 +31,7 @@
 /// Events that may wait for the broker; past that connections wait.
 const EVENT_QUEUE: usize = 1024;
 /// Operators' calls that may wait for the broker.
-const ADMIN_QUEUE: usize = 2 * PLACES;
+const ADMIN_QUEUE: usize = 2 * MAX_CONNECTIONS;
 /// The fraction of the memory that large messages of clients may fill, and as much for those of members: a buffer may
 /// double while it grows, and what is forwarded is copied beside it.
 const LARGE_MESSAGE_FRACTION: usize = 8;
@@ -207,8 +207,8 @@
         let (calls, queue) = async_channel::bounded(ADMIN_QUEUE);
         if let Some(socket) = socket {
             log::admin(socket.local_address());
-            let admin = Admin::new(Rc::clone(&self.executor), calls);
-            self.executor.spawn(admin.listen(socket.listener)).detach();
+            let admin = AdminListener::new(Rc::clone(&self.executor), calls);
+            self.executor.spawn(admin.accept_connections(socket.listener)).detach();
         }
         queue
     }
