--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -146,12 +146,12 @@
         self.notify_router(routing::Event::AttemptFinished(result));
     }
 
-    /// Reports an attempt's latency and outcome to the health check of the fleet and to a release under way.
+    /// Reports an attempt's latency and outcome to the health check of the fleet and to a rollout under way.
     fn report_attempt_latency(&mut self, id: RequestId, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get(id) else { return };
         let now = self.clock.now();
         self.gossip.tried(now, attempt.host, request.class, attempt.sent_at, outcome);
-        self.releases.ended(attempt.host, request.class, now - attempt.sent_at, outcome);
+        self.rollout.on_attempt_finished(attempt.host, request.class, now - attempt.sent_at, outcome);
     }
 
     /// Answers a request with the complete answer of a member.
--- a/crates/proxy/src/broker/maintenance.rs
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -1,6 +1,7 @@
 //! Work that is due by the clock: the router's timers, and the maintenance of pools, logs and records each second.
 
 use super::*;
+use crate::rollout::MemberObservations;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -74,7 +75,7 @@
         self.gossip.suspicions(now, suspected_members(&self.router));
         self.cancel_attempts_over_budget();
         self.endpoints.members.values().for_each(|member| member.maintain());
-        self.report_to_releases(now);
+        self.exchange_with_rollout(now);
         self.record_members();
     }
 
@@ -85,17 +86,16 @@
         }
     }
 
-    fn report_to_releases(&mut self, now: Micros) {
+    fn exchange_with_rollout(&mut self, now: Micros) {
         let endpoints = &self.endpoints;
         let recorder = &self.recorder;
-        self.releases.tell(
-            now,
-            &endpoints.records,
-            &endpoints.cordons,
-            &endpoints.ids,
-            self.router.member_views(),
-            |action, names| recorder.record_rollout_action(action, names),
-        );
+        let members = MemberObservations {
+            endpoints: &endpoints.records,
+            cordons: &endpoints.cordons,
+            host_ids: &endpoints.ids,
+            views: self.router.member_views(),
+        };
+        self.rollout.exchange(now, members, |event, names| recorder.record_rollout_action(event, names));
     }
 
     fn record_members(&self) {
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -38,7 +38,7 @@
 use super::log;
 use super::missing::Lookups;
 use super::recording::{record_reason, DecisionRecorder, RequestSummary};
-use super::release::Releases;
+use super::rollout::RolloutReporter;
 use super::talk::Talk;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
@@ -96,11 +96,11 @@
     handover: Option<HandoverController>,
     gossip: Talk,
     negative_cache: Lookups,
-    releases: Releases,
+    rollout: RolloutReporter,
 }
 
 impl Broker {
-    /// Creates a broker with empty tables. Gossip, the negative cache, releases and handover are off until the
+    /// Creates a broker with empty tables. Gossip, the negative cache, rollouts and handover are off until the
     /// `enable_` methods are called.
     pub fn new(
         config: &Config,
@@ -133,7 +133,7 @@
             handover: None,
             gossip: Talk::new(&config.settings.classes),
             negative_cache: Lookups::default(),
-            releases: Releases::default(),
+            rollout: RolloutReporter::default(),
         }
     }
 
@@ -142,9 +142,9 @@
         self.gossip.start(witness);
     }
 
-    /// Reports the state of members to the release thread from now on.
-    pub fn enable_releases(&mut self, releases: Releases) {
-        self.releases = releases;
+    /// Reports the state of members to the rollout service from now on.
+    pub fn enable_rollout(&mut self, rollout: RolloutReporter) {
+        self.rollout = rollout;
     }
 
     /// Answers reads of missing keys from the negative cache, and requires a lease for writes, from now on.
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod log;
 mod missing;
 mod recording;
-mod release;
+pub mod rollout;
 mod startup;
 mod talk;
 
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -9,7 +9,7 @@
 use crate::error::StartError;
 use crate::missing::Lookups;
 use crate::recording::DecisionRecorder;
-use crate::release::Releases;
+use crate::rollout::RolloutReporter;
 use crate::{budgets, fleet, log};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -197,7 +197,7 @@
 
     fn start_rollout(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
         if let Some(settings) = &self.settings.release {
-            broker.enable_releases(Releases::start(settings, config, self.clock)?);
+            broker.enable_rollout(RolloutReporter::start(settings, config, self.clock)?);
         }
         Ok(())
     }
