--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -156,7 +156,7 @@
 
     /// Answers a request with the complete answer of a member.
     fn serve_answer(&mut self, id: RequestId, attempt: &InFlightAttempt, report: &mut AttemptReport) {
-        let Some(answer) = &mut report.answer else { return };
+        let Some(answer) = &mut report.response else { return };
         self.update_negative_cache(id, attempt.position_at_send, answer);
         self.record_served(id, attempt.host, answer.primary);
         self.answer(id, FinalResponse::Served(std::mem::take(&mut answer.messages)));
@@ -171,7 +171,7 @@
         report: &AttemptReport,
     ) -> AttemptResult {
         let now = self.clock.now();
-        let answer = report.answer.as_ref();
+        let answer = report.response.as_ref();
         let position = answer.and_then(|answer| answer.applied_ms).map(|ms| ms.saturating_mul(1000));
         let valid_positions = 1..=now + MAX_POSITION_AHEAD;
         AttemptResult {
--- a/crates/proxy/src/broker/budgets.rs
+++ b/crates/proxy/src/broker/budgets.rs
@@ -77,7 +77,7 @@
     fn cancel_over_budget(&mut self, key: AttemptKey) {
         self.counts.one("budget", "broken_off", "");
         if self.streaming.contains(key) {
-            self.on_stream_finished(key, AttemptReport::without_answer(AttemptOutcome::Cancelled));
+            self.on_stream_finished(key, AttemptReport::without_response(AttemptOutcome::Cancelled));
         } else {
             self.end_attempt(key, AttemptOutcome::Cancelled);
         }
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -24,20 +24,20 @@
     /// known from the negative cache, and hands it to the router otherwise.
     pub(super) fn on_client_request(&mut self, asked: ClientRequest) {
         // The client disconnected or cancelled before the request got here: it has its answer, or needs none.
-        if !asked.response_writer.is_awaited(asked.ticket) {
+        if !asked.response_writer.is_awaited(asked.number) {
             return;
         }
         let Some(class) = self.class_id(&asked.class) else {
             asked
                 .response_writer
-                .respond(asked.ticket, FinalResponse::Malformed("the class is not in the settings"));
+                .respond(asked.number, FinalResponse::Malformed("the class is not in the settings"));
             return;
         };
         // Members tell requests apart by their ids: a second one would be taken for a copy of the first.
         if !self.requests.reserve_client_id(&asked.id) {
             asked
                 .response_writer
-                .respond(asked.ticket, FinalResponse::Malformed("the id is in use by another open request"));
+                .respond(asked.number, FinalResponse::Malformed("the id is in use by another open request"));
             return;
         }
         let now = self.clock.now();
@@ -55,7 +55,7 @@
     fn router_request(&self, now: Micros, class: ClassId, asked: &ClientRequest) -> Request {
         let arrived_at = self.clock.at(asked.arrived_at);
         Request {
-            id: request_id(asked.ticket, &asked.id),
+            id: request_id(asked.number, &asked.id),
             class,
             group: GroupId(asked.group),
             session: asked.session_key.as_ref().map(|key| SessionKey(fnv1a(key.as_bytes()))),
@@ -74,7 +74,7 @@
             &asked.statement,
         );
         let open = OpenRequest {
-            ticket: asked.ticket,
+            ticket: asked.number,
             client_id: asked.id,
             statement: asked.statement,
             responses: asked.response_writer,
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -36,7 +36,7 @@
         self.note_attempt_outcome(key.request, host, outcome);
         self.gossip.saw(host, sent_at, outcome);
         self.close_if_client_left(key.request);
-        let result = self.attempt_result(key, host, sent_at, &AttemptReport::without_answer(outcome));
+        let result = self.attempt_result(key, host, sent_at, &AttemptReport::without_response(outcome));
         self.route(self.clock.now(), routing::Event::AttemptFinished(result));
     }
 
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -94,7 +94,7 @@
     /// Counts the end of a request whose answer the client connection has already written.
     fn finish_streamed_request(&mut self, id: RequestId, host: HostId, report: &AttemptReport) {
         if report.outcome == AttemptOutcome::Ok {
-            let primary = report.answer.as_ref().and_then(|answer| answer.primary);
+            let primary = report.response.as_ref().and_then(|answer| answer.primary);
             self.record_served(id, host, primary);
             self.finish(id, &FinalResponse::Served(Vec::new()));
         } else {
--- a/crates/transport/src/client_connection.rs
+++ b/crates/transport/src/client_connection.rs
@@ -35,7 +35,7 @@
 pub(crate) struct ClientConnection {
     /// Shared with its own writes, during which it is read all the same.
     stream: Rc<Async<TcpStream>>,
-    server: ClientSession,
+    session: ClientSession,
     state: Rc<ConnectionState>,
     response_writer: Rc<ResponseWriter>,
     accepted_at: Instant,
@@ -60,7 +60,7 @@
         state.response_writer.attach_socket(&stream);
         ClientConnection {
             stream,
-            server: ClientSession::new(state.cancel_key),
+            session: ClientSession::new(state.cancel_key),
             response_writer: Rc::clone(&state.response_writer),
             state,
             accepted_at,
@@ -83,8 +83,8 @@
     pub(crate) async fn serve(&mut self, listener: &ClientListener) -> CloseReason {
         let _ = self.stream.get_ref().set_nodelay(true);
         let reason = self.serve_until_error(listener).await;
-        for ticket in self.response_writer.disconnect() {
-            let _ = listener.events.send(ProxyEvent::ClientDisconnected(ticket)).await;
+        for number in self.response_writer.disconnect() {
+            let _ = listener.events.send(ProxyEvent::ClientDisconnected(number)).await;
         }
         reason
     }
--- a/crates/transport/src/client_connection/cancel_keys.rs
+++ b/crates/transport/src/client_connection/cancel_keys.rs
@@ -27,8 +27,8 @@
     /// place, and no attempt of it begins.
     pub(super) async fn cancel(&self, key: CancelKey) {
         let Some(state) = self.connection_with_key(key) else { return };
-        for ticket in state.response_writer.cancel() {
-            let _ = self.events.send(ProxyEvent::RequestCancelled(ticket)).await;
+        for number in state.response_writer.cancel() {
+            let _ = self.events.send(ProxyEvent::RequestCancelled(number)).await;
         }
     }
 }
--- a/crates/transport/src/client_connection/commands.rs
+++ b/crates/transport/src/client_connection/commands.rs
@@ -47,7 +47,7 @@
                 }
                 Input::EmptyQuery => {
                     self.on_command(listener);
-                    self.response_writer.pipeline.borrow_mut().push_empty_query();
+                    self.response_writer.push_empty_query();
                 }
                 Input::Request(request, length) => {
                     self.on_command(listener);
@@ -55,7 +55,7 @@
                 }
                 Input::InvalidRequest(what) => {
                     self.on_command(listener);
-                    self.response_writer.pipeline.borrow_mut().push_malformed(what);
+                    self.response_writer.push_malformed(what);
                 }
                 // Earlier requests are answered first.
                 Input::Terminate => {
@@ -81,7 +81,7 @@
     /// Takes the next command from the input.
     fn next_input(&mut self, listener: &ClientListener) -> Input {
         let arrived_at = self.front_command_arrival();
-        match self.server.advance() {
+        match self.session.advance() {
             Ok(None) => Input::Incomplete,
             Ok(Some(Command::Started)) => Input::Started,
             Ok(Some(Command::EmptyQuery)) => Input::EmptyQuery,
@@ -90,7 +90,7 @@
             Ok(Some(Command::Query(query))) => match request_comment::parse(query) {
                 Ok(comment) => {
                     let request = ClientRequest {
-                        ticket: RequestNumber(listener.next_number()),
+                        number: RequestNumber(listener.next_number()),
                         id: comment.id.to_string(),
                         class: comment.class.to_string(),
                         arrived_at: arrived_at.unwrap_or_else(Instant::now),
@@ -111,14 +111,14 @@
 
     /// When the last byte of the complete command at the front of the buffer arrived.
     fn front_command_arrival(&mut self) -> Option<Instant> {
-        let length = self.server.next_command_bytes()?;
-        let buffered = self.server.buffer.unread().len();
+        let length = self.session.next_command_bytes()?;
+        let buffered = self.session.buffer.unread().len();
         self.arrival_times.arrival_of(buffered, length)
     }
 
     /// Notes since when a message has been incomplete.
     fn note_incomplete_message(&mut self) {
-        self.message_begun_at = match self.server.buffer.unread() {
+        self.message_begun_at = match self.session.buffer.unread() {
             [] => None,
             _ => self.message_begun_at.or(Some(Instant::now())),
         };
@@ -136,8 +136,7 @@
         request: Box<ClientRequest>,
         StatementLength(length): StatementLength,
     ) -> Result<(), CloseReason> {
-        self.response_writer.pipeline.borrow_mut().push_request(request.ticket, length);
-        self.response_writer.update_reservation();
+        self.response_writer.push_request(request.number, length);
         self.requests += 1;
         self.flush().await?;
         let sent = listener.events.send(ProxyEvent::RequestReceived(request)).await;
--- a/crates/transport/src/client_connection/input.rs
+++ b/crates/transport/src/client_connection/input.rs
@@ -36,7 +36,7 @@
     /// Reads what has arrived, and returns the number of bytes; 0 stands for the client's disconnect. If nothing may
     /// be read it waits for that alone.
     pub(super) async fn read_available(&mut self, mode: ReadMode) -> Result<usize, CloseReason> {
-        if self.response_writer.pipeline.borrow().is_closing() {
+        if self.response_writer.is_closing() {
             return self.discard_input().await;
         }
         if !self.may_read(mode) {
@@ -62,13 +62,13 @@
         if mode == ReadMode::Message {
             return true;
         }
-        let buffer = &self.server.buffer;
+        let buffer = &self.session.buffer;
         let buffered = buffer.unread().len();
         if buffered < READ_AHEAD_MIN {
             return true;
         }
         // An incomplete message goes on growing behind open requests where there is memory for it.
-        let below_limit = buffered < READ_AHEAD_MAX || self.server.next_command_bytes().is_none();
+        let below_limit = buffered < READ_AHEAD_MAX || self.session.next_command_bytes().is_none();
         below_limit && self.response_writer.available_memory() >= buffer.capacity()
     }
 
@@ -77,7 +77,7 @@
         if !self.reserve_read_buffer() && mode == ReadMode::Message {
             return Err(CloseReason::OutOfMemory);
         }
-        let read = (&*self.stream).read(self.server.buffer.spare()).await;
+        let read = (&*self.stream).read(self.session.buffer.spare()).await;
         let count = read.map_err(|_| CloseReason::ClientReset)?;
         self.on_read(count);
         Ok(count)
@@ -86,7 +86,7 @@
     /// Reads what has already arrived; `None` if nothing has.
     fn try_read(&mut self) -> Result<Option<usize>, CloseReason> {
         self.reserve_read_buffer();
-        let count = match self.stream.get_ref().read(self.server.buffer.spare()) {
+        let count = match self.stream.get_ref().read(self.session.buffer.spare()) {
             Ok(count) => count,
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
                 return Ok(None);
@@ -99,23 +99,23 @@
 
     /// Makes room to read into, and reserves its memory. Returns false if the budget is exceeded.
     fn reserve_read_buffer(&mut self) -> bool {
-        self.server.buffer.spare();
-        self.response_writer.read_buffer_size.set(self.server.buffer.capacity());
+        self.session.buffer.spare();
+        self.response_writer.read_buffer_size.set(self.session.buffer.capacity());
         self.response_writer.update_reservation()
     }
 
     fn on_read(&mut self, count: usize) {
-        self.server.buffer.commit(count);
+        self.session.buffer.commit(count);
         self.arrival_times.record(count);
     }
 
     /// Reads and discards what comes behind the last command that is accepted, up to the disconnect.
     async fn discard_input(&mut self) -> Result<usize, CloseReason> {
-        let buffered = self.server.buffer.unread().len();
-        self.server.buffer.consume(buffered);
+        let buffered = self.session.buffer.unread().len();
+        self.session.buffer.consume(buffered);
         while self.discarded < MAX_DISCARDED {
             for _ in 0..MAX_READS_IN_A_ROW {
-                let read = (&*self.stream).read(self.server.buffer.spare()).await;
+                let read = (&*self.stream).read(self.session.buffer.spare()).await;
                 match read.map_err(|_| CloseReason::ClientReset)? {
                     0 => return Ok(0),
                     count => self.discarded += count,
--- a/crates/transport/src/client_connection/output.rs
+++ b/crates/transport/src/client_connection/output.rs
@@ -39,16 +39,16 @@
         let mut wrote = false;
         loop {
             let answers_empty_queries = self.answers_empty_queries(listener);
-            let next = self.response_writer.pipeline.borrow_mut().next_write(answers_empty_queries);
+            let next = self.response_writer.next_write(answers_empty_queries);
             match next {
                 None => break,
-                Some(NextWrite::Stream(ticket)) => match self.advance_stream(ticket) {
+                Some(NextWrite::Stream(number)) => match self.advance_stream(number) {
                     StreamProgress::Advanced => {}
                     StreamProgress::Pending => break,
                     StreamProgress::CutOff(remaining) => self.on_stream_cut_off(remaining).await?,
                 },
-                Some(NextWrite::EmptyQuery) => self.server.write_empty_query_response(),
-                Some(NextWrite::Response(answer)) => self.server.write_response(answer),
+                Some(NextWrite::EmptyQuery) => self.session.write_empty_query_response(),
+                Some(NextWrite::Response(response)) => self.session.write_response(response),
                 Some(NextWrite::Close(Closing { reason: code, violation })) => {
                     match violation {
                         Some(violation) => self.send_fatal(listener, violation).await,
@@ -58,7 +58,7 @@
                 }
             }
             wrote = true;
-            if self.server.output.len() >= FLUSH_SIZE {
+            if self.session.output.len() >= FLUSH_SIZE {
                 self.flush().await?;
             }
         }
@@ -78,16 +78,16 @@
         if listener.ready.get() {
             return true;
         }
-        let pipeline = self.response_writer.pipeline.borrow();
-        let has_more =
-            pipeline.has_following() || pipeline.is_closing() || !self.server.buffer.unread().is_empty();
+        let has_more = self.response_writer.has_following()
+            || self.response_writer.is_closing()
+            || !self.session.buffer.unread().is_empty();
         has_more && listener.drain_phase.get() != DrainPhase::Serving
     }
 
     /// Tells the client why the connection ends, and waits a little until that has arrived, unless many connections
     /// do.
     pub(crate) async fn send_fatal(&mut self, listener: &ClientListener, violation: ProtocolViolation) {
-        self.server.write_fatal(violation);
+        self.session.write_fatal(violation);
         let lingers = listener.may_linger();
         if self.flush().await.is_err() || self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
@@ -113,11 +113,11 @@
     /// Writes all output, and reads meanwhile: a client that disconnects while it takes nothing must not leave
     /// requests behind.
     pub(super) async fn flush(&mut self) -> Result<(), CloseReason> {
-        if self.server.output.is_empty() {
+        if self.session.output.is_empty() {
             return Ok(());
         }
         // Large responses are rare, so the memory of the output is not reused.
-        let output = std::mem::take(&mut self.server.output);
+        let output = std::mem::take(&mut self.session.output);
         let stream = Rc::clone(&self.stream);
         let mut written = 0;
         let mut reads = true;
@@ -154,8 +154,8 @@
 
     /// Whether nothing that the client requested may still have to be forwarded.
     fn has_no_outstanding_requests(&self) -> bool {
-        let pipeline = self.response_writer.pipeline.borrow();
-        let has_unread_command = !pipeline.is_closing() && self.server.next_command_bytes().is_some();
-        !has_unread_command && !pipeline.has_open_request()
+        let has_unread_command =
+            !self.response_writer.is_closing() && self.session.next_command_bytes().is_some();
+        !has_unread_command && !self.response_writer.has_open_request()
     }
 }
--- a/crates/transport/src/client_connection/response_writer.rs
+++ b/crates/transport/src/client_connection/response_writer.rs
@@ -11,12 +11,12 @@
 use std::net::TcpStream;
 use std::rc::{Rc, Weak};
 use wharfplank_protocol::client_session::ProtocolViolation;
-use wharfplank_protocol::pipeline::{FinalResponse, Pipeline, RequestNumber};
+use wharfplank_protocol::pipeline::{FinalResponse, NextWrite, Pipeline, RequestNumber};
 
 /// Takes the responses of one client connection from the broker, in any order. The connection writes them in the order
 /// of their requests.
 pub struct ResponseWriter {
-    pub(super) pipeline: RefCell<Pipeline>,
+    pipeline: RefCell<Pipeline>,
     /// Wakes the connection.
     woken: Event,
     /// Whether the client has disconnected.
@@ -53,8 +53,8 @@
     }
 
     /// Takes the final response of a request, and wakes the connection if it can be written now.
-    pub fn respond(&self, ticket: RequestNumber, answer: FinalResponse) {
-        let due = self.pipeline.borrow_mut().complete(ticket, answer, self.available_memory());
+    pub fn respond(&self, number: RequestNumber, response: FinalResponse) {
+        let due = self.pipeline.borrow_mut().complete(number, response, self.available_memory());
         self.update_reservation();
         if due {
             self.wake();
@@ -63,11 +63,11 @@
 
     /// Takes the beginning of a request's final response; the rest follows in the stream. If nobody awaits it, the
     /// stream is dropped, and the member's connection with it.
-    pub fn begin_stream(&self, ticket: RequestNumber, stream: ResponseStream) {
-        let due = self.pipeline.borrow_mut().start_stream(ticket);
+    pub fn begin_stream(&self, number: RequestNumber, stream: ResponseStream) {
+        let due = self.pipeline.borrow_mut().start_stream(number);
         self.update_reservation();
         if due.is_some() {
-            self.streams.borrow_mut().insert(ticket, stream);
+            self.streams.borrow_mut().insert(number, stream);
         }
         if due == Some(true) {
             self.wake();
@@ -76,19 +76,19 @@
 
     /// Whether the client still awaits the response to this request. It may have disconnected although the event that
     /// says so is still queued.
-    pub fn is_awaited(&self, ticket: RequestNumber) -> bool {
-        !self.disconnected.get() && self.pipeline.borrow().is_open(ticket)
+    pub fn is_awaited(&self, number: RequestNumber) -> bool {
+        !self.disconnected.get() && self.pipeline.borrow().is_open(number)
     }
 
     /// Like [`ResponseWriter::is_awaited`], with a look at the socket. To be called just before an attempt's first
     /// byte: what the attempt waited for and the client's disconnect may have come at the same moment, in either
     /// order.
-    pub fn is_awaited_now(&self, ticket: RequestNumber) -> bool {
+    pub fn is_awaited_now(&self, number: RequestNumber) -> bool {
         let socket = self.socket.borrow().upgrade();
         if socket.is_some_and(|socket| has_ended(socket.get_ref())) {
             self.disconnected.set(true);
         }
-        self.is_awaited(ticket)
+        self.is_awaited(number)
     }
 
     /// Whether the client has disconnected.
@@ -125,9 +125,55 @@
         cancelled
     }
 
+    /// Gives a request the next place in the order of responses.
+    pub(super) fn push_request(&self, number: RequestNumber, statement_bytes: usize) {
+        self.pipeline.borrow_mut().push_request(number, statement_bytes);
+        self.update_reservation();
+    }
+
+    /// Gives an empty query the next place in the order of responses.
+    pub(super) fn push_empty_query(&self) {
+        self.pipeline.borrow_mut().push_empty_query();
+    }
+
+    /// Gives a query that is no valid request the next place in the order of responses, with its error.
+    pub(super) fn push_malformed(&self, message: &'static str) {
+        self.pipeline.borrow_mut().push_malformed(message);
+    }
+
+    /// What is to be written next, if it is there.
+    pub(super) fn next_write(&self, answers_empty_queries: bool) -> Option<NextWrite> {
+        self.pipeline.borrow_mut().next_write(answers_empty_queries)
+    }
+
+    /// Whether no further command is accepted.
+    pub(super) fn is_closing(&self) -> bool {
+        self.pipeline.borrow().is_closing()
+    }
+
+    /// Whether an empty query at the front waits until the process is ready.
+    pub(super) fn awaits_readiness(&self) -> bool {
+        self.pipeline.borrow().awaits_readiness()
+    }
+
+    /// Whether a command stands behind the one at the front.
+    pub(super) fn has_following(&self) -> bool {
+        self.pipeline.borrow().has_following()
+    }
+
+    /// Whether any request waits for its response to begin.
+    pub(super) fn has_open_request(&self) -> bool {
+        self.pipeline.borrow().has_open_request()
+    }
+
+    /// Ends the streamed response at the front.
+    pub(super) fn finish_stream(&self) {
+        self.pipeline.borrow_mut().finish_stream();
+    }
+
     /// Hands over the streamed response of a request.
-    pub(super) fn take_stream(&self, ticket: RequestNumber) -> Option<ResponseStream> {
-        self.streams.borrow_mut().remove(&ticket)
+    pub(super) fn take_stream(&self, number: RequestNumber) -> Option<ResponseStream> {
+        self.streams.borrow_mut().remove(&number)
     }
 
     /// Bytes that all connections may still buffer.
--- a/crates/transport/src/client_connection/streaming.rs
+++ b/crates/transport/src/client_connection/streaming.rs
@@ -42,13 +42,13 @@
 
 impl ClientConnection {
     /// Moves the next part of the streamed response of this request to the output.
-    pub(super) fn advance_stream(&mut self, ticket: RequestNumber) -> StreamProgress {
+    pub(super) fn advance_stream(&mut self, number: RequestNumber) -> StreamProgress {
         if self.active_stream.is_none() {
-            let stream = self.response_writer.take_stream(ticket);
+            let stream = self.response_writer.take_stream(number);
             self.active_stream = stream.map(|stream| ActiveStream { stream, begun: false, next_piece: None });
         }
         let Some(active) = &mut self.active_stream else { return StreamProgress::CutOff(None) };
-        let output = &mut self.server.output;
+        let output = &mut self.session.output;
         if !active.begun {
             if active.stream.is_cut_off() {
                 return StreamProgress::CutOff(None);
@@ -65,7 +65,7 @@
             }
             Ok(StreamPiece::End(mut rest)) => {
                 output.append(&mut rest);
-                self.server.write_ready();
+                self.session.write_ready();
                 self.end_stream();
                 StreamProgress::Advanced
             }
@@ -89,25 +89,25 @@
         };
         while padding > 0 {
             let count = padding.min(FLUSH_SIZE);
-            let padded = self.server.output.len() + count;
-            self.server.output.resize(padded, 0);
+            let padded = self.session.output.len() + count;
+            self.session.output.resize(padded, 0);
             padding -= count;
             self.flush().await?;
         }
-        self.server.write_response(FinalResponse::Failed);
+        self.session.write_response(FinalResponse::Failed);
         self.end_stream();
         Ok(())
     }
 
     /// Whether the client has sent anything behind the request whose response is streamed.
     fn has_further_input(&self) -> bool {
-        self.response_writer.pipeline.borrow().has_following()
-            || !self.server.buffer.unread().is_empty()
+        self.response_writer.has_following()
+            || !self.session.buffer.unread().is_empty()
             || matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..))
     }
 
     fn end_stream(&mut self) {
         self.active_stream = None;
-        self.response_writer.pipeline.borrow_mut().finish_stream();
+        self.response_writer.finish_stream();
     }
 }
--- a/crates/transport/src/client_connection/wait.rs
+++ b/crates/transport/src/client_connection/wait.rs
@@ -85,7 +85,7 @@
     fn plan_wait(&mut self, listener: &ClientListener) -> WaitPlan {
         let now = Instant::now();
         let has_open_commands = !self.response_writer.is_empty();
-        let idle = self.started && self.server.buffer.unread().is_empty() && !has_open_commands;
+        let idle = self.started && self.session.buffer.unread().is_empty() && !has_open_commands;
         self.idle_since = if idle { self.idle_since.or(Some(now)) } else { None };
         let mute = !self.state.has_sent_command.get();
         // A connection whose message is not complete yet holds a place all the same; until its first command it may
@@ -122,7 +122,7 @@
     /// Whether an empty query at the front waits for the process to be ready, which it will not be.
     fn waits_for_start_in_vain(&self, listener: &ClientListener) -> bool {
         listener.drain_phase.get() != DrainPhase::Serving
-            && self.response_writer.pipeline.borrow().awaits_readiness()
+            && self.response_writer.awaits_readiness()
             && !self.answers_empty_queries(listener)
     }
 
--- a/crates/transport/src/member_pool/attempt.rs
+++ b/crates/transport/src/member_pool/attempt.rs
@@ -50,7 +50,7 @@
 
 impl From<AttemptOutcome> for AttemptCompletion {
     fn from(outcome: AttemptOutcome) -> Self {
-        AttemptReport::without_answer(outcome).into()
+        AttemptReport::without_response(outcome).into()
     }
 }
 
@@ -110,8 +110,8 @@
         let limits = AttemptLimits { deadline: Instant::now() + timeout, send_by: None };
         let stage = Cell::default();
         let completion = self.exchange(write_query, &stage, limits, Sender::HealthCheck).await;
-        let answer = completion.report.answer.filter(|answer| answer.kind == ResponseKind::Row)?;
-        String::from_utf8(answer.messages.get(answer.value)?.to_vec()).ok()
+        let response = completion.report.response.filter(|response| response.kind == ResponseKind::Row)?;
+        String::from_utf8(response.messages.get(response.value)?.to_vec()).ok()
     }
 
     /// Sends a query on a connection of the pool and reads the response.
@@ -143,8 +143,8 @@
         if let Sender::ResponseReader { .. } = sender {
             self.context.metrics.record_dispatch();
         }
-        match with_deadline(limits.deadline, connection.read_step()).await {
-            Some(Ok(ResponseEvent::Complete(answer))) => connection.complete(answer).into(),
+        match with_deadline(limits.deadline, connection.read_event()).await {
+            Some(Ok(ResponseEvent::Complete(response))) => connection.complete(response).into(),
             Some(Ok(ResponseEvent::StreamStarted { bytes: first, remaining })) => {
                 self.begin_stream(connection, first, remaining)
             }
@@ -199,7 +199,7 @@
         self.last_response.set(Instant::now());
         let (stream, sender) = response_stream::channel(first, remaining, &self.context.memory_budget);
         AttemptCompletion {
-            report: AttemptReport { outcome: AttemptOutcome::Ok, answer: None, stream: Some(stream) },
+            report: AttemptReport { outcome: AttemptOutcome::Ok, response: None, stream: Some(stream) },
             forwarder: Some(StreamForwarder::new(connection, sender)),
         }
     }
@@ -211,7 +211,7 @@
         idle_time: Duration,
     ) -> AttemptCompletion {
         connection.end_reason = error.into();
-        if !connection.client.has_partial_response() {
+        if !connection.reader.has_partial_response() {
             self.context.on_dead_connection(idle_time);
         }
         error.attempt_outcome().into()
--- a/crates/transport/src/member_pool/checkout.rs
+++ b/crates/transport/src/member_pool/checkout.rs
@@ -142,7 +142,7 @@
 
     /// Stores a connection as idle if the member takes work, and closes it otherwise.
     fn store_idle(&self, mut connection: MemberConnection) {
-        connection.client.buffer.release_memory();
+        connection.reader.buffer.release_memory();
         if self.active.get() {
             connection.end_reason = EndReason::Shutdown;
             self.idle.borrow_mut().push(connection);
@@ -156,7 +156,7 @@
         self.settling.set(self.settling.get() + 1);
         let pool = Rc::clone(self);
         let task = async move {
-            if !connection.client.has_partial_response() {
+            if !connection.reader.has_partial_response() {
                 with_deadline(Instant::now() + SETTLE_TIME, connection.stream.readable()).await;
             }
             pool.settling.set(pool.settling.get() - 1);
--- a/crates/transport/src/member_pool/connection.rs
+++ b/crates/transport/src/member_pool/connection.rs
@@ -38,7 +38,7 @@
 /// An established connection to a member. Dropping it closes it, releases its place and reports its end.
 pub(super) struct MemberConnection {
     pub(super) stream: Async<TcpStream>,
-    pub(super) client: ResponseReader,
+    pub(super) reader: ResponseReader,
     pub(super) peer: SocketAddr,
     pub(super) pool: Rc<MemberPool>,
     pub(super) opened_at: Instant,
@@ -71,14 +71,14 @@
         pool: Rc<MemberPool>,
         peer: SocketAddr,
         stream: Async<TcpStream>,
-        client: ResponseReader,
+        reader: ResponseReader,
     ) -> Self {
         pool.open.set(pool.open.get() + 1);
         let now = Instant::now();
         let memory = MemoryReservation::new(&pool.context.memory_budget);
         MemberConnection {
             stream,
-            client,
+            reader,
             peer,
             pool,
             opened_at: now,
@@ -96,7 +96,7 @@
 
     /// Whether the member has neither closed the connection nor sent anything without a request.
     pub(super) fn is_quiet(&self) -> bool {
-        if self.client.has_partial_response() {
+        if self.reader.has_partial_response() {
             return false;
         }
         let peeked = self.stream.get_ref().peek(&mut [0]);
@@ -105,7 +105,7 @@
 
     /// Whether the member has sent something that was not consumed yet.
     pub(super) fn has_unread_bytes(&self) -> bool {
-        self.client.has_partial_response() || matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..))
+        self.reader.has_partial_response() || matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..))
     }
 
     /// Checks with an empty query whether the connection works.
@@ -127,8 +127,8 @@
         if self.stream.write_all(&member_request::query_message(|_| {})).await.is_err() {
             return false;
         }
-        let response = self.read_step().await;
-        matches!(response, Ok(ResponseEvent::Complete(answer)) if answer.kind == ResponseKind::Done)
+        let response = self.read_event().await;
+        matches!(response, Ok(ResponseEvent::Complete(response)) if response.kind == ResponseKind::Done)
     }
 
     /// Reads the next part of a response, or all of it.
@@ -137,26 +137,26 @@
     ///
     /// Returns why nothing more can be read. What the member sent completely before it closed the connection, or
     /// before the connection broke, is returned first.
-    pub(super) async fn read_step(&mut self) -> Result<ResponseEvent, ReadError> {
+    pub(super) async fn read_event(&mut self) -> Result<ResponseEvent, ReadError> {
         let mut ended: Option<ReadError> = None;
         loop {
-            let step = self.client.advance(ended.is_some()).map_err(|ProtocolError| ReadError::Malformed)?;
-            match (step, ended) {
-                (Some(step), ended) => {
+            let event = self.reader.advance(ended.is_some()).map_err(|ProtocolError| ReadError::Malformed)?;
+            match (event, ended) {
+                (Some(event), ended) => {
                     if let Some(error) = ended {
                         self.end_reason = error.into();
                     }
-                    return Ok(step);
+                    return Ok(event);
                 }
                 (None, Some(error)) => return Err(error),
                 (None, None) => {}
             }
-            let streaming = self.client.is_streaming();
+            let streaming = self.reader.is_streaming();
             let min_capacity = self.min_read_capacity(streaming);
-            let fits = self.memory.resize(self.client.buffer.next_capacity(min_capacity));
+            let fits = self.memory.resize(self.reader.buffer.next_capacity(min_capacity));
             if !fits && !streaming {
                 // What there is of a row is streamed, so that no memory is needed for the rest.
-                if !self.client.stream_any_row() {
+                if !self.reader.stream_any_row() {
                     return Err(ReadError::OutOfMemory);
                 }
                 continue;
@@ -181,8 +181,8 @@
     /// Reads once. A response that has begun may pause only for a limited time.
     async fn read_into_buffer(&mut self, streaming: bool, min_capacity: usize) -> Result<(), ReadError> {
         let stall_timeout = if streaming { STREAM_STALL_TIMEOUT } else { STALL_TIMEOUT };
-        let begun = self.client.has_partial_response();
-        let read = self.stream.read(self.client.buffer.spare_with_capacity(min_capacity));
+        let begun = self.reader.has_partial_response();
+        let read = self.stream.read(self.reader.buffer.spare_with_capacity(min_capacity));
         let result = if begun {
             with_deadline(Instant::now() + stall_timeout, read).await.ok_or(ReadError::Stalled)?
         } else {
@@ -191,7 +191,7 @@
         match result {
             Ok(0) => Err(ReadError::Closed),
             Ok(count) => {
-                self.client.buffer.commit(count);
+                self.reader.buffer.commit(count);
                 Ok(())
             }
             Err(_) => Err(ReadError::Reset),
@@ -199,22 +199,22 @@
     }
 
     /// Evaluates a complete response, and returns the connection to its pool if it is still usable.
-    pub(super) fn complete(mut self, answer: MemberResponse) -> AttemptReport {
+    pub(super) fn complete(mut self, response: MemberResponse) -> AttemptReport {
         let now = Instant::now();
         self.pool.last_response.set(now);
         self.last_used = now;
-        let outcome = match answer.kind {
+        let outcome = match response.kind {
             ResponseKind::Row | ResponseKind::NoRow => AttemptOutcome::Ok,
             ResponseKind::Miss => AttemptOutcome::Misrouted,
             ResponseKind::Overloaded => AttemptOutcome::Overloaded,
             ResponseKind::NotReady | ResponseKind::Done | ResponseKind::Error => AttemptOutcome::Error,
         };
         if self.end_reason == EndReason::Abandoned {
-            self.client.buffer.release_memory();
+            self.reader.buffer.release_memory();
             self.memory.resize(0);
             let pool = Rc::clone(&self.pool);
             pool.settle_and_release(self);
         }
-        AttemptReport { outcome, answer: Some(answer), stream: None }
+        AttemptReport { outcome, response: Some(response), stream: None }
     }
 }
--- a/crates/transport/src/member_pool/forwarder.rs
+++ b/crates/transport/src/member_pool/forwarder.rs
@@ -27,31 +27,31 @@
     pub async fn forward(mut self) -> AttemptReport {
         let deadline = Instant::now() + STREAM_TIMEOUT;
         loop {
-            let step = with_deadline(deadline, self.connection.read_step()).await;
-            match step.unwrap_or(Err(ReadError::Stalled)) {
+            let event = with_deadline(deadline, self.connection.read_event()).await;
+            match event.unwrap_or(Err(ReadError::Stalled)) {
                 Ok(ResponseEvent::StreamChunk(bytes)) => {
                     self.connection.pool.last_response.set(Instant::now());
                     if !self.sender.send(bytes).await {
                         // The client has disconnected.
-                        return AttemptReport::without_answer(AttemptOutcome::Cancelled);
+                        return AttemptReport::without_response(AttemptOutcome::Cancelled);
                     }
                 }
-                Ok(ResponseEvent::Complete(answer)) => return self.finish(answer).await,
+                Ok(ResponseEvent::Complete(response)) => return self.finish(response).await,
                 Ok(ResponseEvent::StreamStarted { .. }) => {
-                    return AttemptReport::without_answer(AttemptOutcome::Error)
+                    return AttemptReport::without_response(AttemptOutcome::Error)
                 }
                 Err(error) => {
                     self.connection.end_reason = error.into();
-                    return AttemptReport::without_answer(error.attempt_outcome());
+                    return AttemptReport::without_response(error.attempt_outcome());
                 }
             }
         }
     }
 
     /// Forwards what follows the row.
-    async fn finish(self, answer: MemberResponse) -> AttemptReport {
-        let mut report = self.connection.complete(answer);
-        let rest = report.answer.as_mut().map(|answer| std::mem::take(&mut answer.messages));
+    async fn finish(self, response: MemberResponse) -> AttemptReport {
+        let mut report = self.connection.complete(response);
+        let rest = report.response.as_mut().map(|response| std::mem::take(&mut response.messages));
         if report.outcome == AttemptOutcome::Ok {
             self.sender.finish(rest.unwrap_or_default()).await;
         } else {
--- a/crates/transport/src/member_pool/opening.rs
+++ b/crates/transport/src/member_pool/opening.rs
@@ -142,7 +142,7 @@
         client.accepts_no_row = self.context.allow_empty_result;
         loop {
             match client.advance(false) {
-                Ok(Some(ResponseEvent::Complete(answer))) if answer.kind == ResponseKind::Done => break,
+                Ok(Some(ResponseEvent::Complete(response))) if response.kind == ResponseKind::Done => break,
                 Ok(Some(_)) | Err(_) => return Err(ConnectError::Rejected),
                 Ok(None) => {}
             }
--- a/crates/transport/src/member_pool/report.rs
+++ b/crates/transport/src/member_pool/report.rs
@@ -10,7 +10,7 @@
     /// The outcome as the router classifies it.
     pub outcome: AttemptOutcome,
     /// The member's complete response, if it sent one.
-    pub answer: Option<MemberResponse>,
+    pub response: Option<MemberResponse>,
     /// A successful response that has only begun. It is streamed to the client, and a second report follows at its
     /// end.
     pub stream: Option<ResponseStream>,
@@ -18,8 +18,8 @@
 
 impl AttemptReport {
     /// The report of an attempt that ended without a response.
-    pub fn without_answer(outcome: AttemptOutcome) -> Self {
-        AttemptReport { outcome, answer: None, stream: None }
+    pub fn without_response(outcome: AttemptOutcome) -> Self {
+        AttemptReport { outcome, response: None, stream: None }
     }
 }
 
--- a/crates/transport/src/request.rs
+++ b/crates/transport/src/request.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The number of the request, unique in this process.
-    pub ticket: RequestNumber,
+    pub number: RequestNumber,
     /// The id that the client gave the request.
     pub id: String,
     /// The name of the request's class.
--- a/crates/transport/tests/support/pool_fixture.rs
+++ b/crates/transport/tests/support/pool_fixture.rs
@@ -119,6 +119,6 @@
 
 /// The value that an attempt was served with.
 pub fn value(report: &AttemptReport) -> Option<u8> {
-    let answer = report.answer.as_ref()?;
-    answer.messages.get(answer.value.clone())?.first().copied()
+    let response = report.response.as_ref()?;
+    response.messages.get(response.value.clone())?.first().copied()
 }
