--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -1,53 +1,74 @@
-//! Probes of members, and what their reports tell.
+//! Health checks of members: starting them, and reading their load reports.
 
 use super::*;
+use wharfplank_protocol::client;
+use wharfplank_routing::ProbeResult;
 
-const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// From this value on a report's role column stands for the primary.
+const PRIMARY_THRESHOLD: f64 = 0.5;
 
 impl Broker {
-    pub(super) fn probe(&mut self, host: HostId) {
-        let Some(member) = self.members.get(&host) else { return };
-        if self.shared.budgets.as_ref().is_some_and(|budgets| !budgets.probe(member.name())) {
-            return self.barred.probes.push_back(host);
+    /// Starts a health check of a member, unless a budget denies it.
+    pub(super) fn start_health_check(&mut self, host: HostId) {
+        let Some(member) = self.endpoints.members.get(&host) else { return };
+        let budgets = self.pools.budgets.as_ref();
+        if budgets.is_some_and(|budgets| !budgets.probe(member.name())) {
+            return self.budget_denials.push_health_check(host);
         }
-        let (member, events) = (Rc::clone(member), self.events.clone());
+        let member = Rc::clone(member);
+        let events = self.events.clone();
         let task = async move {
-            let report = member.probe(PROBE_TIMEOUT).await;
+            let report = member.probe(HEALTH_CHECK_TIMEOUT).await;
             let _ = events.send(ProxyEvent::ProbeFinished { host, report }).await;
         };
-        self.shared.executor.spawn(task).detach();
+        self.pools.executor.spawn(task).detach();
+    }
+
+    /// Handles the end of a health check. Without a report, or with one that is invalid, the check has failed.
+    pub(super) fn on_health_check_result(&mut self, host: HostId, report: Option<String>) {
+        let result = self.read_load_report(host, report.as_deref());
+        self.counts.one("probed", if result.answered { "ok" } else { "failed" }, "");
+        self.journal.probed(host, result.answered);
+        let position = result.position.filter(|_| result.answered);
+        self.gossip.learned(self.clock.now(), host, position);
+        self.negative_cache.learned(host, position);
+        let sent_at = self.clock.now() - HEALTH_CHECK_TIMEOUT.as_micros() as Micros;
+        self.gossip.saw(
+            host,
+            sent_at,
+            if result.answered { AttemptOutcome::Ok } else { AttemptOutcome::Timeout },
+        );
+        self.notify_router(routing::Event::ProbeFinished(result));
     }
 
-    pub(super) fn probed(&mut self, host: HostId, report: Option<String>) {
-        // A report that cannot be read, or is ahead of the clock, counts as none.
-        let values = report.as_deref().and_then(|text| client::report(text, &self.terms.report_columns));
-        let ok = values.is_some();
-        let mut probed = ProbeResult { host, answered: ok, role: None, position: None, queued: None };
-        for (name, value) in values.unwrap_or_default() {
+    /// Reads the columns of a load report. A report that cannot be read, or whose position is ahead of the clock,
+    /// counts as a failed check.
+    fn read_load_report(&self, host: HostId, report: Option<&str>) -> ProbeResult {
+        let columns = report.and_then(|text| client::report(text, &self.parameters.report_columns));
+        let mut result =
+            ProbeResult { host, answered: columns.is_some(), role: None, position: None, queued: None };
+        for (name, value) in columns.unwrap_or_default() {
             match name {
                 "x0" => {
-                    let at = client::seconds(value);
-                    probed.answered &= at.is_some_and(|at| at <= self.clock.now() + AHEAD_MOST);
-                    probed.position = at.filter(|at| *at > 0);
+                    let position = client::seconds(value);
+                    let latest = self.clock.now() + MAX_POSITION_AHEAD;
+                    result.answered &= position.is_some_and(|position| position <= latest);
+                    result.position = position.filter(|position| *position > 0);
                 }
-                "x1" => probed.role = value.parse().ok().map(|v: f64| role(v >= 0.5)),
-                "q" | "queue" => probed.queued = value.parse().ok(),
+                "x1" => result.role = value.parse().ok().map(|v: f64| role(v >= PRIMARY_THRESHOLD)),
+                "q" | "queue" => result.queued = value.parse().ok(),
                 _ => {}
             }
         }
-        self.counts.one("probed", if probed.answered { "ok" } else { "failed" }, "");
-        self.journal.probed(host, probed.answered);
-        let told = probed.position.filter(|_| probed.answered);
-        self.talk.learned(self.clock.now(), host, told);
-        self.lookups.learned(host, told);
-        let sent = self.clock.now() - PROBE_TIMEOUT.as_micros() as Micros;
-        self.talk.saw(host, sent, if probed.answered { AttemptOutcome::Ok } else { AttemptOutcome::Timeout });
-        self.tell(routing::Event::ProbeFinished(probed));
+        result
     }
 }
 
-pub(super) fn role(primary: bool) -> Role {
-    if primary {
+/// The role of a member that states whether it is the primary.
+pub(super) fn role(is_primary: bool) -> Role {
+    if is_primary {
         Role::Primary
     } else {
         Role::Replica
--- a/crates/transport/src/fleet/drive.rs
+++ b/crates/transport/src/fleet/drive.rs
@@ -2,14 +2,15 @@
 
 use super::judge::judge;
 use super::{key, Fact, Parts, Said, Told, Turns};
-use crate::duty::{Inbox, Outbox};
+use crate::worker::{RingReceiver, RingSender};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::time::Duration;
-use wharfplank_failover::{decode, encode, TOPIC};
+use wharfplank_failover::{decode_votes, encode_votes, MemberOutcome, VoteVersion, TOPIC};
+use wharfplank_gossip::Datagram;
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{Frame, FRAME_OVERHEAD};
 
@@ -29,7 +30,7 @@
 /// What the loop keeps besides the parts.
 struct Course {
     /// The broker's ring.
-    told: Outbox<Told>,
+    told: RingSender<Told>,
     /// The shares that the broker was told last.
     shares: BTreeMap<String, f64>,
     tell_at: Micros,
@@ -49,18 +50,18 @@
 pub(super) async fn drive(
     mut parts: Parts,
     socket: UdpSocket,
-    mut facts: Inbox<Fact>,
-    told: Outbox<Told>,
+    mut facts: RingReceiver<Fact>,
+    told: RingSender<Told>,
     turns: Arc<Turns>,
 ) {
     // A socket that the reactor does not take is one that hears nothing: this proxy then decides alone.
     let Ok(socket) = Async::new(socket) else { return };
     let now = (parts.now)();
-    (parts.say)(Said::Started(parts.peers.me()));
+    (parts.say)(Said::Started(parts.peers.local_peer()));
     let (shares, tell_at, keep_at) = (BTreeMap::new(), now + TELL_EVERY, now + KEEP_EVERY);
     let mut course = Course { told, shares, tell_at, digest: 0, digest_at: now, keep_at };
     // The router hears at once that zones are decided in common: near members win among ties from now on.
-    course.told.push(Told::Shares(Vec::new()));
+    course.told.send(Told::Shares(Vec::new()));
     parts.peers.join(&parts.seeds, now);
     let mut buffer = vec![0_u8; 65_536];
     loop {
@@ -70,7 +71,7 @@
                 async {
                     socket.recv_from(&mut buffer).await.map_or(Woken::Time, |(n, at)| Woken::Datagram(n, at))
                 },
-                async { facts.next().await.map_or(Woken::Closed, Woken::Fact) },
+                async { facts.recv().await.map_or(Woken::Closed, Woken::Fact) },
             ),
             async {
                 Timer::after(pause).await;
@@ -96,7 +97,7 @@
                 return;
             }
         }
-        while let Some(fact) = facts.try_next() {
+        while let Some(fact) = facts.try_recv() {
             take(&mut parts, now, fact);
         }
         turn(&mut parts, &mut course, now, facts.dropped());
@@ -114,8 +115,10 @@
 fn take(parts: &mut Parts, now: Micros, fact: Fact) {
     let skew = parts.skew;
     match (fact, &mut parts.replica, &mut parts.judge) {
-        (Fact::Seen(seen), ..) if seen.answered => parts.zones.observe(now, &seen.zone, seen.member, true),
-        (Fact::Seen(seen), ..) => parts.zones.silence(now, seen.sent + skew, &seen.zone, seen.member),
+        (Fact::Seen(seen), ..) if seen.answered => {
+            parts.zones.record(now, &seen.zone, seen.member, MemberOutcome::Answered)
+        }
+        (Fact::Seen(seen), ..) => parts.zones.record_timeout(now, seen.sent + skew, &seen.zone, seen.member),
         (Fact::Position(at, member, epoch, told), Some(r), _) => {
             r.record_position(at + skew, member, epoch, told)
         }
@@ -135,22 +138,22 @@
 /// What is due: each part does its own, and what changed goes to the others, the broker and the log.
 fn turn(parts: &mut Parts, course: &mut Course, now: Micros, facts_dropped: u64) {
     parts.peers.tick(now);
-    for change in parts.peers.take_changes() {
+    for change in parts.peers.take_events() {
         (parts.say)(Said::Changed(&change));
     }
     hear(parts, now);
     if let Some(factors) = judge(parts, now) {
-        course.told.push(Told::Factors(factors));
+        course.told.send(Told::Factors(factors));
     }
     if let Some(replica) = &mut parts.replica {
-        replica.set_live_peers(now, parts.peers.alive().map(|peer| peer.addr));
+        replica.set_live_peers(now, parts.peers.live_peers().map(|peer| peer.addr));
         replica.tick(now);
-        let news = if course.told.room() > NEWS_ROOM { replica.take_updates() } else { Vec::new() };
+        let news = if course.told.free_slots() > NEWS_ROOM { replica.take_updates() } else { Vec::new() };
         if !news.is_empty() {
-            course.told.push(Told::News(news));
+            course.told.send(Told::News(news));
         }
     }
-    if parts.zones.decide(now) || !course.shares.is_empty() {
+    if parts.zones.evaluate(now) || !course.shares.is_empty() {
         tell(parts, now, course);
     }
     if now >= course.tell_at {
@@ -171,32 +174,36 @@
     }
 }
 
-/// Hands the notes of peers that are alive to the decision, and publishes this proxy's opinions where they changed.
+/// Hands the notes of peers that are alive to the decision, and publishes this proxy's votes where they changed.
 fn hear(parts: &mut Parts, now: Micros) {
-    let me = parts.peers.me().addr;
-    let alive: Vec<u64> = parts.peers.alive().map(|p| key(p.addr)).collect();
-    let notes: Vec<(u64, (u64, u64), Vec<u8>)> = parts
+    let me = parts.peers.local_peer().addr;
+    let alive: Vec<u64> = parts.peers.live_peers().map(|p| key(p.addr)).collect();
+    let notes: Vec<(u64, VoteVersion, Vec<u8>)> = parts
         .peers
-        .board()
-        .topic(TOPIC)
+        .notes()
+        .by_topic(TOPIC)
         .filter(|note| note.origin != me)
-        .map(|note| (key(note.origin), (note.generation, note.version), note.body.clone()))
+        .map(|note| {
+            let version = VoteVersion { generation: note.generation, version: note.version };
+            (key(note.origin), version, note.body.clone())
+        })
         .collect();
-    for (from, note, body) in notes {
-        if let Some(opinions) = decode(&body) {
-            parts.zones.heard(now, from, note, &opinions);
+    for (from, version, body) in notes {
+        if let Ok(votes) = decode_votes(&body) {
+            parts.zones.on_peer_votes(now, from, version, &votes);
         }
     }
-    parts.zones.alive(now, alive.into_iter());
-    if let Some(opinions) = parts.zones.to_publish(now) {
-        parts.peers.publish(TOPIC, encode(&opinions));
+    parts.zones.set_live_peers(now, alive.into_iter());
+    if let Some(votes) = parts.zones.votes_to_publish(now) {
+        // Votes that do not fit a note are not published: the peers keep the older ones.
+        let _ = parts.peers.publish(TOPIC, encode_votes(&votes));
     }
 }
 
 /// Tells the broker the shares where one changed, and the log where a standing did.
 fn tell(parts: &mut Parts, now: Micros, course: &mut Course) {
     let told = &course.shares;
-    let shares: BTreeMap<String, f64> = parts.zones.shares(now).into_iter().collect();
+    let shares: BTreeMap<String, f64> = parts.zones.reduced_shares(now).into_iter().collect();
     let moved = shares.len() != told.len()
         || shares
             .iter()
@@ -204,18 +211,18 @@
     if !moved {
         return;
     }
-    let alive = parts.peers.alive().count();
-    let alone = parts.zones.is_alone();
+    let alive = parts.peers.live_peers().count();
+    let alone = parts.zones.is_isolated();
     let named: std::collections::BTreeSet<&String> = shares.keys().chain(told.keys()).collect();
     for zone in named {
         let (was, share) = (told.get(zone).copied().unwrap_or(1.0), shares.get(zone).copied().unwrap_or(1.0));
-        let standing = parts.zones.standing(zone);
+        let standing = parts.zones.zone_state(zone);
         if (was == 0.0) != (share == 0.0) || (was == 1.0) != (share == 1.0) {
             (parts.say)(Said::Standing { zone, standing, share, alive, alone });
         }
     }
     // What does not fit is told with the next turn.
-    if course.told.push(Told::Shares(shares.clone().into_iter().collect())) {
+    if course.told.send(Told::Shares(shares.clone().into_iter().collect())) {
         course.shares = shares;
     }
 }
@@ -226,7 +233,7 @@
     let undecoded = Frame { membership: datagram, shared_state: &[] };
     let Frame { membership, shared_state: message } = Frame::decode(datagram).unwrap_or(undecoded);
     if !membership.is_empty() {
-        parts.peers.received(now, membership);
+        parts.peers.on_datagram(now, membership);
     }
     if let (Some(replica), SocketAddr::V4(from), false) = (&mut parts.replica, from, message.is_empty()) {
         replica.on_message(now, from, message);
@@ -235,7 +242,7 @@
 
 async fn send_all(parts: &mut Parts, now: Micros, socket: &Async<UdpSocket>) {
     // A datagram that cannot go is as one lost on the wire: SWIM sends again, and so do exchanges.
-    for (to, datagram) in parts.peers.take_sends() {
+    for Datagram { to, payload: datagram } in parts.peers.take_datagrams() {
         let room = PACKET_BYTES.saturating_sub(datagram.len() + FRAME_OVERHEAD);
         let rides = parts.replica.as_mut().and_then(|replica| replica.piggyback(now, room));
         let datagram = match &rides {
