--- a/Makefile
+++ b/Makefile
@@ -61,7 +61,7 @@
 
 # Known-missing keys in virtual time: 200 seeded runs of each hard case, and what the facts are worth and cost.
 missing:
-	cargo test --locked --release -p wharfplank-negative-cache --test hard --test worth -- --ignored --nocapture --test-threads 1
+	cargo test --locked --release -p wharfplank-negative-cache --test fault_scenarios --test effectiveness -- --ignored --nocapture --test-threads 1
 
 # How soon a fleet of 300 and 3,000 holds a slow member degraded, in virtual time, and what that costs.
 health:
--- a/crates/negative-cache/src/hash.rs
+++ b/crates/negative-cache/src/hash.rs
@@ -1,76 +1,72 @@
-//! Keyed hashes: 128 bits for what is missing, which is as good as the key itself, and 32 bits for what was written,
-//! where two keys that fall together cost a look-up and no more.
+//! Keyed hashes: 128 bits for a statement, which are as good as the statement itself, and 32 bits for a key that a write
+//! touches, where a collision costs a look-up and no more.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::hash::Hasher as _;
 
-/// A statement to a group. Of a million of them the chance that any two are equal is under 2^-88.
+/// The hash of a statement to a group. Of a million of them the chance that any two collide is under 2^-88.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key(pub u128);
+pub struct StatementHash(pub u128);
 
-/// A key that a write may touch.
+/// The hash of a key that a write may touch, or of all keys of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Mark(pub u32);
+pub struct KeyHash(pub u32);
 
-/// Hashes with the fleet's secret: who does not know it cannot make two keys fall together on purpose.
+/// What a hash is of. Each kind of input has a hash function of its own.
+#[derive(Clone, Copy)]
+enum Kind {
+    Statement = 0,
+    Key = 1,
+    Group = 2,
+    Secret = 3,
+    Response = 4,
+}
+
+/// Hashes with the secret of a fleet: who does not know it cannot make two inputs collide on purpose.
 #[derive(Clone)]
-pub struct Hasher {
+pub struct KeyHasher {
     secret: [u8; 16],
 }
 
-impl Hasher {
-    /// With a secret that all proxies of the fleet have.
-    pub fn new(secret: [u8; 16]) -> Hasher {
-        Hasher { secret }
+impl KeyHasher {
+    /// Creates a hasher with a secret that all proxies of the fleet share.
+    pub fn new(secret: [u8; 16]) -> KeyHasher {
+        KeyHasher { secret }
     }
 
-    /// With a secret made of a text that all proxies of the fleet have.
-    pub fn of(text: &str) -> Hasher {
-        Hasher { secret: Hasher::new([0; 16]).hash(3, 0, text.as_bytes()).to_le_bytes() }
+    /// Creates a hasher with a secret derived from a passphrase that all proxies of the fleet share.
+    pub fn from_passphrase(passphrase: &str) -> KeyHasher {
+        let secret = KeyHasher::new([0; 16]).hash(Kind::Secret, 0, passphrase.as_bytes());
+        KeyHasher { secret: secret.to_le_bytes() }
     }
 
-    /// What a member answered.
-    pub fn answer(&self, bytes: &[u8]) -> u32 {
-        self.hash(4, 0, bytes) as u32
+    /// The hash of a member's response.
+    pub fn response(&self, bytes: &[u8]) -> u32 {
+        self.hash(Kind::Response, 0, bytes) as u32
     }
 
-    /// A statement to a group, without its comment.
-    pub fn key(&self, group: u64, statement: &[u8]) -> Key {
-        Key(self.hash(0, group, statement))
+    /// The hash of a statement to a group, without the statement's leading comment.
+    pub fn statement(&self, group: u64, statement: &[u8]) -> StatementHash {
+        StatementHash(self.hash(Kind::Statement, group, statement))
     }
 
-    /// A key of a group that a write names, or a read asks for.
-    pub fn mark(&self, group: u64, value: &[u8]) -> Mark {
-        Mark(self.hash(1, group, value) as u32)
+    /// The hash of a key in a group.
+    pub fn key(&self, group: u64, key: &[u8]) -> KeyHash {
+        KeyHash(self.hash(Kind::Key, group, key) as u32)
     }
 
-    /// All keys of a group: the mark of a write whose keys cannot be told.
-    pub fn whole(&self, group: u64) -> Mark {
-        Mark(self.hash(2, group, &[]) as u32)
+    /// The hash that stands for all keys of a group: a write whose keys are not known touches it.
+    pub fn whole_group(&self, group: u64) -> KeyHash {
+        KeyHash(self.hash(Kind::Group, group, &[]) as u32)
     }
 
-    fn hash(&self, kind: u8, group: u64, bytes: &[u8]) -> u128 {
+    fn hash(&self, kind: Kind, group: u64, bytes: &[u8]) -> u128 {
         let mut hasher = SipHasher13::new_with_key(&self.secret);
-        // Of fixed length before the bytes: no two triples give the same input.
-        hasher.write_u8(kind);
+        // The fields before the bytes are of fixed length, so no two triples give the same input.
+        hasher.write_u8(kind as u8);
         hasher.write_u64(group);
         hasher.write(bytes);
         hasher.finish128().as_u128()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn kinds_groups_and_secrets_are_kept_apart() {
-        let (one, two) = (Hasher::new([1; 16]), Hasher::new([2; 16]));
-        assert_eq!(one.key(1, b"x"), one.key(1, b"x"));
-        assert_ne!(one.key(1, b"x"), one.key(2, b"x"));
-        assert_ne!(one.key(1, b"x"), two.key(1, b"x"));
-        assert_ne!(one.mark(1, b""), one.whole(1));
-        assert_ne!(one.key(1, b"x").0 as u32, one.mark(1, b"x").0);
-    }
-}
--- a/crates/negative-cache/src/lib.rs
+++ b/crates/negative-cache/src/lib.rs
@@ -1,134 +1,75 @@
-//! Keys that are known to be missing, kept by all proxies in common and answered from by position, as every read is:
-//! a fact is (group, key, position), and says that the key had no row in a state that holds every commit up to there.
-//! It does no I/O: answers of members, messages and the time go in; verdicts and messages come out.
+//! A negative cache: keys that are known to be missing, shared by all proxies, and used for reads by position as every
+//! other state is. An entry is (group, key, position): the key had no row in a state that holds every commit up to there.
 //!
-//! A fact alone answers a bounded read for no longer than the read's bound. It holds longer where it is proved that
-//! nothing wrote the key in between. Time is cut into slots of equal length. Each proxy notes, for each slot, the keys
-//! of all writes that it began and that may commit in it, and closes the slot once no further write of its can. Who
-//! may write holds a leave of a bank; a bank seals a slot once all that held its leave have closed it, and once nobody
-//! to whom it gives leave from now on can write in it. Where all banks have sealed a slot, the facts of all keys not
-//! noted in it move forward over it.
+//! The crate does no I/O: members' answers, datagrams and the time go in; results of look-ups and datagrams come out.
 //!
-//! - [`Hasher`]: keyed hashes of statements and keys.
-//! - [`Writes`]: one proxy's own writes, and its notes of them.
-//! - [`Leave`]: one proxy's leave to write.
-//! - [`Bank`]: gives leave, collects notes, and seals slots.
-//! - [`Closed`]: what the banks have sealed.
-//! - [`Facts`]: the bounded table of facts.
-//! - [`Missing`]: what is asked for each read.
-//! - [`Node`]: all of these of one process, and its messages.
+//! By itself, an entry answers a read with a bound on staleness for no longer than that bound. It lasts longer if it is
+//! proved that its key was not written since. To that end time is cut into slots of equal length:
 //!
-//! Positions are rounded down, needs up, and clocks (those of members too, which stamp commits) may differ by
-//! [`Terms::apart`] at any time. See `docs/design/missing.md`.
+//! 1. Each proxy records, for each slot, the keys of all its writes that may commit in the slot, and *closes* the slot
+//!    once no further write of its can.
+//! 2. A proxy may write only while it holds a lease of a lease server. The server *seals* a slot once all holders of its
+//!    leases have closed it, and no holder that gets a lease from now on can write in it.
+//! 3. Where all servers have sealed a slot, all entries advance over it whose keys were not written in it.
+//!
+//! The parts:
+//!
+//! - [`Node`]: all parts of one process, and its messages; the entry point of the crate.
+//! - [`NegativeCache`]: the cache of one proxy; [`Lookup`], [`Freshness`], [`LookupResult`]: its interface for reads.
+//! - [`EntryTable`], [`NegativeEntry`]: the bounded table of entries.
+//! - [`PendingWrites`]: the writes of one proxy, and the slots that it has closed.
+//! - [`WriteLeases`], [`WriteLeaseServer`]: the two sides of a write lease.
+//! - [`ClosedTimestamps`]: which slots all servers have sealed, and what was written in them.
+//! - [`KeyHasher`]: keyed hashes of statements and keys.
+//!
+//! Positions are rounded down, and positions that reads need are rounded up. Clocks, including those of members, which
+//! stamp commits, may differ by [`NegativeCacheConfig::max_clock_skew`] at any time. See `docs/design/missing.md`.
 //!
 //! ```
-//! use wharfplank_negative_cache::{Asked, Hasher, Missing, Need, Terms, Verdict};
+//! use wharfplank_negative_cache::{Freshness, KeyHasher, Lookup, LookupResult, NegativeCache, NegativeCacheConfig};
 //!
-//! let hasher = Hasher::new([7; 16]);
-//! let mut missing = Missing::new(Terms::default(), 1, 0);
-//! let asked = Asked::new(&hasher, 3, b"SELECT pay FROM slips WHERE id = 'x'", b"x", 1);
+//! let hasher = KeyHasher::new([7; 16]);
+//! let mut cache = NegativeCache::new(NegativeCacheConfig::default(), 1, 0);
+//! let lookup = Lookup::new(&hasher, 3, b"SELECT pay FROM slips WHERE id = 'x'", b"x", 1);
 //! let now = 10_000_000;
-//! assert!(matches!(missing.question(now, &asked, Need::Bounded(1_000_000)), Verdict::Ask(_)));
-//! missing.heard(now, &asked, now - 20_000, 0);
-//! assert!(matches!(missing.question(now, &asked, Need::Bounded(1_000_000)), Verdict::Missing { .. }));
-//! assert!(matches!(missing.question(now, &asked, Need::Fresh), Verdict::Ask(_)));
+//! let within_a_second = Freshness::MaxStaleness(1_000_000);
+//! assert!(matches!(cache.lookup(now, &lookup, within_a_second), LookupResult::Miss(_)));
+//! cache.record_missing(now, &lookup, now - 20_000, 0);
+//! assert!(matches!(cache.lookup(now, &lookup, within_a_second), LookupResult::KnownMissing { .. }));
+//! assert!(matches!(cache.lookup(now, &lookup, Freshness::Latest), LookupResult::Miss(_)));
 //! ```
 
-mod bank;
-mod closed;
-mod facts;
+mod cache;
+mod closed_timestamps;
+mod config;
+mod entries;
 mod hash;
-mod leave;
+mod lease_server;
+mod lookup;
 mod node;
-mod verdict;
 mod window;
+mod write_lease;
 mod writes;
 
-pub use bank::{Ask, Bank, Grant, Seal, HOLDERS_MOST, SEAL_MARKS_MOST};
-pub use closed::{Closed, TOUCHED_MOST};
-pub use facts::{Fact, Facts, Told};
-pub use hash::{Hasher, Key, Mark};
-pub use leave::Leave;
-pub use node::{Node, ANSWERS_MOST, ANSWER_BYTES_MOST};
-pub use verdict::{Asked, Counts, Missing, Need, Verdict, Why};
-pub use window::{Window, KEPT};
-pub use writes::{Note, Ticket, Writes, MARKS_MOST, NOTES_MOST, WRITES_MOST};
+pub use cache::{NegativeCache, Stats};
+pub use closed_timestamps::{ClosedTimestamps, MAX_TRACKED_KEYS};
+pub use config::NegativeCacheConfig;
+pub use entries::{Announcement, EntryCounts, EntryTable, NegativeEntry};
+pub use hash::{KeyHash, KeyHasher, StatementHash};
+pub use lease_server::{
+    SealedSlot, WriteLeaseGrant, WriteLeaseRequest, WriteLeaseServer, MAX_HOLDERS, MAX_KEYS_PER_SEALED_SLOT,
+};
+pub use lookup::{Freshness, Lookup, LookupResult, MissReason};
+pub use node::{Node, MAX_RESPONSES, MAX_RESPONSE_BYTES};
+pub use window::{SlotWindow, WINDOW_SLOTS};
+pub use write_lease::WriteLeases;
+pub use writes::{
+    ClosedSlot, PendingWrites, WriteId, MAX_CLOSED_SLOTS_PER_REQUEST, MAX_KEYS_PER_CLOSED_SLOT, MAX_WRITES,
+};
 
-/// A time, a span of time or a log position, in microseconds since the Unix epoch.
+/// A time, a span of time or a log position, in microseconds; times and positions since the Unix epoch.
 pub type Micros = i64;
 
-/// A slot of positions: those after `slot * Terms::slot`, up to and with `(slot + 1) * Terms::slot`.
+/// A slot of positions: those after `slot * slot_length`, up to and with `(slot + 1) * slot_length`, see
+/// [`NegativeCacheConfig::slot_length`].
 pub type Slot = i64;
-
-/// The figures of the whole fleet: equal on all of its proxies and banks.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// The length of a slot.
-    pub slot: Micros,
-    /// The most by which any two clocks differ, those of members that stamp commits too.
-    pub apart: Micros,
-    /// How long a leave to write holds, on the bank's clock, from when it was asked for.
-    pub life: Micros,
-    /// How often a holder asks each bank.
-    pub ask_every: Micros,
-    /// A write commits no later than this after its first byte went out, whether or not its answer comes: what the
-    /// members' time-out of statements and the connections' time-out of unacknowledged bytes add up to, or more.
-    pub late: Micros,
-    /// A fact ends this long after a member said it.
-    pub fact_life: Micros,
-    /// Facts held at most that were asked for twice.
-    pub facts_most: usize,
-    /// Facts of each of the two ages held at most that were asked for once.
-    pub once_most: usize,
-    /// Facts asked for once that are told to the other proxies in each second, at most.
-    pub tells: u32,
-}
-
-impl Default for Terms {
-    fn default() -> Self {
-        Terms {
-            slot: 250_000,
-            apart: 100_000,
-            life: 5_000_000,
-            ask_every: 250_000,
-            late: 10_000_000,
-            fact_life: 600_000_000,
-            facts_most: 1 << 20,
-            once_most: 1 << 16,
-            tells: 100,
-        }
-    }
-}
-
-impl Terms {
-    /// The slot in which a commit at this position lies.
-    pub fn slot_of(&self, commit: Micros) -> Slot {
-        (commit - 1).div_euclid(self.slot)
-    }
-
-    /// The slot that a fact at this position must cross next: the one with the first commit after it.
-    pub fn slot_after(&self, position: Micros) -> Slot {
-        position.div_euclid(self.slot)
-    }
-
-    /// The last position of a slot.
-    pub fn end_of(&self, slot: Slot) -> Micros {
-        (slot + 1) * self.slot
-    }
-
-    /// Whether nothing that begins from now on, by this clock, can commit within the slot or before it.
-    pub fn past(&self, now: Micros, slot: Slot) -> bool {
-        now - self.apart > self.end_of(slot)
-    }
-
-    /// How long a holder takes its leave to last from when it asked. Its clock and the bank's may each have been off
-    /// by `apart` in the worse direction at both ends.
-    pub fn held_for(&self) -> Micros {
-        self.life - 2 * self.apart
-    }
-
-    /// The last slot in which a write may commit that began, by this clock, no later than now.
-    pub fn reaches(&self, now: Micros) -> Slot {
-        self.slot_of(now + self.apart + self.late)
-    }
-}
--- /dev/null
+++ b/crates/negative-cache/src/node/mod.rs
@@ -0,0 +1,217 @@
+//! One process of the fleet: its cache, its writes and leases, the lease server that it may be, and its messages.
+//! Holders send to the servers alone; servers pass seals and announcements on to all holders, so that what a process
+//! receives does not grow with the fleet.
+
+mod message;
+mod responses;
+mod server;
+
+pub use responses::{MAX_RESPONSES, MAX_RESPONSE_BYTES};
+
+use crate::{
+    Freshness, KeyHasher, Lookup, LookupResult, Micros, NegativeCache, NegativeCacheConfig, PendingWrites,
+    SealedSlot, Stats, WriteLeaseRequest, WriteLeases,
+};
+use message::{AnnouncementWithResponse, Message};
+use responses::ResponseTable;
+use server::LocalServer;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+
+/// The bound on announcements in one message.
+const MAX_ANNOUNCEMENTS_PER_MESSAGE: usize = 32;
+/// The bound on datagrams that wait to be sent; past it new ones are dropped.
+const MAX_OUTGOING: usize = 4_096;
+
+/// One process of the fleet.
+pub struct Node {
+    tick_interval: Micros,
+    servers: Vec<SocketAddrV4>,
+    local_server: Option<LocalServer>,
+    cache: NegativeCache,
+    responses: ResponseTable,
+    /// The writes of this process.
+    pub writes: PendingWrites,
+    /// The leases by which this process may write.
+    pub write_leases: WriteLeases,
+    outgoing: VecDeque<(SocketAddrV4, Vec<u8>)>,
+    next_due: Micros,
+    /// How many messages could not be decoded, or came from where they cannot come from.
+    pub rejected_messages: u64,
+    /// How many messages were dropped because too many waited, or were too large.
+    pub dropped_messages: u64,
+}
+
+impl Node {
+    /// Creates a process that has just started. It is a lease server if `address` is among the addresses of `servers`.
+    /// `holder` is a number that no other process has or had.
+    pub fn new(
+        config: NegativeCacheConfig,
+        hasher: KeyHasher,
+        address: SocketAddrV4,
+        servers: Vec<SocketAddrV4>,
+        holder: u64,
+        now: Micros,
+    ) -> Node {
+        let own_index = servers.iter().position(|server| *server == address);
+        Node {
+            tick_interval: config.renewal_interval.min(config.slot_length),
+            local_server: own_index.map(|id| LocalServer::new(id as u32, config.clone(), now)),
+            cache: NegativeCache::new(config.clone(), servers.len(), now),
+            responses: ResponseTable::new(hasher),
+            writes: PendingWrites::new(config.clone(), now),
+            write_leases: WriteLeases::new(holder, config, servers.len()),
+            outgoing: VecDeque::new(),
+            next_due: now,
+            rejected_messages: 0,
+            dropped_messages: 0,
+            servers,
+        }
+    }
+
+    /// Looks up a read. Returns a member's response if the read's key is known to be missing.
+    pub fn lookup(&mut self, now: Micros, lookup: &Lookup, freshness: Freshness) -> Option<Rc<[u8]>> {
+        match self.cache.lookup(now, lookup, freshness) {
+            LookupResult::KnownMissing { response, .. } => self.responses.get(response).cloned(),
+            LookupResult::Miss(_) => None,
+        }
+    }
+
+    /// Records that a member answered "no row" with these bytes, see [`NegativeCache::record_missing`].
+    pub fn record_missing(&mut self, now: Micros, lookup: &Lookup, position: Micros, bytes: &[u8]) {
+        if let Some(response) = self.responses.insert(bytes) {
+            self.cache.record_missing(now, lookup, position, response);
+        }
+    }
+
+    /// Records that a member answered with a row.
+    pub fn record_present(&mut self, lookup: &Lookup) {
+        self.cache.record_present(lookup);
+    }
+
+    /// When [`Node::tick`] is next due.
+    pub fn next_due(&self) -> Micros {
+        self.next_due
+    }
+
+    /// Does what is due: renews leases, seals slots, and announces entries.
+    pub fn tick(&mut self, now: Micros) {
+        if now < self.next_due {
+            return;
+        }
+        self.next_due = now + self.tick_interval;
+        self.renew_leases(now);
+        self.seal_slots(now);
+        self.announce_entries();
+    }
+
+    fn renew_leases(&mut self, now: Micros) {
+        self.writes.advance(now);
+        for (server, request) in self.write_leases.take_due_requests(now, &self.writes) {
+            self.send(self.servers[server], &Message::LeaseRequest(request));
+        }
+    }
+
+    fn seal_slots(&mut self, now: Micros) {
+        let Some(server) = &mut self.local_server else { return };
+        for message in server.seal(now) {
+            self.send_to_holders(&message);
+        }
+    }
+
+    /// Sends entries to be announced, each to one server, which passes them on. If that one is away, the others do not
+    /// learn of the entry, which costs them a look-up.
+    fn announce_entries(&mut self) {
+        let announcements = self.cache.take_announcements(MAX_ANNOUNCEMENTS_PER_MESSAGE);
+        if self.servers.is_empty() {
+            return;
+        }
+        let mut by_server: BTreeMap<usize, Vec<AnnouncementWithResponse>> = BTreeMap::new();
+        for announcement in announcements {
+            let Some(response) = self.responses.get(announcement.entry.response) else { continue };
+            let server = (announcement.statement.0 % self.servers.len() as u128) as usize;
+            by_server.entry(server).or_default().push((announcement, response.to_vec()));
+        }
+        for (server, announcements) in by_server {
+            self.send(self.servers[server], &Message::Announce(announcements));
+        }
+    }
+
+    /// Handles a datagram. One that cannot be decoded, or comes from where it cannot come from, is counted and ignored.
+    pub fn on_datagram(&mut self, now: Micros, from: SocketAddrV4, bytes: &[u8]) {
+        let server = self.servers.iter().position(|server| *server == from);
+        match Message::decode(bytes) {
+            Ok(Message::LeaseRequest(request)) => self.on_lease_request(now, from, &request),
+            Ok(Message::LeaseGrant(id, grant)) if server == Some(id as usize) => {
+                self.write_leases.on_grant(id as usize, &grant)
+            }
+            Ok(Message::SealedSlots(seals)) if are_all_from(&seals, server) => {
+                for seal in &seals {
+                    self.cache.on_sealed_slot(now, seal);
+                }
+            }
+            Ok(Message::Announce(announcements)) if self.is_local_holder(from) => {
+                self.send_to_holders(&Message::Announced(announcements))
+            }
+            Ok(Message::Announced(announcements)) if server.is_some() => {
+                self.on_announced(now, &announcements)
+            }
+            _ => self.rejected_messages += 1,
+        }
+    }
+
+    fn on_lease_request(&mut self, now: Micros, from: SocketAddrV4, request: &WriteLeaseRequest) {
+        let Some(server) = &mut self.local_server else { return };
+        let id = server.id();
+        if let Some(grant) = server.on_request(now, from, request) {
+            self.send(from, &Message::LeaseGrant(id, grant));
+        }
+    }
+
+    fn on_announced(&mut self, now: Micros, announcements: &[AnnouncementWithResponse]) {
+        for (announcement, bytes) in announcements {
+            if self.responses.insert(bytes) == Some(announcement.entry.response) {
+                self.cache.on_announcement(now, announcement);
+            }
+        }
+    }
+
+    /// Whether this process is a lease server, and the address that of one of its holders.
+    fn is_local_holder(&self, address: SocketAddrV4) -> bool {
+        self.local_server.as_ref().is_some_and(|server| server.is_holder(address))
+    }
+
+    /// Takes the datagrams to send, each with its receiver.
+    pub fn take_datagrams(&mut self) -> VecDeque<(SocketAddrV4, Vec<u8>)> {
+        std::mem::take(&mut self.outgoing)
+    }
+
+    fn send_to_holders(&mut self, message: &Message) {
+        let holders = self.local_server.as_ref().map(LocalServer::holder_addresses).unwrap_or_default();
+        for holder in holders {
+            self.send(holder, message);
+        }
+    }
+
+    fn send(&mut self, to: SocketAddrV4, message: &Message) {
+        match message.encode() {
+            Some(bytes) if self.outgoing.len() < MAX_OUTGOING => self.outgoing.push_back((to, bytes)),
+            _ => self.dropped_messages += 1,
+        }
+    }
+
+    /// What the cache did.
+    pub fn stats(&self) -> Stats {
+        self.cache.stats
+    }
+
+    /// The newest position to which an entry can advance.
+    pub fn horizon(&self) -> Option<Micros> {
+        self.cache.closed_timestamps().horizon()
+    }
+}
+
+fn are_all_from(seals: &[SealedSlot], server: Option<usize>) -> bool {
+    seals.iter().all(|seal| server == Some(seal.server as usize))
+}
--- a/crates/negative-cache/src/window.rs
+++ b/crates/negative-cache/src/window.rs
@@ -1,109 +1,81 @@
-//! Which of the newest slots something is so for.
+//! A sliding window over the newest slots, with one bit for each.
 
 use crate::Slot;
 
-/// Slots that are kept.
-pub const KEPT: i64 = 128;
+/// The number of slots in a window.
+pub const WINDOW_SLOTS: i64 = 128;
 
-/// A bit for each of [`KEPT`] slots from `base` on.
+/// A set of slots among the [`WINDOW_SLOTS`] from `first` on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Window {
-    base: Slot,
+pub struct SlotWindow {
+    first: Slot,
     bits: u128,
 }
 
-impl Window {
-    /// No bit set.
-    pub fn new(base: Slot) -> Window {
-        Window { base, bits: 0 }
+impl SlotWindow {
+    /// Creates an empty set over the window that begins at a slot.
+    pub fn new(first: Slot) -> SlotWindow {
+        SlotWindow { first, bits: 0 }
     }
 
-    /// The oldest slot kept.
-    pub fn base(&self) -> Slot {
-        self.base
+    /// The first slot of the window.
+    pub fn first(&self) -> Slot {
+        self.first
     }
 
-    /// Lets go of the slots before `base`; goes back never.
-    pub fn shift(&mut self, base: Slot) {
-        let by = base.saturating_sub(self.base);
-        if by > 0 {
-            self.bits = if by >= KEPT { 0 } else { self.bits >> by };
-            self.base = base;
+    /// Moves the window forward to begin at a slot, and forgets the slots before it. It never moves back.
+    pub fn advance_to(&mut self, first: Slot) {
+        let distance = first.saturating_sub(self.first);
+        if distance <= 0 {
+            return;
         }
+        self.bits = if distance >= WINDOW_SLOTS { 0 } else { self.bits >> distance };
+        self.first = first;
     }
 
-    /// Sets a slot's bit. False where it is not kept.
-    pub fn set(&mut self, slot: Slot) -> bool {
-        let at = slot.saturating_sub(self.base);
-        let kept = (0..KEPT).contains(&at);
-        if kept {
-            self.bits |= 1 << at;
-        }
-        kept
+    /// Adds a slot. Returns whether it is within the window.
+    pub fn insert(&mut self, slot: Slot) -> bool {
+        let Some(index) = self.index(slot) else { return false };
+        self.bits |= 1 << index;
+        true
     }
 
-    /// Whether the slot's bit is set.
-    pub fn has(&self, slot: Slot) -> bool {
-        let at = slot.saturating_sub(self.base);
-        (0..KEPT).contains(&at) && self.bits >> at & 1 == 1
+    /// Whether the slot is in the set.
+    pub fn contains(&self, slot: Slot) -> bool {
+        self.index(slot).is_some_and(|index| self.bits >> index & 1 == 1)
     }
 
-    /// How many slots from this one on have their bits set, without a gap.
-    pub fn run(&self, slot: Slot) -> i64 {
-        let at = slot.saturating_sub(self.base);
-        if (0..KEPT).contains(&at) {
-            i64::from((self.bits >> at).trailing_ones())
-        } else {
-            0
-        }
+    /// How many slots from this one on are in the set without a gap.
+    pub fn run_length(&self, slot: Slot) -> i64 {
+        self.index(slot).map_or(0, |index| i64::from((self.bits >> index).trailing_ones()))
     }
 
-    /// The newest slot whose bit is set.
+    /// The newest slot in the set.
     pub fn last(&self) -> Option<Slot> {
-        (self.bits != 0).then(|| self.base + KEPT - 1 - i64::from(self.bits.leading_zeros()))
+        (self.bits != 0).then(|| self.first + WINDOW_SLOTS - 1 - i64::from(self.bits.leading_zeros()))
     }
 
-    /// Bits set in both, over the slots that both keep.
-    pub fn and(mut self, mut other: Window) -> Window {
+    /// The slots in both sets, over the part of the windows that they share.
+    pub fn intersection(mut self, mut other: SlotWindow) -> SlotWindow {
         self.align(&mut other);
-        Window { base: self.base, bits: self.bits & other.bits }
+        SlotWindow { first: self.first, bits: self.bits & other.bits }
     }
 
-    /// Bits set in either, over the slots that both keep.
-    pub fn or(mut self, mut other: Window) -> Window {
+    /// The slots in either set, over the part of the windows that they share.
+    pub fn union(mut self, mut other: SlotWindow) -> SlotWindow {
         self.align(&mut other);
-        Window { base: self.base, bits: self.bits | other.bits }
+        SlotWindow { first: self.first, bits: self.bits | other.bits }
     }
 
-    fn align(&mut self, other: &mut Window) {
-        let base = self.base.max(other.base);
-        self.shift(base);
-        other.shift(base);
+    fn align(&mut self, other: &mut SlotWindow) {
+        let first = self.first.max(other.first);
+        self.advance_to(first);
+        other.advance_to(first);
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn slots_are_kept_by_number_whatever_the_base() {
-        let mut window = Window::new(10);
-        assert!(window.set(10) && window.set(11) && window.set(13) && window.set(137));
-        assert!(!window.set(9) && !window.set(138));
-        assert_eq!((window.run(10), window.run(12), window.run(13)), (2, 0, 1));
-        window.shift(11);
-        window.shift(5);
-        assert_eq!(
-            (window.base(), window.has(10), window.has(11), window.last()),
-            (11, false, true, Some(137))
-        );
-        let mut other = Window::new(0);
-        assert!(other.set(11) && other.set(13) && other.set(14));
-        let both = window.and(other);
-        assert_eq!((both.has(11), both.has(13), both.has(14), both.has(137)), (true, true, false, false));
-        assert!(window.or(other).has(14));
-        window.shift(1_000_000);
-        assert_eq!(window.last(), None);
+    /// The bit of a slot, if the slot is within the window.
+    fn index(&self, slot: Slot) -> Option<i64> {
+        let index = slot.saturating_sub(self.first);
+        (0..WINDOW_SLOTS).contains(&index).then_some(index)
     }
 }
--- a/crates/negative-cache/src/writes.rs
+++ b/crates/negative-cache/src/writes.rs
@@ -1,195 +1,186 @@
-//! One proxy's own writes: which keys they may touch, and in which slots they may commit.
+//! The writes of one proxy: which keys they may touch, and in which slots they may commit.
 
-use crate::{Mark, Micros, Slot, Terms, KEPT};
+use crate::{KeyHash, Micros, NegativeCacheConfig, Slot, WINDOW_SLOTS};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Writes held at most: open ones, and those that ended within the slots still to be closed.
-pub const WRITES_MOST: usize = 65_536;
-/// Marks of one note at most; past that it marks every key.
-pub const MARKS_MOST: usize = 4_096;
-/// Notes in one message at most.
-pub const NOTES_MOST: usize = 32;
+/// The bound on writes: pending ones, and those that ended in slots that are not closed yet.
+pub const MAX_WRITES: usize = 65_536;
+/// The bound on keys of one closed slot; past it, every key counts as written.
+pub const MAX_KEYS_PER_CLOSED_SLOT: usize = 4_096;
+/// The bound on closed slots in one message.
+pub const MAX_CLOSED_SLOTS_PER_REQUEST: usize = 32;
 
-/// What a proxy says of one slot: every write of its that may commit in it touches no key but these.
+/// A slot that a proxy has closed: its writes that may commit in the slot touch no other keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Note {
+pub struct ClosedSlot {
     /// The slot.
     pub slot: Slot,
-    /// There were too many: every key of every group may have been written.
-    pub every: bool,
-    /// The keys, in rising order.
-    pub marks: Vec<Mark>,
+    /// There were too many keys to list: every key of every group may have been written.
+    #[serde(rename = "every")]
+    pub all_keys: bool,
+    /// The keys in rising order.
+    #[serde(rename = "marks")]
+    pub keys: Vec<KeyHash>,
 }
 
-/// A write begun.
+/// Identifies a write of one proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(u64);
+pub struct WriteId(u64);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Write {
-    marks: Vec<Mark>,
-    from: Slot,
-    /// The last slot in which it may commit; `None` while it runs.
-    until: Option<Slot>,
+    keys: Vec<KeyHash>,
+    /// The first slot in which it may commit.
+    first_slot: Slot,
+    /// The last slot in which it may commit; `None` while it is pending.
+    last_slot: Option<Slot>,
 }
 
-/// The writes of one proxy.
+impl Write {
+    fn may_commit_in(&self, slot: Slot) -> bool {
+        self.first_slot <= slot && self.last_slot.is_none_or(|last| last >= slot)
+    }
+
+    fn may_commit_after(&self, slot: Slot) -> bool {
+        self.last_slot.is_none_or(|last| last > slot)
+    }
+}
+
+/// The writes of one proxy, and the slots that it has closed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Writes {
-    terms: Terms,
+pub struct PendingWrites {
+    config: NegativeCacheConfig,
     now: Micros,
-    next: u64,
-    writes: BTreeMap<Ticket, Write>,
-    /// The newest slot that is closed.
-    closed: Slot,
-    notes: VecDeque<Note>,
+    last_id: u64,
+    writes: BTreeMap<WriteId, Write>,
+    last_closed: Slot,
+    closed_slots: VecDeque<ClosedSlot>,
 }
 
-impl Writes {
-    /// A process that has begun no write yet.
-    pub fn new(terms: Terms, now: Micros) -> Writes {
-        // Back to what a bank whose clock is behind may take for the slot of its first grant.
-        let closed = terms.slot_of(now - 3 * terms.apart) - 1;
-        Writes { terms, now, next: 0, writes: BTreeMap::new(), closed, notes: VecDeque::new() }
+impl PendingWrites {
+    /// Creates the table of a process that has begun no write yet.
+    pub fn new(config: NegativeCacheConfig, now: Micros) -> PendingWrites {
+        // Back to the slot that a lease server whose clock is behind may take for that of its first grant.
+        let last_closed = config.slot_of_commit(now - 3 * config.max_clock_skew) - 1;
+        PendingWrites {
+            config,
+            now,
+            last_id: 0,
+            writes: BTreeMap::new(),
+            last_closed,
+            closed_slots: VecDeque::new(),
+        }
     }
 
-    /// Notes a write before its first byte goes out. `marks` are all keys that it can make present: the whole group
-    /// where that cannot be told. `None`: too many are held, and it must not be sent.
-    pub fn begin(&mut self, now: Micros, marks: Vec<Mark>) -> Option<Ticket> {
-        self.moves(now);
-        if self.writes.len() >= WRITES_MOST {
+    /// Records a write before its first byte is sent. `keys` are all keys that it can make present: the hash of the whole
+    /// group if they are not known. Returns `None` if the table is full; the write must not be sent then.
+    pub fn begin(&mut self, now: Micros, keys: Vec<KeyHash>) -> Option<WriteId> {
+        self.advance(now);
+        if self.writes.len() >= MAX_WRITES {
             return None;
         }
-        self.next += 1;
-        let ticket = Ticket(self.next);
-        let from = self.terms.slot_of(self.now - self.terms.apart);
-        self.writes.insert(ticket, Write { marks, from, until: None });
-        Some(ticket)
+        self.last_id += 1;
+        let id = WriteId(self.last_id);
+        let first_slot = self.config.slot_of_commit(self.now - self.config.max_clock_skew);
+        self.writes.insert(id, Write { keys, first_slot, last_slot: None });
+        Some(id)
     }
 
-    /// Its answer came, whatever it was: it has committed or never will.
-    pub fn settled(&mut self, now: Micros, ticket: Ticket) {
-        self.moves(now);
-        let until = self.terms.slot_of(self.now + self.terms.apart);
-        self.ends(ticket, until);
+    /// A write was answered in any way: it has committed, or it never will.
+    pub fn on_answered(&mut self, now: Micros, id: WriteId) {
+        self.advance(now);
+        let last_slot = self.config.slot_of_commit(self.now + self.config.max_clock_skew);
+        self.finish(id, last_slot);
     }
 
-    /// No answer will come (time-out, reset, cancelled): it may commit for as long as a statement can run yet.
-    pub fn in_doubt(&mut self, now: Micros, ticket: Ticket) {
-        self.moves(now);
-        let until = self.terms.reaches(self.now);
-        self.ends(ticket, until);
+    /// A write will not be answered (time-out, reset, cancellation): it may commit for as long as the statement can run.
+    pub fn on_in_doubt(&mut self, now: Micros, id: WriteId) {
+        self.advance(now);
+        let last_slot = self.config.last_commit_slot(self.now);
+        self.finish(id, last_slot);
     }
 
-    /// It broke before its last byte was written: it never ran.
-    pub fn never_ran(&mut self, ticket: Ticket) {
-        self.writes.remove(&ticket);
+    /// A write failed before its last byte was sent: it was never executed.
+    pub fn on_not_executed(&mut self, id: WriteId) {
+        self.writes.remove(&id);
     }
 
-    fn ends(&mut self, ticket: Ticket, until: Slot) {
-        if let Some(write) = self.writes.get_mut(&ticket) {
-            write.until = Some(until);
+    fn finish(&mut self, id: WriteId, last_slot: Slot) {
+        if let Some(write) = self.writes.get_mut(&id) {
+            write.last_slot = Some(last_slot);
         }
     }
 
     /// Closes the slots in which no write that begins from now on can commit.
-    pub fn moves(&mut self, now: Micros) {
-        // A clock that is set back starts nothing earlier: commits are stamped by another, which ran on.
+    pub fn advance(&mut self, now: Micros) {
+        // A clock that is set back starts nothing earlier: the clocks that stamp commits did not go back.
         self.now = self.now.max(now);
-        let newest = self.terms.slot_of(self.now - self.terms.apart) - 1;
-        // After a long pause, slots that nobody keeps any more need no notes.
-        self.closed = self.closed.max(newest - KEPT);
-        while self.terms.past(self.now, self.closed + 1) {
-            self.closed += 1;
-            let slot = self.closed;
-            let within = |w: &&Write| w.from <= slot && w.until.is_none_or(|until| until >= slot);
-            let mut marks: Vec<Mark> =
-                self.writes.values().filter(within).flat_map(|w| w.marks.iter().copied()).collect();
-            marks.sort_unstable();
-            marks.dedup();
-            let every = marks.len() > MARKS_MOST;
-            if every {
-                marks.clear();
-            }
-            self.notes.push_back(Note { slot, every, marks });
-            self.writes.retain(|_, write| write.until.is_none_or(|until| until > slot));
+        let newest = self.config.slot_of_commit(self.now - self.config.max_clock_skew) - 1;
+        // After a long pause, slots that are in no window any more need not be closed.
+        self.last_closed = self.last_closed.max(newest - WINDOW_SLOTS);
+        while self.config.is_past(self.now, self.last_closed + 1) {
+            self.last_closed += 1;
+            self.close(self.last_closed);
+        }
+        while self.closed_slots.len() > WINDOW_SLOTS as usize {
+            self.closed_slots.pop_front();
         }
-        while self.notes.len() > KEPT as usize {
-            self.notes.pop_front();
+    }
+
+    fn close(&mut self, slot: Slot) {
+        let mut keys: Vec<KeyHash> = self
+            .writes
+            .values()
+            .filter(|write| write.may_commit_in(slot))
+            .flat_map(|write| write.keys.iter().copied())
+            .collect();
+        keys.sort_unstable();
+        keys.dedup();
+        let all_keys = keys.len() > MAX_KEYS_PER_CLOSED_SLOT;
+        if all_keys {
+            keys.clear();
         }
+        self.closed_slots.push_back(ClosedSlot { slot, all_keys, keys });
+        self.writes.retain(|_, write| write.may_commit_after(slot));
     }
 
     /// The newest slot that is closed.
-    pub fn closed(&self) -> Slot {
-        self.closed
+    pub fn last_closed(&self) -> Slot {
+        self.last_closed
     }
 
-    /// Notes of the slots after this one, oldest first, as many as go into one message.
-    pub fn notes_after(&self, slot: Slot) -> Vec<Note> {
-        let mut room = 2 * MARKS_MOST;
-        let fits = |note: &&Note| {
-            let fits = note.marks.len() <= room;
-            room -= note.marks.len().min(room);
+    /// The closed slots after this one, oldest first, as many as fit into one message.
+    pub fn closed_slots_after(&self, slot: Slot) -> Vec<ClosedSlot> {
+        let mut free_keys = 2 * MAX_KEYS_PER_CLOSED_SLOT;
+        let fits = |closed: &&ClosedSlot| {
+            let fits = closed.keys.len() <= free_keys;
+            free_keys = free_keys.saturating_sub(closed.keys.len());
             fits
         };
-        self.notes.iter().filter(|note| note.slot > slot).take(NOTES_MOST).take_while(fits).cloned().collect()
+        self.closed_slots
+            .iter()
+            .filter(|closed| closed.slot > slot)
+            .take(MAX_CLOSED_SLOTS_PER_REQUEST)
+            .take_while(fits)
+            .cloned()
+            .collect()
     }
 
-    /// The last slot in which a write of this process may commit if it begins none from now on. `None`: one still
-    /// runs, and that cannot be told.
-    pub fn last(&self) -> Option<Slot> {
-        let newest = self.terms.slot_of(self.now + self.terms.apart);
-        self.writes.values().try_fold(newest, |last, write| Some(last.max(write.until?)))
+    /// The last slot in which a write of this process may commit if it begins none from now on; `None` while one is
+    /// pending, since that is not known then.
+    pub fn last_commit_slot(&self) -> Option<Slot> {
+        let newest = self.config.slot_of_commit(self.now + self.config.max_clock_skew);
+        self.writes.values().try_fold(newest, |last, write| Some(last.max(write.last_slot?)))
     }
 
-    /// Writes held.
-    pub fn held(&self) -> usize {
+    /// The number of writes in the table.
+    pub fn len(&self) -> usize {
         self.writes.len()
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn marked(writes: &Writes, mark: u32) -> Vec<Slot> {
-        let has = |note: &&Note| note.marks.contains(&Mark(mark));
-        writes.notes_after(Slot::MIN).iter().filter(has).map(|note| note.slot).collect()
-    }
-
-    #[test]
-    fn a_write_is_noted_in_every_slot_in_which_it_may_commit() {
-        let terms = Terms { slot: 100, apart: 10, late: 1_000, ..Terms::default() };
-        let mut writes = Writes::new(terms.clone(), 10_000);
-        let (a, b) =
-            (writes.begin(10_005, vec![Mark(1)]).unwrap(), writes.begin(10_005, vec![Mark(2)]).unwrap());
-        let c = writes.begin(10_005, vec![Mark(3)]).unwrap();
-        writes.never_ran(c);
-        writes.moves(10_110);
-        assert_eq!(writes.closed(), 99, "closed a slot in which a write that begins now may commit");
-        writes.moves(10_111);
-        assert_eq!(writes.closed(), 100);
-        writes.settled(10_195, a);
-        writes.in_doubt(10_195, b);
-        assert_eq!(writes.last(), Some(112));
-        writes.moves(11_600);
-        // By clocks 10 apart: from 9,995 to 10,205, and 1,000 longer in doubt.
-        assert_eq!(marked(&writes, 1), [99, 100, 101, 102]);
-        assert_eq!(marked(&writes, 2), (99..=112).collect::<Vec<_>>());
-        assert_eq!((marked(&writes, 3).len(), writes.held()), (0, 0));
-    }
 
-    #[test]
-    fn what_is_held_is_bounded_and_too_many_marks_are_every_key() {
-        let terms = Terms::default();
-        let mut writes = Writes::new(terms.clone(), 0);
-        let all: Vec<_> = (0..WRITES_MOST as u32).filter_map(|n| writes.begin(0, vec![Mark(n)])).collect();
-        assert_eq!((all.len(), writes.begin(0, vec![])), (WRITES_MOST, None));
-        writes.moves(500 * terms.slot);
-        let notes = writes.notes_after(Slot::MIN);
-        assert_eq!(notes.len(), NOTES_MOST);
-        assert!(notes.iter().all(|note| note.every && note.marks.is_empty()));
-        assert_eq!(writes.notes.len(), KEPT as usize);
+    /// Whether the table has no writes.
+    pub fn is_empty(&self) -> bool {
+        self.writes.is_empty()
     }
 }
--- a/crates/negative-cache/tests/model.rs
+++ b/crates/negative-cache/tests/model.rs
@@ -1,42 +1,45 @@
-//! The closed times, checked by a model checker over every order of messages, writes and time, with loss, late and
-//! doubled messages, kills, a bank that restarts, and clocks apart: proxies that run the real ledger and leave, the
-//! real banks, one key, and a primary that stamps commits by its own clock.
+//! Closed timestamps, checked by a model checker over every order of messages, writes and time, with loss, late and
+//! duplicate messages, kills, a lease server that restarts, and clocks that differ: proxies that run the real table of
+//! writes and leases, the real lease servers, one key, and a primary that stamps commits by its own clock.
 
 #[path = "model/state.rs"]
 mod state;
 
-use state::{terms, Act, Bounds, Flying, Proxy, State, KEY, STEP};
+use state::{config, Action, Bounds, InFlight, Proxy, State, KEY, STEP};
 use stateright::{Checker, Model, Property};
-use wharfplank_negative_cache::{Bank, Leave, Micros, Seal, Writes};
+use wharfplank_negative_cache::{Micros, PendingWrites, SealedSlot, WriteLeaseServer, WriteLeases};
 
 impl Model for Bounds {
     type State = State;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut banks: Vec<Bank> = (0..self.banks).map(|b| Bank::new(b as u32, terms(), 0)).collect();
+        let mut servers: Vec<WriteLeaseServer> =
+            (0..self.servers).map(|b| WriteLeaseServer::new(b as u32, config(), 0)).collect();
         let mut now = 0;
-        // Until the banks are open and have sealed a slot.
-        while banks.iter_mut().any(|bank| bank.seal(now).is_empty()) {
+        // Until the servers grant leases and have sealed a slot.
+        while servers.iter_mut().any(|server| server.seal(now).is_empty()) {
             now += STEP;
         }
         let start = |off: Micros| {
             let proxy = |n: usize| {
                 let off = if n == 0 { off } else { -off };
-                let (writes, leave) =
-                    (Writes::new(terms(), now + off), Leave::new(n as u64 + 1, terms(), self.banks));
-                Proxy { off, alive: true, writes, leave }
+                let (writes, leases) = (
+                    PendingWrites::new(config(), now + off),
+                    WriteLeases::new(n as u64 + 1, config(), self.servers),
+                );
+                Proxy { off, alive: true, writes, leases }
             };
             State {
                 now,
                 primary_off: -off,
-                banks: banks.clone(),
+                servers: servers.clone(),
                 proxies: (0..self.proxies).map(proxy).collect(),
-                flying: vec![],
+                in_flight: vec![],
                 commits: vec![],
                 seals: vec![],
                 steps: 0,
-                asks: 0,
+                requests: 0,
                 writes: 0,
                 faults: 0,
                 kills: 0,
@@ -45,86 +48,97 @@
         vec![start(-1), start(1)]
     }
 
-    fn actions(&self, s: &State, acts: &mut Vec<Act>) {
+    fn actions(&self, s: &State, actions: &mut Vec<Action>) {
         if s.steps < self.steps {
-            acts.push(Act::Step);
+            actions.push(Action::Step);
         }
         let alive = |p: &usize| s.proxies[*p].alive;
-        if s.asks < self.asks && s.flying.len() < 3 {
-            acts.extend(
-                (0..self.proxies).filter(alive).flat_map(|p| (0..self.banks).map(move |b| Act::Ask(p, b))),
+        if s.requests < self.requests && s.in_flight.len() < 3 {
+            actions.extend(
+                (0..self.proxies)
+                    .filter(alive)
+                    .flat_map(|p| (0..self.servers).map(move |b| Action::SendRequest(p, b))),
             );
         }
         if s.writes < self.writes {
-            acts.extend((0..self.proxies).filter(alive).map(Act::Write));
+            actions.extend((0..self.proxies).filter(alive).map(Action::Write));
         }
-        acts.extend((0..s.flying.len()).map(Act::Deliver));
+        actions.extend((0..s.in_flight.len()).map(Action::Deliver));
         if s.faults < self.faults {
-            acts.extend((0..s.flying.len()).flat_map(|n| [Act::Lose(n), Act::Twice(n)]));
+            actions.extend((0..s.in_flight.len()).flat_map(|n| [Action::Lose(n), Action::Duplicate(n)]));
         }
         if s.kills < self.kills {
-            acts.extend((0..self.proxies).filter(alive).map(Act::Kill));
-            acts.extend((0..self.banks).map(Act::Restart));
+            actions.extend((0..self.proxies).filter(alive).map(Action::Kill));
+            actions.extend((0..self.servers).map(Action::RestartServer));
         }
     }
 
-    fn next_state(&self, last: &State, act: Act) -> Option<State> {
+    fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut s = last.clone();
-        match act {
-            Act::Step => {
+        match action {
+            Action::Step => {
                 (s.steps, s.now) = (s.steps + 1, s.now + STEP);
                 let now = s.now;
                 // A write that is older cannot run any more.
-                s.flying.retain(|f| !matches!(f, Flying::Write(_, _, sent) if now - sent > terms().late));
-                let seals: Vec<Seal> = s.banks.iter_mut().flat_map(|bank| bank.seal(now)).collect();
+                s.in_flight.retain(
+                    |f| !matches!(f, InFlight::Write(_, _, sent) if now - sent > config().max_commit_delay),
+                );
+                let seals: Vec<SealedSlot> =
+                    s.servers.iter_mut().flat_map(|server| server.seal(now)).collect();
                 s.seals.extend(seals);
             }
-            Act::Ask(proxy, bank) => {
-                s.asks += 1;
+            Action::SendRequest(proxy, server) => {
+                s.requests += 1;
                 let p = &mut s.proxies[proxy];
-                p.writes.moves(s.now + p.off);
-                let asks = p.leave.asks(s.now + p.off, &p.writes);
-                s.flying.extend(
-                    asks.into_iter().filter(|(b, _)| *b == bank).map(|(b, a)| Flying::Ask(proxy, b, a)),
+                p.writes.advance(s.now + p.off);
+                let requests = p.leases.take_due_requests(s.now + p.off, &p.writes);
+                s.in_flight.extend(
+                    requests
+                        .into_iter()
+                        .filter(|(b, _)| *b == server)
+                        .map(|(b, a)| InFlight::LeaseRequest(proxy, b, a)),
                 );
             }
-            Act::Write(proxy) => {
+            Action::Write(proxy) => {
                 let p = &mut s.proxies[proxy];
-                if !p.leave.may_write(s.now + p.off) {
+                if !p.leases.can_write(s.now + p.off) {
                     return None;
                 }
                 s.writes += 1;
-                let ticket = p.writes.begin(s.now + p.off, vec![KEY])?;
-                s.flying.push(Flying::Write(proxy, ticket, s.now));
+                let write = p.writes.begin(s.now + p.off, vec![KEY])?;
+                s.in_flight.push(InFlight::Write(proxy, write, s.now));
             }
-            Act::Deliver(n) => {
-                let flying = s.flying.remove(n);
-                s.deliver(flying);
+            Action::Deliver(n) => {
+                let in_flight = s.in_flight.remove(n);
+                s.deliver(in_flight);
             }
-            Act::Lose(n) => {
+            Action::Lose(n) => {
                 s.faults += 1;
-                if let Flying::Write(proxy, ticket, _) | Flying::Done(proxy, ticket) = s.flying.remove(n) {
+                if let InFlight::Write(proxy, write, _) | InFlight::Done(proxy, write) = s.in_flight.remove(n)
+                {
                     let p = &mut s.proxies[proxy];
-                    p.writes.in_doubt(s.now + p.off, ticket);
+                    p.writes.on_in_doubt(s.now + p.off, write);
                 }
             }
-            Act::Twice(n) => {
+            Action::Duplicate(n) => {
                 s.faults += 1;
                 // A write does not run twice.
-                let flying = s.flying[n].clone();
-                if matches!(flying, Flying::Write(..)) {
+                let in_flight = s.in_flight[n].clone();
+                if matches!(in_flight, InFlight::Write(..)) {
                     return None;
                 }
-                s.deliver(flying);
+                s.deliver(in_flight);
             }
-            Act::Kill(proxy) => {
+            Action::Kill(proxy) => {
                 s.kills += 1;
                 s.proxies[proxy].alive = false;
-                s.flying.retain(|f| !matches!(f, Flying::Grant(p, ..) | Flying::Done(p, ..) if *p == proxy));
+                s.in_flight.retain(
+                    |f| !matches!(f, InFlight::LeaseGrant(p, ..) | InFlight::Done(p, ..) if *p == proxy),
+                );
             }
-            Act::Restart(bank) => {
+            Action::RestartServer(server) => {
                 s.kills += 1;
-                s.banks[bank] = Bank::new(bank as u32, terms(), s.now);
+                s.servers[server] = WriteLeaseServer::new(server as u32, config(), s.now);
             }
         }
         Some(s)
@@ -132,8 +146,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no fact crosses a commit of its key", |_, s: &State| s.right()),
-            Property::sometimes("a fact crosses a slot of writers", |_, s: &State| s.moves()),
+            Property::always("no entry crosses a commit of its key", |_, s: &State| s.is_consistent()),
+            Property::sometimes("an entry crosses a slot of writers", |_, s: &State| s.can_advance()),
             Property::sometimes("a commit comes", |_, s: &State| !s.commits.is_empty()),
         ]
     }
@@ -148,20 +162,20 @@
 
 #[test]
 fn no_order_of_messages_writes_and_time_hides_a_write() {
-    let least = Bounds { proxies: 1, banks: 1, steps: 6, asks: 2, writes: 1, faults: 0, kills: 0 };
-    assert!(checked(least.clone()) > 10_000);
-    assert!(checked(Bounds { faults: 1, ..least.clone() }) > 10_000);
-    assert!(checked(Bounds { kills: 1, ..least }) > 10_000);
+    let smallest = Bounds { proxies: 1, servers: 1, steps: 6, requests: 2, writes: 1, faults: 0, kills: 0 };
+    assert!(checked(smallest.clone()) > 10_000);
+    assert!(checked(Bounds { faults: 1, ..smallest.clone() }) > 10_000);
+    assert!(checked(Bounds { kills: 1, ..smallest }) > 10_000);
 }
 
-/// As above with more asks, two writers, two banks, and time until every leave has ended: millions of states.
+/// As above with more requests, two writers, two servers, and time until every lease has expired: millions of states.
 /// `make model`.
 #[test]
 #[ignore = "takes minutes"]
 fn no_longer_order_of_messages_writes_and_time_hides_a_write() {
-    let more = Bounds { proxies: 1, banks: 1, steps: 7, asks: 3, writes: 1, faults: 0, kills: 0 };
-    assert!(checked(more.clone()) > 1_000_000);
-    assert!(checked(Bounds { asks: 2, faults: 1, ..more.clone() }) > 100_000);
-    assert!(checked(Bounds { asks: 2, kills: 1, proxies: 2, steps: 8, ..more.clone() }) > 1_000_000);
-    assert!(checked(Bounds { asks: 2, kills: 1, banks: 2, steps: 8, ..more }) > 1_000_000);
+    let larger = Bounds { proxies: 1, servers: 1, steps: 7, requests: 3, writes: 1, faults: 0, kills: 0 };
+    assert!(checked(larger.clone()) > 1_000_000);
+    assert!(checked(Bounds { requests: 2, faults: 1, ..larger.clone() }) > 100_000);
+    assert!(checked(Bounds { requests: 2, kills: 1, proxies: 2, steps: 8, ..larger.clone() }) > 1_000_000);
+    assert!(checked(Bounds { requests: 2, kills: 1, servers: 2, steps: 8, ..larger }) > 1_000_000);
 }
--- a/crates/negative-cache/tests/model/state.rs
+++ b/crates/negative-cache/tests/model/state.rs
@@ -1,23 +1,33 @@
 //! What the model checker's states hold.
 
-use wharfplank_negative_cache::{Ask, Bank, Closed, Grant, Leave, Mark, Micros, Seal, Terms, Ticket, Writes};
+use wharfplank_negative_cache::{
+    ClosedTimestamps, KeyHash, Micros, NegativeCacheConfig, PendingWrites, SealedSlot, WriteId,
+    WriteLeaseGrant, WriteLeaseRequest, WriteLeaseServer, WriteLeases,
+};
 
-pub const KEY: Mark = Mark(1);
+pub const KEY: KeyHash = KeyHash(1);
 /// Time goes in steps of half a slot.
 pub const STEP: Micros = 4;
 
-pub fn terms() -> Terms {
-    Terms { slot: 2 * STEP, apart: 2, life: 3 * STEP, ask_every: 0, late: STEP, ..Terms::default() }
+pub fn config() -> NegativeCacheConfig {
+    NegativeCacheConfig {
+        slot_length: 2 * STEP,
+        max_clock_skew: 2,
+        lease_duration: 3 * STEP,
+        renewal_interval: 0,
+        max_commit_delay: STEP,
+        ..NegativeCacheConfig::default()
+    }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Flying {
-    Ask(usize, usize, Ask),
-    Grant(usize, usize, Grant),
+pub enum InFlight {
+    LeaseRequest(usize, usize, WriteLeaseRequest),
+    LeaseGrant(usize, usize, WriteLeaseGrant),
     /// A write under way: by whom, and when its first byte went out.
-    Write(usize, Ticket, Micros),
+    Write(usize, WriteId, Micros),
     /// The answer to a write.
-    Done(usize, Ticket),
+    Done(usize, WriteId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -25,8 +35,8 @@
     /// How far its clock is off.
     pub off: Micros,
     pub alive: bool,
-    pub writes: Writes,
-    pub leave: Leave,
+    pub writes: PendingWrites,
+    pub leases: WriteLeases,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -34,81 +44,81 @@
     pub now: Micros,
     /// The clock of the primary is as far off the other way as that of the first proxy.
     pub primary_off: Micros,
-    pub banks: Vec<Bank>,
+    pub servers: Vec<WriteLeaseServer>,
     pub proxies: Vec<Proxy>,
-    pub flying: Vec<Flying>,
+    pub in_flight: Vec<InFlight>,
     pub commits: Vec<Micros>,
-    pub seals: Vec<Seal>,
+    pub seals: Vec<SealedSlot>,
     pub steps: u32,
-    pub asks: u32,
+    pub requests: u32,
     pub writes: u32,
     pub faults: u32,
     pub kills: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Act {
+pub enum Action {
     Step,
-    Ask(usize, usize),
+    SendRequest(usize, usize),
     Write(usize),
     Deliver(usize),
     Lose(usize),
-    Twice(usize),
+    Duplicate(usize),
     Kill(usize),
-    Restart(usize),
+    RestartServer(usize),
 }
 
 #[derive(Clone)]
 pub struct Bounds {
     pub proxies: usize,
-    pub banks: usize,
+    pub servers: usize,
     pub steps: u32,
-    pub asks: u32,
+    pub requests: u32,
     pub writes: u32,
     pub faults: u32,
     pub kills: u32,
 }
 
 impl State {
-    pub fn deliver(&mut self, flying: Flying) {
-        match flying {
-            Flying::Ask(proxy, bank, ask) => {
-                let grant = self.banks[bank].asked(self.now, &ask);
-                self.flying.extend(grant.map(|grant| Flying::Grant(proxy, bank, grant)));
+    pub fn deliver(&mut self, in_flight: InFlight) {
+        match in_flight {
+            InFlight::LeaseRequest(proxy, server, request) => {
+                let grant = self.servers[server].on_request(self.now, &request);
+                self.in_flight.extend(grant.map(|grant| InFlight::LeaseGrant(proxy, server, grant)));
             }
-            Flying::Grant(proxy, bank, grant) => self.proxies[proxy].leave.granted(bank, &grant),
-            Flying::Write(proxy, ticket, _) => {
+            InFlight::LeaseGrant(proxy, server, grant) => self.proxies[proxy].leases.on_grant(server, &grant),
+            InFlight::Write(proxy, write, _) => {
                 self.commits.push(self.now + self.primary_off);
-                self.flying.push(Flying::Done(proxy, ticket));
+                self.in_flight.push(InFlight::Done(proxy, write));
             }
-            Flying::Done(proxy, ticket) => {
+            InFlight::Done(proxy, write) => {
                 let p = &mut self.proxies[proxy];
-                p.writes.settled(self.now + p.off, ticket);
+                p.writes.on_answered(self.now + p.off, write);
             }
         }
     }
 
-    /// Whether every commit, also one that came after, is marked wherever a fact may cross it.
-    pub fn right(&self) -> bool {
-        let terms = terms();
-        let mut closed = Closed::new(terms.clone(), self.banks.len(), self.now);
+    /// Whether every commit, also one that came after, is recorded wherever an entry may cross it.
+    pub fn is_consistent(&self) -> bool {
+        let config = config();
+        let mut closed = ClosedTimestamps::new(config.clone(), self.servers.len(), self.now);
         self.seals.iter().for_each(|seal| {
-            closed.take(self.now, seal);
+            closed.apply(self.now, seal);
         });
-        let from = self.commits.iter().min().map_or(self.now, |c| c - 2 * terms.slot);
+        let from = self.commits.iter().min().map_or(self.now, |c| c - 2 * config.slot_length);
         (from..=self.now).all(|position| {
-            let to = closed.forward(position, KEY, Mark(0));
+            let to = closed.advance_position(position, KEY, KeyHash(0));
             !self.commits.iter().any(|commit| position < *commit && *commit <= to)
         })
     }
 
-    /// Whether a fact crosses a slot in which somebody had leave.
-    pub fn moves(&self) -> bool {
+    /// Whether an entry crosses a slot in which somebody had a lease.
+    pub fn can_advance(&self) -> bool {
         let last = self.seals.iter().map(|s| s.slot).max();
         last.is_some_and(|slot| {
-            self.banks.iter().any(|bank| bank.holders() > 0)
-                && (0..self.banks.len())
-                    .all(|b| self.seals.iter().any(|s| s.bank == b as u32 && s.slot == slot))
+            self.servers.iter().any(|server| server.holder_count() > 0)
+                && (0..self.servers.len())
+                    .all(|b| self.seals.iter().any(|s| s.server == b as u32 && s.slot == slot))
         })
     }
 }
--- a/crates/negative-cache/tests/node.rs
+++ b/crates/negative-cache/tests/node.rs
@@ -1,5 +1,5 @@
-//! Processes that speak as the program's do: messages to banks and from them, with loss. What one was told all answer,
-//! and what a proxy sends and hears does not grow with the fleet.
+//! Processes that exchange datagrams with lease servers as the program's do, with loss: what one learns all know, and
+//! what a proxy sends and receives does not grow with the fleet.
 
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::VecDeque;
@@ -14,10 +14,10 @@
     rng: SmallRng,
     loss: f64,
     nodes: Vec<Node>,
-    mail: VecDeque<(Micros, usize, usize, Vec<u8>)>,
-    /// Bytes that the last process, which is no bank, sent and heard.
+    in_flight: VecDeque<(Micros, usize, usize, Vec<u8>)>,
+    /// Bytes that the last process, which is no lease server, sent and received.
     sent: usize,
-    heard: usize,
+    received: usize,
 }
 
 fn address(n: usize) -> SocketAddrV4 {
@@ -26,31 +26,40 @@
 
 impl Fleet {
     fn new(proxies: usize, loss: f64) -> Fleet {
-        let (now, hasher) = (1_000 * SECOND, Hasher::of("the same at all of them"));
-        let banks: Vec<SocketAddrV4> = (0..3).map(address).collect();
-        let terms = Terms { late: SECOND, ..Terms::default() };
-        let node =
-            |n: usize| Node::new(terms.clone(), hasher.clone(), address(n), banks.clone(), n as u64 + 1, now);
+        let (now, hasher) = (1_000 * SECOND, KeyHasher::from_passphrase("the same at all of them"));
+        let servers: Vec<SocketAddrV4> = (0..3).map(address).collect();
+        let config = NegativeCacheConfig { max_commit_delay: SECOND, ..NegativeCacheConfig::default() };
+        let node = |n: usize| {
+            Node::new(config.clone(), hasher.clone(), address(n), servers.clone(), n as u64 + 1, now)
+        };
         let nodes = (0..proxies).map(node).collect();
-        Fleet { now, rng: SmallRng::seed_from_u64(1), loss, nodes, mail: VecDeque::new(), sent: 0, heard: 0 }
+        Fleet {
+            now,
+            rng: SmallRng::seed_from_u64(1),
+            loss,
+            nodes,
+            in_flight: VecDeque::new(),
+            sent: 0,
+            received: 0,
+        }
     }
 
     fn run(&mut self, span: Micros, mut each: impl FnMut(&mut Node, &mut SmallRng, Micros)) {
         let (end, last) = (self.now + span, self.nodes.len() - 1);
         while self.now < end {
             self.now += STEP;
-            while self.mail.front().is_some_and(|(at, ..)| *at <= self.now) {
-                let Some((_, from, to, bytes)) = self.mail.pop_front() else { break };
-                self.heard += if to == last { bytes.len() } else { 0 };
-                self.nodes[to].received(self.now, address(from), &bytes);
+            while self.in_flight.front().is_some_and(|(at, ..)| *at <= self.now) {
+                let Some((_, from, to, bytes)) = self.in_flight.pop_front() else { break };
+                self.received += if to == last { bytes.len() } else { 0 };
+                self.nodes[to].on_datagram(self.now, address(from), &bytes);
             }
             for n in 0..self.nodes.len() {
                 each(&mut self.nodes[n], &mut self.rng, self.now);
                 self.nodes[n].tick(self.now);
-                for (to, bytes) in self.nodes[n].take_sends() {
+                for (to, bytes) in self.nodes[n].take_datagrams() {
                     self.sent += if n == last { bytes.len() } else { 0 };
                     if !self.rng.random_bool(self.loss) {
-                        self.mail.push_back((self.now + STEP, n, usize::from(to.port()) - 7_000, bytes));
+                        self.in_flight.push_back((self.now + STEP, n, usize::from(to.port()) - 7_000, bytes));
                     }
                 }
             }
@@ -58,23 +67,30 @@
     }
 }
 
-fn asked(key: u32) -> Asked {
-    Asked::new(&Hasher::of("the same at all of them"), 1, &key.to_le_bytes(), &key.to_le_bytes(), 1)
+fn lookup_of(key: u32) -> Lookup {
+    Lookup::new(
+        &KeyHasher::from_passphrase("the same at all of them"),
+        1,
+        &key.to_le_bytes(),
+        &key.to_le_bytes(),
+        1,
+    )
 }
 
 #[test]
-fn what_one_was_told_all_answer_for_longer_than_its_bound() {
+fn an_entry_of_one_process_serves_all_for_longer_than_the_bound_on_staleness() {
     let mut fleet = Fleet::new(7, 0.1);
     fleet.run(10 * SECOND, |_, _, _| {});
-    assert!(fleet.nodes.iter().all(|node| node.leave.may_write(fleet.now)), "no leave");
+    assert!(fleet.nodes.iter().all(|node| node.write_leases.can_write(fleet.now)), "no write lease");
     let now = fleet.now;
-    (0..50).for_each(|key| fleet.nodes[6].heard(now, &asked(key), now - STEP, b"none"));
-    let write = fleet.nodes[5].writes.begin(now + SECOND, vec![asked(7).mark]).expect("room");
+    (0..50).for_each(|key| fleet.nodes[6].record_missing(now, &lookup_of(key), now - STEP, b"none"));
+    let write = fleet.nodes[5].writes.begin(now + SECOND, vec![lookup_of(7).key]).expect("room");
     fleet.run(5 * SECOND, |_, _, _| {});
-    fleet.nodes[5].writes.settled(fleet.now, write);
-    let (now, need) = (fleet.now, Need::Bounded(2 * SECOND));
-    let known =
-        |node: &mut Node, key| node.question(now, &asked(key), need).is_some_and(|bytes| *bytes == *b"none");
+    fleet.nodes[5].writes.on_answered(fleet.now, write);
+    let (now, freshness) = (fleet.now, Freshness::MaxStaleness(2 * SECOND));
+    let known = |node: &mut Node, key| {
+        node.lookup(now, &lookup_of(key), freshness).is_some_and(|bytes| *bytes == *b"none")
+    };
     for n in 0..7 {
         let count = (0..50).filter(|key| known(&mut fleet.nodes[n], *key)).count();
         assert!(count >= 15 && !known(&mut fleet.nodes[n], 7), "{count} known at {n}");
@@ -82,29 +98,31 @@
 }
 
 #[test]
-fn bytes_of_a_proxy_do_not_grow_with_the_fleet() {
+fn bytes_sent_and_received_by_a_proxy_do_not_grow_with_the_fleet() {
     let bytes = [4, 30, 100].map(|proxies| {
         let mut fleet = Fleet::new(proxies, 0.0);
         fleet.run(10 * SECOND, |_, _, _| {});
-        (fleet.sent, fleet.heard) = (0, 0);
+        (fleet.sent, fleet.received) = (0, 0);
         // As many look-ups and writes in all, whatever the number of proxies.
         let each = 1.0 / proxies as f64;
         fleet.run(10 * SECOND, |node, rng, now| {
             let key = rng.random_range(0..5_000);
-            if rng.random_bool(each) && node.question(now, &asked(key), Need::Bounded(2 * SECOND)).is_none() {
-                node.heard(now, &asked(key), now, b"what a member answers, of 40 bytes......");
+            if rng.random_bool(each)
+                && node.lookup(now, &lookup_of(key), Freshness::MaxStaleness(2 * SECOND)).is_none()
+            {
+                node.record_missing(now, &lookup_of(key), now, b"what a member answers, of 40 bytes......");
             }
-            if rng.random_bool(each) && node.leave.may_write(now) {
-                let ticket = node.writes.begin(now, vec![asked(rng.random()).mark]).expect("room");
-                node.writes.settled(now, ticket);
+            if rng.random_bool(each) && node.write_leases.can_write(now) {
+                let write = node.writes.begin(now, vec![lookup_of(rng.random()).key]).expect("room");
+                node.writes.on_answered(now, write);
             }
         });
         println!(
-            "{proxies} proxies: {} bytes a second sent by one, {} heard",
+            "{proxies} proxies: {} bytes a second sent by one, {} received",
             fleet.sent / 10,
-            fleet.heard / 10
+            fleet.received / 10
         );
-        fleet.sent + fleet.heard
+        fleet.sent + fleet.received
     });
     assert!(bytes[2] < 2 * bytes[0], "{bytes:?}");
 }
--- a/crates/negative-cache/tests/world/model.rs
+++ b/crates/negative-cache/tests/simulation/history.rs
@@ -1,4 +1,4 @@
-//! The store's true history, and how keys are drawn.
+//! The true history of the database, and how keys are drawn.
 
 use rand::{rngs::SmallRng, Rng};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     }
 
     /// A write makes a missing key present, or takes a present one away. Returns the commit.
-    pub fn flip(&mut self, key: u64, now: Micros) -> Micros {
+    pub fn toggle(&mut self, key: u64, now: Micros) -> Micros {
         self.last = self.clock(now).max(self.last + 1);
         let was = self.present(key, Micros::MAX);
         self.keys.entry(key).or_default().insert(self.last, !was);
--- a/crates/proxy/src/broker/request_table.rs
+++ b/crates/proxy/src/broker/request_table.rs
@@ -19,7 +19,7 @@
     pub(super) class: ClassId,
     pub(super) group: GroupId,
     /// The key that the request reads or writes, where the negative cache needs it.
-    pub(super) touched_key: Option<wharfplank_negative_cache::Asked>,
+    pub(super) touched_key: Option<wharfplank_negative_cache::Lookup>,
     pub(super) arrived_at: Micros,
     /// How the attempts ended, where the log counts requests: at most `max_attempts` entries.
     pub(super) attempt_outcomes: Vec<AttemptOutcomeAt>,
--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::net::UdpSocket;
 use std::rc::Rc;
-use wharfplank_negative_cache::{Asked, Hasher, Node, Terms, Ticket};
+use wharfplank_negative_cache::{Freshness, KeyHasher, Lookup, NegativeCacheConfig, Node, WriteId};
 use wharfplank_protocol::client::{Answer, Verdict};
 use wharfplank_protocol::endpoint_list::EndpointRecord;
 use wharfplank_routing::{AttemptOutcome, ClassId, Consistency, GroupId, HostId, Micros, RequestId};
@@ -37,7 +37,7 @@
 
 struct On {
     node: Rc<RefCell<Node>>,
-    hasher: Hasher,
+    hasher: KeyHasher,
     kinds: Vec<Kind>,
 }
 
@@ -50,7 +50,7 @@
     /// Bounded as the broker's names are.
     sites: HashMap<HostId, Site>,
     /// Attempts of writes that are out; bounded as attempts are.
-    writes: HashMap<(RequestId, u32), Ticket>,
+    writes: HashMap<(RequestId, u32), WriteId>,
 }
 
 impl Lookups {
@@ -64,16 +64,16 @@
         let at = settings.listen();
         let socket =
             UdpSocket::bind(at).map_err(StartError::component_listen(Component::NegativeCache, at))?;
-        let terms = Terms {
-            apart: settings.apart_ms * 1000,
-            late: settings.late_ms * 1000,
-            facts_most: settings.facts,
-            ..Terms::default()
+        let fleet_config = NegativeCacheConfig {
+            max_clock_skew: settings.apart_ms * 1000,
+            max_commit_delay: settings.late_ms * 1000,
+            max_frequent_entries: settings.facts,
+            ..NegativeCacheConfig::default()
         };
-        let (now, hasher) = (clock.now(), Hasher::of(&settings.secret));
+        let (now, hasher) = (clock.now(), KeyHasher::from_passphrase(&settings.secret));
         // No other process had this number: its address, and when it started.
         let holder = hash_name(&format!("{at} {now} {}", std::process::id()));
-        let node = Node::new(terms, hasher.clone(), at, settings.banks(), holder, now);
+        let node = Node::new(fleet_config, hasher.clone(), at, settings.banks(), holder, now);
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
         let start = missing::start(Rc::clone(&node), socket, now_of, tell, executor);
@@ -101,20 +101,20 @@
         group: GroupId,
         key: Option<&str>,
         statement: &Statement,
-    ) -> Option<Asked> {
+    ) -> Option<Lookup> {
         let on = self.on.as_ref()?;
         let body = statement.body();
         let primary = self.primaries.get(&group).copied();
         match (self.kind(class), key) {
             (Kind::Read(_), Some(key)) => {
-                Some(Asked::new(&on.hasher, group.0, body, key.as_bytes(), primary?))
+                Some(Lookup::new(&on.hasher, group.0, body, key.as_bytes(), primary?))
             }
             (Kind::Write { keyed: true }, Some(key)) => {
-                Some(Asked::new(&on.hasher, group.0, body, key.as_bytes(), primary.unwrap_or(0)))
+                Some(Lookup::new(&on.hasher, group.0, body, key.as_bytes(), primary.unwrap_or(0)))
             }
             (Kind::Write { .. }, _) => {
-                let all = Asked::new(&on.hasher, group.0, body, b"", primary.unwrap_or(0));
-                Some(Asked { mark: all.whole, ..all })
+                let all = Lookup::new(&on.hasher, group.0, body, b"", primary.unwrap_or(0));
+                Some(Lookup { key: all.whole_group, ..all })
             }
             _ => None,
         }
@@ -126,25 +126,24 @@
         &self,
         now: Micros,
         class: ClassId,
-        asked: &Asked,
+        asked: &Lookup,
         after_ms: Option<i64>,
     ) -> Option<Vec<u8>> {
-        use wharfplank_negative_cache::Need;
         let Kind::Read(consistency) = self.kind(class) else { return None };
-        let need = match consistency {
-            Consistency::Any => Need::Any,
-            Consistency::BoundedStaleness(age) => Need::Bounded(age),
-            Consistency::Session => Need::Session(after_ms.map(|ms| ms.saturating_mul(1000))),
-            Consistency::Strong | Consistency::Write => Need::Fresh,
+        let freshness = match consistency {
+            Consistency::Any => Freshness::Any,
+            Consistency::BoundedStaleness(age) => Freshness::MaxStaleness(age),
+            Consistency::Session => Freshness::Session(after_ms.map(|ms| ms.saturating_mul(1000))),
+            Consistency::Strong | Consistency::Write => Freshness::Latest,
         };
-        let answer = self.on.as_ref()?.node.borrow_mut().question(now, asked, need)?;
+        let answer = self.on.as_ref()?.node.borrow_mut().lookup(now, asked, freshness)?;
         Some(answer.to_vec())
     }
 
-    /// Whether a request of this class may be sent now: writes need leave.
+    /// Whether a request of this class may be sent now: writes need a lease.
     pub fn may_send(&self, now: Micros, class: ClassId) -> bool {
         let Some(on) = &self.on else { return true };
-        !matches!(self.kind(class), Kind::Write { .. }) || on.node.borrow().leave.may_write(now)
+        !matches!(self.kind(class), Kind::Write { .. }) || on.node.borrow().write_leases.can_write(now)
     }
 
     /// An attempt is about to be sent: until when its last byte must be out, if that is bound. `Err`: it must not be.
@@ -153,14 +152,14 @@
         now: Micros,
         attempt: (RequestId, u32),
         class: ClassId,
-        asked: Option<&Asked>,
+        asked: Option<&Lookup>,
     ) -> Result<Option<Micros>, ()> {
         let (Some(on), Kind::Write { .. }, Some(asked)) = (&self.on, self.kind(class), asked) else {
             return Ok(None);
         };
         let mut node = on.node.borrow_mut();
-        let ends = node.leave.ends().filter(|ends| now < *ends).ok_or(())?;
-        let ticket = node.writes.begin(now, vec![asked.mark]).ok_or(())?;
+        let ends = node.write_leases.expires_at().filter(|ends| now < *ends).ok_or(())?;
+        let ticket = node.writes.begin(now, vec![asked.key]).ok_or(())?;
         self.writes.insert(attempt, ticket);
         Ok(Some(ends))
     }
@@ -171,14 +170,14 @@
         let writes = &mut on.node.borrow_mut().writes;
         match ending {
             AttemptOutcome::Ok | AttemptOutcome::Overloaded | AttemptOutcome::Misrouted => {
-                writes.settled(now, ticket)
+                writes.on_answered(now, ticket)
             }
-            AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => writes.never_ran(ticket),
+            AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => writes.on_not_executed(ticket),
             // An error may be an answer that could not be read, from a member that still works on it.
             AttemptOutcome::Error
             | AttemptOutcome::Timeout
             | AttemptOutcome::Reset
-            | AttemptOutcome::Cancelled => writes.in_doubt(now, ticket),
+            | AttemptOutcome::Cancelled => writes.on_in_doubt(now, ticket),
         }
     }
 
@@ -187,16 +186,16 @@
         &self,
         now: Micros,
         class: ClassId,
-        asked: &Asked,
+        asked: &Lookup,
         position: Option<Micros>,
         answer: &Answer,
     ) {
         let (Some(on), Kind::Read(_)) = (&self.on, self.kind(class)) else { return };
         match (answer.verdict, position) {
             (Verdict::NoRow, Some(position)) if self.primaries.values().any(|p| *p == asked.primary) => {
-                on.node.borrow_mut().heard(now, asked, position, &answer.messages)
+                on.node.borrow_mut().record_missing(now, asked, position, &answer.messages)
             }
-            (Verdict::Row, _) => on.node.borrow_mut().found(asked),
+            (Verdict::Row, _) => on.node.borrow_mut().record_present(asked),
             _ => {}
         }
     }
@@ -233,16 +232,17 @@
         self.sites.retain(|host, _| known(host));
     }
 
-    /// No write begins any more: the banks hear that they need not wait for this process.
+    /// No write begins any more: the lease servers are told not to wait for this process.
     pub fn end(&self) {
-        self.on.iter().for_each(|on| on.node.borrow_mut().leave.end());
+        self.on.iter().for_each(|on| on.node.borrow_mut().write_leases.shut_down());
     }
 }
 
-/// Notes what was answered from what is known to be missing, and how far behind now facts can move.
+/// Notes what was answered from what is known to be missing, and how far behind now entries can advance.
 fn tell(node: &Node, now: Micros, lost: u64) {
-    let (counts, leave) = (node.counts(), node.leave.held(now));
+    let (stats, leave) = (node.stats(), node.write_leases.active_count(now));
     let horizon_ms = node.horizon().map_or(-1, |at| (now - at) / 1000);
-    let (answered, asked, unread, dropped) = (counts.missing, counts.ask, node.unread, node.dropped + lost);
+    let (answered, asked, unread, dropped) =
+        (stats.hits, stats.misses, node.rejected_messages, node.dropped_messages + lost);
     tracing::info!(answered, asked, horizon_ms, leave, unread, dropped, "missing");
 }
--- a/crates/transport/src/missing.rs
+++ b/crates/transport/src/missing.rs
@@ -79,7 +79,7 @@
         let datagram = async {
             match heard.recv().await {
                 Some(datagram) => Some(datagram),
-                // A thread that failed is a silent network: leave ends, facts last for their bound.
+                // A thread that failed is a silent network: leases expire, and entries last for their bound.
                 None => future::pending().await,
             }
         };
@@ -91,11 +91,11 @@
         let at = now();
         let mut node = node.borrow_mut();
         while let Some((from, bytes)) = next {
-            node.received(at, from, &bytes);
+            node.on_datagram(at, from, &bytes);
             next = heard.try_recv();
         }
         node.tick(at);
-        for datagram in node.take_sends() {
+        for datagram in node.take_datagrams() {
             sends.send(datagram);
         }
         if at >= tell_at {
