--- a/crates/proxy/src/broker/negative_cache.rs
+++ b/crates/proxy/src/broker/negative_cache.rs
@@ -1,7 +1,7 @@
 //! The negative cache in the request path: it may answer a read of a missing key at once, and a write needs a lease.
 
 use super::*;
-use wharfplank_protocol::client;
+use wharfplank_protocol::member_response::MemberResponse;
 
 /// The Retry-After of a write that was rejected for lack of a lease, in milliseconds: a lease server answers within
 /// this time, or is down.
@@ -22,15 +22,15 @@
         let cached = key.and_then(|key| self.negative_cache.answer(now, class, key, min_position_ms));
         if let Some(messages) = cached {
             self.count_request(id, Disposition::Served, "missing");
-            self.record_request(id, |journal, ended| journal.served(ended));
-            self.answer(id, Answer::Served(messages));
+            self.record_request(id, |recorder, request| recorder.record_served(request));
+            self.answer(id, FinalResponse::Served(messages));
             return true;
         }
         if self.negative_cache.may_send(now, class) {
             return false;
         }
         self.count_request(id, Disposition::Rejected, "no_leave");
-        self.answer(id, Answer::Refused(LEASE_RETRY_AFTER_MS));
+        self.answer(id, FinalResponse::Rejected { retry_after_ms: LEASE_RETRY_AFTER_MS });
         true
     }
 
@@ -40,7 +40,7 @@
         &self,
         id: RequestId,
         position_at_send: Option<Micros>,
-        answer: &client::Answer,
+        answer: &MemberResponse,
     ) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(key) = &request.touched_key else { return };
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -7,8 +7,8 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::error::StartError;
-use crate::journal::Journal;
 use crate::missing::Lookups;
+use crate::recording::DecisionRecorder;
 use crate::release::Releases;
 use crate::{budgets, fleet, log};
 use async_channel::{Receiver, Sender};
@@ -21,7 +21,7 @@
 use wharfplank_admin::{ConnectionCounts, Metrics};
 use wharfplank_discovery::{EndpointTracker, PollSchedule, SharedDiscovery};
 use wharfplank_settings::Settings;
-use wharfplank_transport::admin::{Admin, AdminCall, PLACES};
+use wharfplank_transport::admin::{AdminCall, AdminListener, MAX_CONNECTIONS};
 use wharfplank_transport::budgets::Budgets;
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::{DiscoveryWatch, WatchContext};
@@ -31,7 +31,7 @@
 /// Events that may wait for the broker; past that connections wait.
 const EVENT_QUEUE: usize = 1024;
 /// Operators' calls that may wait for the broker.
-const ADMIN_QUEUE: usize = 2 * PLACES;
+const ADMIN_QUEUE: usize = 2 * MAX_CONNECTIONS;
 /// The fraction of the memory that large messages of clients may fill, and as much for those of members: a buffer may
 /// double while it grows, and what is forwarded is copied beside it.
 const LARGE_MESSAGE_FRACTION: usize = 8;
@@ -55,7 +55,7 @@
     let pool_context = context.member_pool_context(&config, limits, budgets.clone());
     let clients = context.client_listener(&config, limits);
     let watch = context.watch_discovery(&config, budgets);
-    let journal = Journal::start(settings.records.as_ref(), &config, context.clock)?;
+    let recorder = DecisionRecorder::start(settings.records.as_ref(), &config, context.clock)?;
     let mut broker = Broker::new(
         &config,
         context.clock,
@@ -63,7 +63,7 @@
         Rc::clone(&clients),
         context.events.clone(),
         watch,
-        journal,
+        recorder,
     );
     let gossip_end = context.start_gossip(&config, &mut broker)?;
     context.start_negative_cache(&config, &mut broker)?;
@@ -207,8 +207,8 @@
         let (calls, queue) = async_channel::bounded(ADMIN_QUEUE);
         if let Some(socket) = socket {
             log::admin(socket.local_address());
-            let admin = Admin::new(Rc::clone(&self.executor), calls);
-            self.executor.spawn(admin.listen(socket.listener)).detach();
+            let admin = AdminListener::new(Rc::clone(&self.executor), calls);
+            self.executor.spawn(admin.accept_connections(socket.listener)).detach();
         }
         queue
     }
--- a/crates/proxy/src/startup/sockets.rs
+++ b/crates/proxy/src/startup/sockets.rs
@@ -23,14 +23,15 @@
     /// Takes the socket over from a predecessor, or opens it.
     pub(super) fn open(config: &Config) -> Result<Self, StartError> {
         let listen_error = StartError::listen(config.listen);
-        let handover_path = can_be_replaced(config).then(|| handover::path(config.listen));
+        let handover_path = can_be_replaced(config).then(|| handover::socket_path(config.listen));
         let inherited = match handover_path.as_deref() {
-            Some(path) => handover::ask(path).map_err(&listen_error)?,
+            Some(path) => handover::request(path).map_err(StartError::handover(config.listen))?,
             None => None,
         };
         let listener = match inherited.as_ref() {
-            Some(inherited) => inherited.socket().and_then(Async::new),
-            None => handover::bind(config.listen, handover_path.is_some()),
+            Some(inherited) => inherited.listener().and_then(Async::new),
+            None if handover_path.is_some() => handover::listen_shared(config.listen),
+            None => handover::listen(config.listen),
         };
         let listener = Rc::new(listener.map_err(&listen_error)?);
         log::started(listener.get_ref().local_addr().unwrap_or(config.listen));
@@ -61,7 +62,7 @@
     /// Opens the socket where the configuration asks for it.
     pub(super) fn open(config: &Config) -> Result<Option<Self>, StartError> {
         let Some(address) = config.admin else { return Ok(None) };
-        let listener = handover::bind(address, false).map_err(StartError::listen(address))?;
+        let listener = handover::listen(address).map_err(StartError::listen(address))?;
         Ok(Some(AdminSocket { listener, address }))
     }
 
--- a/crates/transport/src/member_pool/forwarder.rs
+++ b/crates/transport/src/member_pool/forwarder.rs
@@ -6,7 +6,7 @@
 use crate::response_stream::ResponseStreamSender;
 use crate::with_deadline;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::client::{Answer, Step};
+use wharfplank_protocol::member_response::{MemberResponse, ResponseEvent};
 use wharfplank_routing::AttemptOutcome;
 
 /// A streamed response is broken off after this time, however slowly it is sent and taken.
@@ -29,15 +29,17 @@
         loop {
             let step = with_deadline(deadline, self.connection.read_step()).await;
             match step.unwrap_or(Err(ReadError::Stalled)) {
-                Ok(Step::Piece(bytes)) => {
+                Ok(ResponseEvent::StreamChunk(bytes)) => {
                     self.connection.pool.last_response.set(Instant::now());
                     if !self.sender.send(bytes).await {
                         // The client has disconnected.
                         return AttemptReport::without_answer(AttemptOutcome::Cancelled);
                     }
                 }
-                Ok(Step::Whole(answer)) => return self.finish(answer).await,
-                Ok(Step::Begun(..)) => return AttemptReport::without_answer(AttemptOutcome::Error),
+                Ok(ResponseEvent::Complete(answer)) => return self.finish(answer).await,
+                Ok(ResponseEvent::StreamStarted { .. }) => {
+                    return AttemptReport::without_answer(AttemptOutcome::Error)
+                }
                 Err(error) => {
                     self.connection.end_reason = error.into();
                     return AttemptReport::without_answer(error.attempt_outcome());
@@ -47,7 +49,7 @@
     }
 
     /// Forwards what follows the row.
-    async fn finish(self, answer: Answer) -> AttemptReport {
+    async fn finish(self, answer: MemberResponse) -> AttemptReport {
         let mut report = self.connection.complete(answer);
         let rest = report.answer.as_mut().map(|answer| std::mem::take(&mut answer.messages));
         if report.outcome == AttemptOutcome::Ok {
