--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -4,6 +4,7 @@
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
+use wharfplank_transport::handover::HandoverError;
 
 /// Why the proxy cannot start. Nothing serves after it.
 #[derive(Debug, Error)]
@@ -19,6 +20,14 @@
         /// What the system reported.
         source: io::Error,
     },
+    /// The running process cannot hand its listening socket over.
+    #[error("listen on {address}: {source}")]
+    Handover {
+        /// The address of the socket.
+        address: SocketAddr,
+        /// Why there was no handover.
+        source: HandoverError,
+    },
     /// The datagram socket of a component cannot be opened.
     #[error("{component}: listen on {address}: {source}")]
     ComponentListen {
@@ -51,6 +60,11 @@
         move |source| StartError::Listen { address, source }
     }
 
+    /// Wraps why the socket at `address` cannot be handed over.
+    pub(crate) fn handover(address: SocketAddr) -> impl Fn(HandoverError) -> Self {
+        move |source| StartError::Handover { address, source }
+    }
+
     /// Wraps why the socket of a component cannot be opened.
     pub(crate) fn component_listen(
         component: Component,
