--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -33,8 +33,8 @@
         let bound = holds_until.map(|until| until + SEND_MARGIN - WRITE_MARGIN);
         let last_byte = bound.into_iter().chain(write_until).min();
         let limits = AttemptLimits {
-            deadline: self.clock.instant(now.saturating_add(timeout)),
-            send_by: last_byte.map(|until| self.clock.instant(until)),
+            deadline: self.clock.to_instant(now.saturating_add(timeout)),
+            send_by: last_byte.map(|until| self.clock.to_instant(until)),
         };
         self.spawn_attempt(now, key, host, &member, limits);
     }
@@ -103,7 +103,7 @@
         };
         let Some(attempt) = self.attempts.remove(key) else { return };
         drop(attempt.task);
-        self.counts.one("attempt", counts::ending(outcome), "");
+        self.counts.increment("attempt", activity_counts::outcome_name(outcome), "");
         self.note_attempt_ended(key, outcome);
         self.attempts.push_finished(FinishedAttempt {
             key,
@@ -137,7 +137,7 @@
         if outcome == AttemptOutcome::Ok {
             self.serve_answer(key.request, &attempt, &mut report);
         }
-        self.counts.one("attempt", counts::ending(outcome), "");
+        self.counts.increment("attempt", activity_counts::outcome_name(outcome), "");
         self.note_attempt_outcome(key.request, attempt.host, outcome);
         self.gossip.report_reachability(attempt.host, attempt.sent_at, outcome);
         let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
@@ -146,20 +146,20 @@
         self.notify_router(routing::Event::AttemptFinished(result));
     }
 
-    /// Reports an attempt's latency and outcome to the health check of the fleet and to a release under way.
+    /// Reports an attempt's latency and outcome to the health check of the fleet and to a rollout under way.
     fn report_attempt_latency(&mut self, id: RequestId, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get(id) else { return };
         let now = self.clock.now();
         self.gossip.report_attempt_health(now, attempt.host, request.class, attempt.sent_at, outcome);
-        self.releases.ended(attempt.host, request.class, now - attempt.sent_at, outcome);
+        self.rollout.on_attempt_finished(attempt.host, request.class, now - attempt.sent_at, outcome);
     }
 
     /// Answers a request with the complete answer of a member.
     fn serve_answer(&mut self, id: RequestId, attempt: &InFlightAttempt, report: &mut AttemptReport) {
-        let Some(answer) = &mut report.answer else { return };
+        let Some(answer) = &mut report.response else { return };
         self.update_negative_cache(id, attempt.position_at_send, answer);
         self.record_served(id, attempt.host, answer.primary);
-        self.answer(id, Answer::Served(std::mem::take(&mut answer.messages)));
+        self.answer(id, FinalResponse::Served(std::mem::take(&mut answer.messages)));
     }
 
     /// The result of an attempt as the router takes it. A position that is ahead of the clock is left out.
@@ -171,7 +171,7 @@
         report: &AttemptReport,
     ) -> AttemptResult {
         let now = self.clock.now();
-        let answer = report.answer.as_ref();
+        let answer = report.response.as_ref();
         let position = answer.and_then(|answer| answer.applied_ms).map(|ms| ms.saturating_mul(1000));
         let valid_positions = 1..=now + MAX_POSITION_AHEAD;
         AttemptResult {
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -32,21 +32,21 @@
 use request_table::{OpenRequest, RequestTable};
 use streaming::StreamingAttempts;
 
+use super::activity_counts::{self, ActivityCounts};
 use super::clock::Clock;
 use super::config::{Config, SEND_MARGIN};
-use super::counts::{self, Counts};
 use super::gossip_client::GossipClient;
-use super::journal::{recorded, Ended, Journal};
 use super::log;
 use super::missing::Lookups;
-use super::release::Releases;
+use super::recording::{record_reason, DecisionRecorder, RequestSummary};
+use super::rollout::RolloutReporter;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_protocol::endpoint_list::EndpointList;
-use wharfplank_protocol::pipeline::Answer;
+use wharfplank_protocol::pipeline::FinalResponse;
 use wharfplank_routing::settings::ProxyParameters;
 use wharfplank_routing::{
     self as routing, Action, AttemptNo, AttemptOutcome, AttemptResult, ClassId, GroupId, HostId, Micros,
@@ -83,8 +83,8 @@
     /// Where spawned tasks send their results; the event loop receives at the other end.
     events: Sender<ProxyEvent>,
     discovery: DiscoveryWatch,
-    journal: Journal,
-    counts: Counts,
+    recorder: DecisionRecorder,
+    counts: ActivityCounts,
     requests: RequestTable,
     attempts: AttemptTable,
     streaming: StreamingAttempts,
@@ -96,11 +96,11 @@
     handover: Option<HandoverController>,
     gossip: GossipClient,
     negative_cache: Lookups,
-    releases: Releases,
+    rollout: RolloutReporter,
 }
 
 impl Broker {
-    /// Creates a broker with empty tables. Gossip, the negative cache, releases and handover are off until the
+    /// Creates a broker with empty tables. Gossip, the negative cache, rollouts and handover are off until the
     /// `enable_` methods are called.
     pub fn new(
         config: &Config,
@@ -109,7 +109,7 @@
         clients: Rc<ClientListener>,
         events: Sender<ProxyEvent>,
         discovery: DiscoveryWatch,
-        journal: Journal,
+        recorder: DecisionRecorder,
     ) -> Self {
         let now = clock.now();
         Broker {
@@ -121,8 +121,8 @@
             clients,
             events,
             discovery,
-            journal,
-            counts: Counts::start(),
+            recorder,
+            counts: ActivityCounts::new(),
             requests: RequestTable::default(),
             attempts: AttemptTable::default(),
             streaming: StreamingAttempts::new(&config.settings),
@@ -133,7 +133,7 @@
             handover: None,
             gossip: GossipClient::new(&config.settings.classes),
             negative_cache: Lookups::default(),
-            releases: Releases::default(),
+            rollout: RolloutReporter::default(),
         }
     }
 
@@ -142,9 +142,9 @@
         self.gossip.connect(witness);
     }
 
-    /// Reports the state of members to the release thread from now on.
-    pub fn enable_releases(&mut self, releases: Releases) {
-        self.releases = releases;
+    /// Reports the state of members to the rollout service from now on.
+    pub fn enable_rollout(&mut self, rollout: RolloutReporter) {
+        self.rollout = rollout;
     }
 
     /// Answers reads of missing keys from the negative cache, and requires a lease for writes, from now on.
--- a/crates/proxy/src/gossip_client/mod.rs
+++ b/crates/proxy/src/gossip_client/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use wharfplank_health::Outcome;
 use wharfplank_protocol::endpoint_list::EndpointRecord;
-use wharfplank_protocol::pipeline::Answer;
+use wharfplank_protocol::pipeline::FinalResponse;
 use wharfplank_routing::{
     AttemptOutcome, Class, ClassId, HostId, Idempotency, Micros, PeerObservation, RequestId,
 };
@@ -134,12 +134,12 @@
     }
 
     /// Counts a request's final answer in the totals of all proxies.
-    pub fn count_answer(&self, now: Micros, answer: &Answer) {
+    pub fn count_answer(&self, now: Micros, answer: &FinalResponse) {
         let Some(thread) = &self.thread else { return };
         let counter = match answer {
-            Answer::Served(_) => SERVED,
-            Answer::Refused(_) => REFUSED,
-            Answer::Failed | Answer::Cancelled | Answer::Malformed(_) => FAILED,
+            FinalResponse::Served(_) => SERVED,
+            FinalResponse::Rejected { .. } => REFUSED,
+            FinalResponse::Failed | FinalResponse::Cancelled | FinalResponse::Malformed(_) => FAILED,
         };
         thread.count(now, counter);
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,17 +1,17 @@
 //! The proxy program: its configuration, its start, the broker that owns the routing state, and the log.
 
+mod activity_counts;
 mod broker;
 mod budgets;
 pub mod clock;
 pub mod config;
-mod counts;
 pub mod error;
 mod fleet;
 mod gossip_client;
-mod journal;
 pub mod log;
 mod missing;
-mod release;
+mod recording;
+pub mod rollout;
 mod startup;
 
 pub use broker::shutdown_timing;
--- a/crates/transport/src/client_connection/close_reason.rs
+++ b/crates/transport/src/client_connection/close_reason.rs
@@ -1,6 +1,6 @@
 //! Why client connections end.
 
-use wharfplank_protocol::server::Violation;
+use wharfplank_protocol::client_session::ProtocolViolation;
 
 /// Why a client connection ended. The log shows its code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,7 +63,7 @@
     }
 
     /// The error that the client is sent where the connection ends for this reason, if any.
-    pub(super) fn violation(self) -> Option<Violation> {
+    pub(super) fn violation(self) -> Option<ProtocolViolation> {
         let (code, what) = match self {
             CloseReason::OutOfMemory => ("53200", "no memory for the message"),
             CloseReason::StartupTimeout | CloseReason::RequestTimeout => {
@@ -71,6 +71,6 @@
             }
             _ => return None,
         };
-        Some(Violation { code, what })
+        Some(ProtocolViolation { code, message: what })
     }
 }
--- a/crates/transport/src/client_connection/output.rs
+++ b/crates/transport/src/client_connection/output.rs
@@ -9,8 +9,8 @@
 use std::net::Shutdown;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wharfplank_protocol::pipeline::Next;
-use wharfplank_protocol::server::Violation;
+use wharfplank_protocol::client_session::ProtocolViolation;
+use wharfplank_protocol::pipeline::{Closing, NextWrite};
 
 /// For how long a client may take nothing of what is written to it.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -39,17 +39,17 @@
         let mut wrote = false;
         loop {
             let answers_empty_queries = self.answers_empty_queries(listener);
-            let next = self.response_writer.pipeline.borrow_mut().next(answers_empty_queries);
+            let next = self.response_writer.next_write(answers_empty_queries);
             match next {
                 None => break,
-                Some(Next::Pass(ticket)) => match self.advance_stream(ticket) {
+                Some(NextWrite::Stream(number)) => match self.advance_stream(number) {
                     StreamProgress::Advanced => {}
                     StreamProgress::Pending => break,
                     StreamProgress::CutOff(remaining) => self.on_stream_cut_off(remaining).await?,
                 },
-                Some(Next::Empty) => self.server.empty(),
-                Some(Next::Answer(answer)) => self.server.answer(answer),
-                Some(Next::End(code, violation)) => {
+                Some(NextWrite::EmptyQuery) => self.session.write_empty_query_response(),
+                Some(NextWrite::Response(response)) => self.session.write_response(response),
+                Some(NextWrite::Close(Closing { reason: code, violation })) => {
                     match violation {
                         Some(violation) => self.send_fatal(listener, violation).await,
                         None => self.flush().await?,
@@ -58,7 +58,7 @@
                 }
             }
             wrote = true;
-            if self.server.out.len() >= FLUSH_SIZE {
+            if self.session.output.len() >= FLUSH_SIZE {
                 self.flush().await?;
             }
         }
@@ -78,15 +78,16 @@
         if listener.ready.get() {
             return true;
         }
-        let pipeline = self.response_writer.pipeline.borrow();
-        let has_more = pipeline.has_more() || pipeline.ending() || !self.server.buffer.bytes().is_empty();
+        let has_more = self.response_writer.has_following()
+            || self.response_writer.is_closing()
+            || !self.session.buffer.unread().is_empty();
         has_more && listener.drain_phase.get() != DrainPhase::Serving
     }
 
     /// Tells the client why the connection ends, and waits a little until that has arrived, unless many connections
     /// do.
-    pub(crate) async fn send_fatal(&mut self, listener: &ClientListener, violation: Violation) {
-        self.server.fatal(violation);
+    pub(crate) async fn send_fatal(&mut self, listener: &ClientListener, violation: ProtocolViolation) {
+        self.session.write_fatal(violation);
         let lingers = listener.may_linger();
         if self.flush().await.is_err() || self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
@@ -112,11 +113,11 @@
     /// Writes all output, and reads meanwhile: a client that disconnects while it takes nothing must not leave
     /// requests behind.
     pub(super) async fn flush(&mut self) -> Result<(), CloseReason> {
-        if self.server.out.is_empty() {
+        if self.session.output.is_empty() {
             return Ok(());
         }
         // Large responses are rare, so the memory of the output is not reused.
-        let output = std::mem::take(&mut self.server.out);
+        let output = std::mem::take(&mut self.session.output);
         let stream = Rc::clone(&self.stream);
         let mut written = 0;
         let mut reads = true;
@@ -153,8 +154,8 @@
 
     /// Whether nothing that the client requested may still have to be forwarded.
     fn has_no_outstanding_requests(&self) -> bool {
-        let pipeline = self.response_writer.pipeline.borrow();
-        let has_unread_command = !pipeline.ending() && self.server.length().is_some();
-        !has_unread_command && !pipeline.waits_for_members()
+        let has_unread_command =
+            !self.response_writer.is_closing() && self.session.next_command_bytes().is_some();
+        !has_unread_command && !self.response_writer.has_open_request()
     }
 }
