--- a/crates/proxy/src/broker/maintenance.rs
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -1,6 +1,7 @@
 //! Work that is due by the clock: the router's timers, and the maintenance of pools, logs and records each second.
 
 use super::*;
+use crate::rollout::MemberObservations;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -71,37 +72,36 @@
     fn run_maintenance(&mut self, now: Micros) {
         self.log_counts(now);
         self.pools.relax_liveness_check();
-        self.gossip.suspicions(now, suspected_members(&self.router));
+        self.gossip.report_suspects(now, suspected_members(&self.router));
         self.cancel_attempts_over_budget();
         self.endpoints.members.values().for_each(|member| member.maintain());
-        self.report_to_releases(now);
+        self.exchange_with_rollout(now);
         self.record_members();
     }
 
     fn log_counts(&mut self, now: Micros) {
         self.counts.add("connections", "open", "", self.pools.open_connections.get() as u64);
-        if let Some(counts) = self.counts.take() {
+        if let Some(counts) = self.counts.take_text() {
             log::counts(now as u64 / 1000, &counts);
         }
     }
 
-    fn report_to_releases(&mut self, now: Micros) {
+    fn exchange_with_rollout(&mut self, now: Micros) {
         let endpoints = &self.endpoints;
-        let journal = &self.journal;
-        self.releases.tell(
-            now,
-            &endpoints.records,
-            &endpoints.cordons,
-            &endpoints.ids,
-            self.router.member_views(),
-            |action, names| journal.released(action, names),
-        );
+        let recorder = &self.recorder;
+        let members = MemberObservations {
+            endpoints: &endpoints.records,
+            cordons: &endpoints.cordons,
+            host_ids: &endpoints.ids,
+            views: self.router.member_views(),
+        };
+        self.rollout.exchange(now, members, |event, names| recorder.record_rollout_action(event, names));
     }
 
     fn record_members(&self) {
-        if self.journal.records() {
-            self.router.member_views().for_each(|view| self.journal.seen(&view));
-            self.journal.hand_over();
+        if self.recorder.is_enabled() {
+            self.router.member_views().for_each(|view| self.recorder.record_member_state(&view));
+            self.recorder.flush();
         }
     }
 }
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -34,9 +34,9 @@
     fn report_finished_attempt(&mut self, finished: &FinishedAttempt) {
         let FinishedAttempt { key, host, sent_at, outcome } = *finished;
         self.note_attempt_outcome(key.request, host, outcome);
-        self.gossip.saw(host, sent_at, outcome);
+        self.gossip.report_reachability(host, sent_at, outcome);
         self.close_if_client_left(key.request);
-        let result = self.attempt_result(key, host, sent_at, &AttemptReport::without_answer(outcome));
+        let result = self.attempt_result(key, host, sent_at, &AttemptReport::without_response(outcome));
         self.route(self.clock.now(), routing::Event::AttemptFinished(result));
     }
 
@@ -58,7 +58,7 @@
                 self.end_attempt(AttemptKey::new(id, attempt.0), AttemptOutcome::Cancelled)
             }
             Action::Probe { host, purpose } => {
-                self.counts.one("probe", counts::probe_purpose(purpose), "");
+                self.counts.increment("probe", activity_counts::probe_purpose_name(purpose), "");
                 self.start_health_check(host);
             }
             Action::SetTimer(delay) => self.timers.schedule_router_timer(self.clock.now() + delay),
@@ -69,18 +69,23 @@
 
     /// Answers a request that the router sheds. The wait until a retry is rounded up to whole milliseconds.
     fn reject(&mut self, id: RequestId, retry_after: Micros, reason: routing::RejectReason) {
-        self.count_request(id, Disposition::Rejected, recorded(reason).name());
-        self.record_request(id, |journal, ended| journal.given_up(ended, true, reason));
+        self.count_request(id, Disposition::Rejected, record_reason(reason).name());
+        self.record_request(id, |recorder, request| recorder.record_rejected(request, reason));
         self.answer(id, FinalResponse::Rejected { retry_after_ms: (retry_after + 999) / 1000 });
     }
 
     /// Answers a request that the router has given up.
     fn fail(&mut self, id: RequestId, reason: routing::RejectReason) {
         if let Some(request) = self.requests.get(id) {
-            self.gossip.failed(self.clock.now(), request.class, request.attempts, &request.client_id);
+            self.gossip.on_request_failed(
+                self.clock.now(),
+                request.class,
+                request.attempts,
+                &request.client_id,
+            );
         }
-        self.count_request(id, Disposition::Failed, recorded(reason).name());
-        self.record_request(id, |journal, ended| journal.given_up(ended, false, reason));
+        self.count_request(id, Disposition::Failed, record_reason(reason).name());
+        self.record_request(id, |recorder, request| recorder.record_failed(request, reason));
         self.answer(id, FinalResponse::Failed);
     }
 }
