--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -45,7 +45,8 @@
         let request = self.requests.get(key.request)?;
         let is_retry = key.number > 0;
         // A retry takes from the budget even where it is then not sent for another reason.
-        let is_denied = is_retry && self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.retry());
+        let is_denied =
+            is_retry && self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.try_spend_retry());
         let may_send = key.number < self.attempt_policy.max_attempts
             && !is_denied
             && request.responses.is_awaited(request.ticket);
--- a/crates/proxy/src/broker/budgets.rs
+++ b/crates/proxy/src/broker/budgets.rs
@@ -22,7 +22,8 @@
 impl Broker {
     /// Takes one more request of this group from the budgets; true where they have no capacity for it.
     pub(super) fn is_over_budget(&mut self, group: GroupId) -> bool {
-        let is_denied = self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.request(group.0));
+        let is_denied =
+            self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.try_spend_request(group.0));
         if is_denied {
             self.counts.increment("budget", "denied", "");
         }
@@ -31,7 +32,7 @@
 
     /// Tells the router whether retries may be sent, where that has changed.
     pub(super) fn update_retry_permission(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let is_denied = self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.could_retry());
+        let is_denied = self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.can_retry());
         if is_denied != self.budget_denials.retries {
             self.budget_denials.retries = is_denied;
             self.router.handle(now, routing::Event::RetriesAllowed(!is_denied), actions);
--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -14,7 +14,7 @@
     pub(super) fn start_health_check(&mut self, host: HostId) {
         let Some(member) = self.endpoints.members.get(&host) else { return };
         let budgets = self.pools.budgets.as_ref();
-        if budgets.is_some_and(|budgets| !budgets.probe(member.name())) {
+        if budgets.is_some_and(|budgets| !budgets.try_spend_health_check(member.name())) {
             return self.budget_denials.push_health_check(host);
         }
         let member = Rc::clone(member);
--- a/crates/proxy/src/budgets.rs
+++ b/crates/proxy/src/budgets.rs
@@ -12,8 +12,10 @@
 };
 use wharfplank_settings::Budgets as Settings;
 use wharfplank_shared_state::hash_name;
-use wharfplank_transport::budgets::{Budgets, Figure, Said, Setup, RING};
-use wharfplank_transport::{worker, Now};
+use wharfplank_transport::budgets::{
+    self, BudgetLogEvent, BudgetUsage, Budgets, BudgetsConfig, LeaseWorker, OwnAllocator,
+};
+use wharfplank_transport::Now;
 
 /// Binds the socket and starts the thread and the serving side.
 pub fn start(
@@ -35,24 +37,40 @@
     let even = wholes.static_quota(percent, settings.proxies);
     let now = clock.now() + skew;
     let place = banks.iter().position(|bank| *bank == me).filter(|place| !gone[*place]);
-    let bank = place.map(|place| {
+    let own_allocator = place.map(|place| {
         let before = gone[..place].iter().filter(|gone| !**gone).count() as u64;
         let live = gone.iter().filter(|gone| !**gone).count() as u64;
         let part = wholes.allocator_part(&even, settings.proxies, before, live);
-        (place, LeaseAllocator::new(terms.clone(), part, now), TakeoverGuard::new(settings.set, place, &gone))
+        let allocator = LeaseAllocator::new(terms.clone(), part, now);
+        let guard = TakeoverGuard::new(settings.set, place, &gone);
+        OwnAllocator { index: place, allocator, guard }
     });
     // No other process had this number: its address, and when it started.
     let number = hash_name(&format!("{me} {} {}", clock.now(), std::process::id()));
     let holder =
         LeaseHolder::new(number, terms.clone(), banks.len(), Vec::new(), now).with_static_quotas(even);
-    let figures = hash_name(&format!("{} {} {percent}", wholes.canonical_text(), settings.proxies));
-    let setup = Setup { socket, banks, bank, terms, figures, now: move || clock.now() + skew };
-    let rings = worker::start("budgets", RING, move |asks, told| setup.work(asks, told));
-    let rings = rings.map_err(StartError::component_start(Component::Budgets))?;
-    let now_of: Now = Rc::new(move || clock.now() + skew);
-    let notes = tracing::enabled!(tracing::Level::DEBUG);
+    let settings_hash = hash_name(&format!("{} {} {percent}", wholes.canonical_text(), settings.proxies));
+    let worker = LeaseWorker {
+        socket,
+        allocators: banks,
+        own_allocator,
+        terms,
+        settings_hash,
+        now: move || clock.now() + skew,
+    };
+    let now: Now = Rc::new(move || clock.now() + skew);
+    let traces_usage = tracing::enabled!(tracing::Level::DEBUG);
+    let config = BudgetsConfig {
+        limits: wholes,
+        holder,
+        now,
+        traces_usage,
+        log: move |event: BudgetLogEvent<'_>| log_event(event, skew),
+    };
+    let budgets =
+        budgets::start(worker, config, executor).map_err(StartError::component_start(Component::Budgets))?;
     tracing::info!(listen = %bound, advertise = %me, bank = place.is_some(), "budgets_started");
-    Ok(Budgets::start(wholes, holder, rings, now_of, notes, move |said| tell(said, skew), executor))
+    Ok(budgets)
 }
 
 /// The budgets that the settings name.
@@ -77,22 +95,28 @@
 }
 
 /// Times are told by the true clock, whatever the budgets' own is ahead.
-fn tell(said: Said<'_>, skew: i64) {
-    match said {
-        Said::Reached { reached, done } => {
-            let (leases, holders, ignored) = (done.leases, done.holders, done.ignored);
-            let (unread, others) = (done.unread, done.others);
-            tracing::info!(reached, leases, holders, ignored, unread, others, "budgets");
+fn log_event(event: BudgetLogEvent<'_>, skew: i64) {
+    match event {
+        BudgetLogEvent::Status { reachable_allocators, worker } => {
+            tracing::info!(
+                reached = reachable_allocators,
+                leases = worker.is_allocating,
+                holders = worker.holders,
+                ignored = worker.ignored_requests,
+                unread = worker.undecodable_datagrams,
+                others = worker.foreign_datagrams,
+                "budgets"
+            );
         }
-        Said::Figure(kind, Figure { share, spent, denied }) => {
-            tracing::info!(kind = kind.name(), share, spent, denied, "budget");
+        BudgetLogEvent::Usage(kind, BudgetUsage { quota, spent, denied }) => {
+            tracing::info!(kind = kind.name(), share = quota, spent, denied, "budget");
         }
-        Said::Leased { at, bank, ends, what } => {
-            let (at_us, ends_us) = (at - skew, ends - skew);
-            tracing::debug!(at_us, bank, ends_us, what, "budget_leased");
+        BudgetLogEvent::Leased { at, allocator, expires_at, amounts } => {
+            let (at_us, ends_us) = (at - skew, expires_at - skew);
+            tracing::debug!(at_us, bank = allocator, ends_us, what = amounts, "budget_leased");
         }
-        Said::Spent(what) => tracing::debug!(ahead_us = skew, what, "budget_spent"),
-        Said::Held(what) => tracing::debug!(ahead_us = skew, what, "budget_held"),
-        Said::Ended => tracing::error!("budgets_ended"),
+        BudgetLogEvent::Spent(what) => tracing::debug!(ahead_us = skew, what, "budget_spent"),
+        BudgetLogEvent::InUse(what) => tracing::debug!(ahead_us = skew, what, "budget_held"),
+        BudgetLogEvent::WorkerEnded => tracing::error!("budgets_ended"),
     }
 }
--- a/crates/transport/src/budgets/mod.rs
+++ b/crates/transport/src/budgets/mod.rs
@@ -1,228 +1,201 @@
-//! The serving thread's side of the fleet's budgets: the leases that this proxy holds and what it spends of them,
-//! answered without waiting. Asks go to the thread with the socket and leases come from it over two bounded rings; what
-//! is dropped there is as lost on the wire.
-
-mod notes;
-mod thread;
-
-pub use notes::{Figure, Notes, Said};
-pub use thread::{Done, Setup, Told};
-
-use super::Now;
-use crate::worker::{RingReceiver, RingSender};
+//! The fleet's budgets on the serving thread: the leases that this proxy holds and what it spends of them, answered
+//! without waiting.
+//!
+//! A worker thread has the socket. Requests for leases go to it and leases come from it over two bounded rings; what is
+//! dropped there is as lost on the wire.
+//!
+//! - [`Budgets`]: what the serving thread spends.
+//! - [`LeaseWorker`]: the worker thread, with the allocator where this proxy is one.
+//! - `lease_driver`: requests leases and takes them, on the serving thread.
+//! - [`BudgetLogEvent`]: what the log gets.
+
+mod lease_driver;
+mod lease_worker;
+mod log;
+mod usage_trace;
+
+pub use lease_worker::{LeaseWorker, OwnAllocator, WorkerStatus};
+pub use log::{BudgetLogEvent, BudgetUsage};
+
+use super::{worker, Now};
 use async_executor::LocalExecutor;
-use async_io::Timer;
-use futures_lite::future;
+use lease_driver::LeaseDriver;
 use std::cell::RefCell;
 use std::rc::Rc;
-use std::time::Duration;
-use wharfplank_budget::{BudgetId, BudgetKind, BudgetLimits, LeaseHolder, LeaseRequest, Micros};
+use usage_trace::UsageTrace;
+use wharfplank_budget::{BudgetId, BudgetKind, BudgetLimits, Excess, LeaseHolder, Micros};
 use wharfplank_shared_state::hash_name;
 
-/// Asks and leases that may wait between the two threads.
-pub const RING: usize = 256;
-/// How often the log hears what was spent, and how often of each spend where that is recorded.
-const TELL_EVERY: Micros = 5_000_000;
-const NOTE_EVERY: Micros = 50_000;
+/// Requests and leases that may wait between the two threads.
+const RING_CAPACITY: usize = 256;
+
+/// What the budgets of the serving thread are made of.
+pub struct BudgetsConfig<Log> {
+    /// The limits of the whole fleet, which say which budgets there are.
+    pub limits: BudgetLimits,
+    /// The holder of this proxy's leases, without leases yet.
+    pub holder: LeaseHolder,
+    /// The clock of the budgets.
+    pub now: Now,
+    /// Whether each lease and spend is logged.
+    pub traces_usage: bool,
+    /// The log.
+    pub log: Log,
+}
 
 /// The budgets as the serving thread spends them. A budget that the settings do not name is never denied.
 pub struct Budgets {
-    /// The wholes, to know which budgets there are.
-    wholes: BudgetLimits,
+    limits: BudgetLimits,
     now: Now,
-    spender: RefCell<Spender>,
+    state: RefCell<State>,
 }
 
-struct Spender {
+struct State {
     holder: LeaseHolder,
-    notes: Option<Notes>,
-    done: Done,
+    /// The leases and spends that are not logged yet, where they are logged.
+    trace: Option<UsageTrace>,
+    /// What the worker reported last.
+    worker_status: WorkerStatus,
+}
+
+/// Starts the worker and the serving thread's side.
+///
+/// # Errors
+///
+/// Fails if the thread cannot be started.
+pub fn start<Clock, Log>(
+    worker: LeaseWorker<Clock>,
+    config: BudgetsConfig<Log>,
+    executor: &LocalExecutor<'static>,
+) -> std::io::Result<Rc<Budgets>>
+where
+    Clock: Fn() -> Micros + Send + 'static,
+    Log: Fn(BudgetLogEvent<'_>) + 'static,
+{
+    let run = move |requests, updates| worker.run(requests, updates);
+    let (requests, updates) = worker::start("budgets", RING_CAPACITY, run)?;
+    let budgets = Rc::new(Budgets::new(config.limits, config.holder, config.now, config.traces_usage));
+    for kind in [BudgetKind::Requests, BudgetKind::Retries, BudgetKind::DiscoveryCalls] {
+        budgets.register(kind.budget(0));
+    }
+    let driver = LeaseDriver::new(Rc::clone(&budgets), requests, updates, config.log);
+    executor.spawn(driver.run()).detach();
+    Ok(budgets)
 }
 
 impl Budgets {
-    /// Starts with nothing leased. `notes`: each spend and lease is kept to be told.
-    pub fn start(
-        wholes: BudgetLimits,
-        holder: LeaseHolder,
-        (asks, told): (RingSender<(usize, LeaseRequest)>, RingReceiver<Told>),
-        now: Now,
-        notes: bool,
-        say: impl Fn(Said<'_>) + 'static,
-        executor: &LocalExecutor<'static>,
-    ) -> Rc<Budgets> {
-        let spender = Spender { holder, notes: notes.then(Notes::default), done: Done::default() };
-        let budgets = Rc::new(Budgets { wholes, now, spender: RefCell::new(spender) });
-        for kind in [BudgetKind::Requests, BudgetKind::Retries, BudgetKind::DiscoveryCalls] {
-            budgets.know(kind.budget(0));
-        }
-        executor.spawn(Rc::clone(&budgets).drive(asks, told, say)).detach();
-        budgets
+    fn new(limits: BudgetLimits, holder: LeaseHolder, now: Now, traces_usage: bool) -> Budgets {
+        let state = State {
+            holder,
+            trace: traces_usage.then(UsageTrace::default),
+            worker_status: WorkerStatus::default(),
+        };
+        Budgets { limits, now, state: RefCell::new(state) }
+    }
+
+    fn now(&self) -> Micros {
+        (self.now)()
     }
 
-    /// Knows a budget from now on, where the settings have it.
-    pub fn know(&self, budget: BudgetId) {
-        if self.wholes.get(budget).is_some() {
-            self.spender.borrow_mut().holder.register((self.now)(), budget);
+    /// Requests leases of a budget from now on, where the settings name it.
+    pub fn register(&self, budget: BudgetId) {
+        if self.limits.get(budget).is_some() {
+            self.state.borrow_mut().holder.register(self.now(), budget);
         }
     }
 
-    /// A member may be used from now on.
-    pub fn member(&self, name: &str) {
-        members(name).into_iter().for_each(|budget| self.know(budget));
+    /// Registers the budgets of a member that may be used from now on.
+    pub fn add_member(&self, name: &str) {
+        for budget in member_budgets(name) {
+            self.register(budget);
+        }
     }
 
-    /// A member is not used any more, and nothing is held to it.
-    pub fn forget(&self, name: &str) {
-        let gone = members(name);
-        self.spender.borrow_mut().holder.retain(|budget| !gone.contains(&budget));
+    /// Forgets the budgets of a member that is not used any more and has no connections.
+    pub fn remove_member(&self, name: &str) {
+        let removed = member_budgets(name);
+        self.state.borrow_mut().holder.retain(|budget| !removed.contains(&budget));
     }
 
-    /// Whether a request to this group may be taken.
-    pub fn request(&self, group: u64) -> bool {
-        self.spend(&[BudgetKind::Requests.budget(0), BudgetKind::TenantRequests.budget(group)])
+    /// Spends a request to this group; false where it is not to be admitted.
+    pub fn try_spend_request(&self, group: u64) -> bool {
+        self.try_spend(&[BudgetKind::Requests.budget(0), BudgetKind::TenantRequests.budget(group)])
     }
 
-    /// Whether an attempt beyond its request's first may be sent.
-    pub fn retry(&self) -> bool {
-        self.spend(&[BudgetKind::Retries.budget(0)])
+    /// Spends an attempt beyond its request's first; false where it is not to be sent.
+    pub fn try_spend_retry(&self) -> bool {
+        self.try_spend(&[BudgetKind::Retries.budget(0)])
     }
 
-    /// The same, asked beforehand.
-    pub fn could_retry(&self) -> bool {
-        self.spender.borrow_mut().holder.can_spend((self.now)(), BudgetKind::Retries.budget(0))
+    /// Whether [`Budgets::try_spend_retry`] would succeed now.
+    pub fn can_retry(&self) -> bool {
+        self.state.borrow_mut().holder.can_spend(self.now(), BudgetKind::Retries.budget(0))
     }
 
-    /// Whether a member may be probed.
-    pub fn probe(&self, member: &str) -> bool {
-        self.spend(&[BudgetKind::HealthChecks.budget(hash_name(member))])
+    /// Spends a health check of a member; false where it is not to be made.
+    pub fn try_spend_health_check(&self, member: &str) -> bool {
+        self.try_spend(&[BudgetKind::HealthChecks.budget(hash_name(member))])
     }
 
-    /// Whether discovery may be called.
-    pub fn discovery(&self) -> bool {
-        self.spend(&[BudgetKind::DiscoveryCalls.budget(0)])
+    /// Spends a poll of discovery; false where it is not to be made.
+    pub fn try_spend_discovery_poll(&self) -> bool {
+        self.try_spend(&[BudgetKind::DiscoveryCalls.budget(0)])
     }
 
-    /// Whether a connection to a member may be opened; it is held until [`Budgets::let_go`].
-    pub fn connect(&self, member: &str) -> bool {
-        let (connects, held) = (
-            BudgetKind::NewConnections.budget(hash_name(member)),
-            BudgetKind::OpenConnections.budget(hash_name(member)),
-        );
-        let now = (self.now)();
-        let could = self.spender.borrow_mut().holder.can_spend(now, connects);
-        if could && !self.spender.borrow_mut().holder.try_acquire(now, held) {
+    /// Spends a new connection to a member and reserves it until [`Budgets::release_connection`]; false where it is not
+    /// to be opened.
+    pub fn try_open_connection(&self, member: &str) -> bool {
+        let new_connections = BudgetKind::NewConnections.budget(hash_name(member));
+        let open_connections = BudgetKind::OpenConnections.budget(hash_name(member));
+        let now = self.now();
+        let can_connect = self.state.borrow_mut().holder.can_spend(now, new_connections);
+        if can_connect && !self.state.borrow_mut().holder.try_acquire(now, open_connections) {
             return false;
         }
-        // Where it could not be it is noted as tried.
-        let spent = self.spend(&[connects]);
-        self.note_held(now, held);
-        spent
+        // Where there is none left the attempt is counted as denied.
+        let is_spent = self.try_spend(&[new_connections]);
+        self.trace_open_connections(now, open_connections);
+        is_spent
     }
 
-    /// A connection to a member is closed, or never came up.
-    pub fn let_go(&self, member: &str) {
-        let held = BudgetKind::OpenConnections.budget(hash_name(member));
-        self.spender.borrow_mut().holder.release(held);
-        self.note_held((self.now)(), held);
+    /// Releases a connection to a member that was closed or could not be opened.
+    pub fn release_connection(&self, member: &str) {
+        let open_connections = BudgetKind::OpenConnections.budget(hash_name(member));
+        self.state.borrow_mut().holder.release(open_connections);
+        self.trace_open_connections(self.now(), open_connections);
     }
 
-    /// Connections to a member past the share, and how many of these must go now, idle or not.
-    pub fn excess(&self, member: &str) -> (u64, u64) {
-        let held = BudgetKind::OpenConnections.budget(hash_name(member));
-        let excess = self.spender.borrow_mut().holder.excess((self.now)(), held);
-        (excess.over_quota, excess.overdue)
+    /// The connections to a member beyond the quota.
+    pub fn connection_excess(&self, member: &str) -> Excess {
+        let open_connections = BudgetKind::OpenConnections.budget(hash_name(member));
+        self.state.borrow_mut().holder.excess(self.now(), open_connections)
     }
 
     /// Spends one of each budget, or of none.
-    fn spend(&self, budgets: &[BudgetId]) -> bool {
-        let now = (self.now)();
-        let Spender { holder, notes, .. } = &mut *self.spender.borrow_mut();
-        let spent = holder.try_spend_all(now, budgets);
-        if let Some(notes) = notes.as_mut().filter(|_| spent) {
-            let known = budgets.iter().filter(|budget| holder.rate_meter(**budget).is_some());
-            known.for_each(|budget| notes.spent(now, *budget));
-        }
-        spent
-    }
-
-    fn note_held(&self, now: Micros, budget: BudgetId) {
-        let Spender { holder, notes, .. } = &mut *self.spender.borrow_mut();
-        let held = holder.concurrency_budget(budget).map(|held| held.in_use());
-        if let (Some(notes), Some(held)) = (notes, held) {
-            notes.held(now, budget, held);
+    fn try_spend(&self, budgets: &[BudgetId]) -> bool {
+        let now = self.now();
+        let State { holder, trace, .. } = &mut *self.state.borrow_mut();
+        if !holder.try_spend_all(now, budgets) {
+            return false;
         }
-    }
-
-    /// Carries asks to the thread and leases from it, and tells what was done.
-    async fn drive(
-        self: Rc<Self>,
-        mut asks: RingSender<(usize, LeaseRequest)>,
-        mut told: RingReceiver<Told>,
-        say: impl Fn(Said<'_>),
-    ) {
-        let mut tell_at = (self.now)() + TELL_EVERY;
-        let mut ended = false;
-        loop {
-            let now = (self.now)();
-            let due = self.spender.borrow_mut().holder.due_requests(now);
-            for ask in due {
-                asks.send(ask);
-            }
-            self.tell(now, &mut tell_at, &say);
-            let noting = self.spender.borrow().notes.is_some();
-            let next = self.spender.borrow().holder.next_due().min(tell_at);
-            let next = if noting { next.min(now + NOTE_EVERY) } else { next };
-            let pause = Duration::from_micros((next - now).clamp(1_000, TELL_EVERY) as u64);
-            let time = async {
-                Timer::after(pause).await;
-                None
-            };
-            let heard = async {
-                match told.recv().await {
-                    Some(told) => Some(Some(told)),
-                    None if ended => future::pending().await,
-                    None => Some(None),
-                }
-            };
-            match future::or(heard, time).await {
-                Some(Some(Told::Grant(bank, grant))) => {
-                    let now = (self.now)();
-                    let Spender { holder, notes, .. } = &mut *self.spender.borrow_mut();
-                    if holder.on_grant(now, bank, &grant) {
-                        notes
-                            .iter_mut()
-                            .for_each(|notes| notes.leased(now, bank, holder.lease_expires_at(bank), &grant));
-                    }
-                }
-                Some(Some(Told::Done(done))) => self.spender.borrow_mut().done = done,
-                // The thread has failed: leases end by themselves, and what is left is the even share.
-                Some(None) => {
-                    ended = true;
-                    say(Said::Ended);
-                }
-                None => {}
+        if let Some(trace) = trace {
+            for budget in budgets.iter().filter(|budget| holder.rate_meter(**budget).is_some()) {
+                trace.record_spend(now, *budget);
             }
         }
+        true
     }
 
-    fn tell(&self, now: Micros, tell_at: &mut Micros, say: &impl Fn(Said<'_>)) {
-        let mut spender = self.spender.borrow_mut();
-        spender.notes.iter_mut().for_each(|notes| notes.tell(say));
-        if now < *tell_at {
-            return;
-        }
-        *tell_at = now + TELL_EVERY;
-        let Spender { holder, done, .. } = &*spender;
-        say(Said::Reached { reached: holder.reachable_allocators(now), done: *done });
-        for kind in BudgetKind::ALL {
-            let figure = Figure::of(holder, now, kind);
-            figure.into_iter().for_each(|figure| say(Said::Figure(kind, figure)));
+    fn trace_open_connections(&self, now: Micros, budget: BudgetId) {
+        let State { holder, trace, .. } = &mut *self.state.borrow_mut();
+        if let (Some(trace), Some(budget_state)) = (trace, holder.concurrency_budget(budget)) {
+            trace.record_in_use(now, budget, budget_state.in_use());
         }
     }
 }
 
 /// The budgets of a member.
-fn members(name: &str) -> [BudgetId; 3] {
+fn member_budgets(name: &str) -> [BudgetId; 3] {
     [BudgetKind::HealthChecks, BudgetKind::NewConnections, BudgetKind::OpenConnections]
         .map(|kind| kind.budget(hash_name(name)))
 }
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -134,7 +134,7 @@
 
     /// Takes one poll from the fleet's budget; false where none is left.
     fn try_spend_budget(&self) -> bool {
-        self.context.budgets.as_ref().is_none_or(|budgets| budgets.discovery())
+        self.context.budgets.as_ref().is_none_or(|budgets| budgets.try_spend_discovery_poll())
     }
 
     async fn report(
--- a/crates/transport/src/member_pool.rs
+++ b/crates/transport/src/member_pool.rs
@@ -69,7 +69,7 @@
     /// Creates the pool of a member. No connection is opened before [`MemberPool::activate`].
     pub fn new(context: Rc<PoolContext>, name: &str, address: SocketAddr) -> Rc<Self> {
         if let Some(budgets) = &context.budgets {
-            budgets.member(name);
+            budgets.add_member(name);
         }
         Rc::new(MemberPool {
             context,
--- a/crates/transport/src/member_pool/connection_budget.rs
+++ b/crates/transport/src/member_pool/connection_budget.rs
@@ -14,7 +14,7 @@
 impl MemberPool {
     /// Reserves one more connection in the fleet's budget. Returns false if the budget does not allow it.
     pub(super) fn reserve_connection(&self) -> bool {
-        self.context.budgets.as_ref().is_none_or(|budgets| budgets.connect(&self.name))
+        self.context.budgets.as_ref().is_none_or(|budgets| budgets.try_open_connection(&self.name))
     }
 
     /// Releases a connection that was closed or could not be opened, in the limit on all connections and in the
@@ -23,22 +23,22 @@
         let open = &self.context.open_connections;
         open.set(open.get() - 1);
         if let Some(budgets) = &self.context.budgets {
-            budgets.let_go(&self.name);
+            budgets.release_connection(&self.name);
         }
     }
 
     /// The connections that the pool has beyond its share of the fleet's budget.
     pub fn excess(&self) -> ConnectionExcess {
         let Some(budgets) = &self.context.budgets else { return ConnectionExcess::default() };
-        let (over_quota, overdue) = budgets.excess(&self.name);
-        ConnectionExcess { over_quota, overdue }
+        let excess = budgets.connection_excess(&self.name);
+        ConnectionExcess { over_quota: excess.over_quota, overdue: excess.overdue }
     }
 }
 
 impl Drop for MemberPool {
     fn drop(&mut self) {
         if let Some(budgets) = &self.context.budgets {
-            budgets.forget(&self.name);
+            budgets.remove_member(&self.name);
         }
     }
 }
