--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -159,10 +159,18 @@
 }
 
 /// Notes an ended connection.
-pub fn ended(e: &ConnectionEnd<'_>) {
-    let name = if e.name.is_empty() { "-" } else { e.name };
-    let age_ms = e.since.elapsed().as_millis() as u64;
-    info!(side = e.side, peer = %e.peer, name, reason = e.reason, requests = e.requests, age_ms, "ended");
+pub fn ended(end: &ConnectionEnd<'_>) {
+    let name = end.remote.member_name().filter(|name| !name.is_empty()).unwrap_or("-");
+    let age_ms = end.started_at.elapsed().as_millis() as u64;
+    info!(
+        side = end.remote.kind(),
+        peer = %end.address,
+        name,
+        reason = end.reason,
+        requests = end.requests,
+        age_ms,
+        "ended"
+    );
 }
 
 /// Notes what was done in the second before that time.
--- a/crates/transport/src/client_connection/response_writer.rs
+++ b/crates/transport/src/client_connection/response_writer.rs
@@ -2,12 +2,11 @@
 
 use super::CloseReason;
 use crate::response_stream::ResponseStream;
-use crate::{MemoryBudget, MemoryReservation};
+use crate::{socket, MemoryBudget, MemoryReservation};
 use async_io::Async;
 use event_listener::{Event, EventListener};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::io::ErrorKind;
 use std::net::TcpStream;
 use std::rc::{Rc, Weak};
 use wharfplank_protocol::client_session::ProtocolViolation;
@@ -84,8 +83,8 @@
     /// byte: what the attempt waited for and the client's disconnect may have come at the same moment, in either
     /// order.
     pub fn is_awaited_now(&self, number: RequestNumber) -> bool {
-        let socket = self.socket.borrow().upgrade();
-        if socket.is_some_and(|socket| has_ended(socket.get_ref())) {
+        let stream = self.socket.borrow().upgrade();
+        if stream.is_some_and(|stream| socket::has_ended(stream.get_ref())) {
             self.disconnected.set(true);
         }
         self.is_awaited(number)
@@ -204,11 +203,3 @@
         self.pipeline.borrow_mut().close(reason.as_str(), violation);
     }
 }
-
-/// Whether the peer of a socket has closed or reset it.
-fn has_ended(socket: &TcpStream) -> bool {
-    match socket.peek(&mut [0]) {
-        Ok(count) => count == 0,
-        Err(error) => !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
-    }
-}
--- a/crates/transport/src/client_connection/streaming.rs
+++ b/crates/transport/src/client_connection/streaming.rs
@@ -3,6 +3,7 @@
 use super::output::FLUSH_SIZE;
 use super::{ClientConnection, CloseReason};
 use crate::response_stream::{ResponseStream, StreamPiece};
+use crate::socket;
 use async_channel::{Receiver, TryRecvError};
 use wharfplank_protocol::pipeline::{FinalResponse, RequestNumber};
 
@@ -103,7 +104,7 @@
     fn has_further_input(&self) -> bool {
         self.response_writer.has_following()
             || !self.session.buffer.unread().is_empty()
-            || matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..))
+            || socket::has_unread_bytes(self.stream.get_ref())
     }
 
     fn end_stream(&mut self) {
--- a/crates/transport/src/client_connection/wait.rs
+++ b/crates/transport/src/client_connection/wait.rs
@@ -4,10 +4,9 @@
 use super::{ClientConnection, CloseReason};
 use crate::client_listener::{ClientListener, DrainPhase};
 use crate::response_stream::StreamPiece;
-use crate::with_deadline;
+use crate::{socket, with_deadline};
 use event_listener::EventListener;
 use futures_lite::future;
-use std::io::ErrorKind;
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
@@ -56,7 +55,7 @@
         woken: EventListener,
     ) -> Result<(), CloseReason> {
         let plan = self.plan_wait(listener);
-        if self.waits_for_start_in_vain(listener) && self.close_if_quiet() {
+        if self.cannot_become_ready(listener) && self.close_if_quiet() {
             return Err(CloseReason::Shutdown);
         }
         let wake = self.wait_for_wake(&plan, woken).await;
@@ -87,16 +86,21 @@
         let has_open_commands = !self.response_writer.is_empty();
         let idle = self.started && self.session.buffer.unread().is_empty() && !has_open_commands;
         self.idle_since = if idle { self.idle_since.or(Some(now)) } else { None };
-        let mute = !self.state.has_sent_command.get();
+        let before_first_command = !self.state.has_sent_command.get();
         // A connection whose message is not complete yet holds a place all the same; until its first command it may
         // have to give it up.
-        self.state.idle_since.set(if mute { Some(self.accepted_at) } else { self.idle_since });
-        let idle_deadline = (idle && !mute).then(|| self.idle_since.unwrap_or(now) + IDLE_TIMEOUT);
-        let first_deadline = mute.then_some(self.accepted_at + FIRST_COMMAND_TIMEOUT);
+        self.state.idle_since.set(if before_first_command {
+            Some(self.accepted_at)
+        } else {
+            self.idle_since
+        });
+        let idle_deadline =
+            (idle && !before_first_command).then(|| self.idle_since.unwrap_or(now) + IDLE_TIMEOUT);
+        let first_deadline = before_first_command.then_some(self.accepted_at + FIRST_COMMAND_TIMEOUT);
         let message_deadline = self.message_begun_at.map(|at| at + MESSAGE_TIMEOUT);
         WaitPlan {
             has_open_commands,
-            close: self.pending_close(listener, idle, mute),
+            close: self.pending_close(listener, idle),
             deadline: [message_deadline, first_deadline, idle_deadline].into_iter().flatten().min(),
             timeout_reason: match (self.started, idle_deadline) {
                 (false, _) => CloseReason::StartupTimeout,
@@ -107,7 +111,7 @@
     }
 
     /// Why the connection closes unless something has arrived.
-    fn pending_close(&self, listener: &ClientListener, idle: bool, mute: bool) -> Option<CloseReason> {
+    fn pending_close(&self, listener: &ClientListener, idle: bool) -> Option<CloseReason> {
         let shuts_down = match listener.drain_phase.get() {
             DrainPhase::Serving => false,
             DrainPhase::ClosingIdle => idle && self.state.closes_while_draining.get(),
@@ -116,11 +120,12 @@
         if shuts_down {
             return Some(CloseReason::Shutdown);
         }
-        ((idle || mute) && self.state.evicted.get()).then_some(CloseReason::Evicted)
+        let evictable = idle || !self.state.has_sent_command.get();
+        (evictable && self.state.evicted.get()).then_some(CloseReason::Evicted)
     }
 
     /// Whether an empty query at the front waits for the process to be ready, which it will not be.
-    fn waits_for_start_in_vain(&self, listener: &ClientListener) -> bool {
+    fn cannot_become_ready(&self, listener: &ClientListener) -> bool {
         listener.drain_phase.get() != DrainPhase::Serving
             && self.response_writer.awaits_readiness()
             && !self.answers_empty_queries(listener)
@@ -180,8 +185,6 @@
     /// may be suspended between any two steps: so nothing lies between this look and the close.
     fn close_if_quiet(&self) -> bool {
         let stream = self.stream.get_ref();
-        let peeked = stream.peek(&mut [0]);
-        let quiet = matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock);
-        quiet && stream.shutdown(Shutdown::Both).is_ok()
+        socket::is_quiet(stream) && stream.shutdown(Shutdown::Both).is_ok()
     }
 }
--- a/crates/transport/src/client_listener.rs
+++ b/crates/transport/src/client_listener.rs
@@ -7,7 +7,7 @@
 pub(crate) use connection_state::ConnectionState;
 
 use crate::client_connection::{CancelKeys, ClientConnection, CloseReason, ResponseWriter};
-use crate::{ConnectionEnd, ConnectionEndObserver, MemoryBudget, ProxyEvent};
+use crate::{ConnectionEnd, ConnectionEndObserver, MemoryBudget, ProxyEvent, Remote};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -202,12 +202,11 @@
             };
             listener.forget(number, &state);
             (listener.on_connection_end)(&ConnectionEnd {
-                side: "client",
-                peer: address,
-                name: "",
+                remote: Remote::Client,
+                address,
                 reason: reason.as_str(),
                 requests: connection.requests(),
-                since: accepted_at,
+                started_at: accepted_at,
             });
         };
         self.executor.spawn(task).detach();
--- a/crates/transport/src/client_listener/admission.rs
+++ b/crates/transport/src/client_listener/admission.rs
@@ -6,7 +6,7 @@
 use wharfplank_protocol::client_session::CancelKey;
 
 /// Connections that have sent no command for so long are evicted first: a client sends its startup at once.
-const MUTE_TIME: Duration = Duration::from_millis(20);
+const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(20);
 /// Connections that have been idle for so long since their last response are evicted next.
 const LONG_IDLE_TIME: Duration = Duration::from_secs(2);
 /// The least number of connections beyond the limit, for which the process keeps descriptors of its own.
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionOrder {
     /// It has sent no command for a while.
-    Mute,
+    NoCommand,
     /// It has been idle for long.
     LongIdle,
     /// It has sent no command, but was accepted just now.
@@ -36,7 +36,7 @@
 impl EvictionOrder {
     fn of(state: &ConnectionState, idle_time: Duration) -> Self {
         match state.has_sent_command.get() {
-            false if idle_time >= MUTE_TIME => EvictionOrder::Mute,
+            false if idle_time >= FIRST_COMMAND_GRACE => EvictionOrder::NoCommand,
             true if idle_time >= LONG_IDLE_TIME => EvictionOrder::LongIdle,
             false => EvictionOrder::New,
             true => EvictionOrder::RecentlyUsed,
--- a/crates/transport/src/discovery/connection.rs
+++ b/crates/transport/src/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to discovery, and its line in the log.
 
 use super::poll::Limits;
-use crate::{with_deadline, ConnectionEnd, ConnectionEndObserver};
+use crate::{with_deadline, ConnectionEnd, ConnectionEndObserver, Remote};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::cell::Cell;
@@ -79,12 +79,11 @@
     fn drop(&mut self) {
         let reason = self.reason.unwrap_or(self.drop_reason.get());
         (self.ends)(&ConnectionEnd {
-            side: "discovery",
-            peer: self.peer,
-            name: "",
+            remote: Remote::Discovery,
+            address: self.peer,
             reason: reason.code(),
             requests: self.polls,
-            since: self.opened_at,
+            started_at: self.opened_at,
         });
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -18,9 +18,10 @@
 mod request;
 pub mod response_stream;
 pub mod signals;
+mod socket;
 pub mod worker;
 
-pub use connection_end::{ConnectionEnd, ConnectionEndObserver};
+pub use connection_end::{ConnectionEnd, ConnectionEndObserver, Remote};
 pub use event::ProxyEvent;
 pub use memory::MemoryBudget;
 pub use request::{ClientRequest, Statement};
--- a/crates/transport/src/member_pool/connection.rs
+++ b/crates/transport/src/member_pool/connection.rs
@@ -2,10 +2,9 @@
 
 use super::end_reason::{EndReason, ReadError};
 use super::{AttemptReport, MemberPool};
-use crate::{with_deadline, ConnectionEnd, MemoryReservation};
+use crate::{socket, with_deadline, ConnectionEnd, MemoryReservation, Remote};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -55,12 +54,11 @@
         self.pool.open.set(self.pool.open.get() - 1);
         self.pool.release_reservation();
         (self.pool.context.on_connection_end)(&ConnectionEnd {
-            side: "member",
-            peer: self.peer,
-            name: &self.pool.name,
+            remote: Remote::Member(&self.pool.name),
+            address: self.peer,
             reason: self.end_reason.as_str(),
             requests: self.requests,
-            since: self.opened_at,
+            started_at: self.opened_at,
         });
     }
 }
@@ -96,16 +94,12 @@
 
     /// Whether the member has neither closed the connection nor sent anything without a request.
     pub(super) fn is_quiet(&self) -> bool {
-        if self.reader.has_partial_response() {
-            return false;
-        }
-        let peeked = self.stream.get_ref().peek(&mut [0]);
-        matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
+        !self.reader.has_partial_response() && socket::is_quiet(self.stream.get_ref())
     }
 
     /// Whether the member has sent something that was not consumed yet.
     pub(super) fn has_unread_bytes(&self) -> bool {
-        self.reader.has_partial_response() || matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..))
+        self.reader.has_partial_response() || socket::has_unread_bytes(self.stream.get_ref())
     }
 
     /// Checks with an empty query whether the connection works.
--- a/crates/transport/src/member_pool/opening.rs
+++ b/crates/transport/src/member_pool/opening.rs
@@ -3,7 +3,7 @@
 use super::connection::MemberConnection;
 use super::end_reason::EndReason;
 use super::MemberPool;
-use crate::{with_deadline, ConnectionEnd};
+use crate::{with_deadline, ConnectionEnd, Remote};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io;
@@ -110,12 +110,11 @@
     fn on_open_failed(self: &Rc<Self>, peer: SocketAddr, started: Instant, error: &ConnectError) {
         self.release_reservation();
         (self.context.on_connection_end)(&ConnectionEnd {
-            side: "member",
-            peer,
-            name: &self.name,
+            remote: Remote::Member(&self.name),
+            address: peer,
             reason: EndReason::from(error).as_str(),
             requests: 0,
-            since: started,
+            started_at: started,
         });
         self.backoff_until.set(Some(Instant::now() + BACKOFF));
         self.fail_first_waiter();
--- a/crates/transport/src/memory.rs
+++ b/crates/transport/src/memory.rs
@@ -24,7 +24,7 @@
 }
 
 /// The part of a [`MemoryBudget`] that one owner has reserved. It is released on drop.
-pub struct MemoryReservation {
+pub(crate) struct MemoryReservation {
     budget: Rc<MemoryBudget>,
     reserved: usize,
 }
