--- a/crates/fleet-harness/src/budgets/rig.rs
+++ b/crates/fleet-harness/src/budgets/rig.rs
@@ -1,176 +1,177 @@
-//! The processes of a run, the wire between them, and its fault.
+//! The processes of a run, and the network between them.
 
-use super::{Case, BANKS, EACH, EVEN, FAULT};
+use super::case::LIMIT_PER_PROXY;
+use super::{Case, ALLOCATORS, STATIC_PERCENT};
 use crate::agent;
 use crate::proxies::{Heard, Plan, Proxy};
 use crate::relay::{Links, Mesh};
 use crate::run::Place;
 use crate::schedule::ZONES;
 use async_executor::LocalExecutor;
-use async_io::Timer;
-use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
-use std::time::Duration;
 use wharfplank_lab::fleet::Fleet;
 use wharfplank_lab::load::Load;
 use wharfplank_lab::stand::{now, Stand};
 use wharfplank_lab::timeline::Timeline;
 
-/// A run.
+/// What the clocks of the proxies are ahead in [`Case::Skew`], by turn, in milliseconds.
+const SKEWS_MS: [i64; 3] = [0, 500, -500];
+
+/// What the network does to datagrams in [`Case::Lossy`].
+const LOSS: f64 = 0.2;
+const DUPLICATES: f64 = 0.1;
+const JITTER_MICROS: i64 = 100_000;
+
+/// The processes of a run, the network between them and the load of each.
 pub(super) struct Rig {
-    plans: Vec<Plan>,
+    pub(super) plans: Vec<Plan>,
+    /// The running proxies; `None`: not started, or killed.
     pub(super) proxies: RefCell<Vec<Option<Proxy>>>,
-    mesh: Rc<Mesh>,
+    pub(super) mesh: Rc<Mesh>,
+    /// The load of each proxy.
     pub(super) loads: Vec<Rc<Load>>,
 }
 
 impl Rig {
-    pub(super) fn hear(&self) {
-        for (n, proxy) in self.proxies.borrow_mut().iter_mut().enumerate() {
+    /// The stand-ins, the network and the plans of a run; no proxy is started yet.
+    pub(super) fn prepare(
+        case: Case,
+        proxies: usize,
+        seed: u64,
+        place: &Place,
+        executor: &Rc<LocalExecutor<'static>>,
+    ) -> std::io::Result<Rc<Rig>> {
+        let stand = start_stand_ins(proxies, seed, executor)?;
+        let zones = (0..proxies).map(Plan::zone).collect();
+        let links = Links::start(executor, &stand, &member_addresses(&stand), zones)?;
+        let mesh = Mesh::start(executor, proxies, seed)?;
+        if case == Case::Lossy {
+            make_lossy(&mesh);
+        }
+        let mut plans = Vec::new();
+        for number in 0..proxies {
+            let skew_ms = if case == Case::Skew { SKEWS_MS[number % SKEWS_MS.len()] } else { 0 };
+            plans.push(Plan {
+                program: place.program.clone(),
+                directory: place.directory.clone(),
+                number,
+                discovery: agent::start(executor, &stand, &links, number)?,
+                known: agent::list(&stand, &links, number),
+                peers: None,
+                proxies,
+                replica_bytes: 0,
+                skew_ms: 0,
+                more: settings(&mesh.inbox[..ALLOCATORS], mesh.inbox[number], proxies, skew_ms),
+            });
+        }
+        Ok(Rc::new(Rig {
+            plans,
+            proxies: RefCell::new((0..proxies).map(|_| None).collect()),
+            mesh,
+            loads: (0..proxies).map(|_| Load::new(executor, 1)).collect(),
+        }))
+    }
+
+    pub(super) fn proxy_count(&self) -> usize {
+        self.plans.len()
+    }
+
+    /// Takes over the addresses that proxies have logged since the last call.
+    pub(super) fn register_addresses(&self) {
+        for (index, proxy) in self.proxies.borrow_mut().iter_mut().enumerate() {
             let Some(proxy) = proxy.as_mut() else { continue };
             while let Ok(heard) = proxy.heard.try_recv() {
                 match heard {
-                    Heard::Listens(at) => self.loads[n].proxies[0].set(Some(at)),
-                    Heard::Peers(at) => self.mesh.register(n, at),
+                    Heard::Listens(addr) => self.loads[index].proxies[0].set(Some(addr)),
+                    Heard::Peers(addr) => self.mesh.register(index, addr),
                 }
             }
         }
     }
 
-    pub(super) fn start(&self, n: usize) -> Result<(), String> {
-        self.proxies.borrow_mut()[n] = Some(Proxy::start(&self.plans[n])?);
+    pub(super) fn start(&self, index: usize) -> Result<(), String> {
+        self.proxies.borrow_mut()[index] = Some(Proxy::start(&self.plans[index])?);
         Ok(())
     }
 
-    fn kill(&self, n: usize) {
-        self.loads[n].down(0);
-        drop(self.proxies.borrow_mut()[n].take());
+    /// Kills a proxy's process, which ends when it is dropped.
+    pub(super) fn kill(&self, index: usize) {
+        self.loads[index].down(0);
+        self.proxies.borrow_mut()[index] = None;
     }
 
-    fn pause(&self, n: usize, pause: bool) {
-        self.proxies.borrow_mut()[n].iter_mut().for_each(|proxy| proxy.pause(pause));
+    pub(super) fn pause(&self, index: usize) {
+        if let Some(proxy) = &mut self.proxies.borrow_mut()[index] {
+            proxy.pause(true);
+        }
     }
 
-    fn cut(&self, side: &[usize], cut: bool) {
-        let mut wire = self.mesh.wire.borrow_mut();
-        for a in side {
-            for b in (0..self.plans.len()).filter(|b| !side.contains(b)) {
-                for pair in [(*a, b), (b, *a)] {
-                    if cut {
-                        wire.blocked.insert(pair);
-                    } else {
-                        wire.blocked.remove(&pair);
-                    }
-                }
-            }
+    pub(super) fn resume(&self, index: usize) {
+        if let Some(proxy) = &mut self.proxies.borrow_mut()[index] {
+            proxy.pause(false);
         }
     }
 
-    /// Carries a case's fault out.
-    pub(super) async fn fault(self: Rc<Self>, case: Case, seed: u64) -> Result<(), String> {
-        let n = self.plans.len();
-        let mut rng = SmallRng::seed_from_u64(seed);
-        let pause = |ms: u64| Timer::after(Duration::from_millis(ms));
-        pause(FAULT + rng.random_range(0..1_000)).await;
-        match case {
-            Case::Kill70 => {
-                let mut all: Vec<usize> = (0..n).collect();
-                (1..n).rev().for_each(|i| all.swap(i, rng.random_range(0..=i)));
-                all.truncate((n * 7).div_ceil(10).min(n - 1));
-                all.iter().for_each(|n| self.kill(*n));
-                pause(1_000).await;
-                all.into_iter().try_for_each(|n| self.start(n))?;
-            }
-            Case::Join => {
-                for joins in n / 2..n {
-                    self.start(joins)?;
-                    pause(2_000 / (n - n / 2) as u64).await;
-                }
-            }
-            Case::Cut => {
-                let side: Vec<usize> = (0..n).filter(|p| p % 3 == 0).collect();
-                self.cut(&side, true);
-                pause(6_000).await;
-                self.cut(&side, false);
-            }
-            Case::Pause => {
-                let paused = rng.random_range(0..n);
-                self.pause(paused, true);
-                pause(6_000).await;
-                self.pause(paused, false);
-            }
-            Case::Gone => {
-                let gone = BANKS - 1;
-                self.kill(gone);
-                pause(1_000).await;
-                let told = format!("<budgets gone=\"{}\" set=\"2\"", self.mesh.inbox[gone]);
-                for n in (0..n).filter(|n| *n != gone) {
-                    self.kill(n);
-                    let mut plan = self.plans[n].clone();
-                    plan.more = plan.more.replace("<budgets", &told);
-                    self.proxies.borrow_mut()[n] = Some(Proxy::start(&plan)?);
-                }
-            }
-            Case::Calm | Case::Skew | Case::Shift | Case::Lossy => {}
+    /// Cuts the datagrams between these proxies and the others, both ways.
+    pub(super) fn cut_off(&self, side: &[usize]) {
+        self.mesh.wire.borrow_mut().blocked.extend(self.pairs_across(side));
+    }
+
+    /// Undoes [`Rig::cut_off`].
+    pub(super) fn reconnect(&self, side: &[usize]) {
+        let mut wire = self.mesh.wire.borrow_mut();
+        for pair in self.pairs_across(side) {
+            wire.blocked.remove(&pair);
         }
-        Ok(())
     }
-}
 
-fn settings(banks: &[SocketAddrV4], me: SocketAddrV4, proxies: usize, skew_ms: i64) -> String {
-    let banks: Vec<String> = banks.iter().map(ToString::to_string).collect();
-    let all = EACH * proxies as u64;
-    format!(
-        "  <budgets listen=\"127.0.0.1:0\" advertise=\"{me}\" banks=\"{}\" proxies=\"{proxies}\" even=\"{EVEN}\" \
-         requests=\"{all}\" tenants=\"1={all}\" retries=\"{all}\" probes=\"{all}\" connects=\"{all}\" held=\"{all}\" \
-         discovery=\"{all}\" clock-skew-ms=\"{skew_ms}\"/>\n",
-        banks.join(" ")
-    )
+    /// The pairs (from, to) of proxies with one of them on this side, and the other not.
+    fn pairs_across(&self, side: &[usize]) -> Vec<(usize, usize)> {
+        let others: Vec<usize> = (0..self.proxy_count()).filter(|proxy| !side.contains(proxy)).collect();
+        let pairs = side.iter().flat_map(|a| others.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
+        pairs.collect()
+    }
 }
 
-pub(super) fn prepare(
-    case: Case,
+fn start_stand_ins(
     proxies: usize,
     seed: u64,
-    place: &Place,
     executor: &Rc<LocalExecutor<'static>>,
-) -> std::io::Result<Rc<Rig>> {
+) -> std::io::Result<Rc<Stand>> {
     let timeline =
         Timeline { seconds: 600, rate: 100, proxies, groups: 3, members: 4, seed, troubles: Vec::new() };
-    let stand = Stand::start(executor, Fleet::new(&timeline, now()))?;
+    Stand::start(executor, Fleet::new(&timeline, now()))
+}
+
+/// The address and the zone of each stand-in member.
+fn member_addresses(stand: &Rc<Stand>) -> Vec<(SocketAddr, &'static str)> {
     let list = stand.list();
     let hosts = list.get("hosts").and_then(serde_json::Value::as_array).cloned().unwrap_or_default();
-    let zone_of = |site: &str| ZONES.into_iter().find(|z| *z == site).unwrap_or(ZONES[0]);
-    let members: Vec<(SocketAddr, &'static str)> = hosts
-        .iter()
-        .filter_map(|h| Some((h.get("dial")?.as_str()?.parse().ok()?, zone_of(h.get("site")?.as_str()?))))
-        .collect();
-    let links = Links::start(executor, &stand, &members, (0..proxies).map(Plan::zone).collect())?;
-    let mesh = Mesh::start(executor, proxies, seed)?;
-    if case == Case::Lossy {
-        let mut wire = mesh.wire.borrow_mut();
-        (wire.loss, wire.duplicate, wire.jitter) = (0.2, 0.1, 100_000);
-    }
-    let mut plans = Vec::new();
-    for number in 0..proxies {
-        let skew_ms = if case == Case::Skew { [0, 500, -500][number % 3] } else { 0 };
-        plans.push(Plan {
-            program: place.program.clone(),
-            directory: place.directory.clone(),
-            number,
-            discovery: agent::start(executor, &stand, &links, number)?,
-            known: agent::list(&stand, &links, number),
-            peers: None,
-            proxies,
-            replica_bytes: 0,
-            skew_ms: 0,
-            more: settings(&mesh.inbox[..BANKS], mesh.inbox[number], proxies, skew_ms),
-        });
-    }
-    let loads = (0..proxies).map(|_| Load::new(executor, 1)).collect();
-    let proxies = RefCell::new((0..proxies).map(|_| None).collect());
-    Ok(Rc::new(Rig { plans, proxies, mesh, loads }))
+    let zone_of = |site: &str| ZONES.into_iter().find(|zone| *zone == site).unwrap_or(ZONES[0]);
+    let address = |host: &serde_json::Value| {
+        let dial = host.get("dial")?.as_str()?.parse().ok()?;
+        Some((dial, zone_of(host.get("site")?.as_str()?)))
+    };
+    hosts.iter().filter_map(address).collect()
+}
+
+fn make_lossy(mesh: &Mesh) {
+    let mut wire = mesh.wire.borrow_mut();
+    wire.loss = LOSS;
+    wire.duplicate = DUPLICATES;
+    wire.jitter = JITTER_MICROS;
+}
+
+/// The element of the settings that shares the budgets.
+fn settings(allocators: &[SocketAddrV4], own: SocketAddrV4, proxies: usize, skew_ms: i64) -> String {
+    let allocators: Vec<String> = allocators.iter().map(ToString::to_string).collect();
+    let limit = LIMIT_PER_PROXY * proxies as u64;
+    format!(
+        "  <budgets listen=\"127.0.0.1:0\" advertise=\"{own}\" banks=\"{}\" proxies=\"{proxies}\" \
+         even=\"{STATIC_PERCENT}\" requests=\"{limit}\" tenants=\"1={limit}\" retries=\"{limit}\" probes=\"{limit}\" \
+         connects=\"{limit}\" held=\"{limit}\" discovery=\"{limit}\" clock-skew-ms=\"{skew_ms}\"/>\n",
+        allocators.join(" ")
+    )
 }
--- a/crates/fleet-harness/tests/budget_check.rs
+++ b/crates/fleet-harness/tests/budget_check.rs
@@ -1,22 +1,22 @@
 //! The checker of budgets.
 
-use wharfplank_fleet_harness::budgets::check::{check, Found};
+use wharfplank_fleet_harness::budgets::check::{check, Findings, Limit};
 use wharfplank_fleet_harness::proxies::Plan;
 
-fn found(logs: [&str; 2]) -> Found {
+fn findings(logs: [&str; 2]) -> Findings {
     let directory = std::env::temp_dir().join(format!("wharfplank-budgets-{}", std::process::id()));
     std::fs::create_dir_all(&directory).unwrap();
     for (n, log) in logs.iter().enumerate() {
         std::fs::write(Plan::log(&directory, n), log).unwrap();
     }
-    let found = check(&directory, 2, 1, |_| (4, 4));
+    let findings = check(&directory, 2, 1, |_| Limit { leased: 4, total: 4 });
     std::fs::remove_dir_all(&directory).unwrap();
-    found
+    findings
 }
 
 /// Guards against a checker that finds nothing.
 #[test]
-fn what_is_past_the_whole_is_found() {
+fn what_is_past_the_limit_is_found() {
     let leased = |at: i64, amount: i64| {
         format!(
             "{{\"event\":\"budget_leased\",\"at_us\":{at},\"bank\":0,\"ends_us\":3000000,\"what\":\"1={amount}\"}}\n"
@@ -26,13 +26,16 @@
     let held = |what: &str| format!("{{\"event\":\"budget_held\",\"ahead_us\":0,\"what\":\"{what}\"}}\n");
     // The first gives one back before the other has it.
     let fine = [leased(0, 3) + &leased(10, 2), leased(0, 1) + &leased(10, 2)];
-    assert_eq!(found([&fine[0], &fine[1]]).breaches(), 0);
+    assert_eq!(findings([&fine[0], &fine[1]]).breaches(), 0);
     let twice = [leased(0, 3), leased(10, 2)];
-    assert_eq!(found([&twice[0], &twice[1]]).in_force, 1);
+    assert_eq!(findings([&twice[0], &twice[1]]).lease_breaches, 1);
     let fine = [spent("1@0,1@1,1@2"), spent("1@999500,1@1000000")];
-    assert_eq!((found([&fine[0], &fine[1]]).spent, found([&fine[0], &fine[1]]).spends), (0, 5));
+    assert_eq!(
+        (findings([&fine[0], &fine[1]]).spend_breaches, findings([&fine[0], &fine[1]]).spends),
+        (0, 5)
+    );
     let many = [spent("1@0,1@1,1@2"), spent("1@500000,1@900000")];
-    assert_eq!(found([&many[0], &many[1]]).spent, 1);
+    assert_eq!(findings([&many[0], &many[1]]).spend_breaches, 1);
     let much = [held("1@0=1,1@1=2,1@5=1"), held("1@2=1,1@3=2,1@4=3")];
-    assert_eq!(found([&much[0], &much[1]]).held, 1);
+    assert_eq!(findings([&much[0], &much[1]]).in_use_breaches, 1);
 }
