--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,18 +1,18 @@
 //! The proxy program: its configuration, its start, the broker that owns the routing state, and the log.
 
+mod activity_counts;
 mod broker;
 mod budgets;
 pub mod clock;
 pub mod config;
-mod counts;
 pub mod error;
 mod fleet;
-mod journal;
+mod gossip_client;
 pub mod log;
 mod missing;
-mod release;
+mod recording;
+pub mod rollout;
 mod startup;
-mod talk;
 
 pub use broker::shutdown_timing;
 pub use error::StartError;
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -7,9 +7,9 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::error::StartError;
-use crate::journal::Journal;
 use crate::missing::Lookups;
-use crate::release::Releases;
+use crate::recording::DecisionRecorder;
+use crate::rollout::RolloutReporter;
 use crate::{budgets, fleet, log};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -21,7 +21,7 @@
 use wharfplank_admin::{ConnectionCounts, Metrics};
 use wharfplank_discovery::{EndpointTracker, PollSchedule, SharedDiscovery};
 use wharfplank_settings::Settings;
-use wharfplank_transport::admin::{Admin, AdminCall, PLACES};
+use wharfplank_transport::admin::{AdminCall, AdminListener, MAX_CONNECTIONS};
 use wharfplank_transport::budgets::Budgets;
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::{DiscoveryWatch, WatchContext};
@@ -31,7 +31,7 @@
 /// Events that may wait for the broker; past that connections wait.
 const EVENT_QUEUE: usize = 1024;
 /// Operators' calls that may wait for the broker.
-const ADMIN_QUEUE: usize = 2 * PLACES;
+const ADMIN_QUEUE: usize = 2 * MAX_CONNECTIONS;
 /// The fraction of the memory that large messages of clients may fill, and as much for those of members: a buffer may
 /// double while it grows, and what is forwarded is copied beside it.
 const LARGE_MESSAGE_FRACTION: usize = 8;
@@ -55,7 +55,7 @@
     let pool_context = context.member_pool_context(&config, limits, budgets.clone());
     let clients = context.client_listener(&config, limits);
     let watch = context.watch_discovery(&config, budgets);
-    let journal = Journal::start(settings.records.as_ref(), &config, context.clock)?;
+    let recorder = DecisionRecorder::start(settings.records.as_ref(), &config, context.clock)?;
     let mut broker = Broker::new(
         &config,
         context.clock,
@@ -63,7 +63,7 @@
         Rc::clone(&clients),
         context.events.clone(),
         watch,
-        journal,
+        recorder,
     );
     let gossip_end = context.start_gossip(&config, &mut broker)?;
     context.start_negative_cache(&config, &mut broker)?;
@@ -175,7 +175,7 @@
     /// ends once this process has announced that it leaves.
     fn start_gossip(&self, config: &Config, broker: &mut Broker) -> Result<Option<Task<()>>, StartError> {
         let Some(peers) = &self.settings.peers else { return Ok(None) };
-        let (witness, ended) = fleet::start(
+        let (handle, ended) = fleet::start(
             peers,
             self.settings.replica.as_ref(),
             self.settings.health.is_some(),
@@ -184,7 +184,7 @@
             self.events.clone(),
             &self.executor,
         )?;
-        broker.enable_gossip(witness);
+        broker.enable_gossip(handle);
         Ok(Some(ended))
     }
 
@@ -197,7 +197,7 @@
 
     fn start_rollout(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
         if let Some(settings) = &self.settings.release {
-            broker.enable_releases(Releases::start(settings, config, self.clock)?);
+            broker.enable_rollout(RolloutReporter::start(settings, config, self.clock)?);
         }
         Ok(())
     }
@@ -207,8 +207,8 @@
         let (calls, queue) = async_channel::bounded(ADMIN_QUEUE);
         if let Some(socket) = socket {
             log::admin(socket.local_address());
-            let admin = Admin::new(Rc::clone(&self.executor), calls);
-            self.executor.spawn(admin.listen(socket.listener)).detach();
+            let admin = AdminListener::new(Rc::clone(&self.executor), calls);
+            self.executor.spawn(admin.accept_connections(socket.listener)).detach();
         }
         queue
     }
