--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -7,12 +7,12 @@
 pub mod config;
 pub mod error;
 mod fleet;
+mod gossip_client;
 pub mod log;
 mod missing;
 mod recording;
-mod release;
+pub mod rollout;
 mod startup;
-mod talk;
 
 pub use broker::shutdown_timing;
 pub use error::StartError;
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -9,7 +9,7 @@
 use crate::error::StartError;
 use crate::missing::Lookups;
 use crate::recording::DecisionRecorder;
-use crate::release::Releases;
+use crate::rollout::RolloutReporter;
 use crate::{budgets, fleet, log};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -175,7 +175,7 @@
     /// ends once this process has announced that it leaves.
     fn start_gossip(&self, config: &Config, broker: &mut Broker) -> Result<Option<Task<()>>, StartError> {
         let Some(peers) = &self.settings.peers else { return Ok(None) };
-        let (witness, ended) = fleet::start(
+        let (handle, ended) = fleet::start(
             peers,
             self.settings.replica.as_ref(),
             self.settings.health.is_some(),
@@ -184,7 +184,7 @@
             self.events.clone(),
             &self.executor,
         )?;
-        broker.enable_gossip(witness);
+        broker.enable_gossip(handle);
         Ok(Some(ended))
     }
 
@@ -197,7 +197,7 @@
 
     fn start_rollout(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
         if let Some(settings) = &self.settings.release {
-            broker.enable_releases(Releases::start(settings, config, self.clock)?);
+            broker.enable_rollout(RolloutReporter::start(settings, config, self.clock)?);
         }
         Ok(())
     }
