--- a/crates/transport/src/member_pool.rs
+++ b/crates/transport/src/member_pool.rs
@@ -16,14 +16,15 @@
 mod end_reason;
 mod forwarder;
 mod idle;
+mod limits;
 mod opening;
 mod report;
 
-pub use attempt::{AttemptCompletion, AttemptLimits};
 pub use connection_budget::ConnectionExcess;
 pub use context::{PoolContext, CHECK_AFTER};
 pub use forwarder::StreamForwarder;
-pub use report::{AttemptReport, AttemptStage};
+pub use limits::AttemptLimits;
+pub use report::{AttemptCompletion, AttemptReport, AttemptStage};
 
 use async_channel::Sender;
 use connection::MemberConnection;
--- a/crates/transport/src/member_pool/attempt.rs
+++ b/crates/transport/src/member_pool/attempt.rs
@@ -3,7 +3,7 @@
 use super::connection::MemberConnection;
 use super::end_reason::{EndReason, ReadError};
 use super::forwarder::StreamForwarder;
-use super::{AttemptReport, AttemptStage, MemberPool};
+use super::{AttemptCompletion, AttemptLimits, AttemptReport, AttemptStage, MemberPool};
 use crate::response_stream;
 use crate::{with_deadline, Statement};
 use futures_lite::AsyncWriteExt;
@@ -17,43 +17,6 @@
 /// The query for a member's load report.
 const LOAD_REPORT_QUERY: &[u8] = b"SHOW load";
 
-/// The points in time that limit an attempt. They count from the decision, however late the attempt starts or finds a
-/// connection.
-#[derive(Clone, Copy, Debug)]
-pub struct AttemptLimits {
-    /// Until when the response must come. For a streamed response that is its first bytes.
-    pub deadline: Instant,
-    /// Until when the statement must be written, if that is sooner: later the reason for the attempt holds no more.
-    pub send_by: Option<Instant>,
-}
-
-impl AttemptLimits {
-    /// Until when the statement must be written.
-    fn send_until(&self) -> Instant {
-        self.send_by.map_or(self.deadline, |at| self.deadline.min(at))
-    }
-}
-
-/// What an attempt led to.
-pub struct AttemptCompletion {
-    /// The result, or the beginning of a streamed response.
-    pub report: AttemptReport,
-    /// Forwards the rest of a streamed response once the report was delivered.
-    pub forwarder: Option<StreamForwarder>,
-}
-
-impl From<AttemptReport> for AttemptCompletion {
-    fn from(report: AttemptReport) -> Self {
-        AttemptCompletion { report, forwarder: None }
-    }
-}
-
-impl From<AttemptOutcome> for AttemptCompletion {
-    fn from(outcome: AttemptOutcome) -> Self {
-        AttemptReport::without_response(outcome).into()
-    }
-}
-
 /// Why a query was not written completely. It never runs then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum SendError {
@@ -76,9 +39,9 @@
 
 /// Whose query an exchange sends.
 #[derive(Clone, Copy)]
-enum Sender<'a> {
+enum Origin<'a> {
     /// A client's, whose attempts are counted. It is not sent if the client does not await it any more.
-    ResponseReader { is_awaited: &'a dyn Fn() -> bool },
+    Client { is_awaited: &'a dyn Fn() -> bool },
     /// A health check of this proxy.
     HealthCheck,
 }
@@ -100,8 +63,8 @@
             let remaining = limits.deadline.saturating_duration_since(Instant::now());
             statement.write_with_timeout(out, remaining.as_millis().max(1) as i64);
         };
-        let sender = Sender::ResponseReader { is_awaited: &is_awaited };
-        self.exchange(write_query, &stage, limits, sender).await
+        let origin = Origin::Client { is_awaited: &is_awaited };
+        self.exchange(write_query, &stage, limits, origin).await
     }
 
     /// Requests the member's load report. Returns `None` if it does not come within `timeout`.
@@ -109,7 +72,7 @@
         let write_query = |out: &mut Vec<u8>| out.extend_from_slice(LOAD_REPORT_QUERY);
         let limits = AttemptLimits { deadline: Instant::now() + timeout, send_by: None };
         let stage = Cell::default();
-        let completion = self.exchange(write_query, &stage, limits, Sender::HealthCheck).await;
+        let completion = self.exchange(write_query, &stage, limits, Origin::HealthCheck).await;
         let response = completion.report.response.filter(|response| response.kind == ResponseKind::Row)?;
         String::from_utf8(response.messages.get(response.value)?.to_vec()).ok()
     }
@@ -120,7 +83,7 @@
         write_query: impl FnOnce(&mut Vec<u8>),
         stage: &Cell<AttemptStage>,
         limits: AttemptLimits,
-        sender: Sender<'_>,
+        origin: Origin<'_>,
     ) -> AttemptCompletion {
         let started = Instant::now();
         let send_until = limits.send_until();
@@ -128,7 +91,7 @@
             Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
         };
-        if matches!(sender, Sender::ResponseReader { is_awaited } if !is_awaited()) {
+        if matches!(origin, Origin::Client { is_awaited } if !is_awaited()) {
             self.release(connection);
             return AttemptOutcome::NotSent.into();
         }
@@ -140,7 +103,7 @@
             return error.attempt_outcome().into();
         }
         stage.set(AttemptStage::Written);
-        if let Sender::ResponseReader { .. } = sender {
+        if let Origin::Client { .. } = origin {
             self.context.metrics.record_dispatch();
         }
         match with_deadline(limits.deadline, connection.read_event()).await {
--- a/crates/transport/src/member_pool/report.rs
+++ b/crates/transport/src/member_pool/report.rs
@@ -1,5 +1,6 @@
 //! The progress and the result of an attempt.
 
+use super::StreamForwarder;
 use crate::response_stream::ResponseStream;
 use wharfplank_protocol::member_response::MemberResponse;
 use wharfplank_routing::AttemptOutcome;
@@ -23,6 +24,26 @@
     }
 }
 
+/// What an attempt led to.
+pub struct AttemptCompletion {
+    /// The result, or the beginning of a streamed response.
+    pub report: AttemptReport,
+    /// Forwards the rest of a streamed response once the report was delivered.
+    pub forwarder: Option<StreamForwarder>,
+}
+
+impl From<AttemptReport> for AttemptCompletion {
+    fn from(report: AttemptReport) -> Self {
+        AttemptCompletion { report, forwarder: None }
+    }
+}
+
+impl From<AttemptOutcome> for AttemptCompletion {
+    fn from(outcome: AttemptOutcome) -> Self {
+        AttemptReport::without_response(outcome).into()
+    }
+}
+
 /// How far an attempt has come. The time limit of draining counts from its first byte.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AttemptStage {
