--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -220,12 +220,12 @@
                 self.on_stream_finished(AttemptKey::new(id, attempt), report)
             }
             ProxyEvent::ProbeFinished { host, report } => self.on_health_check_result(host, report),
-            ProxyEvent::PeerNews(updates) => {
+            ProxyEvent::StateUpdates(updates) => {
                 let observations =
                     self.gossip.peer_observations(&updates, self.clock.now() + MAX_POSITION_AHEAD);
                 self.notify_router(routing::Event::PeerObservations(observations));
             }
-            ProxyEvent::EndpointsChanged(event, staleness) => self.on_watch_event(event, staleness),
+            ProxyEvent::EndpointsChanged { event, staleness } => self.on_watch_event(event, staleness),
             ProxyEvent::ZoneShares(shares) => {
                 let shares = shares.iter().map(|(zone, share)| (zone_id(zone), *share)).collect();
                 self.notify_router(routing::Event::ZoneReadShares(shares));
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -142,7 +142,7 @@
         event: WatchEvent,
         staleness: Option<Staleness>,
     ) -> Result<(), SendError<ProxyEvent>> {
-        self.context.events.send(ProxyEvent::EndpointsChanged(event, staleness)).await
+        self.context.events.send(ProxyEvent::EndpointsChanged { event, staleness }).await
     }
 
     /// Runs `work`, and meanwhile expires the tracker's deadlines when they are due.
--- a/crates/transport/src/event.rs
+++ b/crates/transport/src/event.rs
@@ -5,6 +5,7 @@
 use wharfplank_discovery::{Staleness, WatchEvent};
 use wharfplank_protocol::pipeline::RequestNumber;
 use wharfplank_routing::{HostId, RequestId};
+use wharfplank_shared_state::StateUpdate;
 
 /// Something that happened outside the broker and that the broker has to handle.
 #[derive(Debug)]
@@ -41,13 +42,18 @@
         report: Option<String>,
     },
     /// The endpoint list or its staleness changed.
-    EndpointsChanged(WatchEvent, Option<Staleness>),
+    EndpointsChanged {
+        /// What changed.
+        event: WatchEvent,
+        /// The staleness of the list, if it changed.
+        staleness: Option<Staleness>,
+    },
     /// The share of reads that each named zone may take, as the fleet decided. Other zones take all.
     ZoneShares(Vec<(String, f64)>),
     /// The latency factors of the members that the fleet judges unhealthy.
     MemberFactors(Vec<(u64, f64)>),
     /// Observations that other proxies shared.
-    PeerNews(Vec<wharfplank_shared_state::StateUpdate>),
+    StateUpdates(Vec<StateUpdate>),
     /// An event on the link to the process that replaces this one, or that this one replaces.
     Handover(handover::HandoverEvent),
     /// The process was asked to reload its configuration.
--- a/crates/transport/src/gossip/updates.rs
+++ b/crates/transport/src/gossip/updates.rs
@@ -122,7 +122,7 @@
         if self.state_updates.is_empty() {
             return None;
         }
-        Some(ProxyEvent::PeerNews(std::mem::take(&mut self.state_updates)))
+        Some(ProxyEvent::StateUpdates(std::mem::take(&mut self.state_updates)))
     }
 }
 
--- a/crates/transport/tests/gossip.rs
+++ b/crates/transport/tests/gossip.rs
@@ -38,7 +38,7 @@
         "the newest alone"
     );
     let news = |news: &[StateUpdate]| news == [StateUpdate::Suspected { member: 7, since: 3 }];
-    assert!(matches!(&events[1], Some(ProxyEvent::PeerNews(updates)) if news(updates)));
+    assert!(matches!(&events[1], Some(ProxyEvent::StateUpdates(updates)) if news(updates)));
     assert!(events[2].is_none());
 }
 
@@ -53,7 +53,7 @@
     assert_eq!((queue.queued_state_updates(), sender.dropped()), (MAX_QUEUED_UPDATES, 0));
     assert!(matches!(
         block_on(poll_once(poll_fn(|cx| queue.poll_event(cx)))),
-        Some(Some(ProxyEvent::PeerNews(_)))
+        Some(Some(ProxyEvent::StateUpdates(_)))
     ));
 }
 
