--- a/crates/fleet-harness/src/run/faults.rs
+++ b/crates/fleet-harness/src/run/faults.rs
@@ -1,7 +1,7 @@
 //! The faults of a run, carried out at their times.
 
 use super::*;
-use wharfplank_health::{Summary, Voice};
+use wharfplank_health::{HealthObservation, MemberSummary};
 use wharfplank_shared_state::anti_entropy::Message;
 use wharfplank_shared_state::{hash_name, Entry, Frame, Key, Value};
 
@@ -117,10 +117,16 @@
     fn lie(&self, proxy: usize, well: &str, out: &str) {
         let (at, now) = (self.mesh.inbox[proxy], now());
         let router = u64::from(u32::from(*at.ip())) << 16 | u64::from(at.port());
-        let window = Summary::window(now) + 4;
-        let entry = |member: &str, strain| {
-            let voice = Voice { born_ms: 0, window, strain, weight: u16::MAX, ..Voice::default() };
-            (Key::Health { member: hash_name(member), router }, Entry::new(Value::Health(voice), now))
+        let newest_window = MemberSummary::window_at(now) + 4;
+        let entry = |member: &str, log_ratio| {
+            let observation = HealthObservation {
+                incarnation_ms: 0,
+                newest_window,
+                log_ratio,
+                samples: u16::MAX,
+                ..HealthObservation::default()
+            };
+            (Key::Health { member: hash_name(member), router }, Entry::new(Value::Health(observation), now))
         };
         let lies = Message::Delta(vec![entry(well, i16::MIN), entry(out, i16::MAX)]);
         let Ok(bytes) = postcard::to_allocvec(&lies) else { return };
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -1,51 +1,62 @@
-//! How members do in the eyes of the whole fleet: what each proxy saw of a member becomes a summary by windows, a few
-//! drawn witnesses tell theirs as voices, and every proxy combines the voices to the same score and verdict. It does
-//! no I/O: outcomes, voices of others and the time go in; voices to tell and a factor for each member come out. Which
-//! member serves stays the router's call.
+//! Outlier detection by the whole fleet. What each proxy sees of a member becomes a summary by windows of time. A few
+//! sampled reporters publish theirs as observations, and every proxy combines the observations to the same outlier score
+//! and verdict. The crate does no I/O: outcomes of attempts, observations of others and the time go in; observations to
+//! publish and a latency factor for each member come out. Which member serves a request stays the router's decision.
 //!
-//! - [`Sums`], [`Summary`]: what was seen of a member in a window, and in the last of them; both merge.
-//! - [`Ledger`]: this proxy's own observations, and its own [`Voice`] about each member.
-//! - [`draw`]: which routers are witnesses of a member, the same on all.
-//! - [`Verdicts`]: all voices to scores and verdicts, with hysteresis, trials and a return in steps.
-//! - [`Health`]: the four in one, as the driver uses them.
+//! - [`WindowCounts`], [`MemberSummary`]: what was seen of a member in a window, and in the last of them; both merge.
+//! - [`ObservationLog`]: this proxy's own view of the members, and its [`HealthObservation`] of each.
+//! - [`sample_reporters`]: which proxies report on a member, the same on all proxies.
+//! - [`OutlierDetector`]: combines observations to scores and verdicts, with hysteresis, probation and a recovery ramp.
+//! - [`HealthMonitor`]: all of it, as the driver uses it.
 //!
 //! ```
-//! use wharfplank_health::{Health, Outcome, Verdict};
+//! use wharfplank_health::{HealthMonitor, Outcome, Proxy, ReportedObservation, Verdict};
 //!
-//! let mut health = Health::new(1);
-//! health.routers([(1, 0), (2, 0), (3, 0)].into_iter());
-//! (0..4).for_each(|member| health.listed(member, 0, 1000));
-//! let (mut now, mut told) = (0, Vec::new());
+//! let mut monitor = HealthMonitor::new(1);
+//! monitor.set_proxies((1..=3).map(|id| Proxy { id, zone: 0 }));
+//! (0..4).for_each(|member| monitor.track_member(member, 0, 1000));
+//! let (mut now, mut published) = (0, Vec::new());
 //! while now < 6_000_000 {
 //!     now += 50_000;
 //!     for member in 0..4 {
-//!         let took = if member == 0 && now > 3_000_000 { 60_000 } else { 20_000 };
-//!         health.saw(now, member, Outcome::Answered { class: 0, took });
+//!         let latency = if member == 0 && now > 3_000_000 { 60_000 } else { 20_000 };
+//!         monitor.record(now, member, Outcome::Answered { class: 0, latency });
+//!     }
+//!     // Another proxy sees the same: its observations are as this one's.
+//!     for (member, observation) in monitor.take_observations(now) {
+//!         published.push(ReportedObservation { member, reporter: 1, observation });
+//!         published.push(ReportedObservation { member, reporter: 2, observation });
 //!     }
-//!     // Another router sees the same: its voice is as this one's.
-//!     let voices = health.to_tell(now);
-//!     told.extend(voices.iter().flat_map(|(member, voice)| [(*member, 1, *voice), (*member, 2, *voice)]));
 //!     if now % 250_000 == 0 {
-//!         health.decide(now, told.iter().rev().take(2).copied());
+//!         monitor.evaluate(now, published.iter().rev().take(2).copied());
 //!     }
 //! }
-//! assert_eq!(health.verdict(0), Verdict::Degraded);
-//! assert_eq!(health.factors().iter().map(|(member, _)| *member).collect::<Vec<_>>(), [0]);
+//! assert_eq!(monitor.verdict(0), Verdict::Degraded);
+//! let members: Vec<u64> = monitor.latency_factors().iter().map(|(member, _)| *member).collect();
+//! assert_eq!(members, [0]);
 //! ```
 
-mod draw;
-mod ledger;
-mod node;
-mod standing;
-mod summary;
-mod verdicts;
+mod baseline;
+mod detector;
+mod ejection;
+mod median;
+mod monitor;
+mod observation;
+mod observation_log;
+mod reporters;
+mod tracked_member;
+mod window;
 
-pub use draw::{draw, rank, Router, WITNESSES};
-pub use ledger::{Ledger, Outcome, Voice, LINK_BAD, VOICE_LEAST};
-pub use node::Health;
-pub use standing::{Standing, Verdict, FACTOR_DEGRADED, FACTOR_OUT};
-pub use summary::{Summary, Sums, STRAIN_MOST, UNIT, WINDOW, WINDOWS};
-pub use verdicts::{median, Verdicts, CLEAR, DEGRADED, MEMBERS_MOST, OUT, QUESTION, WEIGHT_LEAST};
+pub use detector::{
+    MemberScore, OutlierDetector, ReportedObservation, TooManyMembers, EVALUATION_INTERVAL, MAX_MEMBERS,
+};
+pub use ejection::{EjectionLimit, EjectionState, Verdict, DEGRADED_LATENCY_FACTOR, OUT_LATENCY_FACTOR};
+pub use median::{weighted_median, WeightedScore};
+pub use monitor::HealthMonitor;
+pub use observation::{HealthObservation, Outcome, QUESTIONABLE_SCORE};
+pub use observation_log::ObservationLog;
+pub use reporters::{rendezvous_hash, sample_reporters, Proxy, MAX_REPORTERS};
+pub use window::{MemberSummary, WindowCounts, WINDOW_COUNT, WINDOW_LENGTH};
 
-/// A time or a span of time, in microseconds.
+/// A time or a span of time in microseconds.
 pub type Micros = i64;
--- /dev/null
+++ b/crates/health/src/monitor.rs
@@ -0,0 +1,119 @@
+//! One proxy's part in outlier detection: its own observations, which of them it publishes and when, and the verdicts.
+
+use crate::detector::{OutlierDetector, ReportedObservation};
+use crate::observation::{HealthObservation, Outcome};
+use crate::observation_log::ObservationLog;
+use crate::reporters::Proxy;
+use crate::window::LOG_RATIO_SCALE;
+use crate::{Micros, Verdict};
+use std::collections::BTreeMap;
+
+/// An observation is published again early once its log ratio has changed by this.
+const SIGNIFICANT_CHANGE: f64 = 0.05;
+/// The shortest time between two observations of a member.
+const MIN_PUBLISH_INTERVAL: Micros = 250_000;
+/// While its member is in question, an observation is published this often, before the others drop it as too old.
+const REFRESH_INTERVAL: Micros = 1_000_000;
+
+/// The last observation of a member that was published.
+struct Published {
+    at: Micros,
+    log_ratio: i16,
+}
+
+/// One proxy's part in outlier detection.
+pub struct HealthMonitor {
+    log: ObservationLog,
+    detector: OutlierDetector,
+    published: BTreeMap<u64, Published>,
+}
+
+impl HealthMonitor {
+    /// Creates the part of the proxy with this id.
+    pub fn new(proxy: u64) -> HealthMonitor {
+        HealthMonitor {
+            log: ObservationLog::default(),
+            detector: OutlierDetector::new(proxy),
+            published: BTreeMap::new(),
+        }
+    }
+
+    /// Sets the proxies that are alive, this one among them.
+    pub fn set_proxies(&mut self, proxies: impl Iterator<Item = Proxy>) {
+        self.detector.set_proxies(proxies);
+    }
+
+    /// Tracks a member as the endpoint list has it.
+    pub fn track_member(&mut self, member: u64, zone: u64, incarnation_ms: i64) {
+        if self.detector.track_member(member, zone, incarnation_ms).is_ok() {
+            self.log.track_member(member, incarnation_ms);
+        }
+    }
+
+    /// Forgets the members that are no longer on the endpoint list.
+    pub fn retain(&mut self, is_listed: impl Fn(u64) -> bool) {
+        self.log.retain(&is_listed);
+        self.detector.retain(&is_listed);
+        self.published.retain(|member, _| is_listed(*member));
+    }
+
+    /// Records the outcome of an attempt.
+    pub fn record(&mut self, now: Micros, member: u64, outcome: Outcome) {
+        self.log.record(now, member, outcome);
+    }
+
+    /// Records how far a member's log is behind.
+    pub fn record_lag(&mut self, now: Micros, member: u64, lag: Micros) {
+        self.log.record_lag(now, member, lag);
+    }
+
+    /// The observations to publish now: of members that this proxy reports on, if it sees them bad or another reporter
+    /// did. Of members without any evidence against them nothing is published.
+    pub fn take_observations(&mut self, now: Micros) -> Vec<(u64, HealthObservation)> {
+        let mut due = Vec::new();
+        for (member, observation) in self.log.observations(now) {
+            let is_wanted = observation.is_questionable() || self.detector.is_in_question(member);
+            if !is_wanted || !self.detector.is_reporter_of(member) {
+                continue;
+            }
+            if self.is_due(now, member, &observation) {
+                let log_ratio = observation.log_ratio;
+                self.published.insert(member, Published { at: now, log_ratio });
+                due.push((member, observation));
+            }
+        }
+        due
+    }
+
+    fn is_due(&self, now: Micros, member: u64, observation: &HealthObservation) -> bool {
+        let Some(last) = self.published.get(&member) else { return true };
+        let change = f64::from(observation.log_ratio - last.log_ratio).abs() / LOG_RATIO_SCALE;
+        let interval = if change >= SIGNIFICANT_CHANGE { MIN_PUBLISH_INTERVAL } else { REFRESH_INTERVAL };
+        now - last.at >= interval
+    }
+
+    /// Combines all current observations, this proxy's own among them. Returns whether a verdict changed.
+    pub fn evaluate(&mut self, now: Micros, observations: impl Iterator<Item = ReportedObservation>) -> bool {
+        self.detector.evaluate(now, observations)
+    }
+
+    /// The fleet's verdict on a member.
+    pub fn verdict(&self, member: u64) -> Verdict {
+        self.detector.verdict(member)
+    }
+
+    /// See [`OutlierDetector::latency_factors`].
+    pub fn latency_factors(&self) -> Vec<(u64, f64)> {
+        self.detector.latency_factors()
+    }
+
+    /// This proxy's own view of the members.
+    pub fn log(&self) -> &ObservationLog {
+        &self.log
+    }
+
+    /// The verdicts.
+    pub fn detector(&self) -> &OutlierDetector {
+        &self.detector
+    }
+}
--- /dev/null
+++ b/crates/health/src/reporters.rs
@@ -0,0 +1,40 @@
+//! Which proxies report on a member, by rendezvous hashing. All proxies make the same choice from the proxies that are
+//! alive, so that the observations of a member do not grow with the fleet, and a proxy that is not chosen is not heard.
+
+use std::collections::BTreeSet;
+use twox_hash::XxHash3_64;
+
+/// The number of proxies that report on one member.
+pub const MAX_REPORTERS: usize = 16;
+/// So many of them are taken from the member's own zone, whose proxies use it most, if there are as many.
+const MAX_LOCAL_REPORTERS: usize = 12;
+
+/// A proxy that may report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Proxy {
+    /// Its id.
+    pub id: u64,
+    /// The id of its zone.
+    pub zone: u64,
+}
+
+/// The position of a proxy in a member's own order of proxies.
+pub fn rendezvous_hash(member: u64, proxy: u64) -> u64 {
+    let bytes = [member.to_le_bytes(), proxy.to_le_bytes()].concat();
+    XxHash3_64::oneshot(&bytes)
+}
+
+/// The reporters of a member in its order of proxies. In a fleet of no more than [`MAX_REPORTERS`] proxies all report.
+pub fn sample_reporters(member: u64, zone: u64, proxies: &BTreeSet<Proxy>) -> Vec<u64> {
+    let position = |proxy: &Proxy| (rendezvous_hash(member, proxy.id), proxy.id);
+    let (mut local, mut remote): (Vec<Proxy>, Vec<Proxy>) =
+        proxies.iter().partition(|proxy| proxy.zone == zone);
+    local.sort_by_key(position);
+    remote.sort_by_key(position);
+    let local_reporters = MAX_LOCAL_REPORTERS.min(local.len());
+    let other_local = local.split_off(local_reporters);
+    let others = remote.into_iter().chain(other_local).take(MAX_REPORTERS - local_reporters);
+    let mut reporters: Vec<u64> = local.into_iter().chain(others).map(|proxy| proxy.id).collect();
+    reporters.sort_by_key(|proxy| rendezvous_hash(member, *proxy));
+    reporters
+}
--- /dev/null
+++ b/crates/health/src/tracked_member.rs
@@ -0,0 +1,106 @@
+//! One member in the outlier detector: its reporters, its score and its ejection.
+
+use crate::ejection::{EjectionLimit, EjectionState};
+use crate::median::{weighted_median, WeightedScore};
+use crate::observation::QUESTIONABLE_SCORE;
+use crate::Micros;
+use std::ops::Range;
+
+/// The number of samples that the observations of a member must be based on together.
+const MIN_TOTAL_SAMPLES: u64 = 12;
+/// A member is evaluated if one in so many of its reporters report, and at least [`MIN_REPORTS`].
+const QUORUM_ONE_IN: usize = 3;
+/// The least number of reports.
+const MIN_REPORTS: usize = 2;
+/// A sound member is in question for so long before it is ejected, unless all reporters have reported: the first reports
+/// do not decide while the others are on their way.
+const SETTLING_TIME: Micros = 500_000;
+/// If there are so few reports, and more reporters, the worst one is dropped: one that lies would be a third or a fifth
+/// of them.
+const FEW_REPORTS: Range<usize> = 3..6;
+
+/// A member in the outlier detector.
+pub(crate) struct TrackedMember {
+    pub(crate) zone: u64,
+    pub(crate) incarnation_ms: i64,
+    /// The proxies that report on it, in its order of proxies.
+    pub(crate) reporters: Vec<u64>,
+    pub(crate) ejection: EjectionState,
+    /// Since when a reporter sees it bad.
+    in_question_since: Option<Micros>,
+    pub(crate) score: Option<f64>,
+    /// The number of reports that the score is based on.
+    pub(crate) reports: usize,
+}
+
+impl TrackedMember {
+    pub(crate) fn new(zone: u64, incarnation_ms: i64, reporters: Vec<u64>) -> TrackedMember {
+        TrackedMember {
+            zone,
+            incarnation_ms,
+            reporters,
+            ejection: EjectionState::default(),
+            in_question_since: None,
+            score: None,
+            reports: 0,
+        }
+    }
+
+    /// Whether its reporters are to publish their observations: one of them sees it bad, or it is not sound.
+    pub(crate) fn is_in_question(&self) -> bool {
+        self.in_question_since.is_some() || !self.ejection.is_sound()
+    }
+
+    /// Evaluates the current reports. Returns whether the verdict or the step of the recovery ramp changed.
+    pub(crate) fn evaluate(
+        &mut self,
+        now: Micros,
+        reports: Vec<WeightedScore>,
+        limit: EjectionLimit,
+    ) -> bool {
+        let is_questionable = reports.iter().any(|report| report.score >= QUESTIONABLE_SCORE);
+        self.in_question_since = is_questionable.then_some(self.in_question_since.unwrap_or(now));
+        self.reports = reports.len();
+        let is_complete = self.reports == self.reporters.len();
+        self.score = self.combine(reports, is_complete);
+        let has_settled =
+            is_complete || self.in_question_since.is_some_and(|since| now - since >= SETTLING_TIME);
+        let is_premature = !has_settled && self.ejection.is_sound();
+        self.ejection.evaluate(now, self.score.filter(|_| !is_premature), limit)
+    }
+
+    /// The score of all reports; none if there are too few.
+    fn combine(&self, mut reports: Vec<WeightedScore>, is_complete: bool) -> Option<f64> {
+        if !self.has_quorum(&reports) {
+            return None;
+        }
+        if !is_complete && FEW_REPORTS.contains(&reports.len()) {
+            drop_worst(&mut reports);
+        }
+        weighted_median(&reports).map(|score| score - chance_margin(total_weight(&reports)))
+    }
+
+    fn has_quorum(&self, reports: &[WeightedScore]) -> bool {
+        // Few proxies use a member on probation: those that do are enough.
+        let min_reports = if self.ejection.is_on_probation() {
+            MIN_REPORTS
+        } else {
+            self.reporters.len().div_ceil(QUORUM_ONE_IN).max(MIN_REPORTS)
+        };
+        reports.len() >= min_reports && total_weight(reports) >= MIN_TOTAL_SAMPLES
+    }
+}
+
+fn total_weight(reports: &[WeightedScore]) -> u64 {
+    reports.iter().map(|report| report.weight).sum()
+}
+
+fn drop_worst(reports: &mut Vec<WeightedScore>) {
+    reports.sort_by(|a, b| a.score.total_cmp(&b.score));
+    reports.pop();
+}
+
+/// The margin that is subtracted from the median of reports with so many samples together: a few may be off by chance.
+fn chance_margin(samples: u64) -> f64 {
+    0.9 / (samples.max(1) as f64).sqrt()
+}
--- a/crates/health/tests/common/mod.rs
+++ b/crates/health/tests/common/mod.rs
@@ -1,146 +1,206 @@
-//! Routers that judge members together in virtual time: what each one sees is drawn from a seed, what it tells reaches
-//! each other after a delay, or is lost.
+//! Proxies that judge members together in virtual time: what each one sees is drawn from a seed, and what it publishes
+//! reaches each other one after a delay, or is lost.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
-use wharfplank_health::{Health, Micros, Outcome, Summary, Verdict, Voice};
+use wharfplank_health::{
+    HealthMonitor, HealthObservation, MemberSummary, Micros, Outcome, Proxy, ReportedObservation, Verdict,
+};
 
 pub const SECOND: Micros = 1_000_000;
 const STEP: Micros = 50_000;
-/// Times that reads and reports usually take, and the part of the latter.
-const TIMES: [f64; 3] = [20_000.0, 300_000.0, 20_000.0];
-const LONG: f64 = 0.05;
+/// The usual latencies of reads, reports and writes.
+const LATENCIES: [f64; 3] = [20_000.0, 300_000.0, 20_000.0];
+/// The fraction of reports.
+const REPORTS: f64 = 0.05;
+const WRITE_CLASS: usize = 2;
+/// One in so many members is a primary.
+const GROUP_SIZE: usize = 4;
+
+/// A proxy that publishes false observations.
+#[derive(Clone, Copy)]
+pub struct Liar {
+    /// The member that it lies about; none: about all.
+    pub about: Option<u64>,
+    /// The log ratio that it claims, with the greatest weight.
+    pub log_ratio: i16,
+}
+
+/// An observation on its way to a proxy.
+struct InFlight {
+    at: Micros,
+    to: usize,
+    report: ReportedObservation,
+}
 
 pub struct Fleet {
     pub now: Micros,
-    pub routers: Vec<Health>,
+    pub proxies: Vec<HealthMonitor>,
     pub members: usize,
+    /// Requests a second at each proxy.
     pub rate: f64,
     pub loss: f64,
-    /// What each member's times are multiplied by, and what each router's link makes of them.
-    pub pace: Vec<f64>,
+    /// What each member's latencies are multiplied by; an infinite one does not answer.
+    pub slowness: Vec<f64>,
+    /// What each proxy's link multiplies the latencies by.
     pub link: Vec<f64>,
-    /// Routers that tell this strain, with the greatest weight, of a member instead of what they see; of all: `None`.
-    pub liars: BTreeMap<usize, (Option<u64>, i16)>,
-    pub born_ms: i64,
-    /// Whether routers do as the factors say: no reads to members that have one.
-    pub heeds: bool,
-    /// The part of the requests that are writes, for every fourth member, and a member that reads leave by themselves.
+    pub liars: BTreeMap<usize, Liar>,
+    pub incarnation_ms: i64,
+    /// Whether proxies send no reads to members that have a latency factor.
+    pub avoids_outliers: bool,
+    /// The fraction of writes, which go to primaries.
     pub writes: f64,
-    pub shunned: Option<usize>,
-    /// What the wire adds to each time.
-    pub wire: Micros,
-    held: Vec<BTreeMap<(u64, u64), Voice>>,
-    flying: Vec<(Micros, usize, u64, u64, Voice)>,
+    /// A member that reads avoid by themselves.
+    pub avoided: Option<usize>,
+    /// What the network adds to each latency.
+    pub network: Micros,
+    received: Vec<BTreeMap<(u64, u64), HealthObservation>>,
+    in_flight: Vec<InFlight>,
     rng: SmallRng,
 }
 
+fn exponential(rng: &mut SmallRng) -> f64 {
+    -(1.0 - rng.random::<f64>()).ln()
+}
+
+fn new_monitor(index: usize, proxies: usize, members: usize) -> HealthMonitor {
+    let mut monitor = HealthMonitor::new(index as u64);
+    monitor.set_proxies((0..proxies as u64).map(|id| Proxy { id, zone: id % 3 }));
+    (0..members as u64).for_each(|member| monitor.track_member(member, member % 3, 1));
+    monitor
+}
+
 impl Fleet {
-    pub fn new(routers: usize, members: usize, seed: u64) -> Fleet {
-        let health = |n: usize| {
-            let mut health = Health::new(n as u64);
-            health.routers((0..routers as u64).map(|r| (r, r % 3)));
-            (0..members as u64).for_each(|m| health.listed(m, m % 3, 1));
-            health
-        };
+    pub fn new(proxies: usize, members: usize, seed: u64) -> Fleet {
         Fleet {
             now: 1_000 * SECOND,
-            routers: (0..routers).map(health).collect(),
+            proxies: (0..proxies).map(|index| new_monitor(index, proxies, members)).collect(),
             members,
             rate: 30.0,
             loss: 0.0,
-            pace: vec![1.0; members],
-            link: vec![1.0; routers],
+            slowness: vec![1.0; members],
+            link: vec![1.0; proxies],
             liars: BTreeMap::new(),
-            born_ms: 1,
-            heeds: false,
+            incarnation_ms: 1,
+            avoids_outliers: false,
             writes: 0.0,
-            shunned: None,
-            wire: 0,
-            held: vec![BTreeMap::new(); routers],
-            flying: Vec::new(),
+            avoided: None,
+            network: 0,
+            received: vec![BTreeMap::new(); proxies],
+            in_flight: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Lets that much time pass; `each` looks on after each step.
-    pub fn run(&mut self, span: Micros, mut each: impl FnMut(&Fleet)) {
+    /// Runs for a time; `after_step` looks on after each step.
+    pub fn run(&mut self, span: Micros, mut after_step: impl FnMut(&Fleet)) {
         let until = self.now + span;
         while self.now < until {
             self.now += STEP;
-            (0..self.routers.len()).for_each(|n| self.serve(n));
-            self.carry();
+            (0..self.proxies.len()).for_each(|proxy| self.serve(proxy));
+            self.exchange();
             if self.now % 250_000 == 0 {
-                for (n, health) in self.routers.iter_mut().enumerate() {
-                    health.decide(self.now, self.held[n].iter().map(|((m, r), v)| (*m, *r, *v)));
-                }
+                self.evaluate();
             }
-            each(self);
+            after_step(self);
+        }
+    }
+
+    fn evaluate(&mut self) {
+        for (monitor, received) in self.proxies.iter_mut().zip(&self.received) {
+            let reports = received.iter().map(|((member, reporter), observation)| ReportedObservation {
+                member: *member,
+                reporter: *reporter,
+                observation: *observation,
+            });
+            monitor.evaluate(self.now, reports);
         }
     }
 
-    fn serve(&mut self, n: usize) {
-        let (bound, exp) =
-            (self.routers[n].factors(), |rng: &mut SmallRng| -(1.0 - rng.random::<f64>()).ln());
-        let mut next = exp(&mut self.rng) / self.rate;
+    /// Sends a proxy's requests of one step.
+    fn serve(&mut self, proxy: usize) {
+        let outliers = self.proxies[proxy].latency_factors();
+        let mut next = exponential(&mut self.rng) / self.rate;
         while next < STEP as f64 / 1e6 {
-            next += exp(&mut self.rng) / self.rate;
+            next += exponential(&mut self.rng) / self.rate;
             let mut member = self.rng.random_range(0..self.members);
-            let mut class = usize::from(self.rng.random::<f64>() < LONG);
-            let write = self.writes > 0.0 && self.rng.random::<f64>() < self.writes;
-            if write {
-                (member, class) = (member / 4 * 4, 2);
+            let mut class = usize::from(self.rng.random::<f64>() < REPORTS);
+            let is_write = self.writes > 0.0 && self.rng.random::<f64>() < self.writes;
+            if is_write {
+                member = member / GROUP_SIZE * GROUP_SIZE;
+                class = WRITE_CLASS;
             }
-            let work = TIMES[class] * (0.3 + 0.7 * exp(&mut self.rng)) * self.pace[member] * self.link[n];
-            let left = self.heeds && bound.iter().any(|(m, _)| *m == member as u64);
-            if write || !(left || self.shunned == Some(member)) {
-                let outcome = match self.pace[member] {
-                    pace if pace.is_infinite() => Outcome::Silent,
-                    _ => Outcome::Answered { class, took: work as Micros + self.wire },
+            let work = LATENCIES[class]
+                * (0.3 + 0.7 * exponential(&mut self.rng))
+                * self.slowness[member]
+                * self.link[proxy];
+            let is_outlier = self.avoids_outliers && outliers.iter().any(|(id, _)| *id == member as u64);
+            if is_write || !(is_outlier || self.avoided == Some(member)) {
+                let outcome = if self.slowness[member].is_infinite() {
+                    Outcome::Unreachable
+                } else {
+                    Outcome::Answered { class, latency: work as Micros + self.network }
                 };
-                self.routers[n].saw(self.now, member as u64, outcome);
+                self.proxies[proxy].record(self.now, member as u64, outcome);
             }
         }
     }
 
-    fn carry(&mut self) {
-        for n in 0..self.routers.len() {
-            let said = match self.liars.get(&n) {
-                Some((whom, strain)) if self.now % 500_000 == 0 => {
-                    let (window, strain) = (Summary::window(self.now), *strain);
-                    let lie =
-                        Voice { born_ms: self.born_ms, window, strain, weight: u16::MAX, ..Voice::default() };
-                    let all = 0..self.members as u64;
-                    all.filter(|m| whom.is_none_or(|of| of == *m)).map(|m| (m, lie)).collect()
-                }
-                Some(_) => Vec::new(),
-                None => self.routers[n].to_tell(self.now),
-            };
-            for (member, voice) in said {
-                for to in 0..self.routers.len() {
-                    let lost = to != n && self.rng.random::<f64>() < self.loss;
-                    let delay = if to == n { 0 } else { self.rng.random_range(100_000..600_000) };
-                    if !lost {
-                        self.flying.push((self.now + delay, to, member, n as u64, voice));
-                    }
-                }
+    /// Publishes the proxies' observations, and delivers those that are due.
+    fn exchange(&mut self) {
+        for reporter in 0..self.proxies.len() {
+            for (member, observation) in self.published_by(reporter) {
+                let report = ReportedObservation { member, reporter: reporter as u64, observation };
+                self.publish(reporter, report);
             }
         }
         let now = self.now;
-        for (_, to, member, from, voice) in self.flying.extract_if(.., |(at, ..)| *at <= now) {
-            let held = self.held[to].entry((member, from)).or_insert(voice);
-            *held = voice.max(*held);
+        for InFlight { to, report, .. } in self.in_flight.extract_if(.., |flight| flight.at <= now) {
+            let ReportedObservation { member, reporter, observation } = report;
+            let newest = self.received[to].entry((member, reporter)).or_insert(observation);
+            *newest = observation.max(*newest);
+        }
+    }
+
+    fn published_by(&mut self, proxy: usize) -> Vec<(u64, HealthObservation)> {
+        match self.liars.get(&proxy) {
+            Some(liar) if self.now % 500_000 == 0 => self.lies(*liar),
+            Some(_) => Vec::new(),
+            None => self.proxies[proxy].take_observations(self.now),
+        }
+    }
+
+    fn lies(&self, liar: Liar) -> Vec<(u64, HealthObservation)> {
+        let lie = HealthObservation {
+            incarnation_ms: self.incarnation_ms,
+            newest_window: MemberSummary::window_at(self.now),
+            log_ratio: liar.log_ratio,
+            samples: u16::MAX,
+            ..HealthObservation::default()
+        };
+        let members = (0..self.members as u64).filter(|id| liar.about.is_none_or(|about| about == *id));
+        members.map(|member| (member, lie)).collect()
+    }
+
+    /// Sends an observation to all proxies.
+    fn publish(&mut self, from: usize, report: ReportedObservation) {
+        for to in 0..self.proxies.len() {
+            let is_lost = to != from && self.rng.random::<f64>() < self.loss;
+            let delay = if to == from { 0 } else { self.rng.random_range(100_000..600_000) };
+            if !is_lost {
+                self.in_flight.push(InFlight { at: self.now + delay, to, report });
+            }
         }
     }
 
-    /// How many routers hold something of a member other than that it is sound.
+    /// How many proxies have a verdict on a member other than that it is sound.
     pub fn naming(&self, member: u64) -> usize {
-        self.routers.iter().filter(|r| r.verdict(member) != Verdict::Sound).count()
+        self.proxies.iter().filter(|proxy| proxy.verdict(member) != Verdict::Sound).count()
     }
 
-    /// Members other than the one named of which any router holds something.
-    pub fn wrongly(&self, but: Option<u64>) -> usize {
-        (0..self.members as u64).filter(|m| Some(*m) != but && self.naming(*m) > 0).count()
+    /// The number of members, without this one, on which any proxy has a verdict other than that they are sound.
+    pub fn wrongly_named(&self, except: Option<u64>) -> usize {
+        (0..self.members as u64).filter(|id| Some(*id) != except && self.naming(*id) > 0).count()
     }
 }
--- a/crates/proxy/src/log/fleet.rs
+++ b/crates/proxy/src/log/fleet.rs
@@ -43,8 +43,7 @@
             );
         }
         Said::Member { name, verdict, score, voices } => {
-            let (verdict, score) =
-                (format!("{verdict:?}").to_lowercase(), format!("{:.2}", score.unwrap_or(0.0)));
+            let (verdict, score) = (verdict.to_string(), format!("{:.2}", score.unwrap_or(0.0)));
             let (verdict, score) = (verdict.as_str(), score.as_str());
             info!(name, verdict, score, voices = voices as u64, "member_health");
         }
--- a/crates/proxy/src/talk.rs
+++ b/crates/proxy/src/talk.rs
@@ -82,10 +82,10 @@
     pub fn tried(&self, now: Micros, host: HostId, class: ClassId, sent: Micros, ending: AttemptOutcome) {
         let (Some(witness), Some(site)) = (&self.witness, self.sites.get(&host)) else { return };
         let outcome = match ending {
-            AttemptOutcome::Ok => Outcome::Answered { class: class.0, took: now - sent },
-            AttemptOutcome::Error => Outcome::Failed,
-            AttemptOutcome::Overloaded => Outcome::Refused,
-            AttemptOutcome::ConnectFailed | AttemptOutcome::Timeout => Outcome::Silent,
+            AttemptOutcome::Ok => Outcome::Answered { class: class.0, latency: now - sent },
+            AttemptOutcome::Error => Outcome::Error,
+            AttemptOutcome::Overloaded => Outcome::Rejected,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Timeout => Outcome::Unreachable,
             AttemptOutcome::Misrouted
             | AttemptOutcome::Reset
             | AttemptOutcome::Cancelled
--- a/crates/shared-state/src/state/local.rs
+++ b/crates/shared-state/src/state/local.rs
@@ -7,7 +7,7 @@
 use crate::store::MergeOutcome;
 use crate::value::{MemberStatus, Value, WriteOutcome};
 use crate::Micros;
-use wharfplank_health::Voice;
+use wharfplank_health::HealthObservation;
 
 /// About how many bytes a position takes in a message with its key.
 const POSITION_BYTES: u64 = 40;
@@ -123,7 +123,7 @@
 
     /// Records what this proxy, as `router`, has observed of a member's health. The first observation of a member is sent
     /// to some peers at once.
-    pub fn record_health(&mut self, now: Micros, member: u64, router: u64, observation: Voice) {
+    pub fn record_health(&mut self, now: Micros, member: u64, router: u64, observation: HealthObservation) {
         let key = Key::Health { member, router };
         let is_new = self.store.get(&key).is_none();
         if self.update(now, key, Value::Health(observation)) && is_new {
--- a/crates/shared-state/src/state/query.rs
+++ b/crates/shared-state/src/state/query.rs
@@ -4,7 +4,7 @@
 use crate::in_doubt::WriteRecord;
 use crate::key::Key;
 use crate::value::Value;
-use wharfplank_health::Voice;
+use wharfplank_health::ReportedObservation;
 
 impl SharedState {
     /// The value of a counter: the sum of what all processes have counted, as far as it is known here. The count of a
@@ -45,12 +45,12 @@
         })
     }
 
-    /// What routers have observed of members' health, each with its member and its router.
-    pub fn health_observations(&self) -> impl Iterator<Item = (u64, u64, Voice)> + '_ {
+    /// What reporters have observed of members' health.
+    pub fn health_observations(&self) -> impl Iterator<Item = ReportedObservation> + '_ {
         let entries = self.store.iter_from(Key::Health { member: 0, router: 0 });
         entries.filter_map(|(key, entry)| match (*key, entry.value()) {
             (Key::Health { member, router }, Value::Health(observation)) => {
-                Some((member, router, observation))
+                Some(ReportedObservation { member, reporter: router, observation })
             }
             _ => None,
         })
--- a/crates/shared-state/src/value.rs
+++ b/crates/shared-state/src/value.rs
@@ -4,7 +4,7 @@
 use crate::clock::HybridTimestamp;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
-use wharfplank_health::Voice;
+use wharfplank_health::HealthObservation;
 
 /// Whether a member is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -67,5 +67,5 @@
     #[serde(rename = "Doubt")]
     WriteOutcome(WriteOutcome),
     /// The observation of the newer launch of the member wins, then that of the newer window.
-    Health(Voice),
+    Health(HealthObservation),
 }
--- a/crates/shared-state/tests/encoding.rs
+++ b/crates/shared-state/tests/encoding.rs
@@ -1,12 +1,18 @@
 //! The bytes of messages and snapshots, which proxies of other versions read and a disk holds.
 
-use wharfplank_health::Voice;
+use wharfplank_health::HealthObservation;
 use wharfplank_shared_state::anti_entropy::{KeyRange, Message};
 use wharfplank_shared_state::{snapshot, Entry, HybridTimestamp, Key, MemberStatus, Value, WriteOutcome};
 
 fn entries() -> Vec<(Key, Entry)> {
     let timestamp = HybridTimestamp { wall: 1_000_003, counter: 2, process: 9 };
-    let observation = Voice { born_ms: 77, window: 5, strain: -3, weight: 12, ..Voice::default() };
+    let observation = HealthObservation {
+        incarnation_ms: 77,
+        newest_window: 5,
+        log_ratio: -3,
+        samples: 12,
+        ..HealthObservation::default()
+    };
     let refreshed_at = 1_000_000;
     vec![
         (Key::Position(1), Entry::new(Value::Position { epoch: 7, position: 70_000 }, refreshed_at)),
--- a/crates/shared-state/tests/health.rs
+++ b/crates/shared-state/tests/health.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddrV4;
-use wharfplank_health::{Health, Outcome, Verdict, QUESTION, WINDOW};
+use wharfplank_health::{HealthMonitor, Outcome, Proxy, Verdict, QUESTIONABLE_SCORE, WINDOW_LENGTH};
 use wharfplank_shared_state::{Micros, SharedState, SharedStateConfig};
 
 const SECOND: Micros = 1_000_000;
@@ -18,7 +18,7 @@
 
 struct Fleet {
     now: Micros,
-    routers: Vec<(SharedState, Health)>,
+    routers: Vec<(SharedState, HealthMonitor)>,
     in_flight: Vec<(Micros, usize, usize, Vec<u8>)>,
     pace: f64,
     loss: f64,
@@ -36,9 +36,9 @@
         let router = |i: usize| {
             let mut state = SharedState::new(i as u64, SharedStateConfig::default(), seed + i as u64, now);
             state.set_live_peers(now, (0..n).filter(|p| *p != i).map(addr));
-            let mut health = Health::new(i as u64);
-            health.routers((0..n as u64).map(|r| (r, r % 3)));
-            (0..MEMBERS).for_each(|m| health.listed(m, m % 3, 1));
+            let mut health = HealthMonitor::new(i as u64);
+            health.set_proxies((0..n as u64).map(|id| Proxy { id, zone: id % 3 }));
+            (0..MEMBERS).for_each(|m| health.track_member(m, m % 3, 1));
             (state, health)
         };
         let routers = (0..n).map(router).collect();
@@ -69,15 +69,15 @@
                     next += exp(&mut self.rng) / RATE;
                     let member = self.rng.random_range(0..MEMBERS);
                     let pace = if member == SLOW { self.pace } else { 1.0 };
-                    let took = (20_000.0 * (0.3 + 0.7 * exp(&mut self.rng)) * pace) as Micros;
-                    self.routers[i].1.saw(now, member, Outcome::Answered { class: 0, took });
+                    let latency = (20_000.0 * (0.3 + 0.7 * exp(&mut self.rng)) * pace) as Micros;
+                    self.routers[i].1.record(now, member, Outcome::Answered { class: 0, latency });
                 }
                 let (state, health) = &mut self.routers[i];
-                if now % WINDOW == i as Micros * STEP % WINDOW {
-                    for (member, voice) in health.to_tell(now) {
-                        state.record_health(now, member, i as u64, voice);
+                if now % WINDOW_LENGTH == i as Micros * STEP % WINDOW_LENGTH {
+                    for (member, observation) in health.take_observations(now) {
+                        state.record_health(now, member, i as u64, observation);
                     }
-                    health.decide(now, state.health_observations());
+                    health.evaluate(now, state.health_observations());
                 }
                 state.tick(now);
                 for (to, message) in self.routers[i].0.take_datagrams() {
@@ -98,9 +98,10 @@
     fn holding(&self) -> (f64, f64, usize) {
         let n = self.routers.len() as f64;
         let all = || self.routers.iter().map(|(_, health)| health);
-        let own =
-            |h: &&Health| h.parts().0.voices(self.now).get(&SLOW).is_some_and(|v| v.score() >= QUESTION);
-        let named = |h: &Health, m: u64| h.verdict(m) != Verdict::Sound;
+        let own = |h: &&HealthMonitor| {
+            h.log().observations(self.now).get(&SLOW).is_some_and(|seen| seen.score() >= QUESTIONABLE_SCORE)
+        };
+        let named = |h: &HealthMonitor, m: u64| h.verdict(m) != Verdict::Sound;
         let wrong = (0..MEMBERS).filter(|m| *m != SLOW).map(|m| all().filter(|h| named(h, m)).count()).sum();
         (all().filter(|h| named(h, SLOW)).count() as f64 / n, all().filter(own).count() as f64 / n, wrong)
     }
--- a/crates/transport/src/fleet/drive.rs
+++ b/crates/transport/src/fleet/drive.rs
@@ -129,8 +129,10 @@
             judge.listed(member, &names.0, &names.1, born_ms)
         }
         (Fact::Retain(known), _, Some(judge)) => judge.retain(|member| known.contains(&member)),
-        (Fact::Outcome(at, member, outcome), _, Some(judge)) => judge.health.saw(at + skew, member, outcome),
-        (Fact::Lags(at, member, lag), _, Some(judge)) => judge.health.lags(at + skew, member, lag),
+        (Fact::Outcome(at, member, outcome), _, Some(judge)) => {
+            judge.health.record(at + skew, member, outcome)
+        }
+        (Fact::Lags(at, member, lag), _, Some(judge)) => judge.health.record_lag(at + skew, member, lag),
         _ => {}
     }
 }
