--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -75,7 +75,7 @@
     fn forget_old_names(&mut self) {
         if self.endpoints.forget_old_names() {
             let endpoints = &self.endpoints;
-            self.gossip.retain(|host| endpoints.knows(host));
+            self.gossip.retain_members(|host| endpoints.knows(host));
             self.negative_cache.retain(|host| endpoints.knows(host));
         }
     }
@@ -89,7 +89,7 @@
             self.recorder.record_member_name(host, record);
         }
         self.recorder.record_endpoint(version, host, record);
-        self.gossip.listed(host, record);
+        self.gossip.update_member(host, record);
         self.negative_cache.listed(host, record);
         self.update_pool(host, record);
         Endpoint {
