--- a/crates/proxy/src/gossip_client/mod.rs
+++ b/crates/proxy/src/gossip_client/mod.rs
@@ -81,10 +81,10 @@
     ) {
         let (Some(thread), Some(member)) = (&self.thread, self.members.get(host)) else { return };
         let outcome = match outcome {
-            AttemptOutcome::Ok => Outcome::Answered { class: class.0, took: now - sent_at },
-            AttemptOutcome::Error => Outcome::Failed,
-            AttemptOutcome::Overloaded => Outcome::Refused,
-            AttemptOutcome::ConnectFailed | AttemptOutcome::Timeout => Outcome::Silent,
+            AttemptOutcome::Ok => Outcome::Answered { class: class.0, latency: now - sent_at },
+            AttemptOutcome::Error => Outcome::Error,
+            AttemptOutcome::Overloaded => Outcome::Rejected,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Timeout => Outcome::Unreachable,
             AttemptOutcome::Misrouted
             | AttemptOutcome::Reset
             | AttemptOutcome::Cancelled
