--- a/crates/proxy/src/log/release.rs
+++ b/crates/proxy/src/log/release.rs
@@ -5,7 +5,7 @@
 use tracing::{info, warn};
 use wharfplank_rollout::status::{phase_names, rollout_name};
 use wharfplank_rollout::{ControllerAction, NodeId, Phase, ServiceEvent, UpgradeState};
-use wharfplank_transport::release::Told;
+use wharfplank_transport::rollout::RolloutLogEvent;
 
 /// Notes where datagrams of releases are taken.
 pub fn release_bound(listen: SocketAddr) {
@@ -13,19 +13,21 @@
 }
 
 /// Notes what was done in a release.
-pub fn release(names: &BTreeMap<NodeId, String>, told: &Told<'_>) {
-    match told {
-        Told::File(path, fault) => warn!(path = %path.display(), what = %fault, "release_file"),
-        Told::Event(ServiceEvent::PermitServerOpen(open)) => info!(open, "release_bank"),
-        Told::Event(ServiceEvent::Leader(drives)) => info!(drives, "release_drives"),
-        Told::Event(ServiceEvent::Command { text, result: Ok(rollout) }) => {
+pub fn release(names: &BTreeMap<NodeId, String>, event: &RolloutLogEvent<'_>) {
+    match event {
+        RolloutLogEvent::FileFailed { path, error } => {
+            warn!(path = %path.display(), what = %error, "release_file")
+        }
+        RolloutLogEvent::Service(ServiceEvent::PermitServerOpen(open)) => info!(open, "release_bank"),
+        RolloutLogEvent::Service(ServiceEvent::Leader(drives)) => info!(drives, "release_drives"),
+        RolloutLogEvent::Service(ServiceEvent::Command { text, result: Ok(rollout) }) => {
             info!(word = text.as_str(), answer = "yes", release = rollout_name(*rollout), "release_word")
         }
-        Told::Event(ServiceEvent::Command { text, result: Err(failure) }) => {
+        RolloutLogEvent::Service(ServiceEvent::Command { text, result: Err(failure) }) => {
             let what = failure.to_string();
             warn!(word = text.as_str(), answer = "no", what = what.as_str(), "release_word")
         }
-        Told::Event(ServiceEvent::Action(rollout, action)) => {
+        RolloutLogEvent::Service(ServiceEvent::Action(rollout, action)) => {
             let release = rollout_name(*rollout);
             let (what, member, detail) = words(names, action);
             match action {
--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -15,7 +15,8 @@
 use wharfplank_routing::{AttemptOutcome, ClassId, Consistency, GroupId, HostId, Micros, RequestId};
 use wharfplank_settings::Missing as MissingSettings;
 use wharfplank_shared_state::hash_name;
-use wharfplank_transport::{missing, Now, Statement};
+use wharfplank_transport::negative_cache::{self, NegativeCacheStatus};
+use wharfplank_transport::{Now, Statement};
 
 /// What a class's requests are to this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +77,7 @@
         let node = Node::new(fleet_config, hasher.clone(), at, settings.banks(), holder, now);
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
-        let start = missing::start(Rc::clone(&node), socket, now_of, tell, executor);
+        let start = negative_cache::start(Rc::clone(&node), socket, now_of, tell, executor);
         start.map_err(StartError::component_start(Component::NegativeCache))?;
         let is = |names: &str, name: &str| names.split(' ').any(|n| n == name);
         let kinds = config.terms.class_names.iter().zip(&config.settings.classes).map(|(name, class)| {
@@ -239,10 +240,10 @@
 }
 
 /// Notes what was answered from what is known to be missing, and how far behind now entries can advance.
-fn tell(node: &Node, now: Micros, lost: u64) {
+fn tell(NegativeCacheStatus { node, now, dropped_datagrams }: NegativeCacheStatus<'_>) {
     let (stats, leave) = (node.stats(), node.write_leases.active_count(now));
     let horizon_ms = node.horizon().map_or(-1, |at| (now - at) / 1000);
     let (answered, asked, unread, dropped) =
-        (stats.hits, stats.misses, node.rejected_messages, node.dropped_messages + lost);
+        (stats.hits, stats.misses, node.rejected_messages, node.dropped_messages + dropped_datagrams);
     tracing::info!(answered, asked, horizon_ms, leave, unread, dropped, "missing");
 }
--- a/crates/proxy/src/rollout/mod.rs
+++ b/crates/proxy/src/rollout/mod.rs
@@ -18,7 +18,7 @@
 use wharfplank_rollout::{AttemptCounts, FleetView, NodeId, RolloutService, ServiceEvent};
 use wharfplank_routing::{self as routing, AttemptOutcome, ClassId, HostId, Micros};
 use wharfplank_settings::Release as RolloutSettings;
-use wharfplank_transport::release::{self, Parts};
+use wharfplank_transport::rollout::{self, RolloutContext, RolloutLogEvent};
 use wharfplank_transport::worker::{RingReceiver, RingSender};
 
 /// Members whose attempts are counted at most; past that those that are not in the inventory are forgotten.
@@ -66,16 +66,16 @@
             node_ids.iter().map(|(name, id)| (*id, name.clone())).collect();
         let setup = setup::service_setup(settings, &node_ids, clock);
         let logged_names = node_names.clone();
-        let parts = Parts {
+        let context = RolloutContext {
             socket,
-            ledger: setup.identity.permit_server.and_then(|_| optional_path(&settings.ledger)),
-            signal: optional_path(&settings.signal),
+            ledger_path: setup.identity.permit_server.and_then(|_| optional_path(&settings.ledger)),
+            signal_path: optional_path(&settings.signal),
             now: move || clock.now(),
-            say: move |event: release::Told<'_>| log::release(&logged_names, &event),
+            log: move |event: RolloutLogEvent<'_>| log::release(&logged_names, &event),
         };
         let service = move |ledger| RolloutService::new(setup, ledger, clock.now());
         let (views, events) =
-            release::start(parts, service).map_err(StartError::component_start(Component::Rollout))?;
+            rollout::start(context, service).map_err(StartError::component_start(Component::Rollout))?;
         Ok(RolloutReporter {
             service: Some(ServiceLink { views, events, node_ids, node_names }),
             latency_objectives: config.settings.classes.iter().map(|class| class.latency_objective).collect(),
--- /dev/null
+++ b/crates/transport/src/rollout/files.rs
@@ -0,0 +1,137 @@
+//! The files of the rollout service: the permit ledger, the operators' signal file and the status file.
+
+use super::atomic_file::{read_bounded, replace, with_suffix, Durability};
+use super::RolloutLogEvent;
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::time::{SystemTime, UNIX_EPOCH};
+use wharfplank_rollout::{
+    decode_ledger, encode_ledger, Micros, PermitLedger, RolloutService, SignalFileWatcher,
+};
+
+/// How often the files that operators write are checked, and how soon a failed write is tried again.
+const CHECK_INTERVAL: Micros = 500_000;
+/// The most that is read of a signal file.
+const MAX_SIGNAL_BYTES: u64 = 4096;
+/// The most that is read of a ledger, which has at most one permit for each member.
+const MAX_LEDGER_BYTES: u64 = 16 << 20;
+
+/// The files and what was last read from and written to them.
+#[derive(Default)]
+pub(super) struct RolloutFiles {
+    ledger_path: Option<PathBuf>,
+    signal_path: Option<PathBuf>,
+    signal_watcher: SignalFileWatcher,
+    /// The status as it was last written.
+    written_status: String,
+    next_check_at: Micros,
+    /// When a ledger that could not be written is tried again.
+    retry_ledger_at: Micros,
+}
+
+/// The ledger as it was stored last; `None` where there is no readable file, or its content is not a complete ledger.
+pub(super) fn load_ledger(path: &Path, log: &impl Fn(RolloutLogEvent<'_>)) -> Option<PermitLedger> {
+    match read_bounded(path, MAX_LEDGER_BYTES) {
+        Ok(bytes) => decode_ledger(&bytes).ok(),
+        Err(error) => {
+            log(RolloutLogEvent::FileFailed { path, error: &error });
+            None
+        }
+    }
+}
+
+impl RolloutFiles {
+    pub(super) fn new(ledger_path: Option<PathBuf>, signal_path: Option<PathBuf>) -> Self {
+        RolloutFiles { ledger_path, signal_path, ..RolloutFiles::default() }
+    }
+
+    /// Stores the ledger where it changed.
+    pub(super) fn store_ledger(
+        &mut self,
+        now: Micros,
+        service: &mut RolloutService,
+        log: &impl Fn(RolloutLogEvent<'_>),
+    ) {
+        let (Some(path), Some(ledger)) = (&self.ledger_path, service.ledger_to_store()) else { return };
+        if now < self.retry_ledger_at {
+            return;
+        }
+        let revision = ledger.revision;
+        match replace(path, &encode_ledger(ledger), Durability::Synced) {
+            Ok(()) => service.on_ledger_stored(revision),
+            Err(error) => {
+                self.retry_ledger_at = now + CHECK_INTERVAL;
+                log(RolloutLogEvent::FileFailed { path, error: &error });
+            }
+        }
+    }
+
+    /// Checks the files that operators write, and writes the status, where that is due.
+    pub(super) fn check_if_due(
+        &mut self,
+        now: Micros,
+        service: &mut RolloutService,
+        log: &impl Fn(RolloutLogEvent<'_>),
+    ) {
+        if now < self.next_check_at {
+            return;
+        }
+        self.next_check_at = now + CHECK_INTERVAL;
+        self.check_ledger(service);
+        let Some(signal_path) = self.signal_path.clone() else { return };
+        self.check_signal(&signal_path, service, log);
+        self.write_status(&signal_path, service, log);
+    }
+
+    /// Opens a permit server that had no ledger: an operator may provide one at any time.
+    fn check_ledger(&self, service: &mut RolloutService) {
+        let Some(path) = &self.ledger_path else { return };
+        if !service.is_permit_server_closed() {
+            return;
+        }
+        let Ok(bytes) = read_bounded(path, MAX_LEDGER_BYTES) else { return };
+        if let Ok(ledger) = decode_ledger(&bytes) {
+            service.open_permit_server(ledger);
+        }
+    }
+
+    /// Passes a new command of the operators to the service.
+    fn check_signal(
+        &mut self,
+        path: &Path,
+        service: &mut RolloutService,
+        log: &impl Fn(RolloutLogEvent<'_>),
+    ) {
+        let metadata = fs::metadata(path).ok();
+        let stamp = metadata.and_then(|metadata| Some((metadata.modified().ok()?, metadata.len())));
+        if !self.signal_watcher.has_new_command(stamp) {
+            return;
+        }
+        match read_bounded(path, MAX_SIGNAL_BYTES) {
+            Ok(command) => service.on_command(unix_millis(), &String::from_utf8_lossy(&command)),
+            Err(error) => log(RolloutLogEvent::FileFailed { path, error: &error }),
+        }
+    }
+
+    /// Writes the status beside the signal file where it changed. A status that could not be written is not tried again.
+    fn write_status(
+        &mut self,
+        signal_path: &Path,
+        service: &RolloutService,
+        log: &impl Fn(RolloutLogEvent<'_>),
+    ) {
+        let status = service.status();
+        if status == self.written_status {
+            return;
+        }
+        let path = with_suffix(signal_path, ".status");
+        if let Err(error) = replace(&path, status.as_bytes(), Durability::Buffered) {
+            log(RolloutLogEvent::FileFailed { path: &path, error: &error });
+        }
+        self.written_status = status;
+    }
+}
+
+fn unix_millis() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_millis() as u64)
+}
