--- a/crates/lab/src/timeline.rs
+++ b/crates/lab/src/timeline.rs
@@ -105,8 +105,9 @@
 
 /// Reads a timeline; each fault has its line.
 pub fn parse(text: &str) -> Result<Timeline, Vec<String>> {
-    let said =
-        |faults: Vec<wharfplank_settings::Fault>| faults.iter().map(|f| f.to_string()).collect::<Vec<_>>();
+    let said = |faults: Vec<wharfplank_settings::SettingsFault>| {
+        faults.iter().map(|f| f.to_string()).collect::<Vec<_>>()
+    };
     wharfplank_settings::check(SCHEMA, text).map_err(said)?;
     let timeline: Timeline = quick_xml::de::from_str(text).map_err(|e| vec![e.to_string()])?;
     let names: Vec<String> = (0..timeline.groups)
--- a/crates/proxy/src/budgets.rs
+++ b/crates/proxy/src/budgets.rs
@@ -10,7 +10,7 @@
 use wharfplank_budget::{
     BudgetId, BudgetKind, BudgetLimits, LeaseAllocator, LeaseHolder, LeaseTerms, TakeoverGuard,
 };
-use wharfplank_settings::Budgets as Settings;
+use wharfplank_settings::BudgetSettings as Settings;
 use wharfplank_shared_state::hash_name;
 use wharfplank_transport::budgets::{Budgets, Figure, Said, Setup, RING};
 use wharfplank_transport::{worker, Now};
@@ -28,24 +28,28 @@
     };
     let me: SocketAddrV4 = settings.advertise().unwrap_or(bound);
     let skew = settings.clock_skew_ms * 1000;
-    let (terms, wholes, banks) = (LeaseTerms::default(), wholes(settings), settings.banks());
-    let gone: Vec<bool> = banks.iter().map(|bank| settings.gone().contains(bank)).collect();
+    let (terms, wholes, banks) = (LeaseTerms::default(), wholes(settings), settings.allocators());
+    let gone: Vec<bool> = banks.iter().map(|bank| settings.removed_allocators().contains(bank)).collect();
     // Without banks there is nothing but even shares.
-    let percent = if banks.is_empty() { 100 } else { settings.even };
-    let even = wholes.static_quota(percent, settings.proxies);
+    let percent = if banks.is_empty() { 100 } else { settings.even_percent };
+    let even = wholes.static_quota(percent, settings.max_proxies);
     let now = clock.now() + skew;
     let place = banks.iter().position(|bank| *bank == me).filter(|place| !gone[*place]);
     let bank = place.map(|place| {
         let before = gone[..place].iter().filter(|gone| !**gone).count() as u64;
         let live = gone.iter().filter(|gone| !**gone).count() as u64;
-        let part = wholes.allocator_part(&even, settings.proxies, before, live);
-        (place, LeaseAllocator::new(terms.clone(), part, now), TakeoverGuard::new(settings.set, place, &gone))
+        let part = wholes.allocator_part(&even, settings.max_proxies, before, live);
+        (
+            place,
+            LeaseAllocator::new(terms.clone(), part, now),
+            TakeoverGuard::new(settings.allocator_set_version, place, &gone),
+        )
     });
     // No other process had this number: its address, and when it started.
     let number = hash_name(&format!("{me} {} {}", clock.now(), std::process::id()));
     let holder =
         LeaseHolder::new(number, terms.clone(), banks.len(), Vec::new(), now).with_static_quotas(even);
-    let figures = hash_name(&format!("{} {} {percent}", wholes.canonical_text(), settings.proxies));
+    let figures = hash_name(&format!("{} {} {percent}", wholes.canonical_text(), settings.max_proxies));
     let setup = Setup { socket, banks, bank, terms, figures, now: move || clock.now() + skew };
     let rings = worker::start("budgets", RING, move |asks, told| setup.work(asks, told));
     let rings = rings.map_err(StartError::component_start(Component::Budgets))?;
@@ -61,17 +65,17 @@
     let alone = [
         one(BudgetKind::Requests, settings.requests),
         one(BudgetKind::Retries, settings.retries),
-        one(BudgetKind::DiscoveryCalls, settings.discovery),
+        one(BudgetKind::DiscoveryCalls, settings.discovery_polls),
     ];
     let tenants = settings
         .tenants()
         .into_iter()
-        .map(|(group, whole)| (BudgetKind::TenantRequests.budget(group), whole));
+        .map(|tenant| (BudgetKind::TenantRequests.budget(tenant.group), tenant.requests));
     let own: BTreeMap<BudgetId, u64> = alone.into_iter().flatten().chain(tenants).collect();
     let each = [
-        (BudgetKind::HealthChecks, settings.probes),
-        (BudgetKind::NewConnections, settings.connects),
-        (BudgetKind::OpenConnections, settings.held),
+        (BudgetKind::HealthChecks, settings.health_checks),
+        (BudgetKind::NewConnections, settings.new_connections),
+        (BudgetKind::OpenConnections, settings.open_connections),
     ];
     BudgetLimits::new(own, each.into_iter().filter(|(_, whole)| *whole > 0).collect())
 }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use wharfplank_failover::{FailoverController, FailoverTerms, IsolationPolicy};
 use wharfplank_gossip::{Membership, Peer, SwimConfig};
-use wharfplank_settings::{AloneChoice, Peers as PeerSettings, Replica as ReplicaSettings};
+use wharfplank_settings::{GossipSettings, MinorityBehavior, SharedStateSettings};
 use wharfplank_shared_state::{snapshot, SharedState, SharedStateConfig};
 use wharfplank_transport::fleet::{self, Judge, Parts, Side, Witness};
 use wharfplank_transport::ProxyEvent;
@@ -28,8 +28,8 @@
 /// Binds the socket and starts the thread; what members do then reaches the decision through the witness. The task ends
 /// once the witness is gone and the thread has said farewell.
 pub fn start(
-    settings: &PeerSettings,
-    replica: Option<&ReplicaSettings>,
+    settings: &GossipSettings,
+    replica: Option<&SharedStateSettings>,
     health: bool,
     config: &Config,
     clock: Clock,
@@ -54,7 +54,7 @@
         suspicion_timeout_ms: settings.suspect_ms,
         gossip_interval_ms: settings.gossip_ms,
         gossip_fanout: settings.fanout,
-        expected_proxies: settings.expected,
+        expected_proxies: settings.expected_proxies,
         ..SwimConfig::default()
     };
     let seed = config.settings.seed;
@@ -69,9 +69,9 @@
         ramp_duration,
         ..FailoverTerms::default()
     };
-    let isolation = match settings.alone {
-        AloneChoice::Serve => IsolationPolicy::KeepServing,
-        AloneChoice::Own => IsolationPolicy::FollowOwnVote,
+    let isolation = match settings.in_minority {
+        MinorityBehavior::Serve => IsolationPolicy::KeepServing,
+        MinorityBehavior::Own => IsolationPolicy::FollowOwnVote,
     };
     let (mut state, mut keep) = (None, None);
     if let Some(settings) = replica {
@@ -103,7 +103,7 @@
 }
 
 /// This process's copy of the replicated state, with what its snapshot still has to say.
-fn copy(settings: &ReplicaSettings, me: &Peer, seed: u64, now: i64) -> SharedState {
+fn copy(settings: &SharedStateSettings, me: &Peer, seed: u64, now: i64) -> SharedState {
     // A process's counts are its own: its address, and the generation that no other process there had.
     let number = u64::from(u32::from(*me.addr.ip())) << 32 ^ u64::from(me.addr.port()) << 16 ^ me.generation;
     let terms = SharedStateConfig {
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -18,7 +18,7 @@
 use tracing_subscriber::fmt::FmtContext;
 use tracing_subscriber::registry::LookupSpan;
 use wharfplank_discovery::SuspectReason;
-use wharfplank_settings::{Format, Level};
+use wharfplank_settings::{LogFormat, LogLevel};
 use wharfplank_transport::ConnectionEnd;
 
 /// Lines that may wait to be written; further ones are counted and dropped.
@@ -31,18 +31,18 @@
 
 /// Starts the writer: a thread of its own, so that whoever reads standard error slowly does not stall serving. What
 /// waits is written when the guard ends.
-pub fn start(settings: &wharfplank_settings::Log) -> Result<WorkerGuard, LogError> {
+pub fn start(settings: &wharfplank_settings::LogSettings) -> Result<WorkerGuard, LogError> {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES).thread_name("log");
     let (writer, guard) = builder.finish(std::io::stderr());
     let level = match settings.level {
-        Level::Error => tracing::Level::ERROR,
-        Level::Warn => tracing::Level::WARN,
-        Level::Info => tracing::Level::INFO,
-        Level::Debug => tracing::Level::DEBUG,
+        LogLevel::Error => tracing::Level::ERROR,
+        LogLevel::Warn => tracing::Level::WARN,
+        LogLevel::Info => tracing::Level::INFO,
+        LogLevel::Debug => tracing::Level::DEBUG,
     };
     let dropped = writer.error_counter();
     let dropped = Box::new(move || dropped.dropped_lines());
-    let lines = Lines { json: settings.format == Format::Json, dropped, told: AtomicUsize::new(0) };
+    let lines = Lines { json: settings.format == LogFormat::Json, dropped, told: AtomicUsize::new(0) };
     let all = tracing_subscriber::fmt().with_max_level(level).with_writer(writer).event_format(lines);
     tracing::subscriber::set_global_default(all.finish())?;
     Ok(guard)
--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -13,7 +13,7 @@
 use wharfplank_protocol::endpoint_list::EndpointRecord;
 use wharfplank_protocol::member_response::{MemberResponse, ResponseKind};
 use wharfplank_routing::{AttemptOutcome, ClassId, Consistency, GroupId, HostId, Micros, RequestId};
-use wharfplank_settings::Missing as MissingSettings;
+use wharfplank_settings::NegativeCacheSettings as MissingSettings;
 use wharfplank_shared_state::hash_name;
 use wharfplank_transport::{missing, Now, Statement};
 
@@ -65,15 +65,15 @@
         let socket =
             UdpSocket::bind(at).map_err(StartError::component_listen(Component::NegativeCache, at))?;
         let fleet_config = NegativeCacheConfig {
-            max_clock_skew: settings.apart_ms * 1000,
-            max_commit_delay: settings.late_ms * 1000,
-            max_frequent_entries: settings.facts,
+            max_clock_skew: settings.max_clock_skew_ms * 1000,
+            max_commit_delay: settings.max_commit_delay_ms * 1000,
+            max_frequent_entries: settings.max_entries,
             ..NegativeCacheConfig::default()
         };
         let (now, hasher) = (clock.now(), KeyHasher::from_passphrase(&settings.secret));
         // No other process had this number: its address, and when it started.
         let holder = hash_name(&format!("{at} {now} {}", std::process::id()));
-        let node = Node::new(fleet_config, hasher.clone(), at, settings.banks(), holder, now);
+        let node = Node::new(fleet_config, hasher.clone(), at, settings.lease_servers(), holder, now);
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
         let start = missing::start(Rc::clone(&node), socket, now_of, tell, executor);
@@ -81,8 +81,8 @@
         let is = |names: &str, name: &str| names.split(' ').any(|n| n == name);
         let kinds = config.terms.class_names.iter().zip(&config.settings.classes).map(|(name, class)| {
             match class.consistency {
-                Consistency::Write => Kind::Write { keyed: is(&settings.writes, name) },
-                need if is(&settings.reads, name) => Kind::Read(need),
+                Consistency::Write => Kind::Write { keyed: is(&settings.write_classes, name) },
+                need if is(&settings.read_classes, name) => Kind::Read(need),
                 _ => Kind::Other,
             }
         });
--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -12,7 +12,7 @@
 use wharfplank_rollout::status::rollout_name;
 use wharfplank_rollout::ServiceEvent;
 use wharfplank_routing::{ClassId, GroupId, HostId, MemberView, Micros, RejectReason};
-use wharfplank_settings::Records;
+use wharfplank_settings::RecordSettings;
 
 const MICROS_PER_DAY: Micros = 86_400_000_000;
 /// Latency relative to the usual one is recorded in hundredths.
@@ -62,7 +62,11 @@
 
 impl DecisionRecorder {
     /// Starts the recorder that the settings ask for, and records the zone and the classes of this process.
-    pub fn start(settings: Option<&Records>, config: &Config, clock: Clock) -> Result<Self, StartError> {
+    pub fn start(
+        settings: Option<&RecordSettings>,
+        config: &Config,
+        clock: Clock,
+    ) -> Result<Self, StartError> {
         let latency_objectives: Vec<Micros> =
             config.settings.classes.iter().map(|class| class.latency_objective).collect();
         let recorder = settings.map(|settings| start_recorder(settings, clock)).transpose()?;
@@ -208,12 +212,12 @@
     }
 }
 
-fn start_recorder(settings: &Records, clock: Clock) -> Result<Recorder, StartError> {
+fn start_recorder(settings: &RecordSettings, clock: Clock) -> Result<Recorder, StartError> {
     let days = |days: u32| Micros::from(days) * MICROS_PER_DAY;
     let terms = Terms {
         directory: settings.directory.clone(),
         proxy: settings.proxy.clone(),
-        queue: settings.queue,
+        queue: settings.queue_capacity,
         flush: Duration::from_millis(settings.flush_ms),
         limits: Limits {
             bytes: settings.max_megabytes << 20,
--- a/crates/proxy/src/rollout/mod.rs
+++ b/crates/proxy/src/rollout/mod.rs
@@ -17,7 +17,7 @@
 use wharfplank_protocol::endpoint_list::EndpointRecord;
 use wharfplank_rollout::{AttemptCounts, FleetView, NodeId, RolloutService, ServiceEvent};
 use wharfplank_routing::{self as routing, AttemptOutcome, ClassId, HostId, Micros};
-use wharfplank_settings::Release as RolloutSettings;
+use wharfplank_settings::RolloutSettings;
 use wharfplank_transport::release::{self, Parts};
 use wharfplank_transport::worker::{RingReceiver, RingSender};
 
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -140,7 +140,7 @@
             max_connections_per_member: (limits.members / 4).max(1),
             open_connections: Cell::new(0),
             memory_budget: MemoryBudget::new(config.max_memory_bytes / LARGE_MESSAGE_FRACTION),
-            allow_empty_result: self.settings.missing.is_some(),
+            allow_empty_result: self.settings.negative_cache.is_some(),
             liveness_check_after: Cell::new(member_pool::CHECK_AFTER),
             now: Rc::clone(&self.now),
             metrics: Metrics::new(&config.terms.class_names),
@@ -174,10 +174,10 @@
     /// Starts gossip between proxies only where the settings ask for it: the platform's days forbid it. The returned task
     /// ends once this process has announced that it leaves.
     fn start_gossip(&self, config: &Config, broker: &mut Broker) -> Result<Option<Task<()>>, StartError> {
-        let Some(peers) = &self.settings.peers else { return Ok(None) };
+        let Some(peers) = &self.settings.gossip else { return Ok(None) };
         let (witness, ended) = fleet::start(
             peers,
-            self.settings.replica.as_ref(),
+            self.settings.shared_state.as_ref(),
             self.settings.health.is_some(),
             config,
             self.clock,
@@ -189,14 +189,14 @@
     }
 
     fn start_negative_cache(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
-        if let Some(settings) = &self.settings.missing {
+        if let Some(settings) = &self.settings.negative_cache {
             broker.enable_negative_cache(Lookups::start(settings, config, self.clock, &self.executor)?);
         }
         Ok(())
     }
 
     fn start_rollout(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
-        if let Some(settings) = &self.settings.release {
+        if let Some(settings) = &self.settings.rollout {
             broker.enable_rollout(RolloutReporter::start(settings, config, self.clock)?);
         }
         Ok(())
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,213 +1,327 @@
 //! The part of XML Schema that the settings use: elements with attributes and children (`xs:all`), and simple types
-//! by enumeration, by bounds of an integer, by length and by pattern.
+//! restricted by enumeration, by bounds of an integer, by length and by pattern.
 
-use super::tree::{self, Element};
-use super::Fault;
+use super::xml_tree::{self, Element};
+use super::SettingsFault;
 use std::collections::BTreeMap;
 
-/// What a value may be.
+/// The values that an attribute may have.
 #[derive(Debug, Default)]
-pub struct Kind {
-    pub integer: bool,
+pub struct SimpleType {
+    /// Whether the value is an integer.
+    pub is_integer: bool,
+    /// The allowed values; if empty, there is no enumeration.
     pub values: Vec<String>,
-    pub least: Option<i64>,
-    pub most: Option<i64>,
-    pub shortest: usize,
-    pub longest: Option<usize>,
-    /// What the whole value must match, as xs:pattern has it.
-    pub pattern: Option<(String, regex::Regex)>,
-    /// How the schema names what is allowed, for people (`wp:shown`).
-    pub shown: Option<String>,
-}
-
-impl Kind {
-    fn takes(&self, value: &str) -> bool {
-        let number = || value.parse::<i64>().ok();
-        let bounds = |n: i64| self.least.is_none_or(|l| n >= l) && self.most.is_none_or(|m| n <= m);
+    /// The lowest integer.
+    pub min: Option<i64>,
+    /// The highest integer.
+    pub max: Option<i64>,
+    /// The least number of characters.
+    pub min_length: usize,
+    /// The greatest number of characters.
+    pub max_length: Option<usize>,
+    /// The pattern that the whole value matches.
+    pub pattern: Option<Pattern>,
+    /// How the schema describes the allowed values to people (`wp:shown`).
+    pub description: Option<String>,
+}
+
+/// A pattern of the schema.
+#[derive(Debug)]
+pub struct Pattern {
+    /// The pattern as it stands in the schema.
+    pub source: String,
+    /// The compiled pattern, anchored at both ends.
+    pub regex: regex::Regex,
+}
+
+impl Pattern {
+    /// Compiles a pattern of XML Schema, which matches the whole value.
+    fn new(source: &str) -> Option<Self> {
+        let regex = regex::Regex::new(&format!("^(?:{source})$")).ok()?;
+        Some(Pattern { source: source.to_string(), regex })
+    }
+}
+
+impl SimpleType {
+    fn parse(element: &Element) -> Self {
+        let description = element.attribute("wp:shown").map(str::to_string);
+        let mut simple_type = SimpleType { description, ..SimpleType::default() };
+        let Some(restriction) = element.child("xs:restriction") else { return simple_type };
+        simple_type.is_integer = restriction.attribute("base") == Some("xs:integer");
+        for facet in &restriction.children {
+            simple_type.add_facet(&facet.name, facet.attribute("value").unwrap_or_default());
+        }
+        simple_type
+    }
+
+    fn add_facet(&mut self, name: &str, value: &str) {
+        match name {
+            "xs:enumeration" => self.values.push(value.to_string()),
+            "xs:minInclusive" => self.min = value.parse().ok(),
+            "xs:maxInclusive" => self.max = value.parse().ok(),
+            "xs:minLength" => self.min_length = value.parse().unwrap_or(0),
+            "xs:maxLength" => self.max_length = value.parse().ok(),
+            "xs:pattern" => self.pattern = Pattern::new(value),
+            _ => {}
+        }
+    }
+
+    fn accepts(&self, value: &str) -> bool {
+        let is_enumerated = self.values.is_empty() || self.values.iter().any(|allowed| allowed == value);
+        let is_in_bounds = !self.is_integer || value.parse().is_ok_and(|number| self.bounds_contain(number));
         let length = value.chars().count();
-        (self.values.is_empty() || self.values.iter().any(|v| v == value))
-            && (!self.integer || number().is_some_and(bounds))
-            && length >= self.shortest
-            && self.longest.is_none_or(|longest| length <= longest)
-            && self.pattern.as_ref().is_none_or(|(_, pattern)| pattern.is_match(value))
+        let has_length = length >= self.min_length && self.max_length.is_none_or(|max| length <= max);
+        let matches = self.pattern.as_ref().is_none_or(|pattern| pattern.regex.is_match(value));
+        is_enumerated && is_in_bounds && has_length && matches
     }
 
-    fn allowed(&self) -> String {
+    fn bounds_contain(&self, number: i64) -> bool {
+        self.min.is_none_or(|min| number >= min) && self.max.is_none_or(|max| number <= max)
+    }
+
+    /// Describes the allowed values to people.
+    fn describe(&self) -> String {
         if !self.values.is_empty() {
             return format!("one of {}", self.values.join(", "));
         }
-        if let Some((pattern, _)) = &self.pattern {
-            return self.shown.clone().unwrap_or_else(|| format!("text of the form {pattern}"));
+        if let Some(pattern) = &self.pattern {
+            let fallback = || format!("text of the form {}", pattern.source);
+            return self.description.clone().unwrap_or_else(fallback);
         }
-        let end = |bound: Option<i64>| bound.map_or("any".to_string(), |b| b.to_string());
-        match self.integer {
-            true => format!("a whole number from {} to {}", end(self.least), end(self.most)),
-            false => {
-                format!("text of {} to {} characters", self.shortest, end(self.longest.map(|l| l as i64)))
-            }
+        if self.is_integer {
+            return format!(
+                "a whole number from {} to {}",
+                describe_bound(self.min),
+                describe_bound(self.max)
+            );
         }
+        format!("text of {} to {} characters", self.min_length, describe_bound(self.max_length))
     }
 }
 
-/// An attribute.
+fn describe_bound<T: ToString>(bound: Option<T>) -> String {
+    bound.map_or_else(|| "any".to_string(), |bound| bound.to_string())
+}
+
+/// An attribute of an element.
 #[derive(Debug)]
 pub struct Attribute {
-    pub kind: String,
-    pub required: bool,
-    #[cfg(test)]
+    /// The name of its simple type.
+    pub type_name: String,
+    /// Whether it must be given.
+    pub is_required: bool,
+    /// The value that stands for an absent attribute.
     pub default: Option<String>,
 }
 
-/// How often an element may be there.
+/// How often an element may occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Often {
-    /// Once at most.
+pub enum Occurrence {
+    /// At most once.
     Optional,
-    /// Once.
+    /// Just once.
     Once,
     /// Any number of times.
-    Many,
+    Unbounded,
+}
+
+/// A child in the type of an element.
+#[derive(Debug)]
+pub struct ChildElement {
+    /// The type of the child.
+    pub element_type: ElementType,
+    /// How often it may occur.
+    pub occurrence: Occurrence,
 }
 
-/// An element.
+/// The type of an element.
 #[derive(Debug, Default)]
-pub struct Shape {
+pub struct ElementType {
+    /// The attributes by name.
     pub attributes: BTreeMap<String, Attribute>,
-    /// By name: the shape, and how often it may be there.
-    pub children: BTreeMap<String, (Shape, Often)>,
+    /// The children by name.
+    pub children: BTreeMap<String, ChildElement>,
+}
+
+impl ElementType {
+    fn parse(element: &Element) -> Self {
+        let mut element_type = ElementType::default();
+        let Some(complex_type) = element.child("xs:complexType") else { return element_type };
+        for attribute in complex_type.children.iter().filter(|child| child.name == "xs:attribute") {
+            element_type.attributes.insert(name_of(attribute), Attribute::parse(attribute));
+        }
+        for child in complex_type.child("xs:all").into_iter().flat_map(|all| &all.children) {
+            let occurrence = Occurrence::parse(child);
+            let child_element = ChildElement { element_type: ElementType::parse(child), occurrence };
+            element_type.children.insert(name_of(child), child_element);
+        }
+        element_type
+    }
+}
+
+impl Attribute {
+    fn parse(element: &Element) -> Self {
+        Attribute {
+            type_name: element.attribute("type").unwrap_or_default().to_string(),
+            is_required: element.attribute("use") == Some("required"),
+            default: element.attribute("default").map(str::to_string),
+        }
+    }
+}
+
+impl Occurrence {
+    fn parse(element: &Element) -> Self {
+        match (element.attribute("minOccurs"), element.attribute("maxOccurs")) {
+            (_, Some("unbounded")) => Occurrence::Unbounded,
+            (Some("0"), _) => Occurrence::Optional,
+            _ => Occurrence::Once,
+        }
+    }
+}
+
+fn name_of(element: &Element) -> String {
+    element.attribute("name").unwrap_or_default().to_string()
 }
 
-/// A schema with one root.
+/// A schema with one root element.
 #[derive(Debug)]
 pub struct Schema {
-    pub kinds: BTreeMap<String, Kind>,
-    pub root: String,
-    pub shape: Shape,
+    /// The simple types by name.
+    pub simple_types: BTreeMap<String, SimpleType>,
+    /// The name of the root element.
+    pub root_name: String,
+    /// The type of the root element.
+    pub root_type: ElementType,
 }
 
 impl Schema {
-    /// Reads the schema's text.
-    pub fn parse(text: &str) -> Result<Schema, Vec<Fault>> {
-        let tree = tree::parse(text)?;
-        let named = |e: &Element| e.attribute("name").unwrap_or_default().to_string();
-        let types = tree.children.iter().filter(|e| e.name == "xs:simpleType");
-        let kinds = types.map(|e| (named(e), kind(e))).collect();
+    /// Parses the text of a schema.
+    pub fn parse(text: &str) -> Result<Schema, Vec<SettingsFault>> {
+        let tree = xml_tree::parse(text)?;
+        let simple_types = tree.children.iter().filter(|child| child.name == "xs:simpleType");
+        let simple_types =
+            simple_types.map(|element| (name_of(element), SimpleType::parse(element))).collect();
         let root = tree.child("xs:element");
-        let shape = root.map(shape).unwrap_or_default();
-        Ok(Schema { kinds, root: root.map(named).unwrap_or_default(), shape })
+        Ok(Schema {
+            simple_types,
+            root_name: root.map(name_of).unwrap_or_default(),
+            root_type: root.map(ElementType::parse).unwrap_or_default(),
+        })
     }
 
-    /// All that is wrong with a file.
-    pub fn check(&self, root: &Element) -> Vec<Fault> {
+    /// Checks a document and returns all of its faults.
+    pub fn check(&self, root: &Element) -> Vec<SettingsFault> {
         let mut faults = Vec::new();
-        if root.name != self.root {
-            let what = format!("is not the settings' element; allowed is {}", self.root);
-            faults.push(Fault { line: root.line, place: root.name.clone(), what });
-            return faults;
+        if root.name == self.root_name {
+            self.check_element(root, &self.root_type, "", &mut faults);
+        } else {
+            let message = format!("is not the settings' element; allowed is {}", self.root_name);
+            faults.push(SettingsFault { line: root.line, place: root.name.clone(), message });
         }
-        self.walk(root, &self.shape, "", &mut faults);
         faults
     }
 
-    fn walk(&self, element: &Element, shape: &Shape, path: &str, faults: &mut Vec<Fault>) {
-        let here = format!("{path}{}", element.name);
-        let mut fault = |line: usize, place: String, what: String| faults.push(Fault { line, place, what });
-        let known = |names: Vec<&String>| match names.is_empty() {
-            true => "none is allowed here".to_string(),
-            false => format!("allowed are {}", names.into_iter().cloned().collect::<Vec<_>>().join(", ")),
-        };
-        for (name, value) in &element.attributes {
-            let place = format!("{here}/@{name}");
-            let Some(attribute) = shape.attributes.get(name) else {
-                let what = format!("is no attribute of it; {}", known(shape.attributes.keys().collect()));
-                fault(element.line, place, what);
+    /// Checks an element and its children. `parent_path` ends with a slash unless it is empty.
+    fn check_element(
+        &self,
+        element: &Element,
+        element_type: &ElementType,
+        parent_path: &str,
+        faults: &mut Vec<SettingsFault>,
+    ) {
+        let path = format!("{parent_path}{}", element.name);
+        self.check_attributes(element, element_type, &path, faults);
+        self.check_required_attributes(element, element_type, &path, faults);
+        if element.has_text {
+            let message = "holds text; only elements and attributes are allowed".to_string();
+            faults.push(SettingsFault { line: element.line, place: path.clone(), message });
+        }
+        check_occurrences(element, element_type, &path, faults);
+        for child in &element.children {
+            let Some(expected) = element_type.children.get(&child.name) else {
+                let message =
+                    format!("is no element of it; {}", describe_names(element_type.children.keys()));
+                let place = format!("{path}/{}", child.name);
+                faults.push(SettingsFault { line: child.line, place, message });
                 continue;
             };
-            let kind = self.kinds.get(&attribute.kind);
-            if let Some(kind) = kind.filter(|kind| !kind.takes(value)) {
-                fault(element.line, place, format!("'{value}' cannot be; allowed is {}", kind.allowed()));
-            }
-        }
-        let missing =
-            shape.attributes.iter().filter(|(name, a)| a.required && element.attribute(name).is_none());
-        for (name, attribute) in missing {
-            let allowed = self.kinds.get(&attribute.kind).map(Kind::allowed).unwrap_or_default();
-            fault(element.line, format!("{here}/@{name}"), format!("is missing; allowed is {allowed}"));
-        }
-        if element.text {
-            fault(
-                element.line,
-                here.clone(),
-                "holds text; only elements and attributes are allowed".to_string(),
-            );
+            self.check_element(child, &expected.element_type, &format!("{path}/"), faults);
         }
-        for (name, (_, often)) in &shape.children {
-            let mut all = element.children.iter().filter(|c| c.name == *name);
-            if all.next().is_none() && *often == Often::Once {
-                fault(element.line, format!("{here}/{name}"), "is missing".to_string());
-            }
-            for again in all.filter(|_| *often != Often::Many) {
-                fault(again.line, format!("{here}/{name}"), "is there twice; once is allowed".to_string());
+    }
+
+    /// Checks the attributes that are given.
+    fn check_attributes(
+        &self,
+        element: &Element,
+        element_type: &ElementType,
+        path: &str,
+        faults: &mut Vec<SettingsFault>,
+    ) {
+        for (name, value) in &element.attributes {
+            let mut add_fault = |message| {
+                let place = format!("{path}/@{name}");
+                faults.push(SettingsFault { line: element.line, place, message });
+            };
+            let Some(attribute) = element_type.attributes.get(name) else {
+                let allowed = describe_names(element_type.attributes.keys());
+                add_fault(format!("is no attribute of it; {allowed}"));
+                continue;
+            };
+            let simple_type = self.simple_types.get(&attribute.type_name);
+            if let Some(simple_type) = simple_type.filter(|simple_type| !simple_type.accepts(value)) {
+                add_fault(format!("'{value}' cannot be; allowed is {}", simple_type.describe()));
             }
         }
-        for child in &element.children {
-            match shape.children.get(&child.name) {
-                Some((shape, _)) => self.walk(child, shape, &format!("{here}/"), faults),
-                None => {
-                    let what = format!("is no element of it; {}", known(shape.children.keys().collect()));
-                    faults.push(Fault { line: child.line, place: format!("{here}/{}", child.name), what });
-                }
+    }
+
+    fn check_required_attributes(
+        &self,
+        element: &Element,
+        element_type: &ElementType,
+        path: &str,
+        faults: &mut Vec<SettingsFault>,
+    ) {
+        for (name, attribute) in &element_type.attributes {
+            if !attribute.is_required || element.attribute(name).is_some() {
+                continue;
             }
+            let simple_type = self.simple_types.get(&attribute.type_name);
+            let allowed = simple_type.map(SimpleType::describe).unwrap_or_default();
+            let message = format!("is missing; allowed is {allowed}");
+            faults.push(SettingsFault { line: element.line, place: format!("{path}/@{name}"), message });
         }
     }
 }
 
-fn kind(element: &Element) -> Kind {
-    let mut kind = Kind { shown: element.attribute("wp:shown").map(str::to_string), ..Kind::default() };
-    let Some(restriction) = element.child("xs:restriction") else { return kind };
-    kind.integer = restriction.attribute("base") == Some("xs:integer");
-    for facet in &restriction.children {
-        let value = facet.attribute("value").unwrap_or_default();
-        match facet.name.as_str() {
-            "xs:enumeration" => kind.values.push(value.to_string()),
-            "xs:minInclusive" => kind.least = value.parse().ok(),
-            "xs:maxInclusive" => kind.most = value.parse().ok(),
-            "xs:minLength" => kind.shortest = value.parse().unwrap_or(0),
-            "xs:maxLength" => kind.longest = value.parse().ok(),
-            // A pattern of XML Schema matches the whole value.
-            "xs:pattern" => {
-                kind.pattern =
-                    regex::Regex::new(&format!("^(?:{value})$")).ok().map(|r| (value.to_string(), r))
+/// Checks how often each child occurs.
+fn check_occurrences(
+    element: &Element,
+    element_type: &ElementType,
+    path: &str,
+    faults: &mut Vec<SettingsFault>,
+) {
+    for (name, child) in &element_type.children {
+        let mut occurrences = element.children.iter().filter(|child| child.name == *name);
+        let mut add_fault = |line, message: &str| {
+            let place = format!("{path}/{name}");
+            faults.push(SettingsFault { line, place, message: message.to_string() });
+        };
+        if occurrences.next().is_none() && child.occurrence == Occurrence::Once {
+            add_fault(element.line, "is missing");
+        }
+        if child.occurrence != Occurrence::Unbounded {
+            for repeated in occurrences {
+                add_fault(repeated.line, "is there twice; once is allowed");
             }
-            _ => {}
         }
     }
-    kind
 }
 
-fn shape(element: &Element) -> Shape {
-    let mut shape_of = Shape::default();
-    let Some(complex) = element.child("xs:complexType") else { return shape_of };
-    for attribute in complex.children.iter().filter(|e| e.name == "xs:attribute") {
-        let text = |name: &str| attribute.attribute(name).map(str::to_string);
-        let required = attribute.attribute("use") == Some("required");
-        let kind = text("type").unwrap_or_default();
-        let attribute = Attribute {
-            kind,
-            required,
-            #[cfg(test)]
-            default: text("default"),
-        };
-        shape_of.attributes.insert(text("name").unwrap_or_default(), attribute);
-    }
-    for child in complex.child("xs:all").into_iter().flat_map(|all| &all.children) {
-        let name = child.attribute("name").unwrap_or_default().to_string();
-        let often = match (child.attribute("minOccurs"), child.attribute("maxOccurs")) {
-            (_, Some("unbounded")) => Often::Many,
-            (Some("0"), _) => Often::Optional,
-            _ => Often::Once,
-        };
-        shape_of.children.insert(name, (shape(child), often));
+fn describe_names<'a>(names: impl Iterator<Item = &'a String>) -> String {
+    let names: Vec<&str> = names.map(String::as_str).collect();
+    if names.is_empty() {
+        return "none is allowed here".to_string();
     }
-    shape_of
+    format!("allowed are {}", names.join(", "))
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/tests/settings_file.rs
@@ -1,21 +1,21 @@
-use super::schema::{Kind, Schema, Shape};
-use super::*;
+//! Settings files: what the schema accepts, what is read of it, and how faults are reported.
+
+use wharfplank_settings::schema::{ElementType, Schema, SimpleType};
+use wharfplank_settings::{consistency_faults, load, parse, xml_tree, Settings, SCHEMA};
 
 const EXAMPLE: &str = include_str!("../../../deploy/settings.example.xml");
 
 fn places(text: &str) -> Vec<(usize, String)> {
-    parse(text).unwrap_err().into_iter().map(|f| (f.line, f.place)).collect()
+    parse(text).unwrap_err().into_iter().map(|fault| (fault.line, fault.place)).collect()
 }
 
 /// Values at the edges of what a type allows, and values just past them.
-fn edges(kind: &Kind) -> (Vec<String>, Vec<String>) {
+fn edges(kind: &SimpleType) -> (Vec<String>, Vec<String>) {
     let text = |length: usize| "x".repeat(length);
     let (mut good, mut bad) = (kind.values.clone(), vec![]);
-    if let Some((_, pattern)) =
-        kind.pattern.as_ref().filter(|(_, pattern)| !pattern.is_match("127.0.0.1:7001"))
-    {
+    if let Some(pattern) = kind.pattern.as_ref().filter(|pattern| !pattern.regex.is_match("127.0.0.1:7001")) {
         // The only pattern that is not of addresses is of tenants.
-        assert!(pattern.is_match("0=1"));
+        assert!(pattern.regex.is_match("0=1"));
         good.extend(["0=1", "none", "12=100 99999999=9999999"].map(String::from));
         bad.extend(["x", "", "1", "1=", "=1", "1=2  3=4", "-1=2", "1=2.5", "1=2,3=4"].map(String::from));
     } else if kind.pattern.is_some() {
@@ -23,34 +23,34 @@
         bad.extend(["x".to_string(), String::new(), "1.2.3.4".to_string(), "127.0.0.1:70010".to_string()]);
     } else if !kind.values.is_empty() {
         bad.extend(["other".to_string(), String::new()]);
-    } else if kind.integer {
-        let (least, most) = (kind.least.expect("a bound"), kind.most.expect("a bound"));
+    } else if kind.is_integer {
+        let (least, most) = (kind.min.expect("a bound"), kind.max.expect("a bound"));
         good.extend([least, most].map(|n| n.to_string()));
         bad.extend([least - 1, most + 1].map(|n| n.to_string()));
         bad.extend(["".to_string(), "1.5".to_string(), "ten".to_string()]);
     } else {
-        let longest = kind.longest.expect("a bound");
-        good.extend([text(kind.shortest), text(longest)]);
-        bad.extend([text(kind.shortest - 1), text(longest + 1)]);
+        let longest = kind.max_length.expect("a bound");
+        good.extend([text(kind.min_length), text(longest)]);
+        bad.extend([text(kind.min_length - 1), text(longest + 1)]);
     }
     (good, bad)
 }
 
 /// One element with the required attributes of its shape, and one attribute set.
-fn element(schema: &Schema, path: &str, shape: &Shape, set: Option<(&str, &str)>) -> String {
+fn element(schema: &Schema, path: &str, shape: &ElementType, set: Option<(&str, &str)>) -> String {
     let (outer, name) = path.split_once('/').unwrap_or(("", path));
     let required =
-        shape.attributes.iter().filter(|(n, a)| a.required && set.is_none_or(|(s, _)| s != n.as_str()));
+        shape.attributes.iter().filter(|(n, a)| a.is_required && set.is_none_or(|(s, _)| s != n.as_str()));
     let mut all: Vec<(String, String)> =
-        required.map(|(n, a)| (n.clone(), edges(&schema.kinds[&a.kind]).0.remove(0))).collect();
+        required.map(|(n, a)| (n.clone(), edges(&schema.simple_types[&a.type_name]).0.remove(0))).collect();
     all.extend(set.map(|(n, v)| (n.to_string(), v.to_string())));
     let attributes: String = all.iter().map(|(n, v)| format!(" {n}=\"{v}\"")).collect();
     let inner = format!("<{name}{attributes}/>");
-    let Some((around, _)) = schema.shape.children.get(outer) else {
+    let Some(around) = schema.root_type.children.get(outer) else {
         return format!("<wharfplank>{inner}</wharfplank>");
     };
     // An element within another one: the outer one has its required attributes.
-    let whole = element(schema, outer, around, None);
+    let whole = element(schema, outer, &around.element_type, None);
     whole.replace("/></wharfplank>", &format!(">{inner}</{outer}></wharfplank>"))
 }
 
@@ -59,11 +59,12 @@
 #[test]
 fn schema_reader_and_example_agree() {
     let schema = Schema::parse(SCHEMA).unwrap();
-    let example = tree::parse(EXAMPLE).unwrap();
+    let example = xml_tree::parse(EXAMPLE).unwrap();
     assert_eq!(parse(EXAMPLE).map(|s| s.records.is_some()), Ok(true));
-    let outer = schema.shape.children.iter().map(|(name, (shape, _))| (name.clone(), shape));
-    let inner = schema.shape.children.iter().flat_map(|(outer, (shape, _))| {
-        shape.children.iter().map(move |(name, (shape, _))| (format!("{outer}/{name}"), shape))
+    let outer = schema.root_type.children.iter().map(|(name, child)| (name.clone(), &child.element_type));
+    let inner = schema.root_type.children.iter().flat_map(|(outer, child)| {
+        let inner = child.element_type.children.iter();
+        inner.map(move |(name, child)| (format!("{outer}/{name}"), &child.element_type))
     });
     for (name, shape) in &outer.chain(inner).collect::<Vec<_>>() {
         let plain = parse(&element(&schema, name, shape, None)).unwrap();
@@ -71,12 +72,12 @@
         let shown = shown.unwrap_or_else(|| panic!("the example has no {name}"));
         for (attribute, of) in &shape.attributes {
             assert!(shown.attribute(attribute).is_some(), "the example has no {name}/@{attribute}");
-            let (good, bad) = edges(&schema.kinds[&of.kind]);
+            let (good, bad) = edges(&schema.simple_types[&of.type_name]);
             let set = |value: &str| parse(&element(&schema, name, shape, Some((attribute, value))));
             for value in good {
                 // Reading what the schema takes must not fail, and must not be lost: another value reads otherwise.
                 let read = set(&value).unwrap_or_else(|f| panic!("{name}/@{attribute}='{value}': {f:?}"));
-                let same = of.default.as_deref() == Some(&*value) || (of.required && read == plain);
+                let same = of.default.as_deref() == Some(&*value) || (of.is_required && read == plain);
                 assert_eq!(read == plain, same, "{name}/@{attribute}='{value}' is not read");
             }
             for value in bad {
@@ -159,7 +160,10 @@
         format!("<wharfplank>\n<release listen='127.0.0.1:1' {head}>\n  <proxy address='127.0.0.1:1'/>\n{members}</release></wharfplank>")
     };
     let faults = |text: &str| -> Vec<String> {
-        whole(text, &parse(text).expect("each value may be")).iter().map(|f| f.to_string()).collect()
+        consistency_faults(text, &parse(text).expect("each value may be"))
+            .iter()
+            .map(|f| f.to_string())
+            .collect()
     };
     let good = text("rank='1' banks='1' ledger='l'", &(member("m0", 2) + &member("m1", 3)));
     assert_eq!(faults(&good), Vec::<String>::new());
@@ -191,7 +195,9 @@
             "<wharfplank>\n<budgets listen='10.0.0.1:1' banks='{banks}' gone='{gone}'/>\n</wharfplank>"
         );
         std::fs::write(&file, text).unwrap();
-        let faults = load(&file).err().map(|faults| faults.join("\n"));
+        let faults = load(&file)
+            .err()
+            .map(|faults| faults.iter().map(|fault| fault.to_string()).collect::<Vec<_>>().join("\n"));
         std::fs::remove_file(&file).unwrap();
         faults
     };
--- a/src/cli/line.rs
+++ b/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! What the command line may say.
+//! The arguments of the command line.
 
 use super::records;
 use clap::{Parser, Subcommand};
@@ -12,7 +12,7 @@
     after_help = "Without a sub-command it serves, as the deploy file starts it.\n\
     Exit codes: 0 done, 1 failed while running, 2 usage, 3 bad settings or configuration."
 )]
-pub(super) struct Line {
+pub(super) struct Arguments {
     #[command(subcommand)]
     pub(super) command: Option<Command>,
 }
--- a/src/cli/lab.rs
+++ b/src/cli/lab.rs
@@ -1,10 +1,10 @@
 //! `lab`: the scripted incident and the demonstration.
 
+use super::error::CommandError;
 use super::records::Span;
-use super::Stop;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::{Path, PathBuf};
-use wharfplank::fleetrig::schedule::{Scenario, Schedule};
+use wharfplank::fleet_harness::schedule::{Scenario, Schedule};
 use wharfplank::incidents::{Incident, Kind};
 use wharfplank::lab::fleet::CLASSES;
 use wharfplank::lab::load::Seen;
@@ -20,16 +20,16 @@
 const STARTS: Micros = 4 * SECOND;
 const ENDS: Micros = 6 * SECOND;
 
-pub(super) fn timeline(path: Option<&Path>, own: &str) -> Result<Timeline, Stop> {
+pub(super) fn timeline(path: Option<&Path>, own: &str) -> Result<Timeline, CommandError> {
     let text = match path {
         Some(path) => std::fs::read_to_string(path)
-            .map_err(|e| Stop::settings(vec![format!("{}: {e}", path.display())]))?,
+            .map_err(|e| CommandError::unusable_settings([format!("{}: {e}", path.display())]))?,
         None => own.to_string(),
     };
-    timeline::parse(&text).map_err(Stop::settings)
+    timeline::parse(&text).map_err(CommandError::unusable_settings)
 }
 
-fn played(timeline: &Timeline, directory: &Path, records: fn(usize) -> bool) -> Result<Ran, Stop> {
+fn played(timeline: &Timeline, directory: &Path, records: fn(usize) -> bool) -> Result<Ran, CommandError> {
     played_with(timeline, directory, records, None)
 }
 
@@ -38,19 +38,21 @@
     directory: &Path,
     records: fn(usize) -> bool,
     talk: Option<PathBuf>,
-) -> Result<Ran, Stop> {
-    std::fs::create_dir_all(directory).map_err(|e| Stop::failed(format!("{}: {e}", directory.display())))?;
-    let program = std::env::current_exe().map_err(Stop::failed)?;
-    let directory = directory.canonicalize().map_err(Stop::failed)?;
+) -> Result<Ran, CommandError> {
+    std::fs::create_dir_all(directory)
+        .map_err(|e| CommandError::failed(format!("{}: {e}", directory.display())))?;
+    let program = std::env::current_exe().map_err(CommandError::failed)?;
+    let directory = directory.canonicalize().map_err(CommandError::failed)?;
     let bar = ProgressBar::new(1000);
-    let style = ProgressStyle::with_template("{bar:40} {percent}% of {msg} s").map_err(Stop::failed)?;
+    let style =
+        ProgressStyle::with_template("{bar:40} {percent}% of {msg} s").map_err(CommandError::failed)?;
     bar.set_style(style);
     bar.set_message(timeline.seconds.to_string());
     let ran = play(timeline, &Place { program, directory, records, talk }, |part| {
         bar.set_position((part * 1000.0) as u64)
     });
     bar.finish_and_clear();
-    ran.map_err(Stop::failed)
+    ran.map_err(CommandError::failed)
 }
 
 fn table(ran: &Ran) {
@@ -83,7 +85,7 @@
 }
 
 /// Plays a calm while and shows what came back.
-pub fn demo(directory: &Path) -> Result<(), Stop> {
+pub fn demo(directory: &Path) -> Result<(), CommandError> {
     let timeline = timeline(None, timeline::DEMO)?;
     println!(
         "{} stand-in members, {} proxies, {} requests/s for {} s, on loopback",
@@ -102,12 +104,12 @@
     );
     match served * 10 >= all * 9 {
         true => Ok(()),
-        false => Err(Stop::failed("less than nine tenths of a calm while were served")),
+        false => Err(CommandError::failed("less than nine tenths of a calm while were served")),
     }
 }
 
 /// Plays a timeline, writes the report, and holds it against the script and what the load counted.
-pub fn incident(path: Option<&Path>, directory: &Path) -> Result<(), Stop> {
+pub fn incident(path: Option<&Path>, directory: &Path) -> Result<(), CommandError> {
     let timeline = timeline(path, timeline::INCIDENT)?;
     let ran = played(&timeline, directory, |_| true)?;
     table(&ran);
@@ -121,7 +123,7 @@
     println!("{} and {} are written", page.display(), json.display());
     match faults.is_empty() {
         true => Ok(()),
-        false => Err(Stop(faults, super::FAILED)),
+        false => Err(CommandError::failed_for(faults)),
     }
 }
 
@@ -242,12 +244,12 @@
 }
 
 /// Where a run keeps its files unless told otherwise.
-pub fn place(directory: Option<PathBuf>, name: &str) -> PathBuf {
+pub fn output_directory(directory: Option<PathBuf>, name: &str) -> PathBuf {
     directory.unwrap_or_else(|| PathBuf::from("target").join(name))
 }
 
 /// One proxy records and one does not, side by side under the same load.
-pub fn recording(directory: &Path) -> Result<(), Stop> {
+pub fn recording(directory: &Path) -> Result<(), CommandError> {
     let mut timeline = timeline(None, timeline::DEMO)?;
     (timeline.rate, timeline.seconds) = (1200, 20);
     let ran = played(&timeline, directory, |number| number == 0)?;
@@ -256,7 +258,8 @@
     for (number, name) in ["recording", "not recording"].iter().enumerate() {
         let own: Vec<_> = done.iter().filter(|d| d.proxy == number).collect();
         let served = own.iter().filter(|d| d.seen == Seen::Served).count();
-        let used = ran.used.get(number).ok_or_else(|| Stop::failed("the system tells no CPU time"))?;
+        let used =
+            ran.used.get(number).ok_or_else(|| CommandError::failed("the system tells no CPU time"))?;
         let (memory, micros) = (used.memory, used.cpu * 1e6 / own.len().max(1) as f64);
         println!(
             "{name:<14} {served} of {} served, {micros:.0} us of CPU a request, {memory:.1} MB",
@@ -269,16 +272,17 @@
 }
 
 /// A day of records of three proxies, and what its report takes.
-pub fn day(directory: &Path, seconds: u32) -> Result<(), Stop> {
-    std::fs::create_dir_all(directory).map_err(Stop::failed)?;
-    for old in std::fs::read_dir(directory).map_err(Stop::failed)?.flatten() {
+pub fn day(directory: &Path, seconds: u32) -> Result<(), CommandError> {
+    std::fs::create_dir_all(directory).map_err(CommandError::failed)?;
+    for old in std::fs::read_dir(directory).map_err(CommandError::failed)?.flatten() {
         if old.path().to_string_lossy().contains(".wharfplank") {
-            std::fs::remove_file(old.path()).map_err(Stop::failed)?;
+            std::fs::remove_file(old.path()).map_err(CommandError::failed)?;
         }
     }
-    let written = trials::synthetic(directory, i64::from(seconds), 3, 320, 7).map_err(Stop::failed)?;
+    let written =
+        trials::synthetic(directory, i64::from(seconds), 3, 320, 7).map_err(CommandError::failed)?;
     let bytes: u64 = std::fs::read_dir(directory)
-        .map_err(Stop::failed)?
+        .map_err(CommandError::failed)?
         .flatten()
         .filter_map(|e| Some(e.metadata().ok()?.len()))
         .sum();
@@ -300,28 +304,28 @@
 }
 
 /// Kills a recording process again and again.
-pub fn kills(directory: &Path, times: u64) -> Result<(), Stop> {
+pub fn kills(directory: &Path, times: u64) -> Result<(), CommandError> {
     let _ = std::fs::remove_dir_all(directory);
-    std::fs::create_dir_all(directory).map_err(Stop::failed)?;
-    let program = std::env::current_exe().map_err(Stop::failed)?;
-    let seen = trials::kills(&program, directory, times, 7).map_err(Stop::failed)?;
+    std::fs::create_dir_all(directory).map_err(CommandError::failed)?;
+    let program = std::env::current_exe().map_err(CommandError::failed)?;
+    let seen = trials::kills(&program, directory, times, 7).map_err(CommandError::failed)?;
     println!(
         "{} kills: {} records acknowledged, {} of them found, {} stores damaged",
         seen.kills, seen.acknowledged, seen.found, seen.damaged
     );
     match seen.found == seen.acknowledged && seen.damaged == 0 {
         true => Ok(()),
-        false => Err(Stop::failed("a record that was acknowledged is gone, or a store is damaged")),
+        false => Err(CommandError::failed("a record that was acknowledged is gone, or a store is damaged")),
     }
 }
 
 /// Adds up the logs of many proxies.
-pub fn tally(paths: &[PathBuf], by_second: &[String]) -> Result<(), Stop> {
+pub fn tally(paths: &[PathBuf], by_second: &[String]) -> Result<(), CommandError> {
     let mut files = Vec::new();
     for path in paths {
         if path.is_dir() {
-            let entries =
-                std::fs::read_dir(path).map_err(|e| Stop::failed(format!("{}: {e}", path.display())))?;
+            let entries = std::fs::read_dir(path)
+                .map_err(|e| CommandError::failed(format!("{}: {e}", path.display())))?;
             let mut logs: Vec<PathBuf> = entries
                 .filter_map(|e| e.ok().map(|e| e.path()))
                 .filter(|p| p.extension().is_some_and(|e| e == "log"))
@@ -334,7 +338,8 @@
     }
     let mut tally = wharfplank::lab::tally::Tally::default();
     for file in &files {
-        let bytes = std::fs::read(file).map_err(|e| Stop::failed(format!("{}: {e}", file.display())))?;
+        let bytes =
+            std::fs::read(file).map_err(|e| CommandError::failed(format!("{}: {e}", file.display())))?;
         tally.add_log(&String::from_utf8_lossy(&bytes));
     }
     print!("{}", tally.render(by_second));
@@ -342,10 +347,11 @@
 }
 
 /// The scenario of a name; a name that there is not is a fault of usage.
-fn named(scenario: &str) -> Result<Scenario, Stop> {
+fn named(scenario: &str) -> Result<Scenario, CommandError> {
     let names: Vec<&str> = Scenario::ALL.iter().map(|s| s.name()).collect();
-    Scenario::named(scenario)
-        .ok_or_else(|| Stop(vec![format!("no scenario '{scenario}'; there are {}", names.join(", "))], 2))
+    Scenario::named(scenario).ok_or_else(|| {
+        CommandError::usage(format!("no scenario '{scenario}'; there are {}", names.join(", ")))
+    })
 }
 
 /// Plays many seeded runs and adds them up; fails where a rule was broken or a run could not be played.
@@ -356,15 +362,16 @@
     beside: usize,
     peers: bool,
     directory: &Path,
-) -> Result<(), Stop> {
-    use wharfplank::fleetrig::sweep::{play_all, sums};
+) -> Result<(), CommandError> {
+    use wharfplank::fleet_harness::sweep::{play_all, sums};
     let chosen = match scenarios {
         [] => Scenario::ALL.to_vec(),
         names => names.iter().map(|name| named(name)).collect::<Result<Vec<_>, _>>()?,
     };
-    std::fs::create_dir_all(directory).map_err(|e| Stop::failed(format!("{}: {e}", directory.display())))?;
-    let program = std::env::current_exe().map_err(Stop::failed)?;
-    let directory = directory.canonicalize().map_err(Stop::failed)?;
+    std::fs::create_dir_all(directory)
+        .map_err(|e| CommandError::failed(format!("{}: {e}", directory.display())))?;
+    let program = std::env::current_exe().map_err(CommandError::failed)?;
+    let directory = directory.canonicalize().map_err(CommandError::failed)?;
     let mut all = Vec::new();
     for scenario in chosen {
         let schedules = seeds.clone().map(|seed| Schedule::draw(scenario, proxies, seed, peers)).collect();
@@ -373,12 +380,12 @@
         summed.iter().for_each(|sum| println!("{}", sum.render()));
         all.extend(summed);
         // Written after each scenario, so that a long sweep that is stopped leaves what it has.
-        let text = serde_json::to_string_pretty(&all).map_err(Stop::failed)?;
-        std::fs::write(directory.join("sums.json"), text).map_err(Stop::failed)?;
+        let text = serde_json::to_string_pretty(&all).map_err(CommandError::failed)?;
+        std::fs::write(directory.join("sums.json"), text).map_err(CommandError::failed)?;
     }
     let (broken, failed) = all.iter().fold((0, 0), |(b, f), sum| (b + sum.broken, f + sum.failed.len()));
     if broken > 0 || failed > 0 {
-        return Err(Stop::failed(format!("{broken} broken rules, {failed} runs not played")));
+        return Err(CommandError::failed(format!("{broken} broken rules, {failed} runs not played")));
     }
     Ok(())
 }
@@ -391,25 +398,26 @@
     peers: bool,
     replay: Option<&Path>,
     directory: &Path,
-) -> Result<(), Stop> {
+) -> Result<(), CommandError> {
     let schedule = match replay {
         Some(path) => {
             let text = std::fs::read_to_string(path)
-                .map_err(|e| Stop::settings(vec![format!("{}: {e}", path.display())]))?;
+                .map_err(|e| CommandError::unusable_settings([format!("{}: {e}", path.display())]))?;
             Schedule::read(&text)
-                .map_err(|what| Stop::settings(vec![format!("{}: {what}", path.display())]))?
+                .map_err(|what| CommandError::unusable_settings([format!("{}: {what}", path.display())]))?
         }
         None => Schedule::draw(named(scenario)?, proxies, seed, peers),
     };
-    std::fs::create_dir_all(directory).map_err(|e| Stop::failed(format!("{}: {e}", directory.display())))?;
-    let program = std::env::current_exe().map_err(Stop::failed)?;
-    let directory = directory.canonicalize().map_err(Stop::failed)?;
-    let place = wharfplank::fleetrig::run::Place { program, directory: directory.clone() };
-    let report = wharfplank::fleetrig::run::play(&schedule, &place).map_err(Stop::failed)?;
+    std::fs::create_dir_all(directory)
+        .map_err(|e| CommandError::failed(format!("{}: {e}", directory.display())))?;
+    let program = std::env::current_exe().map_err(CommandError::failed)?;
+    let directory = directory.canonicalize().map_err(CommandError::failed)?;
+    let place = wharfplank::fleet_harness::run::Place { program, directory: directory.clone() };
+    let report = wharfplank::fleet_harness::run::play(&schedule, &place).map_err(CommandError::failed)?;
     print!("{}", report.render());
     println!("schedule, logs and report.json in {}", directory.display());
     if report.broken > 0 {
-        return Err(Stop::failed(format!("{} broken rules", report.broken)));
+        return Err(CommandError::failed(format!("{} broken rules", report.broken)));
     }
     Ok(())
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -7,117 +7,109 @@
 //! | 2 | the command line cannot be understood |
 //! | 3 | settings or a configuration cannot be used; nothing was started |
 
+mod arguments;
+mod error;
 mod lab;
-mod line;
 mod records;
 mod talking;
 
+use arguments::{Arguments, Command, Lab};
 use clap::{CommandFactory, Parser};
-use line::{Command, Lab, Line};
+use error::CommandError;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use wharfplank::program::{
+use wharfplank::proxy::{
     config::{AddressOverrides, Config},
-    log, run as serve,
+    log, run as run_proxy,
 };
 use wharfplank::settings::{self, Settings};
 
-const FAILED: u8 = 1;
-const BAD_SETTINGS: u8 = 3;
-
-/// Why a command ends early: what to say, and the exit code.
-pub struct Stop(Vec<String>, u8);
-
-impl Stop {
-    fn failed(what: impl ToString) -> Self {
-        Stop(vec![what.to_string()], FAILED)
-    }
-
-    fn settings(what: Vec<String>) -> Self {
-        Stop(what, BAD_SETTINGS)
+/// Runs the command that the command line names.
+pub fn run() -> ExitCode {
+    let command = Arguments::parse().command.unwrap_or(Command::Serve { settings: None });
+    match run_command(command) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => error.report(),
     }
 }
 
-/// Runs what the command line says.
-pub fn run() -> ExitCode {
-    let done = match Line::parse().command {
-        None => serving(None),
-        Some(Command::Serve { settings }) => serving(settings),
-        Some(Command::Check { settings, config, schema }) => check(settings, config, schema),
-        Some(Command::Records { paths }) => records::records(&paths),
-        Some(Command::Console { paths }) => wharfplank::console::run(&paths).map_err(Stop::failed),
-        Some(Command::Report { paths, out, json, span }) => {
-            records::report(&paths, &span, out.as_deref(), json.as_deref())
+fn run_command(command: Command) -> Result<(), CommandError> {
+    match command {
+        Command::Serve { settings } => serve(settings),
+        Command::Check { schema: true, .. } => {
+            print!("{}", settings::SCHEMA);
+            Ok(())
         }
-        Some(Command::Lab(Lab::Demo { out })) => lab::demo(&lab::place(out, "demo")),
-        Some(Command::Lab(Lab::Recording { out })) => lab::recording(&lab::place(out, "recording")),
-        Some(Command::Lab(Lab::Talking { before, proxies, rate, out })) => {
-            talking::talking(&before, proxies, rate, &lab::place(out, "talking"))
+        Command::Check { settings, config, schema: false } => check(settings, config),
+        Command::Records { paths } => records::records(&paths),
+        Command::Console { paths } => wharfplank::console::run(&paths).map_err(CommandError::failed),
+        Command::Report { paths, out, json, span } => {
+            records::report(&paths, &span, out.as_deref(), json.as_deref())
         }
-        Some(Command::Lab(Lab::Day { out, seconds })) => lab::day(&lab::place(out, "day"), seconds),
-        Some(Command::Lab(Lab::Kills { out, times })) => lab::kills(&lab::place(out, "kills"), times),
-        Some(Command::Lab(Lab::RecordUntilKilled { directory })) => {
-            wharfplank::lab::trials::record_until_killed(&directory).map_err(Stop::failed)
+        Command::Lab(command) => run_lab_command(command),
+        Command::Completions { shell } => {
+            let mut command = Arguments::command();
+            clap_complete::generate(shell, &mut command, "wharfplank", &mut std::io::stdout());
+            Ok(())
         }
-        Some(Command::Lab(Lab::Tally { paths, by_second })) => lab::tally(&paths, &by_second),
-        Some(Command::Lab(Lab::Fleet { scenario, proxies, seed, alone, replay, out })) => {
-            lab::fleet(&scenario, proxies, seed, !alone, replay.as_deref(), &lab::place(out, "fleet"))
+    }
+}
+
+fn run_lab_command(command: Lab) -> Result<(), CommandError> {
+    match command {
+        Lab::Demo { out } => lab::demo(&lab::output_directory(out, "demo")),
+        Lab::Recording { out } => lab::recording(&lab::output_directory(out, "recording")),
+        Lab::Talking { before, proxies, rate, out } => {
+            talking::talking(&before, proxies, rate, &lab::output_directory(out, "talking"))
         }
-        Some(Command::Lab(Lab::Sweep { scenarios, runs, seed, proxies, beside, alone, out })) => {
-            let place = lab::place(out, "sweep");
-            lab::sweep(&scenarios, seed..seed.saturating_add(runs), proxies, beside, !alone, &place)
+        Lab::Day { out, seconds } => lab::day(&lab::output_directory(out, "day"), seconds),
+        Lab::Kills { out, times } => lab::kills(&lab::output_directory(out, "kills"), times),
+        Lab::RecordUntilKilled { directory } => {
+            wharfplank::lab::trials::record_until_killed(&directory).map_err(CommandError::failed)
         }
-        Some(Command::Lab(Lab::Incident { timeline, out })) => {
-            lab::incident(timeline.as_deref(), &lab::place(out, "incident"))
+        Lab::Tally { paths, by_second } => lab::tally(&paths, &by_second),
+        Lab::Fleet { scenario, proxies, seed, alone, replay, out } => {
+            let directory = lab::output_directory(out, "fleet");
+            lab::fleet(&scenario, proxies, seed, !alone, replay.as_deref(), &directory)
         }
-        Some(Command::Completions { shell }) => {
-            clap_complete::generate(shell, &mut Line::command(), "wharfplank", &mut std::io::stdout());
-            Ok(())
+        Lab::Sweep { scenarios, runs, seed, proxies, beside, alone, out } => {
+            let directory = lab::output_directory(out, "sweep");
+            lab::sweep(&scenarios, seed..seed.saturating_add(runs), proxies, beside, !alone, &directory)
         }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(Stop(what, code)) => {
-            what.iter().for_each(|what| eprintln!("wharfplank: {what}"));
-            ExitCode::from(code)
+        Lab::Incident { timeline, out } => {
+            lab::incident(timeline.as_deref(), &lab::output_directory(out, "incident"))
         }
     }
 }
 
-fn load(settings: Option<PathBuf>) -> Result<Settings, Stop> {
-    settings.map_or(Ok(Settings::default()), |path| settings::load(&path)).map_err(Stop::settings)
-}
-
-fn serving(settings: Option<PathBuf>) -> Result<(), Stop> {
-    let settings = load(settings)?;
-    let config = Config::from_environment().map_err(|error| Stop::settings(vec![error.to_string()]))?;
-    let _log = log::start(&settings.log).map_err(Stop::failed)?;
-    serve(config, &settings).map_err(Stop::failed)
+/// Serves until the process is asked to end.
+fn serve(settings: Option<PathBuf>) -> Result<(), CommandError> {
+    let settings = match settings {
+        Some(path) => settings::load(&path).map_err(CommandError::unusable_settings)?,
+        None => Settings::default(),
+    };
+    let config = Config::from_environment().map_err(|error| CommandError::unusable_settings([error]))?;
+    let _log = log::start(&settings.log).map_err(CommandError::failed)?;
+    run_proxy(config, &settings).map_err(CommandError::failed)
 }
 
-fn check(settings: Option<PathBuf>, config: Option<PathBuf>, schema: bool) -> Result<(), Stop> {
-    if schema {
-        print!("{}", settings::SCHEMA);
-        return Ok(());
+/// Checks settings and a configuration without starting anything.
+fn check(settings: Option<PathBuf>, config: Option<PathBuf>) -> Result<(), CommandError> {
+    if settings.is_none() && config.is_none() {
+        return Err(CommandError::usage("nothing to check: give --settings FILE, --config FILE or both"));
     }
     let mut faults = Vec::new();
     if let Some(path) = &settings {
-        faults.extend(settings::load(path).err().unwrap_or_default());
+        let errors = settings::load(path).err().unwrap_or_default();
+        faults.extend(errors.iter().map(ToString::to_string));
     }
     if let Some(path) = &config {
-        faults.extend(Config::read(path, AddressOverrides::default()).err().map(|error| error.to_string()));
-    }
-    if settings.is_none() && config.is_none() {
-        return Err(Stop(
-            vec!["nothing to check: give --settings FILE, --config FILE or both".to_string()],
-            2,
-        ));
+        let error = Config::read(path, AddressOverrides::default()).err();
+        faults.extend(error.map(|error| error.to_string()));
     }
-    match faults.is_empty() {
-        true => {
-            println!("no fault found");
-            Ok(())
-        }
-        false => Err(Stop::settings(faults)),
+    if !faults.is_empty() {
+        return Err(CommandError::unusable_settings(faults));
     }
+    println!("no fault found");
+    Ok(())
 }
--- a/src/cli/records.rs
+++ b/src/cli/records.rs
@@ -1,6 +1,6 @@
 //! `records`, `report`: what the stores hold.
 
-use super::Stop;
+use super::error::CommandError;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 use wharfplank::incidents::gather::gather;
@@ -17,10 +17,10 @@
 }
 
 impl Span {
-    fn of(&self, reader: &Reader) -> Result<(Micros, Micros), Stop> {
+    fn of(&self, reader: &Reader) -> Result<(Micros, Micros), CommandError> {
         let (from, to) = reader.span().ok_or_else(|| {
             let problems = reader.problems.join("; ");
-            Stop::failed(format!(
+            CommandError::failed(format!(
                 "no records found; name a directory with PROXY.wharfplank files. {problems}"
             ))
         })?;
@@ -29,11 +29,11 @@
 }
 
 /// Says what the stores hold.
-pub fn records(paths: &[PathBuf]) -> Result<(), Stop> {
+pub fn records(paths: &[PathBuf]) -> Result<(), CommandError> {
     let reader = Reader::open(paths);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
     for source in &reader.sources {
-        let bytes = source.bytes().map_err(Stop::failed)?;
+        let bytes = source.bytes().map_err(CommandError::failed)?;
         println!("{}: {:.1} MB", source.proxy, bytes as f64 / 1e6);
         for run in &source.runs {
             let silent = now - run.alive > wharfplank::records::reader::SILENT;
@@ -55,29 +55,34 @@
     }
     reader.problems.iter().for_each(|problem| eprintln!("wharfplank: cannot be read: {problem}"));
     match reader.sources.is_empty() {
-        true => Err(Stop::failed("no records found; name a directory with PROXY.wharfplank files")),
+        true => Err(CommandError::failed("no records found; name a directory with PROXY.wharfplank files")),
         false => Ok(()),
     }
 }
 
 /// The facts of a span.
-pub fn facts(paths: &[PathBuf], span: &Span) -> Result<Facts, Stop> {
+pub fn facts(paths: &[PathBuf], span: &Span) -> Result<Facts, CommandError> {
     let reader = Reader::open(paths);
     let (from, to) = span.of(&reader)?;
     Ok(Facts::of(gather(&reader, from, to)))
 }
 
 /// Writes a report.
-pub fn report(paths: &[PathBuf], span: &Span, out: Option<&Path>, json: Option<&Path>) -> Result<(), Stop> {
+pub fn report(
+    paths: &[PathBuf],
+    span: &Span,
+    out: Option<&Path>,
+    json: Option<&Path>,
+) -> Result<(), CommandError> {
     let facts = facts(paths, span)?;
     let write = |path: &Path, text: String| {
-        std::fs::write(path, text).map_err(|e| Stop::failed(format!("{}: {e}", path.display())))
+        std::fs::write(path, text).map_err(|e| CommandError::failed(format!("{}: {e}", path.display())))
     };
     if let Some(path) = json {
-        write(path, serde_json::to_string_pretty(&facts).map_err(Stop::failed)?)?;
+        write(path, serde_json::to_string_pretty(&facts).map_err(CommandError::failed)?)?;
     }
     if let Some(path) = out {
-        write(path, html::render(&facts).map_err(Stop::failed)?)?;
+        write(path, html::render(&facts).map_err(CommandError::failed)?)?;
     }
     facts.summary.iter().for_each(|sentence| println!("{sentence}"));
     Ok(())
--- a/src/cli/talking.rs
+++ b/src/cli/talking.rs
@@ -1,6 +1,6 @@
 //! `lab talking`: what the fleet's talk does to serving.
 
-use super::{lab, Stop};
+use super::{error::CommandError, lab};
 use std::path::Path;
 use wharfplank::lab::load::Seen;
 use wharfplank::lab::timeline;
@@ -10,8 +10,9 @@
 
 /// Three proxies under the same load in one run: one that does not talk, one of the program `before` that talks with
 /// all, and one of this program that does. The others that talk get no load.
-pub fn talking(before: &Path, proxies: usize, rate: u64, directory: &Path) -> Result<(), Stop> {
-    let before = before.canonicalize().map_err(|e| Stop::failed(format!("{}: {e}", before.display())))?;
+pub fn talking(before: &Path, proxies: usize, rate: u64, directory: &Path) -> Result<(), CommandError> {
+    let before =
+        before.canonicalize().map_err(|e| CommandError::failed(format!("{}: {e}", before.display())))?;
     let mut timeline = lab::timeline(None, timeline::DEMO)?;
     (timeline.rate, timeline.seconds, timeline.proxies) = (rate, SECONDS, proxies.max(6) + 1);
     let ran = lab::played_with(&timeline, directory, |_| false, Some(before))?;
@@ -27,7 +28,8 @@
         times.sort_unstable();
         let part =
             |per_mille: usize| times.get(times.len() * per_mille / 1000).map_or(0.0, |t| *t as f64 / 1000.0);
-        let used = ran.used.get(number).ok_or_else(|| Stop::failed("the system tells no CPU time"))?;
+        let used =
+            ran.used.get(number).ok_or_else(|| CommandError::failed("the system tells no CPU time"))?;
         let each = |seconds: f64| seconds * 1e6 / own.len().max(1) as f64;
         println!(
             "{name:<10} {:>8} {:>8.2} {:>8.2} {:>8.2} {:>10.0} {:>10.0}",
--- a/tests/budgetrig.rs
+++ b/tests/budgetrig.rs
@@ -2,8 +2,8 @@
 //! added up from all logs, was never more than the whole. Counts only, read once a run is over.
 
 use std::path::{Path, PathBuf};
-use wharfplank::fleetrig::budgets::{play, Case, Report};
-use wharfplank::fleetrig::run::Place;
+use wharfplank::fleet_harness::budgets::{play, Case, Report};
+use wharfplank::fleet_harness::run::Place;
 
 /// Plays cases beside each other, so many at a time.
 fn played(runs: &[(Case, usize, u64)], beside: usize, directory: &Path) -> Vec<Report> {
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 use steps::Step;
-use wharfplank::program::config::{AddressOverrides, Config};
+use wharfplank::proxy::config::{AddressOverrides, Config};
 use wharfplank::routing::Micros;
 
 /// A class: its need, its effect, who drops repeats, its deadline, aim as a part of it, window, worth and
--- a/tests/fleetrig.rs
+++ b/tests/fleetrig.rs
@@ -3,9 +3,9 @@
 //! read once a run is over.
 
 use std::path::PathBuf;
-use wharfplank::fleetrig::check::Report;
-use wharfplank::fleetrig::schedule::{Scenario, Schedule};
-use wharfplank::fleetrig::sweep::{play_all, LATE_MS};
+use wharfplank::fleet_harness::check::Report;
+use wharfplank::fleet_harness::schedule::{Scenario, Schedule};
+use wharfplank::fleet_harness::sweep::{play_all, LATE_MS};
 
 /// Runs beside each other: each takes about a quarter of a core, with the tests' build.
 const BESIDE: usize = 5;
@@ -66,7 +66,7 @@
     assert_eq!(served, old.requests.values().sum::<u64>(), "old-snapshot: {:?}", old.requests);
     // Goodput is judged against what the truth allows: nothing is served beyond it, and a lost zone costs some.
     for (scenario, report) in &reports {
-        let goodput = wharfplank::fleetrig::goodput::total(&report.goodput);
+        let goodput = wharfplank::fleet_harness::goodput::total(&report.goodput);
         assert!(
             goodput.offered > 0.0 && goodput.served <= goodput.upper_bound + 0.01 * goodput.offered,
             "{}",
--- a/tests/release_rig.rs
+++ b/tests/release_rig.rs
@@ -2,10 +2,10 @@
 //! Events are counted, no times.
 
 use std::path::{Path, PathBuf};
-use wharfplank::fleetrig::releases::case::{Case, Played, NEW, OLD, OTHER};
-use wharfplank::fleetrig::releases::outcome::Outcome;
-use wharfplank::fleetrig::releases::run::play;
-use wharfplank::fleetrig::run::Place;
+use wharfplank::fleet_harness::releases::case::{Case, Played, NEW, OLD, OTHER};
+use wharfplank::fleet_harness::releases::outcome::Outcome;
+use wharfplank::fleet_harness::releases::run::play;
+use wharfplank::fleet_harness::run::Place;
 
 /// Plays runs beside each other, each in a directory of its own.
 fn play_all(all: &[Played], directory: &Path, beside: usize) -> Vec<Outcome> {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -2,7 +2,7 @@
 //! default.
 
 use serde_json::{json, Value};
-use wharfplank::program::config::{AddressOverrides, Config};
+use wharfplank::proxy::config::{AddressOverrides, Config};
 use wharfplank::routing::{Idempotency, Settings};
 
 #[path = "common/config.rs"]
