--- a/crates/transport/src/gossip/driver.rs
+++ b/crates/transport/src/gossip/driver.rs
@@ -1,6 +1,6 @@
 //! The loop of the gossip worker.
 
-use super::handle::Observation;
+use super::observation::Observation;
 use super::{GossipLogEvent, GossipUpdate, GossipWorker, StallDetector};
 use crate::worker::{RingReceiver, RingSender};
 use async_io::{Async, Timer};
@@ -9,10 +9,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::time::Duration;
-use wharfplank_failover::MemberOutcome;
-use wharfplank_gossip::Datagram;
 use wharfplank_routing::Micros;
-use wharfplank_shared_state::{Frame, FRAME_OVERHEAD};
 
 /// How often the traffic is logged.
 const TRAFFIC_LOG_INTERVAL: Micros = 5_000_000;
@@ -20,13 +17,9 @@
 const DIGEST_LOG_INTERVAL: Micros = 1_000_000;
 /// How often a snapshot of the shared state is saved.
 const SNAPSHOT_INTERVAL: Micros = 5_000_000;
-/// The largest datagram that a rumour is put on.
-const MAX_PIGGYBACK_BYTES: usize = 1400;
 /// State updates wait in their own bounded table while fewer slots than this are free in the ring: shares and factors
 /// go first.
 const RESERVED_SLOTS: usize = 64;
-/// Datagrams that are read in one turn: reading several costs less, and the rest of the turn must not starve.
-const MAX_DATAGRAMS_PER_TURN: usize = 64;
 /// The size of the read buffer, which holds any datagram.
 const DATAGRAM_BUFFER_BYTES: usize = 65_536;
 /// The longest wait for a timer.
@@ -154,44 +147,6 @@
         due
     }
 
-    /// Takes an observation of the broker. Zones are evaluated by the time at which this thread receives it, which is what
-    /// its own stall is about.
-    fn on_observation(&mut self, now: Micros, observation: Observation) {
-        let offset = self.worker.clock_offset;
-        let worker = &mut self.worker;
-        match (observation, &mut worker.shared_state, &mut worker.health) {
-            (Observation::Contact(contact), ..) if contact.answered => {
-                worker.failover.record(now, &contact.zone, contact.member, MemberOutcome::Answered)
-            }
-            (Observation::Contact(contact), ..) => {
-                let sent_at = contact.sent_at + offset;
-                worker.failover.record_timeout(now, sent_at, &contact.zone, contact.member)
-            }
-            (Observation::Position { at, member, epoch, position }, Some(state), _) => {
-                state.record_position(at + offset, member, epoch, position)
-            }
-            (Observation::MemberStatus { at, member, status }, Some(state), _) => {
-                state.record_member_status(at + offset, member, status)
-            }
-            (Observation::Counter { at, counter }, Some(state), _) => {
-                state.add_to_counter(at + offset, counter, 1)
-            }
-            (Observation::WriteOutcome { at, write, outcome }, Some(state), _) => {
-                state.record_write_outcome(at + offset, write, outcome)
-            }
-            (Observation::EndpointListed(endpoint), _, Some(health)) => health.on_endpoint_listed(&endpoint),
-            (Observation::MembersRetained(listed), _, Some(health)) => health.retain_members(&listed),
-            (Observation::RequestOutcome { at, member, outcome }, _, Some(health)) => {
-                health.record_request_outcome(at + offset, member, outcome)
-            }
-            (Observation::Lag { at, member, lag }, _, Some(health)) => {
-                health.record_lag(at + offset, member, lag)
-            }
-            // The part that it is for is not in use.
-            _ => {}
-        }
-    }
-
     /// Does what is due: each part does its own, and what changed goes to the others, the broker and the log.
     fn on_turn(&mut self, now: Micros, observations_dropped: u64) {
         self.tick_membership(now);
@@ -261,52 +216,4 @@
         self.next_snapshot_at = now + SNAPSHOT_INTERVAL;
         save_snapshot(shared_state.snapshot(now));
     }
-
-    /// Reads the datagrams that are there already, up to the limit of a turn.
-    fn receive_more(&mut self, now: Micros, socket: &Async<UdpSocket>, buffer: &mut [u8]) {
-        for _ in 1..MAX_DATAGRAMS_PER_TURN {
-            let Ok((length, from)) = socket.get_ref().recv_from(buffer) else { break };
-            self.on_datagram(now, from, &buffer[..length]);
-        }
-    }
-
-    /// Takes a datagram of the membership protocol, with or without a message of the shared state behind it.
-    fn on_datagram(&mut self, now: Micros, from: SocketAddr, datagram: &[u8]) {
-        // A frame that cannot be decoded is passed on as it is: the membership counts it among what it rejects.
-        let undecoded = Frame { membership: datagram, shared_state: &[] };
-        let frame = Frame::decode(datagram).unwrap_or(undecoded);
-        if !frame.membership.is_empty() {
-            self.worker.membership.on_datagram(now, frame.membership);
-        }
-        if frame.shared_state.is_empty() {
-            return;
-        }
-        if let (Some(shared_state), SocketAddr::V4(from)) = (&mut self.worker.shared_state, from) {
-            shared_state.on_message(now, from, frame.shared_state);
-        }
-    }
-
-    /// Sends what is to be sent. A datagram that cannot be sent is as one lost on the wire: SWIM sends again, and so do
-    /// exchanges.
-    async fn send_datagrams(&mut self, now: Micros, socket: &Async<UdpSocket>) {
-        for Datagram { to, payload } in self.worker.membership.take_datagrams() {
-            let datagram = self.with_rumour(now, payload);
-            let _ = socket.send_to(&datagram, to).await;
-        }
-        let Some(shared_state) = &mut self.worker.shared_state else { return };
-        for (to, message) in shared_state.take_datagrams() {
-            let datagram = Frame { membership: &[], shared_state: &message }.encode();
-            let _ = socket.send_to(&datagram, to).await;
-        }
-    }
-
-    /// A datagram of the membership with a rumour of the shared state behind it, where there is one that fits.
-    fn with_rumour(&mut self, now: Micros, payload: Vec<u8>) -> Vec<u8> {
-        let Some(shared_state) = &mut self.worker.shared_state else { return payload };
-        let max_bytes = MAX_PIGGYBACK_BYTES.saturating_sub(payload.len() + FRAME_OVERHEAD);
-        match shared_state.piggyback(now, max_bytes) {
-            Some(message) => Frame { membership: &payload, shared_state: &message }.encode(),
-            None => payload,
-        }
-    }
 }
--- a/crates/transport/src/gossip/handle.rs
+++ b/crates/transport/src/gossip/handle.rs
@@ -1,68 +1,15 @@
 //! The broker's side of the gossip driver: it passes observations on without waiting.
 
+use super::observation::{ListedEndpoint, MemberContact, Observation};
 use super::{StallDetector, UpdateQueue};
 use crate::worker::RingSender;
 use std::cell::RefCell;
-use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::sync::Arc;
 use wharfplank_health::Outcome;
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{MemberStatus, WriteOutcome};
 
-/// Whether a member answered, as the broker saw it.
-#[derive(Clone, Debug)]
-pub struct MemberContact {
-    /// The member's zone.
-    pub zone: Arc<str>,
-    /// The member.
-    pub member: u32,
-    /// When the request to it was sent.
-    pub sent_at: Micros,
-    /// Whether it answered at all, be it with an error; false where there was no connection or no answer in time.
-    pub answered: bool,
-}
-
-/// What the broker reports to the worker. Members and writes have the numbers that all proxies share, and `at` is on the
-/// broker's clock.
-#[derive(Clone, Debug)]
-pub(super) enum Observation {
-    /// Whether a member answered, for its zone.
-    Contact(MemberContact),
-    /// A member itself reported its log position.
-    Position {
-        at: Micros,
-        member: u64,
-        /// When the member was started, in Unix milliseconds.
-        epoch: i64,
-        position: Micros,
-    },
-    /// Whether this proxy suspects a member.
-    MemberStatus { at: Micros, member: u64, status: MemberStatus },
-    /// One more of one of the fleet's counters.
-    Counter { at: Micros, counter: u32 },
-    /// What is known of a write whose client got no success.
-    WriteOutcome { at: Micros, write: u64, outcome: WriteOutcome },
-    /// A member as the endpoint list has it.
-    EndpointListed(Box<ListedEndpoint>),
-    /// The members that are still on the endpoint list.
-    MembersRetained(BTreeSet<u64>),
-    /// The outcome of a request to a member, for its health.
-    RequestOutcome { at: Micros, member: u64, outcome: Outcome },
-    /// How far a member's log is behind.
-    Lag { at: Micros, member: u64, lag: Micros },
-}
-
-/// A member as the endpoint list has it.
-#[derive(Clone, Debug)]
-pub(super) struct ListedEndpoint {
-    pub(super) member: u64,
-    pub(super) name: String,
-    pub(super) zone: String,
-    /// When the member was started, in Unix milliseconds.
-    pub(super) started_at_ms: i64,
-}
-
 /// Passes the broker's observations to the worker. Where the ring is full they are dropped and counted.
 pub struct GossipHandle {
     pub(super) observations: RefCell<RingSender<Observation>>,
--- a/crates/transport/src/gossip/health.rs
+++ b/crates/transport/src/gossip/health.rs
@@ -2,7 +2,7 @@
 //! reports the factors to the broker where they change. It decides nothing itself.
 
 use super::driver::Driver;
-use super::handle::ListedEndpoint;
+use super::observation::ListedEndpoint;
 use super::{peer_key, GossipLogEvent, GossipUpdate, LogGossip};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
--- a/crates/transport/src/gossip/mod.rs
+++ b/crates/transport/src/gossip/mod.rs
@@ -8,20 +8,24 @@
 //! - [`GossipHandle`]: the serving thread's side, which never waits. Observations go to the worker over a bounded ring.
 //! - [`GossipUpdate`] and [`UpdateQueue`]: what the worker reports, and the serving thread's own copy of the writes in
 //!   doubt.
-//! - [`GossipWorker`]: what the worker is made of; `driver` is its loop, `zones` and `health` are its decisions' drivers.
+//! - [`GossipWorker`]: what the worker is made of. `driver` is its loop, `datagrams` its socket's traffic, `observation`
+//!   what the broker reports; `zones` and `health` drive the decisions.
 //! - [`StallDetector`]: whether the worker stands still.
 
+mod datagrams;
 mod driver;
 mod handle;
 mod health;
 mod log;
+mod observation;
 mod stall;
 mod updates;
 mod zones;
 
-pub use handle::{GossipHandle, MemberContact};
+pub use handle::GossipHandle;
 pub use health::HealthEvaluator;
 pub use log::GossipLogEvent;
+pub use observation::MemberContact;
 pub use stall::{StallDetector, CATCH_UP_TIME, STALL_TIMEOUT};
 pub use updates::{forward_updates, GossipUpdate, UpdateQueue, MAX_QUEUED_UPDATES};
 
