--- a/crates/fleet-harness/src/budgets/faults.rs
+++ b/crates/fleet-harness/src/budgets/faults.rs
@@ -2,7 +2,6 @@
 
 use super::rig::Rig;
 use super::{Case, ALLOCATORS};
-use crate::proxies::Proxy;
 use async_io::Timer;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -44,38 +43,38 @@
 
     /// Kills seven in ten proxies, and restarts them.
     async fn kill_most(&self, rng: &mut SmallRng) -> Result<(), String> {
-        let count = self.proxy_count();
+        let count = self.cluster.len();
         let mut killed: Vec<usize> = (0..count).collect();
         (1..count).rev().for_each(|i| killed.swap(i, rng.random_range(0..=i)));
         killed.truncate((count * 7).div_ceil(10).min(count - 1));
         killed.iter().for_each(|proxy| self.kill(*proxy));
         sleep_ms(RESTART_AFTER_MS).await;
-        killed.into_iter().try_for_each(|proxy| self.start(proxy))
+        killed.into_iter().try_for_each(|proxy| self.cluster.start(proxy))
     }
 
     async fn start_second_half(&self) -> Result<(), String> {
-        let count = self.proxy_count();
+        let count = self.cluster.len();
         let joining = count / 2..count;
         let pause_ms = JOIN_SPAN_MS / joining.len() as u64;
         for proxy in joining {
-            self.start(proxy)?;
+            self.cluster.start(proxy)?;
             sleep_ms(pause_ms).await;
         }
         Ok(())
     }
 
     async fn cut_off_a_third(&self) {
-        let side: Vec<usize> = (0..self.proxy_count()).filter(|proxy| proxy % 3 == 0).collect();
-        self.cut_off(&side);
+        let side: Vec<usize> = (0..self.cluster.len()).filter(|proxy| proxy % 3 == 0).collect();
+        self.cluster.cut_off(&side);
         sleep_ms(CUT_MS).await;
-        self.reconnect(&side);
+        self.cluster.reconnect(&side);
     }
 
     async fn pause_one(&self, rng: &mut SmallRng) {
-        let proxy = rng.random_range(0..self.proxy_count());
-        self.pause(proxy);
+        let proxy = rng.random_range(0..self.cluster.len());
+        self.cluster.pause(proxy);
         sleep_ms(PAUSE_MS).await;
-        self.resume(proxy);
+        self.cluster.resume(proxy);
     }
 
     /// Kills the last allocator for good, and restarts the others with settings that declare it retired.
@@ -83,12 +82,12 @@
         let retired = ALLOCATORS - 1;
         self.kill(retired);
         sleep_ms(RESTART_AFTER_MS).await;
-        let declaration = format!("<budgets gone=\"{}\" set=\"2\"", self.mesh.inbox[retired]);
-        for proxy in (0..self.proxy_count()).filter(|proxy| *proxy != retired) {
+        let declaration = format!("<budgets gone=\"{}\" set=\"2\"", self.cluster.mesh.inbox[retired]);
+        for proxy in (0..self.cluster.len()).filter(|proxy| *proxy != retired) {
             self.kill(proxy);
-            let mut plan = self.plans[proxy].clone();
+            let mut plan = self.cluster.plans[proxy].clone();
             plan.more = plan.more.replace("<budgets", &declaration);
-            self.proxies.borrow_mut()[proxy] = Some(Proxy::start(&plan)?);
+            self.cluster.start_by(proxy, &plan)?;
         }
         Ok(())
     }
--- a/crates/fleet-harness/src/budgets/mod.rs
+++ b/crates/fleet-harness/src/budgets/mod.rs
@@ -66,7 +66,7 @@
 ) -> Result<FinishedRun, String> {
     let rig = Rig::prepare(case, proxies, seed, place, executor).map_err(|e| e.to_string())?;
     let started_at_first = if case == Case::Join { (proxies / 2).max(1) } else { proxies };
-    (0..started_at_first).try_for_each(|proxy| rig.start(proxy))?;
+    (0..started_at_first).try_for_each(|proxy| rig.cluster.start(proxy))?;
     let watcher = executor.spawn(watch_logs(Rc::clone(&rig)));
     wait_until_ready(&rig, started_at_first, place).await?;
     Timer::after(SETTLE).await;
@@ -125,7 +125,6 @@
 
 /// Ends all proxies; returns how many had ended on their own or did not end when told to.
 fn end_all(rig: &Rig) -> u64 {
-    let running: Vec<Proxy> = rig.proxies.borrow_mut().iter_mut().filter_map(Option::take).collect();
     let has_crashed = |mut proxy: Proxy| proxy.ended().is_some() || proxy.end(END_TIMEOUT).is_err();
-    running.into_iter().map(|proxy| u64::from(has_crashed(proxy))).sum()
+    rig.cluster.take_all().into_iter().map(|proxy| u64::from(has_crashed(proxy))).sum()
 }
--- a/crates/fleet-harness/src/budgets/rig.rs
+++ b/crates/fleet-harness/src/budgets/rig.rs
@@ -3,13 +3,12 @@
 use super::case::LIMIT_PER_PROXY;
 use super::{Case, ALLOCATORS, STATIC_PERCENT};
 use crate::agent;
-use crate::proxies::{Heard, Plan, Proxy};
+use crate::cluster::Cluster;
+use crate::proxies::Plan;
 use crate::relay::{Links, Mesh};
 use crate::run::Place;
-use crate::schedule::ZONES;
 use async_executor::LocalExecutor;
-use std::cell::RefCell;
-use std::net::{SocketAddr, SocketAddrV4};
+use std::net::SocketAddrV4;
 use std::rc::Rc;
 use wharfplank_lab::fleet::Fleet;
 use wharfplank_lab::load::Load;
@@ -24,12 +23,9 @@
 const DUPLICATES: f64 = 0.1;
 const JITTER_MICROS: i64 = 100_000;
 
-/// The processes of a run, the network between them and the load of each.
+/// The proxies of a run and the load of each.
 pub(super) struct Rig {
-    pub(super) plans: Vec<Plan>,
-    /// The running proxies; `None`: not started, or killed.
-    pub(super) proxies: RefCell<Vec<Option<Proxy>>>,
-    pub(super) mesh: Rc<Mesh>,
+    pub(super) cluster: Cluster,
     /// The load of each proxy.
     pub(super) loads: Vec<Rc<Load>>,
 }
@@ -44,8 +40,7 @@
         executor: &Rc<LocalExecutor<'static>>,
     ) -> std::io::Result<Rc<Rig>> {
         let stand = start_stand_ins(proxies, seed, executor)?;
-        let zones = (0..proxies).map(Plan::zone).collect();
-        let links = Links::start(executor, &stand, &member_addresses(&stand), zones)?;
+        let links = Links::start(executor, &stand, (0..proxies).map(Plan::zone).collect())?;
         let mesh = Mesh::start(executor, proxies, seed)?;
         if case == Case::Lossy {
             make_lossy(&mesh);
@@ -67,71 +62,20 @@
             });
         }
         Ok(Rc::new(Rig {
-            plans,
-            proxies: RefCell::new((0..proxies).map(|_| None).collect()),
-            mesh,
+            cluster: Cluster::new(plans, mesh),
             loads: (0..proxies).map(|_| Load::new(executor, 1)).collect(),
         }))
     }
 
-    pub(super) fn proxy_count(&self) -> usize {
-        self.plans.len()
-    }
-
     /// Takes over the addresses that proxies have logged since the last call.
     pub(super) fn register_addresses(&self) {
-        for (index, proxy) in self.proxies.borrow_mut().iter_mut().enumerate() {
-            let Some(proxy) = proxy.as_mut() else { continue };
-            while let Ok(heard) = proxy.heard.try_recv() {
-                match heard {
-                    Heard::Listens(addr) => self.loads[index].proxies[0].set(Some(addr)),
-                    Heard::Peers(addr) => self.mesh.register(index, addr),
-                }
-            }
-        }
-    }
-
-    pub(super) fn start(&self, index: usize) -> Result<(), String> {
-        self.proxies.borrow_mut()[index] = Some(Proxy::start(&self.plans[index])?);
-        Ok(())
+        self.cluster.register_addresses(|index, addr| self.loads[index].proxies[0].set(Some(addr)));
     }
 
-    /// Kills a proxy's process, which ends when it is dropped.
+    /// Kills a proxy, and tells its load.
     pub(super) fn kill(&self, index: usize) {
         self.loads[index].down(0);
-        self.proxies.borrow_mut()[index] = None;
-    }
-
-    pub(super) fn pause(&self, index: usize) {
-        if let Some(proxy) = &mut self.proxies.borrow_mut()[index] {
-            proxy.pause(true);
-        }
-    }
-
-    pub(super) fn resume(&self, index: usize) {
-        if let Some(proxy) = &mut self.proxies.borrow_mut()[index] {
-            proxy.pause(false);
-        }
-    }
-
-    /// Cuts the datagrams between these proxies and the others, both ways.
-    pub(super) fn cut_off(&self, side: &[usize]) {
-        self.mesh.wire.borrow_mut().blocked.extend(self.pairs_across(side));
-    }
-
-    /// Undoes [`Rig::cut_off`].
-    pub(super) fn reconnect(&self, side: &[usize]) {
-        let mut wire = self.mesh.wire.borrow_mut();
-        for pair in self.pairs_across(side) {
-            wire.blocked.remove(&pair);
-        }
-    }
-
-    /// The pairs (from, to) of proxies with one of them on this side, and the other not.
-    fn pairs_across(&self, side: &[usize]) -> Vec<(usize, usize)> {
-        let others: Vec<usize> = (0..self.proxy_count()).filter(|proxy| !side.contains(proxy)).collect();
-        let pairs = side.iter().flat_map(|a| others.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
-        pairs.collect()
+        self.cluster.kill(index);
     }
 }
 
@@ -145,18 +89,6 @@
     Stand::start(executor, Fleet::new(&timeline, now()))
 }
 
-/// The address and the zone of each stand-in member.
-fn member_addresses(stand: &Rc<Stand>) -> Vec<(SocketAddr, &'static str)> {
-    let list = stand.list();
-    let hosts = list.get("hosts").and_then(serde_json::Value::as_array).cloned().unwrap_or_default();
-    let zone_of = |site: &str| ZONES.into_iter().find(|zone| *zone == site).unwrap_or(ZONES[0]);
-    let address = |host: &serde_json::Value| {
-        let dial = host.get("dial")?.as_str()?.parse().ok()?;
-        Some((dial, zone_of(host.get("site")?.as_str()?)))
-    };
-    hosts.iter().filter_map(address).collect()
-}
-
 fn make_lossy(mesh: &Mesh) {
     let mut wire = mesh.wire.borrow_mut();
     wire.loss = LOSS;
--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -18,6 +18,7 @@
 pub mod agent;
 pub mod budgets;
 pub mod check;
+mod cluster;
 pub mod goodput;
 pub mod ground_truth;
 pub mod health;
--- a/crates/fleet-harness/src/proxies.rs
+++ b/crates/fleet-harness/src/proxies.rs
@@ -132,7 +132,7 @@
 impl Drop for Proxy {
     fn drop(&mut self) {
         if self.paused {
-            let _ = kill_process(Pid::from_child(&self.child), Signal::CONT);
+            self.send(Signal::CONT);
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -166,14 +166,25 @@
         Ok(Proxy { child, heard, paused: false })
     }
 
-    /// Pauses or resumes it.
-    pub fn pause(&mut self, pause: bool) {
-        let signal = if pause { Signal::STOP } else { Signal::CONT };
-        if kill_process(Pid::from_child(&self.child), signal).is_ok() {
-            self.paused = pause;
+    /// Stops its process until it is resumed.
+    pub fn pause(&mut self) {
+        if self.send(Signal::STOP) {
+            self.paused = true;
         }
     }
 
+    /// Lets its process go on.
+    pub fn resume(&mut self) {
+        if self.send(Signal::CONT) {
+            self.paused = false;
+        }
+    }
+
+    /// Whether a signal could be sent to its process.
+    fn send(&self, signal: Signal) -> bool {
+        kill_process(Pid::from_child(&self.child), signal).is_ok()
+    }
+
     /// Whether it has ended, and how.
     pub fn ended(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
@@ -181,8 +192,8 @@
 
     /// Asks it to end (SIGTERM), and kills it if it has not after `most`.
     pub fn end(mut self, most: std::time::Duration) -> Result<(), String> {
-        self.pause(false);
-        let _ = kill_process(Pid::from_child(&self.child), Signal::TERM);
+        self.resume();
+        self.send(Signal::TERM);
         let end = std::time::Instant::now() + most;
         while std::time::Instant::now() < end {
             if let Ok(Some(status)) = self.child.try_wait() {
--- a/crates/fleet-harness/src/relay/links.rs
+++ b/crates/fleet-harness/src/relay/links.rs
@@ -1,8 +1,10 @@
 //! The connections between proxies and members.
 
+use crate::schedule::ZONES;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -50,19 +52,31 @@
     pub ways: RefCell<BTreeMap<Way, u64>>,
 }
 
+/// The address and the zone of each member.
+fn member_addresses(stand: &Stand) -> Vec<(SocketAddr, &'static str)> {
+    let list = stand.list();
+    let hosts = list.get("hosts").and_then(Value::as_array).cloned().unwrap_or_default();
+    let zone_of = |site: &str| ZONES.into_iter().find(|zone| *zone == site).unwrap_or(ZONES[0]);
+    let address = |host: &Value| {
+        let addr = host.get("dial")?.as_str()?.parse().ok()?;
+        Some((addr, zone_of(host.get("site")?.as_str()?)))
+    };
+    hosts.iter().filter_map(address).collect()
+}
+
 impl Links {
-    /// Listeners for each proxy and member, leading to `members`.
+    /// Listeners for each proxy and member, leading to the members of the stand.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         stand: &Rc<Stand>,
-        members: &[(SocketAddr, &'static str)],
         proxy_zones: Vec<&'static str>,
     ) -> std::io::Result<Rc<Links>> {
+        let members = member_addresses(stand);
         let mut dials = Vec::new();
         let mut listeners = Vec::new();
         for _ in &proxy_zones {
             let mut row = Vec::new();
-            for _ in members {
+            for _ in &members {
                 let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
                 row.push(listener.get_ref().local_addr()?);
                 listeners.push(listener);
--- a/crates/fleet-harness/src/releases/faults.rs
+++ b/crates/fleet-harness/src/releases/faults.rs
@@ -27,7 +27,7 @@
             return Ok(());
         }
         if self.played.case == Case::Lossy {
-            let mut wire = self.mesh.wire.borrow_mut();
+            let mut wire = self.cluster.mesh.wire.borrow_mut();
             (wire.loss, wire.duplicate, wire.jitter) = (0.2, 0.2, 300_000);
         }
         self.say(0, &start(NEW))?;
@@ -62,22 +62,20 @@
                 let proxy = usize::from(case == Case::BankKilled);
                 self.kill(proxy);
                 lasts().await;
-                self.start(proxy)?;
+                self.cluster.start(proxy)?;
             }
             Case::DriverPaused => {
-                self.pause(0, true);
+                self.cluster.pause(0);
                 lasts().await;
-                self.pause(0, false);
+                self.cluster.resume(0);
             }
             Case::Cut => {
                 // The driver is in the third that is cut off.
                 let proxies = self.played.proxies;
-                let side = |p: usize| p < proxies.div_ceil(3);
-                let pairs = (0..proxies).flat_map(|a| (0..proxies).map(move |b| (a, b)));
-                let across: Vec<(usize, usize)> = pairs.filter(|(a, b)| side(*a) != side(*b)).collect();
-                self.mesh.wire.borrow_mut().blocked.extend(&across);
+                let side: Vec<usize> = (0..proxies.div_ceil(3)).collect();
+                self.cluster.cut_off(&side);
                 lasts().await;
-                self.mesh.wire.borrow_mut().blocked.clear();
+                self.cluster.reconnect(&side);
             }
             Case::MemberFalls => {
                 let states = self.agents.states.borrow().clone();
--- a/crates/fleet-harness/src/releases/run.rs
+++ b/crates/fleet-harness/src/releases/run.rs
@@ -7,15 +7,14 @@
 use super::outcome::{is_over, turned, Outcome};
 use super::settings::{banks, element, ledger, signal, sites, BOUNDS};
 use crate::agent;
-use crate::proxies::{Heard, Plan, Proxy};
+use crate::cluster::Cluster;
+use crate::proxies::Plan;
 use crate::relay::{Links, Mesh};
 use crate::run::Place;
-use crate::schedule::ZONES;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::collections::BTreeSet;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_lab::fleet::{Fleet, Micros};
@@ -36,27 +35,17 @@
     pub(super) place: Place,
     pub(super) played: Played,
     pub(super) agents: Rc<Agents>,
-    pub(super) mesh: Rc<Mesh>,
+    pub(super) cluster: Cluster,
     /// Whether the fault came.
     pub(super) faulted: Cell<bool>,
-    plans: Vec<Plan>,
-    proxies: RefCell<Vec<Option<Proxy>>>,
     load: Rc<Load>,
 }
 
 impl Rig {
-    pub(super) fn start(&self, n: usize) -> Result<(), String> {
-        self.proxies.borrow_mut()[n] = Some(Proxy::start(&self.plans[n])?);
-        Ok(())
-    }
-
+    /// Kills a proxy, and tells the load.
     pub(super) fn kill(&self, n: usize) {
         self.load.down(n);
-        drop(self.proxies.borrow_mut()[n].take());
-    }
-
-    pub(super) fn pause(&self, n: usize, pause: bool) {
-        self.proxies.borrow_mut()[n].iter_mut().for_each(|proxy| proxy.pause(pause));
+        self.cluster.kill(n);
     }
 
     /// Orders that were followed so far.
@@ -65,15 +54,9 @@
         self.agents.diary.borrow().iter().filter(|event| order(&event.what)).count()
     }
 
-    fn hear(&self) {
-        for (n, proxy) in self.proxies.borrow_mut().iter_mut().enumerate() {
-            while let Some(heard) = proxy.as_mut().and_then(|proxy| proxy.heard.try_recv().ok()) {
-                match heard {
-                    Heard::Listens(at) => self.load.proxies[n].set(Some(at)),
-                    Heard::Peers(at) => self.mesh.register(n, at),
-                }
-            }
-        }
+    /// Takes over the addresses that proxies have logged since the last call.
+    fn register_addresses(&self) {
+        self.cluster.register_addresses(|n, addr| self.load.proxies[n].set(Some(addr)));
     }
 
     /// Whether all is over, and all members serve.
@@ -116,14 +99,7 @@
     };
     let stand = Stand::start(executor, Fleet::new(&timeline, now()))?;
     let agents = Agents::start(executor, &stand, played)?;
-    let list = stand.list();
-    let hosts = list.get("hosts").and_then(serde_json::Value::as_array).cloned().unwrap_or_default();
-    let zone_of = |site: &str| ZONES.into_iter().find(|z| *z == site).unwrap_or(ZONES[0]);
-    let member = |h: &serde_json::Value| -> Option<(SocketAddr, &'static str)> {
-        Some((h.get("dial")?.as_str()?.parse().ok()?, zone_of(h.get("site")?.as_str()?)))
-    };
-    let members: Vec<_> = hosts.iter().filter_map(member).collect();
-    let links = Links::start(executor, &stand, &members, (0..played.proxies).map(Plan::zone).collect())?;
+    let links = Links::start(executor, &stand, (0..played.proxies).map(Plan::zone).collect())?;
     let mesh = Mesh::start(executor, played.proxies, played.seed)?;
     let mut plans = Vec::new();
     for number in 0..played.proxies {
@@ -145,16 +121,13 @@
         plans.push(plan);
     }
     let load = Load::new(executor, played.proxies);
-    let proxies = RefCell::new((0..played.proxies).map(|_| None).collect());
     Ok((
         Rig {
             place: place.clone(),
             played: played.clone(),
             agents,
-            mesh,
+            cluster: Cluster::new(plans, mesh),
             faulted: Cell::new(false),
-            plans,
-            proxies,
             load,
         },
         stand,
@@ -168,11 +141,11 @@
 ) -> Result<Outcome, String> {
     let (rig, stand) = rig(played, place, executor).map_err(|e| e.to_string())?;
     let rig = Rc::new(rig);
-    (0..played.proxies).try_for_each(|n| rig.start(n))?;
+    (0..played.proxies).try_for_each(|n| rig.cluster.start(n))?;
     let at = Rc::clone(&rig);
     let _hears: Task<()> = executor.spawn(async move {
         loop {
-            at.hear();
+            at.register_addresses();
             Timer::after(Duration::from_millis(5)).await;
         }
     });
@@ -230,8 +203,7 @@
     outcome.clients(&rig.load.done.borrow(), begin, until);
     let text = serde_json::to_string_pretty(&diary).map_err(|e| e.to_string())?;
     std::fs::write(place.directory.join("diary.json"), text).map_err(|e| e.to_string())?;
-    let all: Vec<Proxy> = rig.proxies.borrow_mut().iter_mut().filter_map(Option::take).collect();
-    for proxy in all {
+    for proxy in rig.cluster.take_all() {
         proxy.end(END_MOST)?;
     }
     Ok(outcome)
--- a/crates/fleet-harness/src/run.rs
+++ b/crates/fleet-harness/src/run.rs
@@ -7,16 +7,17 @@
 
 use crate::agent;
 use crate::check::{check, differing, Report};
+use crate::cluster::Cluster;
 use crate::goodput;
 use crate::ground_truth::GroundTruth;
-use crate::proxies::{Heard, Plan, Proxy};
+use crate::proxies::Plan;
 use crate::relay::{Links, Mesh};
-use crate::schedule::{Fault, Schedule, ZONES};
+use crate::schedule::{Fault, Schedule};
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use script::timeline;
 use std::cell::RefCell;
-use std::net::{SocketAddr, SocketAddrV4};
+use std::net::SocketAddrV4;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -63,9 +64,7 @@
 /// Everything that a run holds, shared by the tasks that carry faults out.
 struct Rig {
     place: Place,
-    plans: Vec<Plan>,
-    proxies: RefCell<Vec<Option<Proxy>>>,
-    mesh: Rc<Mesh>,
+    cluster: Cluster,
     links: Rc<Links>,
     load: Rc<Load>,
     crashed: RefCell<u64>,
@@ -77,48 +76,23 @@
 }
 
 impl Rig {
-    /// Takes in what the proxies' logs said: where they listen now.
-    fn hear(&self) {
-        let mut proxies = self.proxies.borrow_mut();
-        for (n, proxy) in proxies.iter_mut().enumerate() {
-            let Some(proxy) = proxy.as_mut() else { continue };
-            while let Ok(heard) = proxy.heard.try_recv() {
-                match heard {
-                    Heard::Listens(at) => self.load.proxies[n].set(Some(at)),
-                    Heard::Peers(at) => self.mesh.register(n, at),
-                }
-            }
-        }
-    }
-
-    fn start(&self, n: usize) -> Result<(), String> {
-        let proxy = Proxy::start(&self.plans[n])?;
-        self.proxies.borrow_mut()[n] = Some(proxy);
-        Ok(())
+    /// Takes over the addresses that proxies have logged since the last call.
+    fn register_addresses(&self) {
+        self.cluster.register_addresses(|n, addr| self.load.proxies[n].set(Some(addr)));
     }
 
+    /// Kills a proxy, and tells the load.
     fn kill(&self, n: usize) {
         self.load.down(n);
-        drop(self.proxies.borrow_mut()[n].take());
+        self.cluster.kill(n);
     }
 
-    fn pause(&self, n: usize, pause: bool) {
-        if let Some(proxy) = self.proxies.borrow_mut()[n].as_mut() {
-            proxy.pause(pause);
-        }
-    }
-
-    /// Proxies that ended on their own: each is a crash, and started again so that the run goes on.
-    fn crashes(&self) -> Result<(), String> {
-        let ended: Vec<usize> = {
-            let mut proxies = self.proxies.borrow_mut();
-            let ended = proxies.iter_mut().enumerate().filter_map(|(n, p)| p.as_mut()?.ended().map(|_| n));
-            ended.collect()
-        };
-        for n in ended {
+    /// Counts each proxy that ended on its own as a crash, and starts it again so that the run goes on.
+    fn restart_crashed(&self) -> Result<(), String> {
+        for n in self.cluster.crashed() {
             *self.crashed.borrow_mut() += 1;
             self.kill(n);
-            self.start(n)?;
+            self.cluster.start(n)?;
         }
         Ok(())
     }
@@ -134,15 +108,8 @@
     let mut fleet = Fleet::new(&timeline(schedule), now());
     fleet.begin(now() + 600_000_000);
     let stand = Stand::start(executor, fleet).map_err(fault)?;
-    let list = stand.list();
-    let hosts = list.get("hosts").and_then(serde_json::Value::as_array).cloned().unwrap_or_default();
-    let zone_of = |site: &str| ZONES.into_iter().find(|z| *z == site).unwrap_or(ZONES[0]);
-    let members: Vec<(SocketAddr, &'static str)> = hosts
-        .iter()
-        .filter_map(|h| Some((h.get("dial")?.as_str()?.parse().ok()?, zone_of(h.get("site")?.as_str()?))))
-        .collect();
     let proxy_zones = (0..schedule.proxies).map(Plan::zone).collect();
-    let links = Links::start(executor, &stand, &members, proxy_zones).map_err(fault)?;
+    let links = Links::start(executor, &stand, proxy_zones).map_err(fault)?;
     let mesh = Mesh::start(executor, schedule.proxies, schedule.seed).map_err(fault)?;
     let load = Load::new(executor, schedule.proxies);
     load.grace.set(GRACE);
@@ -173,9 +140,7 @@
     }
     let rig = Rc::new(Rig {
         place: place.clone(),
-        proxies: RefCell::new((0..plans.len()).map(|_| None).collect()),
-        plans,
-        mesh,
+        cluster: Cluster::new(plans, mesh),
         links,
         load: Rc::clone(&load),
         crashed: RefCell::new(0),
@@ -183,11 +148,11 @@
         truth: RefCell::default(),
         late: std::cell::Cell::new(0),
     });
-    (0..schedule.proxies).try_for_each(|n| rig.start(n))?;
+    (0..schedule.proxies).try_for_each(|n| rig.cluster.start(n))?;
     let deadline = now() + START_MOST.as_micros() as Micros;
     for n in 0..schedule.proxies {
         loop {
-            rig.hear();
+            rig.register_addresses();
             if load.proxies[n].get().is_some() && load.ready(n).await {
                 break;
             }
@@ -208,9 +173,9 @@
         let (rig, stand) = (Rc::clone(&rig), Rc::clone(&stand));
         executor.spawn(async move {
             loop {
-                rig.hear();
+                rig.register_addresses();
                 rig.truth.borrow_mut().sample(now(), &stand.fleet(), &rig.links);
-                rig.crashes()?;
+                rig.restart_crashed()?;
                 let due = now() + 5_000;
                 Timer::after(Duration::from_millis(5)).await;
                 rig.late.set(rig.late.get().max(now() - due));
@@ -235,11 +200,7 @@
         return Err(what);
     }
     let counted = rig.counted(schedule, &stand, diverged, converged_ms);
-    let all: Vec<Proxy> = rig.proxies.borrow_mut().iter_mut().filter_map(Option::take).collect();
-    let mut ends = Vec::new();
-    for proxy in all {
-        ends.push(proxy.end(END_MOST));
-    }
+    let ends: Vec<_> = rig.cluster.take_all().into_iter().map(|proxy| proxy.end(END_MOST)).collect();
     let done = load.done.borrow().clone();
     let again = load.seen_again.borrow().clone();
     let mut report = check(schedule, begin, &done, &again, &counted, &rig.place.directory);
--- a/crates/fleet-harness/src/run/counted.rs
+++ b/crates/fleet-harness/src/run/counted.rs
@@ -29,8 +29,12 @@
                 .map(|(_, n)| n)
                 .sum()
         };
-        let (datagrams, bytes) =
-            self.mesh.carried.iter().fold((0, 0), |(d, b), c| (d + c.get().datagrams, b + c.get().bytes));
+        let (datagrams, bytes) = self
+            .cluster
+            .mesh
+            .carried
+            .iter()
+            .fold((0, 0), |(d, b), c| (d + c.get().datagrams, b + c.get().bytes));
         Counted {
             stale: fleet.stale,
             twice: fleet.twice,
--- a/crates/fleet-harness/src/run/faults.rs
+++ b/crates/fleet-harness/src/run/faults.rs
@@ -9,24 +9,22 @@
 const LIE_EVERY: Duration = Duration::from_millis(250);
 
 impl Rig {
-    /// Blocks or frees the datagrams between the proxies of a side and all others.
-    fn split(&self, side: &[usize], block: bool) {
-        // A client reaches the proxies on its side: across a cut nobody can tell another what may have run.
-        let on = |p: &usize| side.contains(p);
-        let others = |of: usize| (0..self.plans.len()).filter(|p| !block || on(p) == on(&of)).collect();
-        self.load.again.borrow_mut().1 = (0..self.plans.len()).map(others).collect();
-        let mut wire = self.mesh.wire.borrow_mut();
-        for a in side {
-            for b in (0..self.plans.len()).filter(|b| !side.contains(b)) {
-                for pair in [(*a, b), (b, *a)] {
-                    if block {
-                        wire.blocked.insert(pair);
-                    } else {
-                        wire.blocked.remove(&pair);
-                    }
-                }
-            }
-        }
+    /// Blocks the datagrams between the proxies of a side and all others. A client reaches the proxies on its side:
+    /// across a cut nobody can tell another what may have run.
+    fn cut_off(&self, side: &[usize]) {
+        let is_on_side = |proxy: &usize| side.contains(proxy);
+        let all = 0..self.cluster.len();
+        let reached_from =
+            |from: usize| all.clone().filter(|to| is_on_side(to) == is_on_side(&from)).collect();
+        self.load.again.borrow_mut().1 = all.clone().map(reached_from).collect();
+        self.cluster.cut_off(side);
+    }
+
+    /// Undoes [`Rig::cut_off`].
+    fn reconnect(&self, side: &[usize]) {
+        let all: Vec<usize> = (0..self.cluster.len()).collect();
+        self.load.again.borrow_mut().1 = vec![all; self.cluster.len()];
+        self.cluster.reconnect(side);
     }
 
     /// Carries out one fault: at its beginning, and at its end.
@@ -38,18 +36,18 @@
             Fault::Wire { at_ms, until_ms, loss, duplicate, jitter_ms } => {
                 until(at_ms).await;
                 {
-                    let mut wire = self.mesh.wire.borrow_mut();
+                    let mut wire = self.cluster.mesh.wire.borrow_mut();
                     (wire.loss, wire.duplicate, wire.jitter) = (loss, duplicate, jitter_ms as Micros * 1000);
                 }
                 until(until_ms).await;
-                let mut wire = self.mesh.wire.borrow_mut();
+                let mut wire = self.cluster.mesh.wire.borrow_mut();
                 (wire.loss, wire.duplicate, wire.jitter) = (0.0, 0.0, 0);
             }
             Fault::Split { at_ms, until_ms, side } => {
                 until(at_ms).await;
-                self.split(&side, true);
+                self.cut_off(&side);
                 until(until_ms).await;
-                self.split(&side, false);
+                self.reconnect(&side);
             }
             Fault::Zone { at_s, for_s, .. } => {
                 // The stand-ins' script does it; here only the counts of reads are told.
@@ -60,13 +58,13 @@
             }
             Fault::Cut { at_ms, until_ms, zone } => {
                 until(at_ms).await;
-                let side: Vec<usize> = (0..self.plans.len()).filter(|n| Plan::zone(*n) == zone).collect();
+                let side: Vec<usize> = (0..self.cluster.len()).filter(|n| Plan::zone(*n) == zone).collect();
                 *self.links.cut.borrow_mut() = Some(zone);
                 self.links.troubled.set(true);
-                self.split(&side, true);
+                self.cut_off(&side);
                 until(until_ms).await;
                 *self.links.cut.borrow_mut() = None;
-                self.split(&side, false);
+                self.reconnect(&side);
                 until(until_ms + 15_000).await;
                 self.links.troubled.set(false);
             }
@@ -78,9 +76,9 @@
             }
             Fault::Pause { at_ms, for_ms, proxy } => {
                 until(at_ms).await;
-                self.pause(proxy, true);
+                self.cluster.pause(proxy);
                 until(at_ms + for_ms).await;
-                self.pause(proxy, false);
+                self.cluster.resume(proxy);
             }
             Fault::Kill { at_ms, back_ms, proxies } => {
                 until(at_ms).await;
@@ -88,9 +86,11 @@
                 until(at_ms + back_ms).await;
                 for n in proxies {
                     if self.old_snapshot {
-                        self.plans[n].age_snapshot(now()).map_err(|e| format!("snapshot of n{n}: {e}"))?;
+                        self.cluster.plans[n]
+                            .age_snapshot(now())
+                            .map_err(|e| format!("snapshot of n{n}: {e}"))?;
                     }
-                    self.start(n)?;
+                    self.cluster.start(n)?;
                 }
             }
             // The stand-ins' script does it.
@@ -104,9 +104,9 @@
             }
             Fault::Replay { at_ms, until_ms, proxy } => {
                 until(at_ms).await;
-                self.mesh.wire.borrow_mut().liars.insert(proxy);
+                self.cluster.mesh.wire.borrow_mut().liars.insert(proxy);
                 until(until_ms).await;
-                self.mesh.wire.borrow_mut().liars.remove(&proxy);
+                self.cluster.mesh.wire.borrow_mut().liars.remove(&proxy);
             }
         }
         Ok(())
@@ -115,7 +115,7 @@
     /// Tells all peers of a proxy in its name that one member is well and another out, as of a moment ahead, so that
     /// the proxy's own word does not take its place.
     fn lie(&self, proxy: usize, well: &str, out: &str) {
-        let (at, now) = (self.mesh.inbox[proxy], now());
+        let (at, now) = (self.cluster.mesh.inbox[proxy], now());
         let router = u64::from(u32::from(*at.ip())) << 16 | u64::from(at.port());
         let window = Summary::window(now) + 4;
         let entry = |member: &str, strain| {
@@ -124,9 +124,9 @@
         };
         let lies = Message::Delta(vec![entry(well, i16::MIN), entry(out, i16::MAX)]);
         let Ok(bytes) = postcard::to_allocvec(&lies) else { return };
-        let others = (0..self.plans.len()).filter(|other| *other != proxy);
+        let others = (0..self.cluster.len()).filter(|other| *other != proxy);
         others.for_each(|other| {
-            self.mesh.pass(proxy, other, Frame { membership: &[], shared_state: &bytes }.encode())
+            self.cluster.mesh.pass(proxy, other, Frame { membership: &[], shared_state: &bytes }.encode())
         });
     }
 }
