--- /dev/null
+++ b/crates/records/tests/encoding.rs
@@ -0,0 +1,79 @@
+//! The bytes of stored records, which later versions read.
+
+use wharfplank_records::record::Reason;
+use wharfplank_records::{store, Outcome, Record, Seen};
+
+fn answer(outcome: Outcome, stale: Option<(i64, i64)>) -> Record {
+    Record::Answer { class: 3, group: 300, member: Some(7), attempts: 2, took: 9_000, outcome, stale }
+}
+
+fn records() -> Vec<(Record, &'static str)> {
+    let seen = Seen {
+        member: 7,
+        group: 300,
+        primary: true,
+        active: false,
+        position: 1_000,
+        heard: 2_000,
+        suspected: Some(3_000),
+        in_flight: 4,
+        slowness: 150,
+    };
+    vec![
+        (Record::Class { class: 1, name: "lookup".into(), aim: 300_000 }, "0001066c6f6f6b7570c0cf24"),
+        (Record::Proxy { zone: "a".into() }, "010161"),
+        (Record::Name { member: 7, name: "m".into(), zone: "b".into() }, "0207016d0162"),
+        (answer(Outcome::Served, None), "0303ac02010702d08c010000"),
+        (answer(Outcome::Late, None), "0303ac02010702d08c010100"),
+        (answer(Outcome::Refused(Reason::TooStale), Some((5, -5))), "0303ac02010702d08c010200010a09"),
+        (answer(Outcome::Failed(Reason::OverBudget), None), "0303ac02010702d08c01030a00"),
+        (Record::Seen(seen), "0407ac020100d00fa01f01f02e049601"),
+        (Record::Listed { seq: 9, member: 7, health: "left".into(), born: 11 }, "050907046c65667416"),
+        (Record::List { age: Some("old".into()), doubt: None }, "0601036f6c6400"),
+        (Record::Probe { member: 7, ok: true }, "070701"),
+        (Record::Reload { ok: false }, "0800"),
+        (Record::Stopping, "09"),
+        (Record::Lost { count: 300, since: 12 }, "0aac0218"),
+        (
+            Record::Release { release: "r".into(), what: "w".into(), member: "-".into(), detail: "d".into() },
+            "0b01720177012d0164",
+        ),
+    ]
+}
+
+fn hex(record: &Record) -> String {
+    postcard::to_stdvec(record).unwrap().iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+#[test]
+fn records_keep_their_bytes() {
+    for (record, expected) in records() {
+        assert_eq!(hex(&record), expected, "{record:?}");
+    }
+}
+
+#[test]
+fn outcomes_keep_their_codes() {
+    let reasons: Vec<(i64, &str)> =
+        Reason::ALL.iter().map(|reason| (store::code(Outcome::Refused(*reason)), reason.name())).collect();
+    let expected = [
+        (100, "too stale"),
+        (101, "no primary"),
+        (102, "no member"),
+        (103, "shed"),
+        (104, "held too long"),
+        (105, "out of time"),
+        (106, "attempts spent"),
+        (107, "may have run"),
+        (108, "closing"),
+        (109, "unusable"),
+        (110, "over budget"),
+    ];
+    assert_eq!(reasons, expected);
+    assert_eq!((store::code(Outcome::Served), store::code(Outcome::Late)), (0, 1));
+    assert_eq!(store::code(Outcome::Failed(Reason::NoMember)), 202);
+    for code in (0..=1).chain(100..=110).chain(200..=210) {
+        assert_eq!(store::outcome(code).map(store::code), Some(code));
+    }
+    assert_eq!([2, 111, 211, -1].map(store::outcome), [None; 4]);
+}
