--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 use wharfplank_incidents::gather::gather;
-use wharfplank_records::reader::Reader;
+use wharfplank_records::reader::StoreSet;
 use wharfplank_report::Facts;
 
 /// How often the stores are read anew while it follows.
@@ -34,11 +34,11 @@
     if !std::io::stdout().is_terminal() || !std::io::stdin().is_terminal() {
         return Err("the console needs a terminal; 'wharfplank report' writes a file instead".to_string());
     }
-    let mut reader = Reader::open(paths);
+    let mut reader = StoreSet::open(paths);
     let span = reader.span().ok_or_else(|| {
         format!(
             "no records found; name a directory with PROXY.wharfplank files. {}",
-            reader.problems.join("; ")
+            reader.problem_texts().join("; ")
         )
     })?;
     let mut state = State::new(span.0, span.1);
@@ -66,8 +66,8 @@
             }
             if read_at.elapsed() >= REFRESH {
                 // A proxy may have begun or ended its store meanwhile; what is gone stays said.
-                let again = Reader::open(paths);
-                note = again.problems.join("; ");
+                let again = StoreSet::open(paths);
+                note = again.problem_texts().join("; ");
                 match again.span() {
                     Some((oldest, newest)) => {
                         state.reach(oldest, newest);
@@ -88,7 +88,7 @@
     done.map_err(|e| format!("terminal: {e}"))
 }
 
-fn show(reader: &Reader, state: &State) -> Facts {
+fn show(reader: &StoreSet, state: &State) -> Facts {
     let (from, to) = state.span();
     Facts::of(gather(reader, from, to))
 }
--- a/crates/console/tests/screens.rs
+++ b/crates/console/tests/screens.rs
@@ -5,10 +5,9 @@
 use wharfplank_console::screen;
 use wharfplank_console::state::{Key, State};
 use wharfplank_incidents::gather::gather;
-use wharfplank_records::reader::Reader;
-use wharfplank_records::record::{Outcome, Reason};
-use wharfplank_records::store::{Limits, Store};
-use wharfplank_records::{Micros, Record, Seen};
+use wharfplank_records::reader::StoreSet;
+use wharfplank_records::store::{Store, StoreLimits};
+use wharfplank_records::{FailureReason, MemberState, Micros, Outcome, Record, Staleness};
 use wharfplank_report::Facts;
 
 const T: Micros = 1_800_000_000_000_000;
@@ -16,39 +15,45 @@
 
 /// Two proxies' records of 60 s: replicas 2 to 4 stand still from second 20 to 40, and one proxy is away meanwhile.
 fn stores(directory: &std::path::Path) {
-    let limits = Limits { bytes: 64 << 20, blocks: 3600 * SECOND, sums: 3600 * SECOND };
+    let limits =
+        StoreLimits { max_bytes: 64 << 20, block_retention: 3600 * SECOND, summary_retention: 3600 * SECOND };
     for (proxy, parts) in [("n0", vec![(0, 60)]), ("n1", vec![(0, 25), (30, 60)])] {
         for (from, to) in parts {
-            let (mut store, _) = Store::open(directory, proxy, limits, T + from * SECOND).unwrap();
+            let mut store = Store::open(directory, proxy, limits, T + from * SECOND).unwrap().store;
             let mut records = vec![(T + from * SECOND, Record::Proxy { zone: "a".into() })];
             let mut note = |at: Micros, record: Record| records.push((at, record));
-            note(T + from * SECOND, Record::Class { class: 0, name: "lookup".into(), aim: 300_000 });
+            note(
+                T + from * SECOND,
+                Record::Class { class: 0, name: "lookup".into(), latency_objective: 300_000 },
+            );
             for m in 1..=4 {
                 let (name, zone) = (format!("m{m}"), ["a", "b"][m as usize % 2].to_string());
-                note(T + from * SECOND, Record::Name { member: m, name, zone });
+                note(T + from * SECOND, Record::Member { member: m, name, zone });
             }
             for second in from..to {
                 let at = T + second * SECOND + SECOND / 2;
                 let slow = (20..40).contains(&second);
                 for m in 1..=4_u32 {
                     let behind = if m > 1 && slow { (second - 20) * SECOND } else { 8_000 };
-                    let seen = Seen {
+                    let state = MemberState {
                         member: m,
                         group: 3,
                         primary: m == 1,
                         active: true,
                         position: at - behind,
-                        heard: at,
-                        suspected: (m == 4 && second > 55).then_some(at),
+                        position_seen_at: at,
+                        suspected_since: (m == 4 && second > 55).then_some(at),
                         in_flight: 0,
-                        slowness: 100,
+                        relative_latency_percent: 100,
                     };
-                    note(at, Record::Seen(seen));
+                    note(at, Record::MemberState(state));
                 }
                 for i in 0..20 {
-                    let stale = slow && i < 4;
-                    let outcome = if stale { Outcome::Refused(Reason::TooStale) } else { Outcome::Served };
-                    let (member, stale) = ((!stale).then_some(1), stale.then_some((at, at - SECOND)));
+                    let is_stale = slow && i < 4;
+                    let outcome =
+                        if is_stale { Outcome::Rejected(FailureReason::TooStale) } else { Outcome::Served };
+                    let member = (!is_stale).then_some(1);
+                    let staleness = is_stale.then_some(Staleness { needed: at, known: at - SECOND });
                     note(
                         at + i,
                         Record::Answer {
@@ -58,7 +63,7 @@
                             attempts: 1,
                             took: 9000,
                             outcome,
-                            stale,
+                            staleness,
                         },
                     );
                 }
@@ -70,7 +75,7 @@
 
 fn facts(directory: &std::path::Path, state: &State) -> Facts {
     let (from, to) = state.span();
-    Facts::of(gather(&Reader::open(&[directory.to_path_buf()]), from, to))
+    Facts::of(gather(&StoreSet::open(&[directory.to_path_buf()]), from, to))
 }
 
 fn shown(state: &State, facts: &Facts, (width, height): (u16, u16)) -> String {
--- a/crates/incidents/src/find.rs
+++ b/crates/incidents/src/find.rs
@@ -8,9 +8,8 @@
 use crate::words;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
-use wharfplank_records::reader::Cause;
-use wharfplank_records::record::Reason;
-use wharfplank_records::{Micros, Outcome};
+use wharfplank_records::reader::GapCause;
+use wharfplank_records::{FailureReason, Micros, Outcome};
 
 const SECOND: Micros = 1_000_000;
 /// A replica that gained less than this part of the time that passed applies slowly; measured over at least so long.
@@ -396,7 +395,7 @@
 fn restarts(evidence: &Evidence, all: &mut Vec<Incident>) {
     let mut starts: Vec<(Micros, Micros, &String)> = Vec::new();
     for (name, proxy) in &evidence.proxies {
-        let again = proxy.gaps.iter().filter(|g| matches!(g.cause, Cause::Restart | Cause::Killed));
+        let again = proxy.gaps.iter().filter(|g| matches!(g.cause, GapCause::Restart | GapCause::Killed));
         starts.extend(again.map(|g| (g.from, g.to, name)));
     }
     starts.sort();
@@ -502,7 +501,7 @@
         match outcome {
             _ if !inside => {}
             Outcome::Late => late += count,
-            Outcome::Refused(reason) | Outcome::Failed(reason) if falls(kind, *reason) => {
+            Outcome::Rejected(reason) | Outcome::Failed(reason) if falls(kind, *reason) => {
                 *refusals.entry(reason.name().to_string()).or_default() += count;
             }
             _ => {}
@@ -528,15 +527,26 @@
 }
 
 /// Whether a refusal for this reason can be due to an incident of this kind.
-fn falls(kind: Kind, reason: Reason) -> bool {
-    use Reason::{Closing, Held, MayHaveRun, NoMember, NoPrimary, OutOfTime, Shed, Spent, TooStale};
+fn falls(kind: Kind, reason: FailureReason) -> bool {
+    use FailureReason::{
+        AttemptsExhausted, DeadlineExceeded, LoadShed, MayHaveRun, NoMember, NoPrimary, QueuedTooLong,
+        ShuttingDown, TooStale,
+    };
     match kind {
-        Kind::SlowApply => matches!(reason, TooStale | Shed | Held | OutOfTime),
-        Kind::SlowMember => matches!(reason, Held | OutOfTime | Spent | Shed | MayHaveRun),
-        Kind::NoPrimary => matches!(reason, NoPrimary | TooStale | Held | OutOfTime | MayHaveRun),
-        Kind::Cut => reason != Closing,
-        Kind::RestartWave => matches!(reason, Closing | Held | OutOfTime | TooStale | NoPrimary),
-        Kind::Drain => matches!(reason, NoPrimary | NoMember | Held | OutOfTime | Spent),
+        Kind::SlowApply => matches!(reason, TooStale | LoadShed | QueuedTooLong | DeadlineExceeded),
+        Kind::SlowMember => {
+            matches!(reason, QueuedTooLong | DeadlineExceeded | AttemptsExhausted | LoadShed | MayHaveRun)
+        }
+        Kind::NoPrimary => {
+            matches!(reason, NoPrimary | TooStale | QueuedTooLong | DeadlineExceeded | MayHaveRun)
+        }
+        Kind::Cut => reason != ShuttingDown,
+        Kind::RestartWave => {
+            matches!(reason, ShuttingDown | QueuedTooLong | DeadlineExceeded | TooStale | NoPrimary)
+        }
+        Kind::Drain => {
+            matches!(reason, NoPrimary | NoMember | QueuedTooLong | DeadlineExceeded | AttemptsExhausted)
+        }
         Kind::Surge => true,
     }
 }
--- a/crates/incidents/src/gather.rs
+++ b/crates/incidents/src/gather.rs
@@ -3,8 +3,9 @@
 use crate::evidence::{Count, Evidence, Proxy, StaleRead, State};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
-use wharfplank_records::reader::{Reader, Source};
-use wharfplank_records::{store, Micros, Outcome, Record};
+use wharfplank_records::reader::{BlockFilter, NameKind, StoreReader, StoreSet};
+use wharfplank_records::store::SUMMARY_WINDOW;
+use wharfplank_records::{Micros, Outcome, Record};
 
 /// Up to this span bins are one second, past it ten.
 const FINE: Micros = 3_600_000_000;
@@ -12,19 +13,19 @@
 
 /// What the stores say of a span; what cannot be read stands in [`Evidence::problems`]. Each store is read by a thread
 /// of its own.
-pub fn gather(reader: &Reader, from: Micros, to: Micros) -> Evidence {
+pub fn gather(set: &StoreSet, from: Micros, to: Micros) -> Evidence {
     let bin = if to - from <= FINE { SECOND } else { 10 * SECOND };
-    let mut evidence = Evidence { from, to, bin, problems: reader.problems.clone(), ..Evidence::default() };
+    let mut evidence = Evidence { from, to, bin, problems: set.problem_texts(), ..Evidence::default() };
     let frame = Evidence { from, to, bin, ..Evidence::default() };
-    let parts: Vec<(&Source, Result<Part, String>)> = std::thread::scope(|scope| {
-        let read = |source: &Source| {
+    let parts: Vec<(&StoreReader, Result<Part, String>)> = std::thread::scope(|scope| {
+        let read = |source: &StoreReader| {
             let (path, frame) = (source.path.clone(), &frame);
             scope.spawn(move || {
-                let source = Source::open(&path).map_err(|e| e.to_string())?;
+                let source = StoreReader::open(&path).map_err(|e| e.to_string())?;
                 read(&source, frame)
             })
         };
-        let threads: Vec<_> = reader.sources.iter().map(|source| (source, read(source))).collect();
+        let threads: Vec<_> = set.stores.iter().map(|source| (source, read(source))).collect();
         let join = |thread: std::thread::ScopedJoinHandle<'_, Result<Part, String>>| {
             thread.join().unwrap_or_else(|_| Err("reading it failed".to_string()))
         };
@@ -35,7 +36,7 @@
             evidence.problems.push(format!("{}: {e}", source.proxy));
             Part::default()
         });
-        part.proxy.alive = source.runs.iter().map(|r| (r.started, r.alive)).collect();
+        part.proxy.alive = source.runs.iter().map(|r| (r.started_at, r.last_alive_at)).collect();
         part.proxy.gaps.extend(source.gaps());
         part.proxy.alive.retain(|(a, b)| *a <= to && from <= *b);
         part.proxy.gaps.retain(|g| g.from <= to && from <= g.to);
@@ -71,27 +72,30 @@
     listed: HashMap<u32, Vec<(Micros, String)>>,
 }
 
-fn read(source: &Source, frame: &Evidence) -> Result<Part, String> {
+fn read(source: &StoreReader, frame: &Evidence) -> Result<Part, String> {
     let mut part = Part::default();
-    let name = |run: i64, kind: &str, number: i64| {
-        let known = source.name(run, kind, number).map(|n| n.name.clone());
-        known.unwrap_or_else(|| format!("{kind} {number}"))
+    let class_name = |run: i64, class: u16| {
+        let known = source.name(run, NameKind::Class, class.into());
+        known.map_or_else(|| format!("class {class}"), |known| known.name.clone())
+    };
+    let member_name = |run: i64, member: u32| {
+        let known = source.name(run, NameKind::Member, member.into());
+        known.map_or_else(|| format!("member {member}"), |known| known.name.clone())
     };
     for run in &source.runs {
-        if let Some(zone) = source.name(run.run, "proxy", 0) {
-            part.proxy.zone = Some(zone.more.clone());
+        if let Some(zone) = source.name(run.id, NameKind::Proxy, 0) {
+            part.proxy.zone = Some(zone.detail.clone());
         }
     }
-    let span = (frame.from, frame.to);
     let mut tallies: BTreeMap<i64, Tally> = BTreeMap::new();
-    let gaps = source.records(span, false, |run, at, record| {
+    let gaps = source.records(frame.from..=frame.to, BlockFilter::All, |run, at, record| {
         let bin = frame.bin_of(at);
         let tally = tallies.entry(run).or_default();
         match record {
-            Record::Name { name, zone, .. } => {
+            Record::Member { name, zone, .. } => {
                 part.zones.insert(name, zone);
             }
-            Record::Answer { class, group, member, attempts, took, outcome, stale } => {
+            Record::Answer { class, group, member, attempts, took, outcome, staleness } => {
                 let attempts = u64::from(attempts);
                 tally.answers.entry((bin, class, outcome)).or_default().add(attempts, took);
                 if outcome != Outcome::Served {
@@ -102,23 +106,29 @@
                     let bin = frame.bin_of(at - took);
                     tally.served.entry((bin, member, class)).or_default().add(attempts, took);
                 }
-                if let Some((needed, known)) = stale {
+                if let Some(staleness) = staleness {
                     part.stale_count += 1;
                     if part.stale.len() < Evidence::STALE_MOST {
-                        let (proxy, class) = (source.proxy.clone(), name(run, "class", i64::from(class)));
-                        part.stale.push(StaleRead { at, proxy, class, group, needed, known });
+                        part.stale.push(StaleRead {
+                            at,
+                            proxy: source.proxy.clone(),
+                            class: class_name(run, class),
+                            group,
+                            needed: staleness.needed,
+                            known: staleness.known,
+                        });
                     }
                 }
             }
-            Record::Seen(seen) => {
+            Record::MemberState(seen) => {
                 let state = State {
                     at,
                     group: seen.group,
                     primary: seen.primary,
                     active: seen.active,
                     position: seen.position,
-                    heard: seen.heard,
-                    suspected: seen.suspected.is_some(),
+                    heard: seen.position_seen_at,
+                    suspected: seen.suspected_since.is_some(),
                     in_flight: seen.in_flight,
                 };
                 let states = tally.states.entry(seen.member).or_default();
@@ -128,7 +138,7 @@
                     _ => states.push(state),
                 }
             }
-            Record::Listed { member, health, .. } => {
+            Record::EndpointListed { member, health, .. } => {
                 tally.listed.entry(member).or_default().push((at, health))
             }
             _ => {}
@@ -137,8 +147,8 @@
     let proxy = &mut part.proxy;
     proxy.gaps.extend(gaps.map_err(|e| e.to_string())?);
     for (run, tally) in tallies {
-        let class = |number: u16| name(run, "class", i64::from(number));
-        let member = |number: u32| name(run, "member", i64::from(number));
+        let class = |number: u16| class_name(run, number);
+        let member = |number: u32| member_name(run, number);
         let mut shared: HashMap<(bool, u32), Arc<str>> = HashMap::new();
         let merge = |into: &mut Count, of: Count| {
             *into = Count {
@@ -171,16 +181,17 @@
 
 /// Adds the sums of windows whose records are retired. Of those only the answers by class are known: what members
 /// did, and which reads were refused, went with the records, and that is said.
-fn summed(source: &Source, frame: &Evidence, part: &mut Part) -> Result<(), String> {
-    let kept = source.kept_from().map_err(|e| e.to_string())?.unwrap_or(Micros::MAX);
+fn summed(source: &StoreReader, frame: &Evidence, part: &mut Part) -> Result<(), String> {
+    let kept = source.records_from().map_err(|e| e.to_string())?.unwrap_or(Micros::MAX);
     let mut last = None;
-    for (run, sum) in source.sums(frame.from, frame.to).map_err(|e| e.to_string())? {
-        let end = sum.window + store::WINDOW;
-        let Some(outcome) = store::outcome(sum.outcome).filter(|_| end <= kept && sum.window >= frame.from)
+    for sum in source.summaries(frame.from, frame.to).map_err(|e| e.to_string())? {
+        let end = sum.window + SUMMARY_WINDOW;
+        let Some(outcome) =
+            Outcome::from_code(sum.outcome_code).filter(|_| end <= kept && sum.window >= frame.from)
         else {
             continue;
         };
-        let class = source.name(run, "class", i64::from(sum.class)).map(|n| n.name.clone());
+        let class = source.name(sum.run, NameKind::Class, i64::from(sum.class)).map(|n| n.name.clone());
         let class = class.unwrap_or_else(|| format!("class {}", sum.class));
         let key = (frame.bin_of(sum.window), class, outcome);
         let at = part.proxy.answers.entry(key).or_default();
--- a/crates/incidents/tests/timelines.rs
+++ b/crates/incidents/tests/timelines.rs
@@ -4,9 +4,8 @@
 use std::collections::BTreeMap;
 use wharfplank_incidents::evidence::{Count, Proxy, State};
 use wharfplank_incidents::{find, Evidence, Incident, Kind, Micros, Strength};
-use wharfplank_records::reader::{Cause, Gap};
-use wharfplank_records::record::Reason;
-use wharfplank_records::Outcome;
+use wharfplank_records::reader::{Gap, GapCause};
+use wharfplank_records::{FailureReason, Outcome};
 
 const T: Micros = 1_800_000_000_000_000;
 const SECOND: Micros = 1_000_000;
@@ -135,12 +134,12 @@
             let bin = now - now.rem_euclid(SECOND);
             for trouble in &on {
                 let (reason, count) = match trouble {
-                    Apply(..) => (Reason::TooStale, 2),
-                    Headless(_) => (Reason::NoPrimary, 3),
-                    Refuse(count) => (Reason::Shed, *count),
+                    Apply(..) => (FailureReason::TooStale, 2),
+                    Headless(_) => (FailureReason::NoPrimary, 3),
+                    Refuse(count) => (FailureReason::LoadShed, *count),
                     _ => continue,
                 };
-                let outcome = Outcome::Refused(reason);
+                let outcome = Outcome::Rejected(reason);
                 *proxy.troubled.entry((bin, 0, outcome)).or_default() += count;
                 let sum = Count { count, attempts: 0, took: 0 };
                 let at = proxy.answers.entry((bin, "lookup".into(), outcome)).or_default();
@@ -161,7 +160,7 @@
     for (trouble, from, to) in script {
         if let Down(name, before) = trouble {
             let (from, to) = (T + (from - before) * SECOND, T + to * SECOND);
-            let gap = Gap { proxy: name.to_string(), from, to, cause: Cause::Killed, count: None };
+            let gap = Gap { proxy: name.to_string(), from, to, cause: GapCause::Killed, count: None };
             proxies.get_mut(*name).unwrap().gaps.push(gap);
         }
     }
--- a/crates/lab/src/trials.rs
+++ b/crates/lab/src/trials.rs
@@ -6,14 +6,18 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::time::Duration;
-use wharfplank_records::reader::Source;
-use wharfplank_records::record::{Outcome, Reason};
-use wharfplank_records::recorder::Terms;
-use wharfplank_records::store::{self, Limits, Store};
-use wharfplank_records::{Micros, Record, Recorder, Seen};
+use wharfplank_records::reader::{BlockFilter, StoreReader};
+use wharfplank_records::store::{self, Store, StoreLimits};
+use wharfplank_records::{
+    FailureReason, MemberState, Micros, Outcome, Record, Recorder, RecorderConfig, Staleness,
+};
 
 const SECOND: Micros = 1_000_000;
-const LIMITS: Limits = Limits { bytes: 16 << 30, blocks: 30 * 86_400 * SECOND, sums: 400 * 86_400 * SECOND };
+const LIMITS: StoreLimits = StoreLimits {
+    max_bytes: 16 << 30,
+    block_retention: 30 * 86_400 * SECOND,
+    summary_retention: 400 * 86_400 * SECOND,
+};
 
 /// Writes the stores of a made-up span of so many seconds: proxies, answers a second in all, twelve members. Between
 /// a third and a half of it most replicas stand behind and some reads are refused.
@@ -23,18 +27,19 @@
     let mut written = 0;
     for proxy in 0..proxies {
         let name = format!("n{proxy}");
-        let (mut store, _) = Store::open(directory, &name, LIMITS, start).map_err(|e| e.to_string())?;
+        let mut store = Store::open(directory, &name, LIMITS, start).map_err(|e| e.to_string())?.store;
         let mut records =
             vec![(start, Record::Proxy { zone: ["a", "b", "c"][proxy as usize % 3].to_string() })];
         for (class, name) in ["bounded-read", "session-read", "report", "write"].iter().enumerate() {
-            let record = Record::Class { class: class as u16, name: name.to_string(), aim: 300_000 };
+            let record =
+                Record::Class { class: class as u16, name: name.to_string(), latency_objective: 300_000 };
             records.push((start, record));
         }
         for member in 0..12_u32 {
             let zone = ["a", "b", "c"][member as usize % 3].to_string();
             records.push((
                 start,
-                Record::Name { member, name: format!("g{}m{}", member / 4, member % 4), zone },
+                Record::Member { member, name: format!("g{}m{}", member / 4, member % 4), zone },
             ));
         }
         let each = (rate / proxies).max(1);
@@ -45,30 +50,30 @@
             for member in 0..12_u32 {
                 let primary = member % 4 == 0;
                 let position = at - behind.filter(|_| !primary && member % 4 != 3).unwrap_or(8_000);
-                let (group, slowness) = (u64::from(member / 4), 100);
-                let seen = Seen {
+                let state = MemberState {
                     member,
-                    group,
+                    group: u64::from(member / 4),
                     primary,
                     active: true,
                     position,
-                    heard: at,
-                    suspected: None,
+                    position_seen_at: at,
+                    suspected_since: None,
                     in_flight: 1,
-                    slowness,
+                    relative_latency_percent: 100,
                 };
-                records.push((at, Record::Seen(seen)));
+                records.push((at, Record::MemberState(state)));
             }
             for i in 0..each {
                 let at = at + (i * 1_000_000 / each) as Micros;
                 let class = [0, 0, 0, 0, 1, 1, 1, 1, 3, 2][rng.random_range(0..10)];
                 let took = rng.random_range(2_000..60_000);
                 let refused = behind.is_some() && class == 0 && rng.random_range(0..20) == 0;
-                let outcome = if refused { Outcome::Refused(Reason::TooStale) } else { Outcome::Served };
-                let stale = refused.then_some((at - 200_000, at - 900_000));
+                let outcome =
+                    if refused { Outcome::Rejected(FailureReason::TooStale) } else { Outcome::Served };
+                let staleness = refused.then_some(Staleness { needed: at - 200_000, known: at - 900_000 });
                 let member = (!refused).then(|| rng.random_range(0..12));
                 let record =
-                    Record::Answer { class, group: i % 3, member, attempts: 1, took, outcome, stale };
+                    Record::Answer { class, group: i % 3, member, attempts: 1, took, outcome, staleness };
                 records.push((at, record));
                 written += 1;
             }
@@ -78,7 +83,7 @@
             }
         }
         store.append(&records, start + seconds * SECOND).map_err(|e| e.to_string())?;
-        store.end(start + seconds * SECOND).map_err(|e| e.to_string())?;
+        store.end_run(start + seconds * SECOND).map_err(|e| e.to_string())?;
     }
     Ok(written)
 }
@@ -90,24 +95,24 @@
 /// Records without end as one run, and says on standard output how many are flushed. It is there to be killed, and
 /// ends by itself after ten seconds.
 pub fn record_until_killed(directory: &Path) -> Result<(), String> {
-    let terms = Terms {
+    let config = RecorderConfig {
         directory: directory.into(),
         proxy: "n0".to_string(),
-        queue: 16_384,
-        flush: Duration::from_millis(3),
+        queue_capacity: 16_384,
+        flush_interval: Duration::from_millis(3),
         limits: LIMITS,
     };
-    let recorder = Recorder::start(terms, now, |_| {}).map_err(|e| e.to_string())?;
+    let recorder = Recorder::start(config, now, |_| {}).map_err(|e| e.to_string())?;
     let end = now() + 10 * SECOND;
     let mut said = 0;
     while now() < end {
         for _ in 0..20 {
             let (class, group, member, attempts, took) = (0, 1, Some(2), 1, 10);
-            let (outcome, stale) = (Outcome::Served, None);
-            recorder.note(Record::Answer { class, group, member, attempts, took, outcome, stale });
+            let (outcome, staleness) = (Outcome::Served, None);
+            recorder.record(Record::Answer { class, group, member, attempts, took, outcome, staleness });
         }
-        recorder.hand_over();
-        let flushed = recorder.flushed();
+        recorder.submit();
+        let flushed = recorder.stored_count();
         if flushed > said {
             said = flushed;
             let mut out = std::io::stdout();
@@ -159,13 +164,13 @@
         let acknowledged = said.iter().last().unwrap_or(first);
         all.kills += 1;
         all.acknowledged += acknowledged;
-        let Ok(source) = Source::open(&store::path(directory, "n0")) else {
+        let Ok(source) = StoreReader::open(&store::path(directory, "n0")) else {
             all.damaged += 1;
             continue;
         };
-        let last = source.runs.last().map_or(0, |r| r.run);
+        let last = source.runs.last().map_or(0, |run| run.id);
         let mut found = 0;
-        let gaps = source.records((0, Micros::MAX), false, |run, _, record| {
+        let gaps = source.records(0..=Micros::MAX, BlockFilter::All, |run, _, record| {
             found += u64::from(run == last && matches!(record, Record::Answer { .. }));
         });
         all.damaged += u64::from(gaps.is_err());
--- a/crates/lab/tests/trials.rs
+++ b/crates/lab/tests/trials.rs
@@ -3,7 +3,7 @@
 use wharfplank_incidents::gather::gather;
 use wharfplank_incidents::{find, Kind};
 use wharfplank_lab::{timeline, trials};
-use wharfplank_records::reader::Reader;
+use wharfplank_records::reader::StoreSet;
 
 /// Guards against a long span in which coarser bins hide what finer ones show, and against sums that differ from what
 /// was recorded.
@@ -12,7 +12,7 @@
     let dir = tempfile::tempdir().unwrap();
     let seconds = 6000;
     let written = trials::synthetic(dir.path(), seconds, 3, 9, 7).unwrap();
-    let reader = Reader::open(&[dir.path().to_path_buf()]);
+    let reader = StoreSet::open(&[dir.path().to_path_buf()]);
     let (from, to) = reader.span().unwrap();
     let evidence = gather(&reader, from, to);
     assert_eq!(evidence.bin, 10_000_000);
@@ -31,7 +31,7 @@
 fn sums_tell_the_answers_of_retired_records() {
     let dir = tempfile::tempdir().unwrap();
     let written = trials::synthetic(dir.path(), 200, 1, 9, 7).unwrap();
-    let read = |reader: &Reader| {
+    let read = |reader: &StoreSet| {
         let (from, to) = reader.span().unwrap();
         gather(reader, from, to)
     };
@@ -42,11 +42,11 @@
         }
         all
     };
-    let before = read(&Reader::open(&[dir.path().to_path_buf()]));
+    let before = read(&StoreSet::open(&[dir.path().to_path_buf()]));
     assert!(before.problems.is_empty());
     let file = rusqlite::Connection::open(wharfplank_records::store::path(dir.path(), "n0")).unwrap();
     file.execute("DELETE FROM blocks", []).unwrap();
-    let after = read(&Reader::open(&[dir.path().to_path_buf()]));
+    let after = read(&StoreSet::open(&[dir.path().to_path_buf()]));
     assert_eq!(counts(&after), counts(&before));
     assert_eq!(counts(&after).values().sum::<u64>(), written);
     assert!(after.problems[0].contains("only sums of answers are kept"), "{:?}", after.problems);
--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
-use wharfplank_records::recorder::Terms;
-use wharfplank_records::{record, store::Limits, Outcome, Record, Recorder, Seen};
+use wharfplank_records::store::StoreLimits;
+use wharfplank_records::{FailureReason, MemberState, Outcome, Record, Recorder, RecorderConfig, Staleness};
 use wharfplank_rollout::status::rollout_name;
 use wharfplank_rollout::ServiceEvent;
 use wharfplank_routing::{ClassId, GroupId, HostId, MemberView, Micros, RejectReason};
@@ -44,19 +44,19 @@
 }
 
 /// The reason of the routing policy as records and the log's counts name it.
-pub fn record_reason(reason: RejectReason) -> record::Reason {
+pub fn record_reason(reason: RejectReason) -> FailureReason {
     match reason {
-        RejectReason::TooStale { .. } => record::Reason::TooStale,
-        RejectReason::NoPrimary => record::Reason::NoPrimary,
-        RejectReason::NoMember => record::Reason::NoMember,
-        RejectReason::LoadShed => record::Reason::Shed,
-        RejectReason::QueuedTooLong => record::Reason::Held,
-        RejectReason::DeadlineExceeded => record::Reason::OutOfTime,
-        RejectReason::AttemptsExhausted => record::Reason::Spent,
-        RejectReason::MayHaveRun => record::Reason::MayHaveRun,
-        RejectReason::ShuttingDown => record::Reason::Closing,
-        RejectReason::UnknownClass => record::Reason::Unusable,
-        RejectReason::OverQuota => record::Reason::OverBudget,
+        RejectReason::TooStale { .. } => FailureReason::TooStale,
+        RejectReason::NoPrimary => FailureReason::NoPrimary,
+        RejectReason::NoMember => FailureReason::NoMember,
+        RejectReason::LoadShed => FailureReason::LoadShed,
+        RejectReason::QueuedTooLong => FailureReason::QueuedTooLong,
+        RejectReason::DeadlineExceeded => FailureReason::DeadlineExceeded,
+        RejectReason::AttemptsExhausted => FailureReason::AttemptsExhausted,
+        RejectReason::MayHaveRun => FailureReason::MayHaveRun,
+        RejectReason::ShuttingDown => FailureReason::ShuttingDown,
+        RejectReason::UnknownClass => FailureReason::UnknownClass,
+        RejectReason::OverQuota => FailureReason::OverQuota,
     }
 }
 
@@ -70,14 +70,18 @@
         decisions.record(|| Record::Proxy { zone: config.terms.zone.clone() });
         let classes = config.terms.class_names.iter().zip(&decisions.latency_objectives);
         for (class, (name, objective)) in classes.enumerate() {
-            decisions.record(|| Record::Class { class: class as u16, name: name.clone(), aim: *objective });
+            decisions.record(|| Record::Class {
+                class: class as u16,
+                name: name.clone(),
+                latency_objective: *objective,
+            });
         }
         Ok(decisions)
     }
 
     fn record(&self, record: impl FnOnce() -> Record) {
         if let Some(recorder) = &self.recorder {
-            recorder.note(record());
+            recorder.record(record());
         }
     }
 
@@ -89,13 +93,13 @@
     /// Hands the records since the last call to the writer; called at a steady pace.
     pub fn flush(&self) {
         if let Some(recorder) = &self.recorder {
-            recorder.hand_over();
+            recorder.submit();
         }
     }
 
     /// A member was listed for the first time: its id in later records stands for this name and zone.
     pub fn record_member_name(&self, member: HostId, endpoint: &EndpointRecord) {
-        self.record(|| Record::Name {
+        self.record(|| Record::Member {
             member: member.0,
             name: endpoint.name.clone(),
             zone: endpoint.zone.clone(),
@@ -111,11 +115,11 @@
         if self.recorded_endpoints.insert(member, state) == Some(state) {
             return;
         }
-        self.record(|| Record::Listed {
-            seq: version,
+        self.record(|| Record::EndpointListed {
+            version,
             member: member.0,
             health: recorded_health(endpoint.health).to_string(),
-            born: endpoint.started_at_ms * 1000,
+            started_at: endpoint.started_at_ms * 1000,
         });
         if endpoint.health == EndpointHealth::Removed {
             self.recorded_endpoints.remove(&member);
@@ -124,9 +128,9 @@
 
     /// The staleness of the endpoint list has changed, or an answer of discovery is suspect.
     pub fn record_list_state(&self, staleness: Option<&str>, suspect: Option<&str>) {
-        self.record(|| Record::List {
-            age: staleness.map(str::to_string),
-            doubt: suspect.map(str::to_string),
+        self.record(|| Record::EndpointListState {
+            staleness: staleness.map(str::to_string),
+            suspect: suspect.map(str::to_string),
         });
     }
 
@@ -140,7 +144,7 @@
 
     /// A request was rejected.
     pub fn record_rejected(&self, request: RequestSummary, reason: RejectReason) {
-        self.record_answer(request, Outcome::Refused(record_reason(reason)), staleness_gap(reason));
+        self.record_answer(request, Outcome::Rejected(record_reason(reason)), staleness_gap(reason));
     }
 
     /// A request has failed.
@@ -148,7 +152,7 @@
         self.record_answer(request, Outcome::Failed(record_reason(reason)), staleness_gap(reason));
     }
 
-    fn record_answer(&self, request: RequestSummary, outcome: Outcome, stale: Option<(Micros, Micros)>) {
+    fn record_answer(&self, request: RequestSummary, outcome: Outcome, staleness: Option<Staleness>) {
         self.record(|| Record::Answer {
             class: request.class.0 as u16,
             group: request.group.0,
@@ -156,36 +160,36 @@
             attempts: request.attempts.min(u32::from(u16::MAX)) as u16,
             took: request.took,
             outcome,
-            stale,
+            staleness,
         });
     }
 
     /// A member as the router sees it.
     pub fn record_member_state(&self, view: &MemberView) {
         self.record(|| {
-            Record::Seen(Seen {
+            Record::MemberState(MemberState {
                 member: view.host.0,
                 group: view.group.0,
                 primary: view.primary,
                 active: view.active,
                 position: view.position,
-                heard: view.position_seen_at,
-                suspected: view.suspected_since,
+                position_seen_at: view.position_seen_at,
+                suspected_since: view.suspected_since,
                 in_flight: view.in_flight as u32,
-                slowness: (view.traits.relative_latency * SLOWNESS_SCALE).clamp(0.0, MAX_RECORDED_SLOWNESS)
-                    as u32,
+                relative_latency_percent: (view.traits.relative_latency * SLOWNESS_SCALE)
+                    .clamp(0.0, MAX_RECORDED_SLOWNESS) as u32,
             })
         });
     }
 
     /// A health check of a member has ended.
     pub fn record_health_check(&self, member: HostId, answered: bool) {
-        self.record(|| Record::Probe { member: member.0, ok: answered });
+        self.record(|| Record::HealthCheck { member: member.0, answered });
     }
 
     /// The configuration was read again, successfully or not.
     pub fn record_reload(&self, is_applied: bool) {
-        self.record(|| Record::Reload { ok: is_applied });
+        self.record(|| Record::Reload { applied: is_applied });
     }
 
     /// Something was done in a rollout that this proxy drives.
@@ -193,9 +197,9 @@
         let ServiceEvent::Action(rollout, action) = event else { return };
         self.record(|| {
             let (what, member, detail) = log::words(names, action);
-            Record::Release {
-                release: rollout_name(*rollout),
-                what: what.to_string(),
+            Record::Rollout {
+                rollout: rollout_name(*rollout),
+                action: what.to_string(),
                 member: member.to_string(),
                 detail,
             }
@@ -204,24 +208,24 @@
 
     /// The process was asked to end.
     pub fn record_shutdown(&self) {
-        self.record(|| Record::Stopping);
+        self.record(|| Record::ShuttingDown);
     }
 }
 
 fn start_recorder(settings: &Records, clock: Clock) -> Result<Recorder, StartError> {
     let days = |days: u32| Micros::from(days) * MICROS_PER_DAY;
-    let terms = Terms {
+    let recorder_config = RecorderConfig {
         directory: settings.directory.clone(),
         proxy: settings.proxy.clone(),
-        queue: settings.queue,
-        flush: Duration::from_millis(settings.flush_ms),
-        limits: Limits {
-            bytes: settings.max_megabytes << 20,
-            blocks: days(settings.keep_days),
-            sums: days(settings.keep_sums_days),
+        queue_capacity: settings.queue,
+        flush_interval: Duration::from_millis(settings.flush_ms),
+        limits: StoreLimits {
+            max_bytes: settings.max_megabytes << 20,
+            block_retention: days(settings.keep_days),
+            summary_retention: days(settings.keep_sums_days),
         },
     };
-    Recorder::start(terms, move || clock.now(), log::records)
+    Recorder::start(recorder_config, move || clock.now(), log::records)
         .map_err(StartError::component_start(Component::Records))
 }
 
@@ -235,9 +239,9 @@
 }
 
 /// The needed and the known log position, where a request failed for staleness.
-fn staleness_gap(reason: RejectReason) -> Option<(Micros, Micros)> {
+fn staleness_gap(reason: RejectReason) -> Option<Staleness> {
     match reason {
-        RejectReason::TooStale { needed, known } => Some((needed, known)),
+        RejectReason::TooStale { needed, known } => Some(Staleness { needed, known }),
         _ => None,
     }
 }
--- a/crates/records/src/record.rs
+++ b/crates/records/src/record.rs
@@ -1,126 +1,72 @@
-//! The records.
+//! The records. None holds a client's key or a statement.
+//!
+//! Stores hold records in a positional encoding: fields and variants keep their order, and new variants go to the end.
 
+use crate::outcome::Outcome;
 use serde::{Deserialize, Serialize};
 
-/// A time or a span, in microseconds.
+/// A time or a span of time, in microseconds; times since the Unix epoch.
 pub type Micros = i64;
 
-/// How a request was answered.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Outcome {
-    /// Within the aim of its class.
-    Served,
-    /// Later than that.
-    Late,
-    /// Refused: a further try is harmless.
-    Refused(Reason),
-    /// Failed: it may have run.
-    Failed(Reason),
-}
-
-/// Why the module gave a request up, in its own words.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Reason {
-    /// No replica was new enough for the read, and the primary did not take it.
-    TooStale,
-    /// The group had no primary that could be used.
-    NoPrimary,
-    /// The group has no members.
-    NoMember,
-    /// Shed, since answers came late.
-    Shed,
-    /// It waited too long without having reached a member.
-    Held,
-    /// Its time was over.
-    OutOfTime,
-    /// All attempts were spent.
-    Spent,
-    /// An attempt may have run and must not be repeated.
-    MayHaveRun,
-    /// The process ended.
-    Closing,
-    /// It could not be used.
-    Unusable,
-    /// A budget of the whole fleet was spent.
-    OverBudget,
-}
+/// A record with the time at which it was made.
+pub type TimedRecord = (Micros, Record);
 
-impl Reason {
-    /// All of them.
-    pub const ALL: [Reason; 11] = [
-        Reason::TooStale,
-        Reason::NoPrimary,
-        Reason::NoMember,
-        Reason::Shed,
-        Reason::Held,
-        Reason::OutOfTime,
-        Reason::Spent,
-        Reason::MayHaveRun,
-        Reason::Closing,
-        Reason::Unusable,
-        Reason::OverBudget,
-    ];
-
-    /// Its name for people and programs.
-    pub fn name(self) -> &'static str {
-        match self {
-            Reason::TooStale => "too stale",
-            Reason::NoPrimary => "no primary",
-            Reason::NoMember => "no member",
-            Reason::Shed => "shed",
-            Reason::Held => "held too long",
-            Reason::OutOfTime => "out of time",
-            Reason::Spent => "attempts spent",
-            Reason::MayHaveRun => "may have run",
-            Reason::Closing => "closing",
-            Reason::Unusable => "unusable",
-            Reason::OverBudget => "over budget",
-        }
-    }
-}
-
-/// The state of a member as one proxy saw it.
+/// The state of a member as one proxy sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct MemberState {
     /// The member's number.
     pub member: u32,
     /// Its group.
     pub group: u64,
-    /// Whether it was taken for the primary.
+    /// Whether the proxy takes it for the primary.
     pub primary: bool,
-    /// Whether the list had it take work.
+    /// Whether it is active on the endpoint list.
     pub active: bool,
-    /// The newest position known, or 0 where none was.
+    /// The newest known log position, or 0.
     pub position: Micros,
-    /// When that was heard, or 0.
-    pub heard: Micros,
-    /// Since when it was suspected.
-    pub suspected: Option<Micros>,
+    /// When the position was learned, or 0.
+    #[serde(rename = "heard")]
+    pub position_seen_at: Micros,
+    /// Since when the proxy suspects it.
+    #[serde(rename = "suspected")]
+    pub suspected_since: Option<Micros>,
     /// This proxy's requests in flight there.
     pub in_flight: u32,
-    /// The mean time of its answers in per cent of the usual one.
-    pub slowness: u32,
+    /// The mean latency of its answers in per cent of the usual one.
+    #[serde(rename = "slowness")]
+    pub relative_latency_percent: u32,
+}
+
+/// How stale the data was for a read that was rejected as too stale.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Staleness {
+    /// The log position that the read needed.
+    pub needed: Micros,
+    /// The newest known log position.
+    pub known: Micros,
 }
 
-/// One thing that the program decided or saw.
+/// Something that the program decided or observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A class's number, name and bounds: the aim, and how old its data may be where that is bounded.
+    /// The number that stands for a class in the records of this run.
     Class {
         /// The number.
         class: u16,
         /// The name.
         name: String,
-        /// The aim.
-        aim: Micros,
+        /// The latency objective.
+        #[serde(rename = "aim")]
+        latency_objective: Micros,
     },
-    /// Where the proxy stands.
+    /// The proxy's own place.
     Proxy {
         /// Its zone.
         zone: String,
     },
-    /// A member's number and name.
-    Name {
+    /// The number that stands for a member in the records of this run.
+    #[serde(rename = "Name")]
+    Member {
         /// The number.
         member: u32,
         /// The name.
@@ -128,7 +74,7 @@
         /// The zone.
         zone: String,
     },
-    /// A final answer.
+    /// A request got its final answer.
     Answer {
         /// Its class.
         class: u16,
@@ -136,65 +82,80 @@
         group: u64,
         /// The member that served it.
         member: Option<u32>,
-        /// Attempts that were sent.
+        /// How many attempts were sent.
         attempts: u16,
-        /// Time since the request's last byte.
+        /// The time since the request's last byte arrived.
         took: Micros,
-        /// How it ended.
+        /// How it was answered.
         outcome: Outcome,
-        /// For a read refused as too stale: the position that it needed, and the newest that was known.
-        stale: Option<(Micros, Micros)>,
+        /// For a read that was rejected as too stale.
+        #[serde(rename = "stale")]
+        staleness: Option<Staleness>,
     },
-    /// A member's state.
-    Seen(Seen),
-    /// Discovery told something of a member.
-    Listed {
+    /// The state of a member.
+    #[serde(rename = "Seen")]
+    MemberState(MemberState),
+    /// The endpoint list names a member.
+    #[serde(rename = "Listed")]
+    EndpointListed {
         /// The version of the list.
-        seq: u64,
+        #[serde(rename = "seq")]
+        version: u64,
         /// The member.
         member: u32,
         /// `active`, `leaving` or `left`.
         health: String,
         /// When it last started; 0: long ago.
-        born: Micros,
+        #[serde(rename = "born")]
+        started_at: Micros,
     },
-    /// How old the list is, or that an answer of discovery is in doubt.
-    List {
-        /// The age's name.
-        age: Option<String>,
-        /// The doubt's name.
-        doubt: Option<String>,
+    /// The staleness of the endpoint list, or an answer of discovery that is suspect.
+    #[serde(rename = "List")]
+    EndpointListState {
+        /// The name of the staleness.
+        #[serde(rename = "age")]
+        staleness: Option<String>,
+        /// Why an answer is suspect.
+        #[serde(rename = "doubt")]
+        suspect: Option<String>,
     },
-    /// A probe came back.
-    Probe {
+    /// A health check has ended.
+    #[serde(rename = "Probe")]
+    HealthCheck {
         /// The member.
         member: u32,
-        /// Whether with a report.
-        ok: bool,
+        /// Whether the member answered.
+        #[serde(rename = "ok")]
+        answered: bool,
     },
-    /// The configuration was read anew, or could not be.
+    /// The configuration was read again.
     Reload {
-        /// Whether it could be used.
-        ok: bool,
+        /// Whether it was applied.
+        #[serde(rename = "ok")]
+        applied: bool,
     },
     /// The process was asked to end.
-    Stopping,
-    /// Records that could not be kept, and the span in which they fell.
+    #[serde(rename = "Stopping")]
+    ShuttingDown,
+    /// Records were lost; the span ends at the time of this record.
     Lost {
         /// How many.
         count: u64,
-        /// Since when.
+        /// When the span begins.
         since: Micros,
     },
-    /// Something was done in a release that this proxy drives.
-    Release {
-        /// The release's name.
-        release: String,
+    /// Something was done in a rollout that this proxy drives.
+    #[serde(rename = "Release")]
+    Rollout {
+        /// The rollout's name.
+        #[serde(rename = "release")]
+        rollout: String,
         /// What was done.
-        what: String,
-        /// To which member; `-`: to none.
+        #[serde(rename = "what")]
+        action: String,
+        /// The member to which it was done; `-`: none.
         member: String,
-        /// How: a launch, a wave, or the reason of a course.
+        /// Further detail: a launch, a wave, or a reason.
         detail: String,
     },
 }
--- a/crates/records/tests/encoding.rs
+++ b/crates/records/tests/encoding.rs
@@ -1,41 +1,54 @@
 //! The bytes of stored records, which later versions read.
 
-use wharfplank_records::record::Reason;
-use wharfplank_records::{store, Outcome, Record, Seen};
+use wharfplank_records::{FailureReason, MemberState, Outcome, Record, Staleness};
 
-fn answer(outcome: Outcome, stale: Option<(i64, i64)>) -> Record {
-    Record::Answer { class: 3, group: 300, member: Some(7), attempts: 2, took: 9_000, outcome, stale }
+fn answer(outcome: Outcome, staleness: Option<Staleness>) -> Record {
+    Record::Answer { class: 3, group: 300, member: Some(7), attempts: 2, took: 9_000, outcome, staleness }
 }
 
 fn records() -> Vec<(Record, &'static str)> {
-    let seen = Seen {
+    let state = MemberState {
         member: 7,
         group: 300,
         primary: true,
         active: false,
         position: 1_000,
-        heard: 2_000,
-        suspected: Some(3_000),
+        position_seen_at: 2_000,
+        suspected_since: Some(3_000),
         in_flight: 4,
-        slowness: 150,
+        relative_latency_percent: 150,
     };
     vec![
-        (Record::Class { class: 1, name: "lookup".into(), aim: 300_000 }, "0001066c6f6f6b7570c0cf24"),
+        (
+            Record::Class { class: 1, name: "lookup".into(), latency_objective: 300_000 },
+            "0001066c6f6f6b7570c0cf24",
+        ),
         (Record::Proxy { zone: "a".into() }, "010161"),
-        (Record::Name { member: 7, name: "m".into(), zone: "b".into() }, "0207016d0162"),
+        (Record::Member { member: 7, name: "m".into(), zone: "b".into() }, "0207016d0162"),
         (answer(Outcome::Served, None), "0303ac02010702d08c010000"),
         (answer(Outcome::Late, None), "0303ac02010702d08c010100"),
-        (answer(Outcome::Refused(Reason::TooStale), Some((5, -5))), "0303ac02010702d08c010200010a09"),
-        (answer(Outcome::Failed(Reason::OverBudget), None), "0303ac02010702d08c01030a00"),
-        (Record::Seen(seen), "0407ac020100d00fa01f01f02e049601"),
-        (Record::Listed { seq: 9, member: 7, health: "left".into(), born: 11 }, "050907046c65667416"),
-        (Record::List { age: Some("old".into()), doubt: None }, "0601036f6c6400"),
-        (Record::Probe { member: 7, ok: true }, "070701"),
-        (Record::Reload { ok: false }, "0800"),
-        (Record::Stopping, "09"),
+        (
+            answer(Outcome::Rejected(FailureReason::TooStale), Some(Staleness { needed: 5, known: -5 })),
+            "0303ac02010702d08c010200010a09",
+        ),
+        (answer(Outcome::Failed(FailureReason::OverQuota), None), "0303ac02010702d08c01030a00"),
+        (Record::MemberState(state), "0407ac020100d00fa01f01f02e049601"),
+        (
+            Record::EndpointListed { version: 9, member: 7, health: "left".into(), started_at: 11 },
+            "050907046c65667416",
+        ),
+        (Record::EndpointListState { staleness: Some("old".into()), suspect: None }, "0601036f6c6400"),
+        (Record::HealthCheck { member: 7, answered: true }, "070701"),
+        (Record::Reload { applied: false }, "0800"),
+        (Record::ShuttingDown, "09"),
         (Record::Lost { count: 300, since: 12 }, "0aac0218"),
         (
-            Record::Release { release: "r".into(), what: "w".into(), member: "-".into(), detail: "d".into() },
+            Record::Rollout {
+                rollout: "r".into(),
+                action: "w".into(),
+                member: "-".into(),
+                detail: "d".into(),
+            },
             "0b01720177012d0164",
         ),
     ]
@@ -55,7 +68,7 @@
 #[test]
 fn outcomes_keep_their_codes() {
     let reasons: Vec<(i64, &str)> =
-        Reason::ALL.iter().map(|reason| (store::code(Outcome::Refused(*reason)), reason.name())).collect();
+        FailureReason::ALL.iter().map(|reason| (Outcome::Rejected(*reason).code(), reason.name())).collect();
     let expected = [
         (100, "too stale"),
         (101, "no primary"),
@@ -70,10 +83,10 @@
         (110, "over budget"),
     ];
     assert_eq!(reasons, expected);
-    assert_eq!((store::code(Outcome::Served), store::code(Outcome::Late)), (0, 1));
-    assert_eq!(store::code(Outcome::Failed(Reason::NoMember)), 202);
+    assert_eq!((Outcome::Served.code(), Outcome::Late.code()), (0, 1));
+    assert_eq!(Outcome::Failed(FailureReason::NoMember).code(), 202);
     for code in (0..=1).chain(100..=110).chain(200..=210) {
-        assert_eq!(store::outcome(code).map(store::code), Some(code));
+        assert_eq!(Outcome::from_code(code).map(Outcome::code), Some(code));
     }
-    assert_eq!([2, 111, 211, -1].map(store::outcome), [None; 4]);
+    assert_eq!([2, 111, 211, -1].map(Outcome::from_code), [None; 4]);
 }
--- a/crates/report/src/facts.rs
+++ b/crates/report/src/facts.rs
@@ -64,7 +64,7 @@
         match outcome {
             Outcome::Served => self.served += count,
             Outcome::Late => self.late += count,
-            Outcome::Refused(reason) => *self.refused.entry(reason.name().to_string()).or_default() += count,
+            Outcome::Rejected(reason) => *self.refused.entry(reason.name().to_string()).or_default() += count,
             Outcome::Failed(reason) => *self.failed.entry(reason.name().to_string()).or_default() += count,
         }
     }
@@ -181,7 +181,7 @@
                 match outcome {
                     Outcome::Served => at.served += count.count,
                     Outcome::Late => at.late += count.count,
-                    Outcome::Refused(reason) | Outcome::Failed(reason) => {
+                    Outcome::Rejected(reason) | Outcome::Failed(reason) => {
                         *at.lost.entry(reason.name().to_string()).or_default() += count.count;
                     }
                 }
--- a/src/cli/records.rs
+++ b/src/cli/records.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 use wharfplank::incidents::gather::gather;
-use wharfplank::records::reader::Reader;
+use wharfplank::records::reader::{RunState, StoreSet};
 use wharfplank::records::Micros;
 use wharfplank::report::{html, Facts};
 
@@ -17,9 +17,9 @@
 }
 
 impl Span {
-    fn of(&self, reader: &Reader) -> Result<(Micros, Micros), Stop> {
-        let (from, to) = reader.span().ok_or_else(|| {
-            let problems = reader.problems.join("; ");
+    fn of(&self, stores: &StoreSet) -> Result<(Micros, Micros), Stop> {
+        let (from, to) = stores.span().ok_or_else(|| {
+            let problems = stores.problem_texts().join("; ");
             Stop::failed(format!(
                 "no records found; name a directory with PROXY.wharfplank files. {problems}"
             ))
@@ -30,21 +30,21 @@
 
 /// Says what the stores hold.
 pub fn records(paths: &[PathBuf]) -> Result<(), Stop> {
-    let reader = Reader::open(paths);
+    let set = StoreSet::open(paths);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
-    for source in &reader.sources {
-        let bytes = source.bytes().map_err(Stop::failed)?;
-        println!("{}: {:.1} MB", source.proxy, bytes as f64 / 1e6);
-        for run in &source.runs {
-            let silent = now - run.alive > wharfplank::records::reader::SILENT;
-            let end = match run.ended {
-                Some(_) => "ended in order",
-                None if silent => "cut off",
-                None => "running",
+    for store in &set.stores {
+        let bytes = store.used_bytes().map_err(Stop::failed)?;
+        println!("{}: {:.1} MB", store.proxy, bytes as f64 / 1e6);
+        for run in &store.runs {
+            let state = match run.state(now) {
+                RunState::Ended => "ended in order",
+                RunState::Killed => "cut off",
+                RunState::Running => "running",
             };
-            println!("  run {}: {} to {}, {end}", run.run, html::utc(run.started), html::utc(run.alive));
+            let (from, to) = (html::utc(run.started_at), html::utc(run.last_alive_at));
+            println!("  run {}: {from} to {to}, {state}", run.id);
         }
-        for gap in source.gaps() {
+        for gap in store.gaps() {
             println!(
                 "  nothing known: {} to {}, {}",
                 html::utc(gap.from),
@@ -53,8 +53,8 @@
             );
         }
     }
-    reader.problems.iter().for_each(|problem| eprintln!("wharfplank: cannot be read: {problem}"));
-    match reader.sources.is_empty() {
+    set.problems.iter().for_each(|problem| eprintln!("wharfplank: cannot be read: {problem}"));
+    match set.stores.is_empty() {
         true => Err(Stop::failed("no records found; name a directory with PROXY.wharfplank files")),
         false => Ok(()),
     }
@@ -62,9 +62,9 @@
 
 /// The facts of a span.
 pub fn facts(paths: &[PathBuf], span: &Span) -> Result<Facts, Stop> {
-    let reader = Reader::open(paths);
-    let (from, to) = span.of(&reader)?;
-    Ok(Facts::of(gather(&reader, from, to)))
+    let stores = StoreSet::open(paths);
+    let (from, to) = span.of(&stores)?;
+    Ok(Facts::of(gather(&stores, from, to)))
 }
 
 /// Writes a report.
