--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -14,7 +14,7 @@
     pub(super) fn start_health_check(&mut self, host: HostId) {
         let Some(member) = self.endpoints.members.get(&host) else { return };
         let budgets = self.pools.budgets.as_ref();
-        if budgets.is_some_and(|budgets| !budgets.probe(member.name())) {
+        if budgets.is_some_and(|budgets| !budgets.try_spend_health_check(member.name())) {
             return self.budget_denials.push_health_check(host);
         }
         let member = Rc::clone(member);
@@ -32,10 +32,10 @@
         self.counts.increment("probed", if result.answered { "ok" } else { "failed" }, "");
         self.recorder.record_health_check(host, result.answered);
         let position = result.position.filter(|_| result.answered);
-        self.gossip.learned(self.clock.now(), host, position);
+        self.gossip.report_position(self.clock.now(), host, position);
         self.negative_cache.learned(host, position);
         let sent_at = self.clock.now() - HEALTH_CHECK_TIMEOUT.as_micros() as Micros;
-        self.gossip.saw(
+        self.gossip.report_reachability(
             host,
             sent_at,
             if result.answered { AttemptOutcome::Ok } else { AttemptOutcome::Timeout },
--- a/crates/proxy/src/budgets.rs
+++ b/crates/proxy/src/budgets.rs
@@ -10,10 +10,12 @@
 use wharfplank_budget::{
     BudgetId, BudgetKind, BudgetLimits, LeaseAllocator, LeaseHolder, LeaseTerms, TakeoverGuard,
 };
-use wharfplank_settings::Budgets as Settings;
+use wharfplank_settings::BudgetSettings as Settings;
 use wharfplank_shared_state::hash_name;
-use wharfplank_transport::budgets::{Budgets, Figure, Said, Setup, RING};
-use wharfplank_transport::{worker, Now};
+use wharfplank_transport::budgets::{
+    self, BudgetLogEvent, BudgetUsage, Budgets, BudgetsConfig, LeaseWorker, OwnAllocator,
+};
+use wharfplank_transport::Now;
 
 /// Binds the socket and starts the thread and the serving side.
 pub fn start(
@@ -28,31 +30,47 @@
     };
     let me: SocketAddrV4 = settings.advertise().unwrap_or(bound);
     let skew = settings.clock_skew_ms * 1000;
-    let (terms, wholes, banks) = (LeaseTerms::default(), wholes(settings), settings.banks());
-    let gone: Vec<bool> = banks.iter().map(|bank| settings.gone().contains(bank)).collect();
+    let (terms, wholes, banks) = (LeaseTerms::default(), wholes(settings), settings.allocators());
+    let gone: Vec<bool> = banks.iter().map(|bank| settings.removed_allocators().contains(bank)).collect();
     // Without banks there is nothing but even shares.
-    let percent = if banks.is_empty() { 100 } else { settings.even };
-    let even = wholes.static_quota(percent, settings.proxies);
+    let percent = if banks.is_empty() { 100 } else { settings.even_percent };
+    let even = wholes.static_quota(percent, settings.max_proxies);
     let now = clock.now() + skew;
     let place = banks.iter().position(|bank| *bank == me).filter(|place| !gone[*place]);
-    let bank = place.map(|place| {
+    let own_allocator = place.map(|place| {
         let before = gone[..place].iter().filter(|gone| !**gone).count() as u64;
         let live = gone.iter().filter(|gone| !**gone).count() as u64;
-        let part = wholes.allocator_part(&even, settings.proxies, before, live);
-        (place, LeaseAllocator::new(terms.clone(), part, now), TakeoverGuard::new(settings.set, place, &gone))
+        let part = wholes.allocator_part(&even, settings.max_proxies, before, live);
+        let allocator = LeaseAllocator::new(terms.clone(), part, now);
+        let guard = TakeoverGuard::new(settings.allocator_set_version, place, &gone);
+        OwnAllocator { index: place, allocator, guard }
     });
     // No other process had this number: its address, and when it started.
     let number = hash_name(&format!("{me} {} {}", clock.now(), std::process::id()));
     let holder =
         LeaseHolder::new(number, terms.clone(), banks.len(), Vec::new(), now).with_static_quotas(even);
-    let figures = hash_name(&format!("{} {} {percent}", wholes.canonical_text(), settings.proxies));
-    let setup = Setup { socket, banks, bank, terms, figures, now: move || clock.now() + skew };
-    let rings = worker::start("budgets", RING, move |asks, told| setup.work(asks, told));
-    let rings = rings.map_err(StartError::component_start(Component::Budgets))?;
-    let now_of: Now = Rc::new(move || clock.now() + skew);
-    let notes = tracing::enabled!(tracing::Level::DEBUG);
+    let settings_hash = hash_name(&format!("{} {} {percent}", wholes.canonical_text(), settings.max_proxies));
+    let worker = LeaseWorker {
+        socket,
+        allocators: banks,
+        own_allocator,
+        terms,
+        settings_hash,
+        now: move || clock.now() + skew,
+    };
+    let now: Now = Rc::new(move || clock.now() + skew);
+    let traces_usage = tracing::enabled!(tracing::Level::DEBUG);
+    let config = BudgetsConfig {
+        limits: wholes,
+        holder,
+        now,
+        traces_usage,
+        log: move |event: BudgetLogEvent<'_>| log_event(event, skew),
+    };
+    let budgets =
+        budgets::start(worker, config, executor).map_err(StartError::component_start(Component::Budgets))?;
     tracing::info!(listen = %bound, advertise = %me, bank = place.is_some(), "budgets_started");
-    Ok(Budgets::start(wholes, holder, rings, now_of, notes, move |said| tell(said, skew), executor))
+    Ok(budgets)
 }
 
 /// The budgets that the settings name.
@@ -61,38 +79,44 @@
     let alone = [
         one(BudgetKind::Requests, settings.requests),
         one(BudgetKind::Retries, settings.retries),
-        one(BudgetKind::DiscoveryCalls, settings.discovery),
+        one(BudgetKind::DiscoveryCalls, settings.discovery_polls),
     ];
     let tenants = settings
         .tenants()
         .into_iter()
-        .map(|(group, whole)| (BudgetKind::TenantRequests.budget(group), whole));
+        .map(|tenant| (BudgetKind::TenantRequests.budget(tenant.group), tenant.requests));
     let own: BTreeMap<BudgetId, u64> = alone.into_iter().flatten().chain(tenants).collect();
     let each = [
-        (BudgetKind::HealthChecks, settings.probes),
-        (BudgetKind::NewConnections, settings.connects),
-        (BudgetKind::OpenConnections, settings.held),
+        (BudgetKind::HealthChecks, settings.health_checks),
+        (BudgetKind::NewConnections, settings.new_connections),
+        (BudgetKind::OpenConnections, settings.open_connections),
     ];
     BudgetLimits::new(own, each.into_iter().filter(|(_, whole)| *whole > 0).collect())
 }
 
 /// Times are told by the true clock, whatever the budgets' own is ahead.
-fn tell(said: Said<'_>, skew: i64) {
-    match said {
-        Said::Reached { reached, done } => {
-            let (leases, holders, ignored) = (done.leases, done.holders, done.ignored);
-            let (unread, others) = (done.unread, done.others);
-            tracing::info!(reached, leases, holders, ignored, unread, others, "budgets");
+fn log_event(event: BudgetLogEvent<'_>, skew: i64) {
+    match event {
+        BudgetLogEvent::Status { reachable_allocators, worker } => {
+            tracing::info!(
+                reached = reachable_allocators,
+                leases = worker.is_allocating,
+                holders = worker.holders,
+                ignored = worker.ignored_requests,
+                unread = worker.undecodable_datagrams,
+                others = worker.foreign_datagrams,
+                "budgets"
+            );
         }
-        Said::Figure(kind, Figure { share, spent, denied }) => {
-            tracing::info!(kind = kind.name(), share, spent, denied, "budget");
+        BudgetLogEvent::Usage(kind, BudgetUsage { quota, spent, denied }) => {
+            tracing::info!(kind = kind.name(), share = quota, spent, denied, "budget");
         }
-        Said::Leased { at, bank, ends, what } => {
-            let (at_us, ends_us) = (at - skew, ends - skew);
-            tracing::debug!(at_us, bank, ends_us, what, "budget_leased");
+        BudgetLogEvent::Leased { at, allocator, expires_at, amounts } => {
+            let (at_us, ends_us) = (at - skew, expires_at - skew);
+            tracing::debug!(at_us, bank = allocator, ends_us, what = amounts, "budget_leased");
         }
-        Said::Spent(what) => tracing::debug!(ahead_us = skew, what, "budget_spent"),
-        Said::Held(what) => tracing::debug!(ahead_us = skew, what, "budget_held"),
-        Said::Ended => tracing::error!("budgets_ended"),
+        BudgetLogEvent::Spent(what) => tracing::debug!(ahead_us = skew, what, "budget_spent"),
+        BudgetLogEvent::InUse(what) => tracing::debug!(ahead_us = skew, what, "budget_held"),
+        BudgetLogEvent::WorkerEnded => tracing::error!("budgets_ended"),
     }
 }
--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -12,7 +12,7 @@
 use wharfplank_rollout::status::rollout_name;
 use wharfplank_rollout::ServiceEvent;
 use wharfplank_routing::{ClassId, GroupId, HostId, MemberView, Micros, RejectReason};
-use wharfplank_settings::Records;
+use wharfplank_settings::RecordSettings;
 
 const MICROS_PER_DAY: Micros = 86_400_000_000;
 /// Latency relative to the usual one is recorded in hundredths.
@@ -62,7 +62,11 @@
 
 impl DecisionRecorder {
     /// Starts the recorder that the settings ask for, and records the zone and the classes of this process.
-    pub fn start(settings: Option<&Records>, config: &Config, clock: Clock) -> Result<Self, StartError> {
+    pub fn start(
+        settings: Option<&RecordSettings>,
+        config: &Config,
+        clock: Clock,
+    ) -> Result<Self, StartError> {
         let latency_objectives: Vec<Micros> =
             config.settings.classes.iter().map(|class| class.latency_objective).collect();
         let recorder = settings.map(|settings| start_recorder(settings, clock)).transpose()?;
@@ -212,12 +216,12 @@
     }
 }
 
-fn start_recorder(settings: &Records, clock: Clock) -> Result<Recorder, StartError> {
+fn start_recorder(settings: &RecordSettings, clock: Clock) -> Result<Recorder, StartError> {
     let days = |days: u32| Micros::from(days) * MICROS_PER_DAY;
     let recorder_config = RecorderConfig {
         directory: settings.directory.clone(),
         proxy: settings.proxy.clone(),
-        queue_capacity: settings.queue,
+        queue_capacity: settings.queue_capacity,
         flush_interval: Duration::from_millis(settings.flush_ms),
         limits: StoreLimits {
             max_bytes: settings.max_megabytes << 20,
--- a/crates/transport/src/member_pool/report.rs
+++ b/crates/transport/src/member_pool/report.rs
@@ -1,5 +1,6 @@
 //! The progress and the result of an attempt.
 
+use super::StreamForwarder;
 use crate::response_stream::ResponseStream;
 use wharfplank_protocol::member_response::MemberResponse;
 use wharfplank_routing::AttemptOutcome;
@@ -10,7 +11,7 @@
     /// The outcome as the router classifies it.
     pub outcome: AttemptOutcome,
     /// The member's complete response, if it sent one.
-    pub answer: Option<MemberResponse>,
+    pub response: Option<MemberResponse>,
     /// A successful response that has only begun. It is streamed to the client, and a second report follows at its
     /// end.
     pub stream: Option<ResponseStream>,
@@ -18,8 +19,28 @@
 
 impl AttemptReport {
     /// The report of an attempt that ended without a response.
-    pub fn without_answer(outcome: AttemptOutcome) -> Self {
-        AttemptReport { outcome, answer: None, stream: None }
+    pub fn without_response(outcome: AttemptOutcome) -> Self {
+        AttemptReport { outcome, response: None, stream: None }
+    }
+}
+
+/// What an attempt led to.
+pub struct AttemptCompletion {
+    /// The result, or the beginning of a streamed response.
+    pub report: AttemptReport,
+    /// Forwards the rest of a streamed response once the report was delivered.
+    pub forwarder: Option<StreamForwarder>,
+}
+
+impl From<AttemptReport> for AttemptCompletion {
+    fn from(report: AttemptReport) -> Self {
+        AttemptCompletion { report, forwarder: None }
+    }
+}
+
+impl From<AttemptOutcome> for AttemptCompletion {
+    fn from(outcome: AttemptOutcome) -> Self {
+        AttemptReport::without_response(outcome).into()
     }
 }
 
