--- a/crates/proxy/src/broker/admin_calls.rs
+++ b/crates/proxy/src/broker/admin_calls.rs
@@ -42,12 +42,12 @@
     /// the answer.
     pub(super) fn apply_cordon(&mut self, id: &str, result: Result<(), CordonError>) -> String {
         if let Err(error) = result {
-            log::operator(id, &error.to_string());
+            log::admin_command(id, &error.to_string());
             return format!("fail {error}\n");
         }
         let is_cordoned = self.endpoints.cordons.is_cordoned(id);
         let state = if is_cordoned { "cordoned" } else { "uncordoned" };
-        log::operator(id, state);
+        log::admin_command(id, state);
         let record = self.endpoints.records.get(id).map(|record| self.endpoints.cordons.apply(record));
         if let Some(record) = record {
             let version = self.endpoints.version;
@@ -59,7 +59,7 @@
     fn log_avoided_members(&self) {
         if self.counts.is_enabled() {
             let avoided = self.avoided_members().map(|(id, reason)| format!("{id}:{}", reason.as_str()));
-            log::avoided(&avoided.collect::<Vec<_>>().join(","));
+            log::excluded_members(&avoided.collect::<Vec<_>>().join(","));
         }
     }
 
--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -15,7 +15,7 @@
             self.lifecycle.confirm_list();
         }
         if event.suspect.is_some() || staleness.is_some() {
-            log::list(staleness.map(Staleness::as_str), event.suspect, event.deadlines.len());
+            log::endpoint_list_state(staleness.map(Staleness::as_str), event.suspect, event.deadlines.len());
             self.recorder.record_list_state(
                 staleness.map(Staleness::as_str),
                 event.suspect.map(SuspectReason::as_str),
--- a/crates/proxy/src/broker/handover/peer.rs
+++ b/crates/proxy/src/broker/handover/peer.rs
@@ -30,7 +30,7 @@
             return self.pools.executor.spawn(handover_socket::reject(stream)).detach();
         }
         let state = self.handover_state(held);
-        log::replacement("is being replaced", state.cordoned.len());
+        log::handover_step("is being replaced", state.cordoned.len());
         let link = HandoverLink::accept(&self.pools.executor, stream, listener, &state, self.events.clone());
         if let Some(handover) = &mut self.handover {
             handover.link = Some(link);
@@ -41,7 +41,7 @@
         let Some(handover) = &mut self.handover else { return };
         match message {
             HandoverMessage::Serving => {
-                log::replacement("the other serves", 0);
+                log::handover_step("the other serves", 0);
                 handover.state.on_successor_serving();
             }
             HandoverMessage::Connections(holds) => handover.state.on_predecessor_connections(holds),
@@ -68,7 +68,7 @@
     }
 
     fn on_peer_lost(&mut self) {
-        log::replacement("the other is gone", 0);
+        log::handover_step("the other is gone", 0);
         let Some(handover) = &mut self.handover else { return };
         handover.link = None;
         let was_replaced = handover.state.is_predecessor();
--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -74,9 +74,9 @@
         match config {
             Ok(config) => {
                 self.discovery.set_address(config.discovery);
-                log::reloaded(config.discovery);
+                log::configuration_reloaded(config.discovery);
             }
-            Err(error) => log::kept(&error.to_string()),
+            Err(error) => log::configuration_reload_failed(&error.to_string()),
         }
     }
 
--- a/crates/proxy/src/broker/maintenance.rs
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -82,7 +82,7 @@
     fn log_counts(&mut self, now: Micros) {
         self.counts.add("connections", "open", "", self.pools.open_connections.get() as u64);
         if let Some(counts) = self.counts.take_text() {
-            log::counts(now as u64 / 1000, &counts);
+            log::activity_counts(now as u64 / 1000, &counts);
         }
     }
 
--- a/crates/proxy/src/broker/request_log.rs
+++ b/crates/proxy/src/broker/request_log.rs
@@ -2,6 +2,7 @@
 
 use super::request_table::AttemptOutcomeAt;
 use super::*;
+use crate::log::UnservedRequest;
 
 /// How a request was answered, as the counters name it.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -44,9 +45,15 @@
         });
         let outcomes = outcomes.collect::<Vec<_>>().join(",");
         let took_ms = (self.clock.now() - request.arrived_at) / 1000;
-        let class = self.parameters.class_names.get(request.class.0).map_or("-", String::as_str);
-        let how = (disposition.name(), why);
-        log::given_up(&request.client_id, class, request.group.0, how, took_ms, &outcomes);
+        log::request_unserved(&UnservedRequest {
+            id: &request.client_id,
+            class: self.parameters.class_names.get(request.class.0).map_or("-", String::as_str),
+            group: request.group.0,
+            disposition: disposition.name(),
+            reason: why,
+            took_ms,
+            outcomes: &outcomes,
+        });
     }
 
     /// Keeps how an attempt ended, for the log line of a request that is not served.
--- /dev/null
+++ b/crates/proxy/src/budgets/limits.rs
@@ -0,0 +1,27 @@
+//! The limits that the settings give to each budget.
+
+use std::collections::BTreeMap;
+use wharfplank_budget::{BudgetId, BudgetKind, BudgetLimits};
+use wharfplank_settings::Budgets as BudgetSettings;
+
+/// The limits of the fleet; a limit of 0 means that there is no such budget.
+pub(super) fn budget_limits(settings: &BudgetSettings) -> BudgetLimits {
+    let fleet_wide = [
+        (BudgetKind::Requests, settings.requests),
+        (BudgetKind::Retries, settings.retries),
+        (BudgetKind::DiscoveryCalls, settings.discovery),
+    ];
+    let fleet_wide =
+        fleet_wide.into_iter().filter(|(_, limit)| *limit > 0).map(|(kind, limit)| (kind.budget(0), limit));
+    let tenants = settings
+        .tenants()
+        .into_iter()
+        .map(|(group, limit)| (BudgetKind::TenantRequests.budget(group), limit));
+    let limits: BTreeMap<BudgetId, u64> = fleet_wide.chain(tenants).collect();
+    let per_member = [
+        (BudgetKind::HealthChecks, settings.probes),
+        (BudgetKind::NewConnections, settings.connects),
+        (BudgetKind::OpenConnections, settings.held),
+    ];
+    BudgetLimits::new(limits, per_member.into_iter().filter(|(_, limit)| *limit > 0).collect())
+}
--- /dev/null
+++ b/crates/proxy/src/budgets/mod.rs
@@ -0,0 +1,80 @@
+//! Starts the fleet's budgets where the settings ask for them: the datagram socket, the thread that exchanges leases, and
+//! the lease allocator where this proxy is one.
+
+mod limits;
+
+use crate::clock::Clock;
+use crate::error::{Component, StartError};
+use crate::log;
+use async_executor::LocalExecutor;
+use limits::budget_limits;
+use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
+use std::rc::Rc;
+use wharfplank_budget::{LeaseAllocator, LeaseHolder, LeaseTerms, TakeoverGuard};
+use wharfplank_settings::Budgets as BudgetSettings;
+use wharfplank_shared_state::hash_name;
+use wharfplank_transport::budgets::{Budgets, Setup, RING};
+use wharfplank_transport::{worker, Now};
+
+/// The share of a budget that is divided evenly where there are no allocators to lease the rest: all of it.
+const ALL_PERCENT: u64 = 100;
+
+/// Binds the socket and starts the thread and the serving side.
+pub fn start(
+    settings: &BudgetSettings,
+    clock: Clock,
+    executor: &LocalExecutor<'static>,
+) -> Result<Rc<Budgets>, StartError> {
+    let (socket, bound) = bind(settings)?;
+    let me: SocketAddrV4 = settings.advertise().unwrap_or(bound);
+    let skew = settings.clock_skew_ms * 1000;
+    let now = clock.now() + skew;
+
+    let limits = budget_limits(settings);
+    let terms = LeaseTerms::default();
+    let allocators = settings.banks();
+    let static_percent = if allocators.is_empty() { ALL_PERCENT } else { settings.even };
+    let static_quotas = limits.static_quota(static_percent, settings.proxies);
+    let is_removed: Vec<bool> =
+        allocators.iter().map(|allocator| settings.gone().contains(allocator)).collect();
+    let own_index =
+        allocators.iter().position(|allocator| *allocator == me).filter(|index| !is_removed[*index]);
+    let own_allocator = own_index.map(|index| {
+        let live = |removed: &[bool]| removed.iter().filter(|is_removed| !**is_removed).count() as u64;
+        let live_before = live(&is_removed[..index]);
+        let part = limits.allocator_part(&static_quotas, settings.proxies, live_before, live(&is_removed));
+        let allocator = LeaseAllocator::new(terms.clone(), part, now);
+        (index, allocator, TakeoverGuard::new(settings.set, index, &is_removed))
+    });
+
+    // The id of the process is unique: it is made of its address and of when it started.
+    let process = hash_name(&format!("{me} {} {}", clock.now(), std::process::id()));
+    let holder = LeaseHolder::new(process, terms.clone(), allocators.len(), Vec::new(), now)
+        .with_static_quotas(static_quotas);
+    let settings_hash =
+        hash_name(&format!("{} {} {static_percent}", limits.canonical_text(), settings.proxies));
+    let setup = Setup {
+        socket,
+        banks: allocators,
+        bank: own_allocator,
+        terms,
+        figures: settings_hash,
+        now: move || clock.now() + skew,
+    };
+    let rings = worker::start("budgets", RING, move |requests, events| setup.work(requests, events))
+        .map_err(StartError::component_start(Component::Budgets))?;
+    let budgets_now: Now = Rc::new(move || clock.now() + skew);
+    let logs_each_lease = tracing::enabled!(tracing::Level::DEBUG);
+    log::budgets_started(bound, me, own_index.is_some());
+    let on_event = move |event: wharfplank_transport::budgets::Said<'_>| log::budget_event(event, skew);
+    Ok(Budgets::start(limits, holder, rings, budgets_now, logs_each_lease, on_event, executor))
+}
+
+fn bind(settings: &BudgetSettings) -> Result<(UdpSocket, SocketAddrV4), StartError> {
+    let listen_error = StartError::component_listen(Component::Budgets, &settings.listen);
+    let socket = UdpSocket::bind(settings.listen()).map_err(&listen_error)?;
+    match socket.local_addr().map_err(&listen_error)? {
+        SocketAddr::V4(bound) => Ok((socket, bound)),
+        SocketAddr::V6(_) => Err(StartError::BudgetsNotIpv4(settings.listen.to_string())),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/gossip/config.rs
@@ -0,0 +1,49 @@
+//! The parameters of membership, failover and shared state, as the settings give them.
+
+use crate::config::Config;
+use wharfplank_failover::{FailoverTerms, IsolationPolicy};
+use wharfplank_gossip::SwimConfig;
+use wharfplank_settings::{AloneChoice, Peers as PeerSettings, Replica as ReplicaSettings};
+use wharfplank_shared_state::SharedStateConfig;
+
+/// The bounds of the share of reads with which a returning zone begins.
+const RAMP_START_BOUNDS: (f64, f64) = (0.01, 1.0);
+
+pub(super) fn swim_config(settings: &PeerSettings) -> SwimConfig {
+    SwimConfig {
+        ping_interval_ms: settings.probe_ms,
+        ping_timeout_ms: (settings.probe_ms * 3 / 10).max(1),
+        suspicion_timeout_ms: settings.suspect_ms,
+        gossip_interval_ms: settings.gossip_ms,
+        gossip_fanout: settings.fanout,
+        expected_proxies: settings.expected,
+        ..SwimConfig::default()
+    }
+}
+
+/// A returning zone ramps up as a member in slow start does, by the platform's own parameters where it gives them.
+pub(super) fn failover_terms(config: &Config) -> FailoverTerms {
+    let defaults = FailoverTerms::default();
+    let slow_start_span = config.settings.slow_start_span;
+    let (min_ramp_start, max_ramp_start) = RAMP_START_BOUNDS;
+    FailoverTerms {
+        ramp_start: config.settings.slow_start_from.clamp(min_ramp_start, max_ramp_start),
+        ramp_duration: if slow_start_span > 0 { slow_start_span } else { defaults.ramp_duration },
+        ..defaults
+    }
+}
+
+pub(super) fn isolation_policy(settings: &PeerSettings) -> IsolationPolicy {
+    match settings.alone {
+        AloneChoice::Serve => IsolationPolicy::KeepServing,
+        AloneChoice::Own => IsolationPolicy::FollowOwnVote,
+    }
+}
+
+pub(super) fn shared_state_config(settings: &ReplicaSettings) -> SharedStateConfig {
+    SharedStateConfig {
+        bytes_per_second: settings.bytes_per_second,
+        exchange_interval: settings.sync_ms as i64 * 1000,
+        ..SharedStateConfig::default()
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod clock;
 pub mod config;
 pub mod error;
-mod fleet;
+mod gossip;
 pub mod log;
 mod missing;
 mod recording;
--- a/crates/proxy/src/log/fleet.rs
+++ b/crates/proxy/src/log/gossip.rs
@@ -1,19 +1,20 @@
-//! Lines about the fleet's talk.
+//! Log lines of gossip between proxies.
 
-use crate::fleet::{FAILED, REFUSED, SERVED};
+use crate::gossip::FleetCounter;
+use std::net::SocketAddrV4;
 use tracing::{error, info, warn};
 use wharfplank_failover::ZoneState;
 use wharfplank_gossip::MembershipEvent;
 use wharfplank_transport::fleet::Said;
 
-/// Notes where the fleet's talk listens, and where the others send to.
-pub fn peers_bound(listen: std::net::SocketAddrV4, advertise: std::net::SocketAddrV4) {
+/// The gossip socket is bound; other proxies send to `advertise`.
+pub fn gossip_started(listen: SocketAddrV4, advertise: SocketAddrV4) {
     info!(listen = %listen, advertise = %advertise, "peers_started");
 }
 
-/// Notes what the fleet's talk did.
-pub fn fleet(said: Said<'_>) {
-    match said {
+/// What the gossip thread did.
+pub fn gossip_event(event: Said<'_>) {
+    match event {
         Said::Started(me) => {
             info!(addr = %me.addr, zone = me.zone.as_str(), generation = me.generation, "peer_me")
         }
@@ -51,7 +52,7 @@
         Said::SharedState(state) => {
             let (store, stats) = (state.store(), state.stats);
             let digest = format!("{:016x}", store.digest());
-            let total = |counter| state.counter_total(counter);
+            let total = |counter: FleetCounter| state.counter_total(counter.id());
             info!(
                 digest = digest.as_str(),
                 entries = store.len() as u64,
@@ -67,9 +68,9 @@
                 waited = state.rumours().deferred,
                 held_back = stats.throttled_messages,
                 unread = stats.undecodable_messages,
-                fleet_served = total(SERVED),
-                fleet_refused = total(REFUSED),
-                fleet_failed = total(FAILED),
+                fleet_served = total(FleetCounter::Served),
+                fleet_refused = total(FleetCounter::Rejected),
+                fleet_failed = total(FleetCounter::Failed),
                 "replica"
             );
         }
@@ -93,7 +94,7 @@
     }
 }
 
-/// Notes something about the replicated state.
-pub fn replica(what: &str) {
+/// The snapshot of the shared state was read, or could not be read or written.
+pub fn snapshot_event(what: &str) {
     warn!(what, "replica_snapshot");
 }
--- /dev/null
+++ b/crates/proxy/src/log/mod.rs
@@ -0,0 +1,24 @@
+//! The log on standard error: one line for each event, as text or as JSON.
+//!
+//! Each function writes one line, or the lines of one component; the names of events and fields are described in the
+//! README under "The log".
+
+mod budgets;
+mod format;
+mod gossip;
+mod negative_cache;
+mod process;
+mod requests;
+mod rollout;
+mod writer;
+
+pub use budgets::{budget_event, budgets_started};
+pub use gossip::{gossip_event, gossip_started, snapshot_event};
+pub use negative_cache::negative_cache_stats;
+pub use process::{
+    admin_command, admin_listening, configuration_reload_failed, configuration_reloaded, endpoint_list_state,
+    excluded_members, handover_step, listening, recorder_fault,
+};
+pub use requests::{activity_counts, connection_ended, request_unserved, UnservedRequest};
+pub use rollout::{describe_action, rollout_event, rollout_started};
+pub use writer::{start, LogError};
--- /dev/null
+++ b/crates/proxy/src/log/requests.rs
@@ -0,0 +1,57 @@
+//! Log lines of connections and requests.
+
+use tracing::{debug, info};
+use wharfplank_transport::ConnectionEnd;
+
+/// A connection has ended.
+pub fn connection_ended(end: &ConnectionEnd<'_>) {
+    let name = if end.name.is_empty() { "-" } else { end.name };
+    let age_ms = end.since.elapsed().as_millis() as u64;
+    info!(
+        side = end.side,
+        peer = %end.peer,
+        name,
+        reason = end.reason,
+        requests = end.requests,
+        age_ms,
+        "ended"
+    );
+}
+
+/// What this proxy did in the second before `at_ms`, as [`crate::activity_counts`] writes it.
+pub fn activity_counts(at_ms: u64, counts: &str) {
+    debug!(at_ms, what = counts, "counts");
+}
+
+/// A request that was rejected or failed.
+pub struct UnservedRequest<'a> {
+    /// The id that the client gave the request, by which it can be followed through the logs of all proxies.
+    pub id: &'a str,
+    /// The name of its class.
+    pub class: &'a str,
+    /// Its group.
+    pub group: u64,
+    /// How it was answered.
+    pub disposition: &'a str,
+    /// Why.
+    pub reason: &'a str,
+    /// The time since its arrival, in milliseconds.
+    pub took_ms: i64,
+    /// The outcomes of its attempts, as `member:outcome`, separated by commas.
+    pub outcomes: &'a str,
+}
+
+/// A request was rejected or has failed.
+pub fn request_unserved(request: &UnservedRequest<'_>) {
+    let endings = if request.outcomes.is_empty() { "-" } else { request.outcomes };
+    debug!(
+        id = request.id,
+        class = request.class,
+        group = request.group,
+        what = request.disposition,
+        why = request.reason,
+        took_ms = request.took_ms,
+        endings,
+        "given_up"
+    );
+}
--- a/crates/proxy/src/log/release.rs
+++ b/crates/proxy/src/log/rollout.rs
@@ -1,4 +1,4 @@
-//! The log's lines of releases.
+//! Log lines of rollouts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,14 +7,14 @@
 use wharfplank_rollout::{ControllerAction, NodeId, Phase, ServiceEvent, UpgradeState};
 use wharfplank_transport::release::Told;
 
-/// Notes where datagrams of releases are taken.
-pub fn release_bound(listen: SocketAddr) {
+/// The datagram socket of rollouts is bound.
+pub fn rollout_started(listen: SocketAddr) {
     info!(listen = %listen, "release_started");
 }
 
-/// Notes what was done in a release.
-pub fn release(names: &BTreeMap<NodeId, String>, told: &Told<'_>) {
-    match told {
+/// What the rollout service did; `names` are those of the inventory.
+pub fn rollout_event(names: &BTreeMap<NodeId, String>, event: &Told<'_>) {
+    match event {
         Told::File(path, fault) => warn!(path = %path.display(), what = %fault, "release_file"),
         Told::Event(ServiceEvent::PermitServerOpen(open)) => info!(open, "release_bank"),
         Told::Event(ServiceEvent::Leader(drives)) => info!(drives, "release_drives"),
@@ -27,7 +27,7 @@
         }
         Told::Event(ServiceEvent::Action(rollout, action)) => {
             let release = rollout_name(*rollout);
-            let (what, member, detail) = words(names, action);
+            let (what, member, detail) = describe_action(names, action);
             match action {
                 ControllerAction::PhaseChanged(Phase::Halted(_) | Phase::RollingBack(_)) => {
                     warn!(release, what, member, detail, "release")
@@ -38,8 +38,8 @@
     }
 }
 
-/// What was done, to which member, and how: the launch of a step, the number of a wave, the reason of a course.
-pub fn words<'a>(
+/// An action as the log and records name it: what was done, to which member, and the incarnation, wave or reason.
+pub fn describe_action<'a>(
     names: &'a BTreeMap<NodeId, String>,
     action: &ControllerAction,
 ) -> (&'static str, &'a str, String) {
--- /dev/null
+++ b/crates/proxy/src/log/writer.rs
@@ -0,0 +1,44 @@
+//! Starts the log's writer.
+
+use super::format::LineFormat;
+use thiserror::Error;
+use tracing::subscriber::SetGlobalDefaultError;
+use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
+use wharfplank_settings::{Level, Log as LogSettings};
+
+/// Lines that may wait to be written; further ones are counted and dropped.
+const QUEUED_LINES: usize = 1024;
+
+/// Why the log cannot be started.
+#[derive(Debug, Error)]
+#[error("log: {0}")]
+pub struct LogError(#[from] SetGlobalDefaultError);
+
+/// Starts the writer to standard error on a thread of its own, so that a slow reader does not stall serving. Lines that
+/// wait are written when the returned guard is dropped.
+///
+/// # Errors
+/// Fails where the process has a log already.
+pub fn start(settings: &LogSettings) -> Result<WorkerGuard, LogError> {
+    let builder =
+        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUED_LINES).thread_name("log");
+    let (writer, guard) = builder.finish(std::io::stderr());
+    let dropped_lines = writer.error_counter();
+    let format = LineFormat::new(settings.format, move || dropped_lines.dropped_lines());
+    let subscriber = tracing_subscriber::fmt()
+        .with_max_level(max_level(settings.level))
+        .with_writer(writer)
+        .event_format(format)
+        .finish();
+    tracing::subscriber::set_global_default(subscriber)?;
+    Ok(guard)
+}
+
+fn max_level(level: Level) -> tracing::Level {
+    match level {
+        Level::Error => tracing::Level::ERROR,
+        Level::Warn => tracing::Level::WARN,
+        Level::Info => tracing::Level::INFO,
+        Level::Debug => tracing::Level::DEBUG,
+    }
+}
--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -4,6 +4,7 @@
 use super::clock::Clock;
 use super::config::Config;
 use super::error::{Component, StartError};
+use super::log;
 use async_executor::LocalExecutor;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -76,7 +77,7 @@
         let node = Node::new(fleet_config, hasher.clone(), at, settings.banks(), holder, now);
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
-        let start = missing::start(Rc::clone(&node), socket, now_of, tell, executor);
+        let start = missing::start(Rc::clone(&node), socket, now_of, log::negative_cache_stats, executor);
         start.map_err(StartError::component_start(Component::NegativeCache))?;
         let is = |names: &str, name: &str| names.split(' ').any(|n| n == name);
         let kinds = config.terms.class_names.iter().zip(&config.settings.classes).map(|(name, class)| {
@@ -237,12 +238,3 @@
         self.on.iter().for_each(|on| on.node.borrow_mut().write_leases.shut_down());
     }
 }
-
-/// Notes what was answered from what is known to be missing, and how far behind now entries can advance.
-fn tell(node: &Node, now: Micros, lost: u64) {
-    let (stats, leave) = (node.stats(), node.write_leases.active_count(now));
-    let horizon_ms = node.horizon().map_or(-1, |at| (now - at) / 1000);
-    let (answered, asked, unread, dropped) =
-        (stats.hits, stats.misses, node.rejected_messages, node.dropped_messages + lost);
-    tracing::info!(answered, asked, horizon_ms, leave, unread, dropped, "missing");
-}
--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -192,7 +192,7 @@
     pub fn record_rollout_action(&self, event: &ServiceEvent, names: &BTreeMap<u64, String>) {
         let ServiceEvent::Action(rollout, action) = event else { return };
         self.record(|| {
-            let (what, member, detail) = log::words(names, action);
+            let (what, member, detail) = log::describe_action(names, action);
             Record::Release {
                 release: rollout_name(*rollout),
                 what: what.to_string(),
@@ -221,7 +221,7 @@
             sums: days(settings.keep_sums_days),
         },
     };
-    Recorder::start(terms, move || clock.now(), log::records)
+    Recorder::start(terms, move || clock.now(), log::recorder_fault)
         .map_err(StartError::component_start(Component::Records))
 }
 
--- a/crates/proxy/src/rollout/mod.rs
+++ b/crates/proxy/src/rollout/mod.rs
@@ -60,7 +60,7 @@
         let address = settings.listen();
         let socket =
             UdpSocket::bind(address).map_err(StartError::component_listen(Component::Rollout, address))?;
-        log::release_bound(socket.local_addr().unwrap_or(address.into()));
+        log::rollout_started(socket.local_addr().unwrap_or(address.into()));
         let node_ids = setup::node_ids(settings);
         let node_names: BTreeMap<NodeId, String> =
             node_ids.iter().map(|(name, id)| (*id, name.clone())).collect();
@@ -71,7 +71,7 @@
             ledger: setup.identity.permit_server.and_then(|_| optional_path(&settings.ledger)),
             signal: optional_path(&settings.signal),
             now: move || clock.now(),
-            say: move |event: release::Told<'_>| log::release(&logged_names, &event),
+            say: move |event: release::Told<'_>| log::rollout_event(&logged_names, &event),
         };
         let service = move |ledger| RolloutService::new(setup, ledger, clock.now());
         let (views, events) =
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -10,7 +10,7 @@
 use crate::missing::Lookups;
 use crate::recording::DecisionRecorder;
 use crate::rollout::RolloutReporter;
-use crate::{budgets, fleet, log};
+use crate::{budgets, gossip, log};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use descriptors::connection_limits;
@@ -116,7 +116,7 @@
             clock,
             now: Rc::new(move || clock.now()),
             events,
-            on_connection_end: Rc::new(log::ended),
+            on_connection_end: Rc::new(log::connection_ended),
         }
     }
 
@@ -175,15 +175,8 @@
     /// ends once this process has announced that it leaves.
     fn start_gossip(&self, config: &Config, broker: &mut Broker) -> Result<Option<Task<()>>, StartError> {
         let Some(peers) = &self.settings.peers else { return Ok(None) };
-        let (witness, ended) = fleet::start(
-            peers,
-            self.settings.replica.as_ref(),
-            self.settings.health.is_some(),
-            config,
-            self.clock,
-            self.events.clone(),
-            &self.executor,
-        )?;
+        let (witness, ended) =
+            gossip::start(peers, self.settings, config, self.clock, self.events.clone(), &self.executor)?;
         broker.enable_gossip(witness);
         Ok(Some(ended))
     }
@@ -206,7 +199,7 @@
     fn serve_admin(&self, socket: Option<AdminSocket>) -> Receiver<AdminCall> {
         let (calls, queue) = async_channel::bounded(ADMIN_QUEUE);
         if let Some(socket) = socket {
-            log::admin(socket.local_address());
+            log::admin_listening(socket.local_address());
             let admin = AdminListener::new(Rc::clone(&self.executor), calls);
             self.executor.spawn(admin.accept_connections(socket.listener)).detach();
         }
--- a/crates/proxy/src/startup/sockets.rs
+++ b/crates/proxy/src/startup/sockets.rs
@@ -34,7 +34,7 @@
             None => handover::listen(config.listen),
         };
         let listener = Rc::new(listener.map_err(&listen_error)?);
-        log::started(listener.get_ref().local_addr().unwrap_or(config.listen));
+        log::listening(listener.get_ref().local_addr().unwrap_or(config.listen));
         Ok(ClientSocket { listener, handover_path, inherited })
     }
 
--- a/crates/proxy/src/talk.rs
+++ b/crates/proxy/src/talk.rs
@@ -1,7 +1,7 @@
 //! What the broker tells the fleet, and what it hears from it, where proxies talk: which members answered or fell
 //! silent, positions, suspicions, writes in doubt and counts. Without peers every call does nothing.
 
-use super::fleet::{FAILED, REFUSED, SERVED};
+use super::gossip::FleetCounter;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 use wharfplank_health::Outcome;
@@ -210,11 +210,11 @@
     pub fn answered(&self, now: Micros, answer: &FinalResponse) {
         let Some(witness) = &self.witness else { return };
         let counter = match answer {
-            FinalResponse::Served(_) => SERVED,
-            FinalResponse::Rejected { .. } => REFUSED,
-            _ => FAILED,
+            FinalResponse::Served(_) => FleetCounter::Served,
+            FinalResponse::Rejected { .. } => FleetCounter::Rejected,
+            _ => FleetCounter::Failed,
         };
-        witness.count(now, counter);
+        witness.count(now, counter.id());
     }
 
     fn doubt(&self, now: Micros, write: u64, outcome: WriteOutcome) {
