--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -35,11 +35,11 @@
 use super::activity_counts::{self, ActivityCounts};
 use super::clock::Clock;
 use super::config::{Config, SEND_MARGIN};
+use super::gossip_client::GossipClient;
 use super::log;
 use super::missing::Lookups;
 use super::recording::{record_reason, DecisionRecorder, RequestSummary};
 use super::rollout::RolloutReporter;
-use super::talk::Talk;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
@@ -55,7 +55,7 @@
 use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::DiscoveryWatch;
-use wharfplank_transport::fleet::Witness;
+use wharfplank_transport::gossip::GossipHandle;
 use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, PoolContext};
 use wharfplank_transport::ProxyEvent;
 
@@ -94,7 +94,7 @@
     budget_denials: BudgetDenials,
     /// Present where another process may take over from this one while it serves.
     handover: Option<HandoverController>,
-    gossip: Talk,
+    gossip: GossipClient,
     negative_cache: Lookups,
     rollout: RolloutReporter,
 }
@@ -131,15 +131,15 @@
             timers: MaintenanceTimers::new(now),
             budget_denials: BudgetDenials::default(),
             handover: None,
-            gossip: Talk::new(&config.settings.classes),
+            gossip: GossipClient::new(&config.settings.classes),
             negative_cache: Lookups::default(),
             rollout: RolloutReporter::default(),
         }
     }
 
     /// Reports what members do to the gossip thread from now on.
-    pub fn enable_gossip(&mut self, witness: Witness) {
-        self.gossip.start(witness);
+    pub fn enable_gossip(&mut self, handle: GossipHandle) {
+        self.gossip.connect(handle);
     }
 
     /// Reports the state of members to the rollout service from now on.
@@ -162,7 +162,7 @@
         self.start(known);
         loop {
             let wakeup = self.wait_for_wakeup(&events, &admin_calls).await;
-            self.gossip.runs(self.clock.now());
+            self.gossip.on_event_loop_turn(self.clock.now());
             match wakeup {
                 Wakeup::AdminCall(call) => self.on_admin_call(call),
                 Wakeup::Event(event) => self.on_event(event),
@@ -221,7 +221,8 @@
             }
             ProxyEvent::ProbeFinished { host, report } => self.on_health_check_result(host, report),
             ProxyEvent::PeerNews(updates) => {
-                let observations = self.gossip.told(&updates, self.clock.now() + MAX_POSITION_AHEAD);
+                let observations =
+                    self.gossip.peer_observations(&updates, self.clock.now() + MAX_POSITION_AHEAD);
                 self.notify_router(routing::Event::PeerObservations(observations));
             }
             ProxyEvent::EndpointsChanged(event, staleness) => self.on_watch_event(event, staleness),
@@ -230,7 +231,7 @@
                 self.notify_router(routing::Event::ZoneReadShares(shares));
             }
             ProxyEvent::MemberFactors(factors) => {
-                let factors = self.gossip.factors(&factors);
+                let factors = self.gossip.latency_factors(&factors);
                 self.notify_router(routing::Event::LatencyFactors(factors));
             }
             ProxyEvent::Handover(event) => self.on_handover_event(event),
--- a/crates/proxy/src/gossip/mod.rs
+++ b/crates/proxy/src/gossip/mod.rs
@@ -17,7 +17,9 @@
 use wharfplank_routing::Micros;
 use wharfplank_settings::{Peers as PeerSettings, Replica as ReplicaSettings, Settings};
 use wharfplank_shared_state::SharedState;
-use wharfplank_transport::fleet::{self, Judge, Parts, Side, Witness};
+use wharfplank_transport::gossip::{
+    self as gossip_worker, GossipHandle, GossipWorker, HandleConfig, HealthEvaluator, SaveSnapshot,
+};
 use wharfplank_transport::ProxyEvent;
 
 /// A counter that all proxies of the fleet add up.
@@ -43,7 +45,7 @@
 }
 
 /// Binds the socket and starts the thread. What the broker observes of members reaches the thread through the returned
-/// [`Witness`]. The task ends once the witness is dropped and the thread has announced that this process leaves.
+/// [`GossipHandle`]. The task ends once the witness is dropped and the thread has announced that this process leaves.
 pub fn start(
     peers: &PeerSettings,
     settings: &Settings,
@@ -51,7 +53,7 @@
     clock: Clock,
     events: Sender<ProxyEvent>,
     executor: &LocalExecutor<'static>,
-) -> Result<(Witness, Task<()>), StartError> {
+) -> Result<(GossipHandle, Task<()>), StartError> {
     let (socket, bound) = bind(peers)?;
     let advertise: SocketAddrV4 = peers.advertise().unwrap_or(bound);
     let skew = peers.clock_skew_ms * 1000;
@@ -62,34 +64,35 @@
     let swim = config::swim_config(peers);
     let failover = config::failover_terms(config);
     let isolation = config::isolation_policy(peers);
-    let judges_members = settings.health.is_some();
+    let evaluates_health = settings.health.is_some();
 
     let replica = settings.replica.as_ref();
     let state = replica.map(|replica| shared_state(replica, &me, seed, now));
     let snapshot_path = replica.and_then(ReplicaSettings::snapshot);
     let write_snapshot = snapshot_path.map(snapshot::start_writer).transpose()?;
-    let side = Side {
+    let handle_config = HandleConfig {
         now,
-        skew,
-        doubts: state.as_ref().map(|state| state.write_records().collect()),
-        judged: judges_members,
+        clock_offset: skew,
+        write_records: state.as_ref().map(|state| state.write_records().collect()),
+        evaluates_health,
         events,
-        say: log::gossip_event,
+        log: log::gossip_event,
     };
     let seeds = peers.seeds();
-    let parts = move || Parts {
-        judge: judges_members.then(|| Judge::new(me.addr)),
-        peers: Membership::new(me, swim, seed, now),
-        zones: FailoverController::new(failover, isolation),
-        replica: state,
-        keep: write_snapshot.map(|write| Box::new(write) as fleet::Keep),
-        skew,
+    let make_worker = move || GossipWorker {
+        health: evaluates_health.then(|| HealthEvaluator::new(me.addr)),
+        membership: Membership::new(me, swim, seed, now),
+        failover: FailoverController::new(failover, isolation),
+        shared_state: state,
+        save_snapshot: write_snapshot.map(|write| Box::new(write) as SaveSnapshot),
+        clock_offset: skew,
         seeds,
         now: Rc::new(move || clock.now() + skew),
-        say: log::gossip_event,
+        log: log::gossip_event,
     };
     log::gossip_started(bound, advertise);
-    fleet::start(parts, side, socket, executor).map_err(StartError::component_start(Component::Peers))
+    gossip_worker::start(make_worker, handle_config, socket, executor)
+        .map_err(StartError::component_start(Component::Peers))
 }
 
 fn bind(settings: &PeerSettings) -> Result<(UdpSocket, SocketAddrV4), StartError> {
--- a/crates/proxy/src/log/gossip.rs
+++ b/crates/proxy/src/log/gossip.rs
@@ -5,7 +5,7 @@
 use tracing::{error, info, warn};
 use wharfplank_failover::ZoneState;
 use wharfplank_gossip::MembershipEvent;
-use wharfplank_transport::fleet::Said;
+use wharfplank_transport::gossip::GossipLogEvent;
 
 /// The gossip socket is bound; other proxies send to `advertise`.
 pub fn gossip_started(listen: SocketAddrV4, advertise: SocketAddrV4) {
@@ -13,12 +13,12 @@
 }
 
 /// What the gossip thread did.
-pub fn gossip_event(event: Said<'_>) {
+pub fn gossip_event(event: GossipLogEvent<'_>) {
     match event {
-        Said::Started(me) => {
+        GossipLogEvent::Started(me) => {
             info!(addr = %me.addr, zone = me.zone.as_str(), generation = me.generation, "peer_me")
         }
-        Said::Changed(change) => {
+        GossipLogEvent::PeerChanged(change) => {
             let (how, peer) = match change {
                 MembershipEvent::Up(peer) => ("up", peer),
                 MembershipEvent::Down(peer) => ("down", peer),
@@ -26,8 +26,8 @@
             };
             info!(change = how, addr = %peer.addr, zone = peer.zone.as_str(), generation = peer.generation, "peer");
         }
-        Said::Standing { zone, standing, share, alive, alone } => {
-            let (standing, since) = match standing {
+        GossipLogEvent::ZoneChanged { zone, state, share, live_peers, is_isolated } => {
+            let (standing, since) = match state {
                 ZoneState::InService => ("served", 0),
                 ZoneState::Evacuated { since } => ("left", since / 1000),
                 ZoneState::Recovering { since } => ("returning", since / 1000),
@@ -38,18 +38,18 @@
                 standing,
                 since_ms = since,
                 share = share.as_str(),
-                alive = alive as u64,
-                alone,
+                alive = live_peers as u64,
+                alone = is_isolated,
                 "zone"
             );
         }
-        Said::Member { name, verdict, score, voices } => {
+        GossipLogEvent::MemberHealthChanged { name, verdict, score, observers } => {
             let (verdict, score) =
                 (format!("{verdict:?}").to_lowercase(), format!("{:.2}", score.unwrap_or(0.0)));
             let (verdict, score) = (verdict.as_str(), score.as_str());
-            info!(name, verdict, score, voices = voices as u64, "member_health");
+            info!(name, verdict, score, voices = observers as u64, "member_health");
         }
-        Said::SharedState(state) => {
+        GossipLogEvent::SharedStateChanged(state) => {
             let (store, stats) = (state.store(), state.stats);
             let digest = format!("{:016x}", store.digest());
             let total = |counter: FleetCounter| state.counter_total(counter.id());
@@ -74,8 +74,10 @@
                 "replica"
             );
         }
-        Said::Failed => error!(what = "the fleet's thread failed; this proxy goes on alone", "peers_failed"),
-        Said::Traffic(peers, seen_dropped, told_dropped) => {
+        GossipLogEvent::WorkerFailed => {
+            error!(what = "the fleet's thread failed; this proxy goes on alone", "peers_failed")
+        }
+        GossipLogEvent::Traffic { membership: peers, observations_dropped, updates_dropped } => {
             let notes = peers.notes();
             info!(
                 alive = peers.live_peers().count() as u64,
@@ -86,8 +88,8 @@
                 rejected = peers.rejected,
                 notes = notes.len() as u64,
                 stale_notes = notes.stale,
-                seen_dropped,
-                told_dropped,
+                seen_dropped = observations_dropped,
+                told_dropped = updates_dropped,
                 "peers"
             );
         }
--- a/crates/proxy/src/log/requests.rs
+++ b/crates/proxy/src/log/requests.rs
@@ -5,11 +5,11 @@
 
 /// A connection has ended.
 pub fn connection_ended(end: &ConnectionEnd<'_>) {
-    let name = if end.name.is_empty() { "-" } else { end.name };
-    let age_ms = end.since.elapsed().as_millis() as u64;
+    let name = end.remote.member_name().filter(|name| !name.is_empty()).unwrap_or("-");
+    let age_ms = end.started_at.elapsed().as_millis() as u64;
     info!(
-        side = end.side,
-        peer = %end.peer,
+        side = end.remote.kind(),
+        peer = %end.address,
         name,
         reason = end.reason,
         requests = end.requests,
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -175,9 +175,9 @@
     /// ends once this process has announced that it leaves.
     fn start_gossip(&self, config: &Config, broker: &mut Broker) -> Result<Option<Task<()>>, StartError> {
         let Some(peers) = &self.settings.peers else { return Ok(None) };
-        let (witness, ended) =
+        let (handle, ended) =
             gossip::start(peers, self.settings, config, self.clock, self.events.clone(), &self.executor)?;
-        broker.enable_gossip(witness);
+        broker.enable_gossip(handle);
         Ok(Some(ended))
     }
 
