--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -13,8 +13,9 @@
 use wharfplank_budget::{LeaseAllocator, LeaseHolder, LeaseTerms, TakeoverGuard};
 use wharfplank_settings::Budgets as BudgetSettings;
 use wharfplank_shared_state::hash_name;
-use wharfplank_transport::budgets::{Budgets, Setup, RING};
-use wharfplank_transport::{worker, Now};
+use wharfplank_transport::budgets::{
+    self as lease_worker, BudgetLogEvent, Budgets, BudgetsConfig, LeaseWorker, OwnAllocator,
+};
 
 /// The share of a budget that is divided evenly where there are no allocators to lease the rest: all of it.
 const ALL_PERCENT: u64 = 100;
@@ -44,7 +45,8 @@
         let live_before = live(&is_removed[..index]);
         let part = limits.allocator_part(&static_quotas, settings.proxies, live_before, live(&is_removed));
         let allocator = LeaseAllocator::new(terms.clone(), part, now);
-        (index, allocator, TakeoverGuard::new(settings.set, index, &is_removed))
+        let guard = TakeoverGuard::new(settings.set, index, &is_removed);
+        OwnAllocator { index, allocator, guard }
     });
 
     // The id of the process is unique: it is made of its address and of when it started.
@@ -53,21 +55,25 @@
         .with_static_quotas(static_quotas);
     let settings_hash =
         hash_name(&format!("{} {} {static_percent}", limits.canonical_text(), settings.proxies));
-    let setup = Setup {
+    let worker = LeaseWorker {
         socket,
-        banks: allocators,
-        bank: own_allocator,
+        allocators,
+        own_allocator,
         terms,
-        figures: settings_hash,
+        settings_hash,
         now: move || clock.now() + skew,
     };
-    let rings = worker::start("budgets", RING, move |requests, events| setup.work(requests, events))
+    let budgets_config = BudgetsConfig {
+        limits,
+        holder,
+        now: Rc::new(move || clock.now() + skew),
+        traces_usage: tracing::enabled!(tracing::Level::DEBUG),
+        log: move |event: BudgetLogEvent<'_>| log::budget_event(event, skew),
+    };
+    let budgets = lease_worker::start(worker, budgets_config, executor)
         .map_err(StartError::component_start(Component::Budgets))?;
-    let budgets_now: Now = Rc::new(move || clock.now() + skew);
-    let logs_each_lease = tracing::enabled!(tracing::Level::DEBUG);
     log::budgets_started(bound, me, own_index.is_some());
-    let on_event = move |event: wharfplank_transport::budgets::Said<'_>| log::budget_event(event, skew);
-    Ok(Budgets::start(limits, holder, rings, budgets_now, logs_each_lease, on_event, executor))
+    Ok(budgets)
 }
 
 fn bind(settings: &BudgetSettings) -> Result<(UdpSocket, SocketAddrV4), StartError> {
--- a/crates/proxy/src/log/budgets.rs
+++ b/crates/proxy/src/log/budgets.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use tracing::{debug, error, info};
 use wharfplank_routing::Micros;
-use wharfplank_transport::budgets::{Figure, Said};
+use wharfplank_transport::budgets::{BudgetLogEvent, BudgetUsage};
 
 /// The socket of the budgets is bound; `is_allocator` says whether this proxy leases budgets to others.
 pub fn budgets_started(listen: SocketAddrV4, advertise: SocketAddrV4, is_allocator: bool) {
@@ -11,29 +11,29 @@
 }
 
 /// What the budgets' thread did. `skew` is how far the budgets' clock is ahead of the true one, by which times are logged.
-pub fn budget_event(event: Said<'_>, skew: Micros) {
+pub fn budget_event(event: BudgetLogEvent<'_>, skew: Micros) {
     match event {
-        Said::Reached { reached, done } => {
+        BudgetLogEvent::Status { reachable_allocators, worker } => {
             info!(
-                reached,
-                leases = done.leases,
-                holders = done.holders,
-                ignored = done.ignored,
-                unread = done.unread,
-                others = done.others,
+                reached = reachable_allocators,
+                leases = worker.is_allocating,
+                holders = worker.holders,
+                ignored = worker.ignored_requests,
+                unread = worker.undecodable_datagrams,
+                others = worker.foreign_datagrams,
                 "budgets"
             );
         }
-        Said::Figure(kind, Figure { share, spent, denied }) => {
-            info!(kind = kind.name(), share, spent, denied, "budget");
+        BudgetLogEvent::Usage(kind, BudgetUsage { quota, spent, denied }) => {
+            info!(kind = kind.name(), share = quota, spent, denied, "budget");
         }
-        Said::Leased { at, bank, ends, what } => {
+        BudgetLogEvent::Leased { at, allocator, expires_at, amounts } => {
             let at_us = at - skew;
-            let ends_us = ends - skew;
-            debug!(at_us, bank, ends_us, what, "budget_leased");
+            let ends_us = expires_at - skew;
+            debug!(at_us, bank = allocator, ends_us, what = amounts, "budget_leased");
         }
-        Said::Spent(what) => debug!(ahead_us = skew, what, "budget_spent"),
-        Said::Held(what) => debug!(ahead_us = skew, what, "budget_held"),
-        Said::Ended => error!("budgets_ended"),
+        BudgetLogEvent::Spent(what) => debug!(ahead_us = skew, what, "budget_spent"),
+        BudgetLogEvent::InUse(what) => debug!(ahead_us = skew, what, "budget_held"),
+        BudgetLogEvent::WorkerEnded => error!("budgets_ended"),
     }
 }
--- a/crates/proxy/src/log/gossip.rs
+++ b/crates/proxy/src/log/gossip.rs
@@ -44,8 +44,7 @@
             );
         }
         GossipLogEvent::MemberHealthChanged { name, verdict, score, observers } => {
-            let (verdict, score) =
-                (format!("{verdict:?}").to_lowercase(), format!("{:.2}", score.unwrap_or(0.0)));
+            let (verdict, score) = (verdict.to_string(), format!("{:.2}", score.unwrap_or(0.0)));
             let (verdict, score) = (verdict.as_str(), score.as_str());
             info!(name, verdict, score, voices = observers as u64, "member_health");
         }
