--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -11,7 +11,7 @@
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::rc::Rc;
 use wharfplank_budget::{LeaseAllocator, LeaseHolder, LeaseTerms, TakeoverGuard};
-use wharfplank_settings::Budgets as BudgetSettings;
+use wharfplank_settings::BudgetSettings;
 use wharfplank_shared_state::hash_name;
 use wharfplank_transport::budgets::{
     self as lease_worker, BudgetLogEvent, Budgets, BudgetsConfig, LeaseWorker, OwnAllocator,
@@ -33,19 +33,20 @@
 
     let limits = budget_limits(settings);
     let terms = LeaseTerms::default();
-    let allocators = settings.banks();
-    let static_percent = if allocators.is_empty() { ALL_PERCENT } else { settings.even };
-    let static_quotas = limits.static_quota(static_percent, settings.proxies);
+    let allocators = settings.allocators();
+    let static_percent = if allocators.is_empty() { ALL_PERCENT } else { settings.even_percent };
+    let static_quotas = limits.static_quota(static_percent, settings.max_proxies);
     let is_removed: Vec<bool> =
-        allocators.iter().map(|allocator| settings.gone().contains(allocator)).collect();
+        allocators.iter().map(|allocator| settings.removed_allocators().contains(allocator)).collect();
     let own_index =
         allocators.iter().position(|allocator| *allocator == me).filter(|index| !is_removed[*index]);
     let own_allocator = own_index.map(|index| {
         let live = |removed: &[bool]| removed.iter().filter(|is_removed| !**is_removed).count() as u64;
         let live_before = live(&is_removed[..index]);
-        let part = limits.allocator_part(&static_quotas, settings.proxies, live_before, live(&is_removed));
+        let part =
+            limits.allocator_part(&static_quotas, settings.max_proxies, live_before, live(&is_removed));
         let allocator = LeaseAllocator::new(terms.clone(), part, now);
-        let guard = TakeoverGuard::new(settings.set, index, &is_removed);
+        let guard = TakeoverGuard::new(settings.allocator_set_version, index, &is_removed);
         OwnAllocator { index, allocator, guard }
     });
 
@@ -54,7 +55,7 @@
     let holder = LeaseHolder::new(process, terms.clone(), allocators.len(), Vec::new(), now)
         .with_static_quotas(static_quotas);
     let settings_hash =
-        hash_name(&format!("{} {} {static_percent}", limits.canonical_text(), settings.proxies));
+        hash_name(&format!("{} {} {static_percent}", limits.canonical_text(), settings.max_proxies));
     let worker = LeaseWorker {
         socket,
         allocators,
--- a/crates/proxy/src/gossip/config.rs
+++ b/crates/proxy/src/gossip/config.rs
@@ -3,20 +3,20 @@
 use crate::config::Config;
 use wharfplank_failover::{FailoverTerms, IsolationPolicy};
 use wharfplank_gossip::SwimConfig;
-use wharfplank_settings::{AloneChoice, Peers as PeerSettings, Replica as ReplicaSettings};
+use wharfplank_settings::{GossipSettings, MinorityBehavior, SharedStateSettings};
 use wharfplank_shared_state::SharedStateConfig;
 
 /// The bounds of the share of reads with which a returning zone begins.
 const RAMP_START_BOUNDS: (f64, f64) = (0.01, 1.0);
 
-pub(super) fn swim_config(settings: &PeerSettings) -> SwimConfig {
+pub(super) fn swim_config(settings: &GossipSettings) -> SwimConfig {
     SwimConfig {
         ping_interval_ms: settings.probe_ms,
         ping_timeout_ms: (settings.probe_ms * 3 / 10).max(1),
         suspicion_timeout_ms: settings.suspect_ms,
         gossip_interval_ms: settings.gossip_ms,
         gossip_fanout: settings.fanout,
-        expected_proxies: settings.expected,
+        expected_proxies: settings.expected_proxies,
         ..SwimConfig::default()
     }
 }
@@ -33,14 +33,14 @@
     }
 }
 
-pub(super) fn isolation_policy(settings: &PeerSettings) -> IsolationPolicy {
-    match settings.alone {
-        AloneChoice::Serve => IsolationPolicy::KeepServing,
-        AloneChoice::Own => IsolationPolicy::FollowOwnVote,
+pub(super) fn isolation_policy(settings: &GossipSettings) -> IsolationPolicy {
+    match settings.in_minority {
+        MinorityBehavior::Serve => IsolationPolicy::KeepServing,
+        MinorityBehavior::Own => IsolationPolicy::FollowOwnVote,
     }
 }
 
-pub(super) fn shared_state_config(settings: &ReplicaSettings) -> SharedStateConfig {
+pub(super) fn shared_state_config(settings: &SharedStateSettings) -> SharedStateConfig {
     SharedStateConfig {
         bytes_per_second: settings.bytes_per_second,
         exchange_interval: settings.sync_ms as i64 * 1000,
--- a/crates/proxy/src/gossip/mod.rs
+++ b/crates/proxy/src/gossip/mod.rs
@@ -15,7 +15,7 @@
 use wharfplank_failover::FailoverController;
 use wharfplank_gossip::{Membership, Peer};
 use wharfplank_routing::Micros;
-use wharfplank_settings::{Peers as PeerSettings, Replica as ReplicaSettings, Settings};
+use wharfplank_settings::{GossipSettings, Settings, SharedStateSettings};
 use wharfplank_shared_state::SharedState;
 use wharfplank_transport::gossip::{
     self as gossip_worker, GossipHandle, GossipWorker, HandleConfig, HealthEvaluator, SaveSnapshot,
@@ -47,7 +47,7 @@
 /// Binds the socket and starts the thread. What the broker observes of members reaches the thread through the returned
 /// [`GossipHandle`]. The task ends once the witness is dropped and the thread has announced that this process leaves.
 pub fn start(
-    peers: &PeerSettings,
+    peers: &GossipSettings,
     settings: &Settings,
     config: &Config,
     clock: Clock,
@@ -66,9 +66,9 @@
     let isolation = config::isolation_policy(peers);
     let evaluates_health = settings.health.is_some();
 
-    let replica = settings.replica.as_ref();
+    let replica = settings.shared_state.as_ref();
     let state = replica.map(|replica| shared_state(replica, &me, seed, now));
-    let snapshot_path = replica.and_then(ReplicaSettings::snapshot);
+    let snapshot_path = replica.and_then(SharedStateSettings::snapshot);
     let write_snapshot = snapshot_path.map(snapshot::start_writer).transpose()?;
     let handle_config = HandleConfig {
         now,
@@ -95,7 +95,7 @@
         .map_err(StartError::component_start(Component::Peers))
 }
 
-fn bind(settings: &PeerSettings) -> Result<(UdpSocket, SocketAddrV4), StartError> {
+fn bind(settings: &GossipSettings) -> Result<(UdpSocket, SocketAddrV4), StartError> {
     let socket = UdpSocket::bind(settings.listen())
         .map_err(StartError::component_listen(Component::Peers, &settings.listen))?;
     match socket.local_addr().map_err(StartError::component_start(Component::Peers))? {
@@ -105,7 +105,7 @@
 }
 
 /// This process's replica of the shared state, with the entries of its snapshot that still count.
-fn shared_state(settings: &ReplicaSettings, me: &Peer, seed: u64, now: Micros) -> SharedState {
+fn shared_state(settings: &SharedStateSettings, me: &Peer, seed: u64, now: Micros) -> SharedState {
     let config = config::shared_state_config(settings);
     let mut state = SharedState::new(replica_id(me), config, seed, now);
     if let Some(path) = settings.snapshot() {
--- a/crates/proxy/src/log/format.rs
+++ b/crates/proxy/src/log/format.rs
@@ -8,14 +8,14 @@
 use tracing_subscriber::fmt::format::{FormatEvent, FormatFields, Writer};
 use tracing_subscriber::fmt::FmtContext;
 use tracing_subscriber::registry::LookupSpan;
-use wharfplank_settings::Format;
+use wharfplank_settings::LogFormat;
 
 /// The field under which `tracing` records the name of an event.
 const EVENT_FIELD: &str = "message";
 
 /// Formats events. A line also carries the number of lines that were dropped since the last one that was written.
 pub(super) struct LineFormat {
-    format: Format,
+    format: LogFormat,
     /// The number of lines dropped since the start.
     dropped_lines: Box<dyn Fn() -> usize + Send + Sync>,
     /// How many of them a line has reported.
@@ -23,7 +23,7 @@
 }
 
 impl LineFormat {
-    pub(super) fn new(format: Format, dropped_lines: impl Fn() -> usize + Send + Sync + 'static) -> Self {
+    pub(super) fn new(format: LogFormat, dropped_lines: impl Fn() -> usize + Send + Sync + 'static) -> Self {
         LineFormat { format, dropped_lines: Box::new(dropped_lines), reported_drops: AtomicUsize::new(0) }
     }
 
@@ -70,8 +70,8 @@
             fields.0.push(("lines_dropped", dropped.into()));
         }
         match self.format {
-            Format::Json => write_json(out, event, fields),
-            Format::Text => write_text(out, &fields),
+            LogFormat::Json => write_json(out, event, fields),
+            LogFormat::Text => write_text(out, &fields),
         }
     }
 }
--- a/crates/proxy/src/log/writer.rs
+++ b/crates/proxy/src/log/writer.rs
@@ -4,7 +4,7 @@
 use thiserror::Error;
 use tracing::subscriber::SetGlobalDefaultError;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
-use wharfplank_settings::{Level, Log as LogSettings};
+use wharfplank_settings::{LogLevel, LogSettings};
 
 /// Lines that may wait to be written; further ones are counted and dropped.
 const QUEUED_LINES: usize = 1024;
@@ -34,11 +34,11 @@
     Ok(guard)
 }
 
-fn max_level(level: Level) -> tracing::Level {
+fn max_level(level: LogLevel) -> tracing::Level {
     match level {
-        Level::Error => tracing::Level::ERROR,
-        Level::Warn => tracing::Level::WARN,
-        Level::Info => tracing::Level::INFO,
-        Level::Debug => tracing::Level::DEBUG,
+        LogLevel::Error => tracing::Level::ERROR,
+        LogLevel::Warn => tracing::Level::WARN,
+        LogLevel::Info => tracing::Level::INFO,
+        LogLevel::Debug => tracing::Level::DEBUG,
     }
 }
