--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -16,7 +16,8 @@
 use wharfplank_routing::{AttemptOutcome, ClassId, Consistency, GroupId, HostId, Micros, RequestId};
 use wharfplank_settings::NegativeCacheSettings as MissingSettings;
 use wharfplank_shared_state::hash_name;
-use wharfplank_transport::{missing, Now, Statement};
+use wharfplank_transport::negative_cache;
+use wharfplank_transport::{Now, Statement};
 
 /// What a class's requests are to this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +78,8 @@
         let node = Node::new(fleet_config, hasher.clone(), at, settings.lease_servers(), holder, now);
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
-        let start = missing::start(Rc::clone(&node), socket, now_of, log::negative_cache_stats, executor);
+        let start =
+            negative_cache::start(Rc::clone(&node), socket, now_of, log::negative_cache_stats, executor);
         start.map_err(StartError::component_start(Component::NegativeCache))?;
         let is = |names: &str, name: &str| names.split(' ').any(|n| n == name);
         let kinds = config.terms.class_names.iter().zip(&config.settings.classes).map(|(name, class)| {
