--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -200,7 +200,7 @@
     pub fn record_rollout_action(&self, event: &ServiceEvent, names: &BTreeMap<u64, String>) {
         let ServiceEvent::Action(rollout, action) = event else { return };
         self.record(|| {
-            let (what, member, detail) = log::words(names, action);
+            let (what, member, detail) = log::describe_action(names, action);
             Record::Rollout {
                 rollout: rollout_name(*rollout),
                 action: what.to_string(),
@@ -229,7 +229,7 @@
             summary_retention: days(settings.keep_sums_days),
         },
     };
-    Recorder::start(recorder_config, move || clock.now(), log::records)
+    Recorder::start(recorder_config, move || clock.now(), log::recorder_fault)
         .map_err(StartError::component_start(Component::Records))
 }
 
