--- a/crates/proxy/src/missing.rs
+++ b/crates/proxy/src/missing.rs
@@ -4,6 +4,7 @@
 use super::clock::Clock;
 use super::config::Config;
 use super::error::{Component, StartError};
+use super::log;
 use async_executor::LocalExecutor;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,9 +14,10 @@
 use wharfplank_protocol::endpoint_list::EndpointRecord;
 use wharfplank_protocol::member_response::{MemberResponse, ResponseKind};
 use wharfplank_routing::{AttemptOutcome, ClassId, Consistency, GroupId, HostId, Micros, RequestId};
-use wharfplank_settings::Missing as MissingSettings;
+use wharfplank_settings::NegativeCacheSettings as MissingSettings;
 use wharfplank_shared_state::hash_name;
-use wharfplank_transport::{missing, Now, Statement};
+use wharfplank_transport::negative_cache;
+use wharfplank_transport::{Now, Statement};
 
 /// What a class's requests are to this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,24 +67,25 @@
         let socket =
             UdpSocket::bind(at).map_err(StartError::component_listen(Component::NegativeCache, at))?;
         let fleet_config = NegativeCacheConfig {
-            max_clock_skew: settings.apart_ms * 1000,
-            max_commit_delay: settings.late_ms * 1000,
-            max_frequent_entries: settings.facts,
+            max_clock_skew: settings.max_clock_skew_ms * 1000,
+            max_commit_delay: settings.max_commit_delay_ms * 1000,
+            max_frequent_entries: settings.max_entries,
             ..NegativeCacheConfig::default()
         };
         let (now, hasher) = (clock.now(), KeyHasher::from_passphrase(&settings.secret));
         // No other process had this number: its address, and when it started.
         let holder = hash_name(&format!("{at} {now} {}", std::process::id()));
-        let node = Node::new(fleet_config, hasher.clone(), at, settings.banks(), holder, now);
+        let node = Node::new(fleet_config, hasher.clone(), at, settings.lease_servers(), holder, now);
         let node = Rc::new(RefCell::new(node));
         let now_of: Now = Rc::new(move || clock.now());
-        let start = missing::start(Rc::clone(&node), socket, now_of, tell, executor);
+        let start =
+            negative_cache::start(Rc::clone(&node), socket, now_of, log::negative_cache_stats, executor);
         start.map_err(StartError::component_start(Component::NegativeCache))?;
         let is = |names: &str, name: &str| names.split(' ').any(|n| n == name);
         let kinds = config.terms.class_names.iter().zip(&config.settings.classes).map(|(name, class)| {
             match class.consistency {
-                Consistency::Write => Kind::Write { keyed: is(&settings.writes, name) },
-                need if is(&settings.reads, name) => Kind::Read(need),
+                Consistency::Write => Kind::Write { keyed: is(&settings.write_classes, name) },
+                need if is(&settings.read_classes, name) => Kind::Read(need),
                 _ => Kind::Other,
             }
         });
@@ -237,12 +240,3 @@
         self.on.iter().for_each(|on| on.node.borrow_mut().write_leases.shut_down());
     }
 }
-
-/// Notes what was answered from what is known to be missing, and how far behind now entries can advance.
-fn tell(node: &Node, now: Micros, lost: u64) {
-    let (stats, leave) = (node.stats(), node.write_leases.active_count(now));
-    let horizon_ms = node.horizon().map_or(-1, |at| (now - at) / 1000);
-    let (answered, asked, unread, dropped) =
-        (stats.hits, stats.misses, node.rejected_messages, node.dropped_messages + lost);
-    tracing::info!(answered, asked, horizon_ms, leave, unread, dropped, "missing");
-}
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -13,14 +13,15 @@
 pub mod handover;
 pub mod member_pool;
 mod memory;
-pub mod missing;
-pub mod release;
+pub mod negative_cache;
 mod request;
 pub mod response_stream;
+pub mod rollout;
 pub mod signals;
+mod socket;
 pub mod worker;
 
-pub use connection_end::{ConnectionEnd, ConnectionEndObserver};
+pub use connection_end::{ConnectionEnd, ConnectionEndObserver, Remote};
 pub use event::ProxyEvent;
 pub use memory::MemoryBudget;
 pub use request::{ClientRequest, Statement};
