--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -18,8 +18,9 @@
 /// A replica gets the log so late, and catches up so many times as fast as time passes.
 const SHIPPED: Micros = 8_000;
 const CATCH_UP: f64 = 3.0;
-/// What a member works on at a time, and what may wait.
-const CORES: usize = 4;
+/// What a member works on at a time.
+pub const CORES: usize = 4;
+/// What may wait at a member.
 const QUEUE: usize = 60;
 /// A member that starts has this part of its capacity, and all of it after the span; sent more than the multiple of
 /// what it can do then, over the second span, it falls over and stays down: the brief's rule on cold members.
@@ -58,7 +59,7 @@
     /// Long reads that it holds.
     long: usize,
     /// When each core is free.
-    free: [Micros; CORES],
+    pub free: [Micros; CORES],
     held: usize,
     /// Statements that it has run, for the rule on writes.
     pub writes: u64,
@@ -237,6 +238,3 @@
         format!("x0={whole}.{part:06},x1={},inflight={},util={util:.2}", u8::from(m.primary), m.held)
     }
 }
-
-#[cfg(test)]
-mod tests;
