--- a/crates/discovery/tests/endpoint_list.rs
+++ b/crates/discovery/tests/endpoint_list.rs
@@ -1,38 +1,19 @@
 //! Properties of the endpoint tracker, for any answers of discovery at any time.
 
+mod support;
+
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
+use support::{change, endpoint, full_list, SECOND};
 use wharfplank_discovery::{
     EndpointTracker, PollKind, PollSchedule, SharedDiscovery, Staleness, SuspectReason, WatchEvent,
 };
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 
-const SECOND: i64 = 1_000_000;
 const START: i64 = 1_800_000_000 * SECOND;
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-fn host(name: &str, health: EndpointHealth) -> EndpointRecord {
-    let dial = Some("127.0.0.1:1".parse().unwrap());
-    EndpointRecord {
-        name: name.into(),
-        address: dial,
-        zone: String::new(),
-        group: 0,
-        health,
-        started_at_ms: 0,
-        primary: false,
-    }
-}
-
-fn list(seq: u64, whole: bool, names: &[&str]) -> EndpointList {
-    EndpointList {
-        version: seq,
-        complete: whole,
-        endpoints: names.iter().map(|n| host(n, EndpointHealth::Active)).collect(),
-    }
-}
-
 #[derive(Clone, Debug)]
 enum Step {
     /// An answer: how far its version is ahead of the newest, whether it is whole, and a health for each member;
@@ -69,7 +50,7 @@
 
 impl Model {
     fn new() -> Model {
-        let known = list(0, true, &NAMES);
+        let known = full_list(0, &NAMES);
         let active = NAMES.iter().map(|n| n.to_string()).collect();
         let tracker = EndpointTracker::new(PollSchedule::new(SECOND), &known, START);
         let (until, removed_at) = Default::default();
@@ -106,7 +87,7 @@
         let seq = self.newest.saturating_add_signed(ahead);
         let healths: Vec<(&str, u8)> = NAMES.into_iter().zip(healths.iter().copied()).collect();
         let hosts = healths.iter().filter(|(_, h)| *h > 0).map(|(name, h)| {
-            host(
+            endpoint(
                 name,
                 [EndpointHealth::Active, EndpointHealth::Draining, EndpointHealth::Removed]
                     [usize::from(*h) - 1],
@@ -218,7 +199,7 @@
     #[test]
     fn an_outage_ends_in_time_to_stop(drain_grace in 400_000..20 * SECOND, down in 0..60 * SECOND) {
         let schedule = PollSchedule::new(drain_grace);
-        let mut tracker = EndpointTracker::new(schedule, &list(0, true, &NAMES), START);
+        let mut tracker = EndpointTracker::new(schedule, &full_list(0, &NAMES), START);
         let mut now = START;
         let back = START + down;
         loop {
@@ -238,10 +219,10 @@
 /// Guards against half a list that takes members out of use before a second answer has said the same.
 #[test]
 fn a_list_that_lacks_half_counts_once_it_is_confirmed() {
-    let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &list(0, true, &NAMES), START);
+    let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
     tracker.next_poll(START);
-    assert!(tracker.on_response(START, list(5, true, &NAMES)).update.is_some());
-    let event = tracker.on_response(START + 10, list(6, true, &["a", "b", "c"]));
+    assert!(tracker.on_response(START, full_list(5, &NAMES)).update.is_some());
+    let event = tracker.on_response(START + 10, full_list(6, &["a", "b", "c"]));
     assert_eq!((event.update, event.suspect), (None, Some(SuspectReason::MissingEndpoints)));
     assert_eq!(event.deadlines.len(), 3);
     assert!(event
@@ -250,13 +231,13 @@
         .all(|deadline| (START + 10..=START + 10 + SECOND).contains(&deadline.until)));
     assert_eq!(tracker.next_poll(START + 20).kind, PollKind::FullList);
     assert_eq!(
-        tracker.on_response(START + 30, list(6, true, &["a", "b", "c"])).update.map(|l| l.endpoints.len()),
+        tracker.on_response(START + 30, full_list(6, &["a", "b", "c"])).update.map(|l| l.endpoints.len()),
         Some(3)
     );
     assert_eq!(tracker.next_deadline(), None);
     // One that nobody confirms counts by its deadline; one that would leave nobody never does alone.
     assert_eq!(
-        tracker.on_response(START + 40, list(7, true, &["a"])).suspect,
+        tracker.on_response(START + 40, full_list(7, &["a"])).suspect,
         Some(SuspectReason::MissingEndpoints)
     );
     let due = tracker.next_deadline().unwrap();
@@ -273,7 +254,7 @@
         left,
         [("b".to_string(), EndpointHealth::Removed), ("c".to_string(), EndpointHealth::Removed)]
     );
-    let empty = tracker.on_response(due + 10, list(8, true, &[]));
+    let empty = tracker.on_response(due + 10, full_list(8, &[]));
     assert_eq!(
         (empty.update, empty.deadlines.len(), empty.suspect),
         (None, 0, Some(SuspectReason::MissingEndpoints))
@@ -285,28 +266,25 @@
 /// never believed again.
 #[test]
 fn an_older_version_counts_once_it_is_confirmed() {
-    let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &list(0, true, &NAMES), START);
-    tracker.on_response(START, list(9, true, &["a", "b", "c"]));
-    tracker.on_response(START, list(9, true, &["a", "b", "c"]));
+    let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
+    tracker.on_response(START, full_list(9, &["a", "b", "c"]));
+    tracker.on_response(START, full_list(9, &["a", "b", "c"]));
     assert_eq!(
-        tracker.on_response(START + 1, list(3, true, &NAMES)).suspect,
+        tracker.on_response(START + 1, full_list(3, &NAMES)).suspect,
         Some(SuspectReason::OlderVersion)
     );
-    assert_eq!(tracker.on_response(START + 2, list(9, true, &["a", "b", "c"])).suspect, None);
+    assert_eq!(tracker.on_response(START + 2, full_list(9, &["a", "b", "c"])).suspect, None);
     assert_eq!(
-        tracker.on_response(START + 3, list(3, true, &NAMES)).suspect,
+        tracker.on_response(START + 3, full_list(3, &NAMES)).suspect,
         Some(SuspectReason::OlderVersion)
     );
     assert_eq!(
-        tracker.on_response(START + 4, list(4, true, &NAMES)).update.map(|l| l.endpoints.len()),
+        tracker.on_response(START + 4, full_list(4, &NAMES)).update.map(|l| l.endpoints.len()),
         Some(6)
     );
     assert_eq!(tracker.next_poll(START + 5).kind, PollKind::Watch { version: 4 });
     // A patch of an older version says nothing and has the whole list asked for.
-    assert_eq!(
-        tracker.on_response(START + 6, list(2, false, &["z"])).suspect,
-        Some(SuspectReason::OlderVersion)
-    );
+    assert_eq!(tracker.on_response(START + 6, change(2, &["z"])).suspect, Some(SuspectReason::OlderVersion));
     assert_eq!(tracker.next_poll(START + 7).kind, PollKind::FullList);
 }
 
@@ -317,7 +295,7 @@
     let born = |ms| EndpointList {
         version: 1,
         complete: true,
-        endpoints: vec![EndpointRecord { started_at_ms: ms, ..host("a", EndpointHealth::Active) }],
+        endpoints: vec![EndpointRecord { started_at_ms: ms, ..endpoint("a", EndpointHealth::Active) }],
     };
     let mut accepted_start =
         |ms| tracker.on_response(START, born(ms)).update.unwrap().endpoints[0].started_at_ms;
@@ -329,12 +307,12 @@
 /// Guards against a list whose staleness is not reported.
 #[test]
 fn staleness_has_four_levels() {
-    let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &list(0, true, &NAMES), START);
+    let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
     assert_eq!(
         (tracker.staleness(START), tracker.staleness(START + 8 * SECOND)),
         (Staleness::Unconfirmed, Staleness::Stale)
     );
-    tracker.on_response(START, list(1, true, &NAMES));
+    tracker.on_response(START, full_list(1, &NAMES));
     let ages: Vec<_> = [0, 2, 3, 7, 8].map(|s| tracker.staleness(START + s * SECOND)).to_vec();
     assert_eq!(
         ages,
@@ -348,14 +326,14 @@
 /// still often enough for its watch to go on (200 ms).
 #[test]
 fn an_agent_with_empty_early_responses_is_polled_with_backoff() {
-    let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &list(0, true, &NAMES), START);
+    let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
     tracker.next_poll(START);
-    tracker.on_response(START, list(1, true, &NAMES));
+    tracker.on_response(START, full_list(1, &NAMES));
     let (mut now, mut polls) = (START, 0);
     while now < START + 10 * SECOND {
         now = tracker.next_poll(now).start_at;
         polls += 1;
-        tracker.on_response(now, list(1, false, &[]));
+        tracker.on_response(now, change(1, &[]));
     }
     assert!((50..=80).contains(&polls), "{polls} polls in 10 s");
 }
--- a/crates/discovery/tests/recovery_times.rs
+++ b/crates/discovery/tests/recovery_times.rs
@@ -1,105 +1,96 @@
-//! How soon a proxy acts on what discovery can tell again: whatever its calls met before, whenever an outage ends.
+//! How soon a proxy acts on a change after discovery recovers, whatever its polls met before and whenever an outage ends.
+
+mod support;
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use support::{change, full_list, unchanged, SECOND};
 use wharfplank_discovery::{EndpointTracker, PollKind, PollRequest, PollSchedule, SharedDiscovery};
-use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
+use wharfplank_protocol::endpoint_list::EndpointList;
 
-const SECOND: i64 = 1_000_000;
 const START: i64 = 1_800_000_000 * SECOND;
-/// What discovery has to tell counts as told so long after it had it and could be reached.
-const TOLD: i64 = 6 * SECOND;
-/// After SIGHUP, where lists are pushed.
-const RELOADED: i64 = 4 * SECOND;
-/// The broker's share of the time: from the answer's last byte to the last send that still begins.
-const ACTED: i64 = 20_000;
-
-fn list(seq: u64, whole: bool) -> EndpointList {
-    let dial = Some("127.0.0.1:1".parse().unwrap());
-    let host = |name: &str| EndpointRecord {
-        name: name.into(),
-        address: dial,
-        zone: String::new(),
-        group: 0,
-        health: EndpointHealth::Active,
-        started_at_ms: 0,
-        primary: false,
-    };
-    EndpointList {
-        version: seq,
-        complete: whole,
-        endpoints: if whole { vec![host("a"), host("b")] } else { vec![] },
-    }
-}
-
-/// What becomes of a call that begins before discovery can be reached. Parts are thousandths.
+const NAMES: [&str; 2] = ["a", "b"];
+/// A change takes effect this long after discovery had it and could be reached.
+const EFFECTIVE_WITHIN: i64 = 6 * SECOND;
+/// The same after SIGHUP, for a local agent.
+const RELOAD_EFFECTIVE_WITHIN: i64 = 4 * SECOND;
+/// The broker's part of the time: from the last byte of the answer to the last request that is still sent.
+const BROKER_TIME: i64 = 20_000;
+
+/// The outcome of a poll that starts before discovery can be reached. Parts are thousandths.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum PollOutcome {
     Refused,
-    /// Reset, or spoilt, after this part of its time.
-    Breaks(i64),
-    /// Neither it nor the call beside it is answered.
+    /// Reset, or answered with something malformed, after this part of its timeout.
+    BreaksAfter(i64),
+    /// Neither it nor the hedged poll is answered.
     Hangs,
-    /// Answered after this part of its time, with nothing new.
-    Answered(i64),
+    /// Answered after this part of the time to the hedged poll, with nothing new.
+    AnsweredAfter(i64),
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn poll_outcome() -> impl Strategy<Value = PollOutcome> {
     prop_oneof![
-        3 => Just(Fate::Refused),
-        2 => (0..1000_i64).prop_map(Fate::Breaks),
-        3 => Just(Fate::Hangs),
-        2 => (0..1000_i64).prop_map(Fate::Answered),
+        3 => Just(PollOutcome::Refused),
+        2 => (0..1000_i64).prop_map(PollOutcome::BreaksAfter),
+        3 => Just(PollOutcome::Hangs),
+        2 => (0..1000_i64).prop_map(PollOutcome::AnsweredAfter),
     ]
 }
 
-/// When a call that hangs, and the one beside it, are given up.
-fn given_up(poll: &PollRequest) -> i64 {
-    let beside = poll.hedge.after < poll.response_timeout;
-    let second = poll.hedge.after + poll.hedge.timeout;
-    poll.start_at + if beside { second.max(poll.response_timeout) } else { poll.response_timeout }
+/// When a poll that hangs and the hedged one have timed out.
+fn timed_out_at(poll: &PollRequest) -> i64 {
+    let is_hedged = poll.hedge.after < poll.response_timeout;
+    let hedge_timeout = poll.hedge.after + poll.hedge.timeout;
+    poll.start_at + if is_hedged { hedge_timeout.max(poll.response_timeout) } else { poll.response_timeout }
 }
 
-/// When a call ends that breaks: the one beside it hangs on.
-fn breaks(poll: &PollRequest, part: i64) -> i64 {
+/// When a poll fails whose connection breaks; the hedged one hangs.
+fn fails_at(poll: &PollRequest, part: i64) -> i64 {
     let at = poll.response_timeout * part / 1000;
     if at < poll.hedge.after {
         poll.start_at + at
     } else {
-        given_up(poll)
+        timed_out_at(poll)
     }
 }
 
-/// When an answer came that was given at the first call that began once discovery could be reached, and the last
-/// SIGHUP. `late` is the part of the time allowed that this answer takes.
-fn acted(tracker: &mut EndpointTracker, back: i64, hups: &[i64], fates: &[Fate], late: i64) -> (i64, i64) {
-    let (mut now, mut seq, mut hup_at) = (START, 1, START);
-    let mut hups = hups.iter().copied().peekable();
-    let mut fates = fates.iter().copied().cycle();
+/// When the response to the first poll that started after discovery could be reached came, and when the last SIGHUP was.
+/// `late` is the part of its timeout that this response takes.
+fn first_response(
+    tracker: &mut EndpointTracker,
+    recovered_at: i64,
+    reloads: &[i64],
+    outcomes: &[PollOutcome],
+    late: i64,
+) -> (i64, i64) {
+    let (mut now, mut version, mut reloaded_at) = (START, 1, START);
+    let mut reloads = reloads.iter().copied().peekable();
+    let mut outcomes = outcomes.iter().copied().cycle();
     loop {
         let poll = tracker.next_poll(now);
         assert!(poll.start_at >= now && poll.hedge.after <= poll.response_timeout);
-        let reached = poll.start_at >= back;
-        let fate = fates.next().unwrap_or(Fate::Hangs);
-        let end = match fate {
-            _ if reached => poll.start_at + poll.response_timeout * late / 1000,
-            Fate::Refused => poll.start_at + 1_000,
-            Fate::Breaks(part) => breaks(&poll, part),
-            Fate::Hangs => given_up(&poll),
-            Fate::Answered(part) => poll.start_at + poll.hedge.after * part / 1000,
+        let is_reached = poll.start_at >= recovered_at;
+        let outcome = outcomes.next().unwrap_or(PollOutcome::Hangs);
+        let end = match outcome {
+            _ if is_reached => poll.start_at + poll.response_timeout * late / 1000,
+            PollOutcome::Refused => poll.start_at + 1_000,
+            PollOutcome::BreaksAfter(part) => fails_at(&poll, part),
+            PollOutcome::Hangs => timed_out_at(&poll),
+            PollOutcome::AnsweredAfter(part) => poll.start_at + poll.hedge.after * part / 1000,
         };
-        // A signal drops the call, whether it waits for its time or for its answer.
-        if let Some(at) = hups.next_if(|at| *at <= end) {
-            (now, hup_at) = (now.max(at), now.max(at));
+        // A signal drops the poll, whether it waits for its start or for its response.
+        if let Some(at) = reloads.next_if(|at| *at <= end) {
+            (now, reloaded_at) = (now.max(at), now.max(at));
             tracker.on_address_changed(now);
             continue;
         }
         now = end;
-        match fate {
-            _ if reached => return (now, hup_at),
-            Fate::Answered(_) => {
-                seq += 1;
-                tracker.on_response(now, list(seq, poll.kind == PollKind::FullList));
+        match outcome {
+            _ if is_reached => return (now, reloaded_at),
+            PollOutcome::AnsweredAfter(_) => {
+                version += 1;
+                tracker.on_response(now, unchanged(poll.kind, version, &NAMES));
             }
             _ => tracker.on_failure(now),
         }
@@ -113,15 +104,15 @@
 }
 
 prop_compose! {
-    /// Outages that end at any moment, signals near it, and what calls meet until then.
-    fn story()(
-        back in 0..40 * SECOND,
+    /// Outages that end at any moment, signals near the end, and the outcomes of polls until then.
+    fn outage()(
+        recovered_at in 0..40 * SECOND,
         near in prop::collection::vec(-8 * SECOND..8 * SECOND, 0..3),
-        fates in prop::collection::vec(fate(), 1..12),
-    ) -> (i64, Vec<i64>, Vec<Fate>) {
-        let mut hups: Vec<i64> = near.iter().map(|at| START + (back + at).max(0)).collect();
-        hups.sort_unstable();
-        (START + back, hups, fates)
+        outcomes in prop::collection::vec(poll_outcome(), 1..12),
+    ) -> (i64, Vec<i64>, Vec<PollOutcome>) {
+        let mut reloads: Vec<i64> = near.iter().map(|at| START + (recovered_at + at).max(0)).collect();
+        reloads.sort_unstable();
+        (START + recovered_at, reloads, outcomes)
     }
 }
 
@@ -130,95 +121,95 @@
         cases: 4000, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Guards against a change that a proxy which must ask acts on later than 6 s and the rule's time after discovery
-    /// could be reached, with the answer as late as its call allows.
+    /// Guards against a proxy that polls a shared service and acts on a change later than 6 s and the drain grace after
+    /// discovery could be reached, with the response as late as its timeout allows.
     #[test]
-    fn an_asked_list_is_acted_on_in_time(
+    fn a_polled_list_is_acted_on_in_time(
         drain_grace in 0..20 * SECOND,
         shared in shared(),
-        story in story(),
+        outage in outage(),
         late in 0..1000_i64,
         restarted in any::<bool>(),
     ) {
-        let (back, hups, fates) = story;
-        let known = if restarted { EndpointList::default() } else { list(1, true) };
+        let (recovered_at, reloads, outcomes) = outage;
+        let known = if restarted { EndpointList::default() } else { full_list(1, &NAMES) };
         let schedule = PollSchedule::new(drain_grace).with_shared(shared);
         let mut tracker = EndpointTracker::new(schedule, &known, START);
-        let (acted, hup_at) = acted(&mut tracker, back, &hups, &fates, late);
-        let allowed = TOLD + drain_grace.min(TOLD) - ACTED;
-        let span = acted - back.max(hup_at);
-        prop_assert!(span <= allowed, "{span} of {allowed} us");
-        // What the module derives holds, and is enough.
-        prop_assert!(span <= schedule.max_recovery() && schedule.max_recovery() <= schedule.allowed_recovery() - ACTED, "{span}: {schedule:?}");
+        let (responded_at, reloaded_at) = first_response(&mut tracker, recovered_at, &reloads, &outcomes, late);
+        let allowed = EFFECTIVE_WITHIN + drain_grace.min(EFFECTIVE_WITHIN) - BROKER_TIME;
+        let elapsed = responded_at - recovered_at.max(reloaded_at);
+        prop_assert!(elapsed <= allowed, "{elapsed} of {allowed} us");
+        // The derived limit holds, and is low enough.
+        prop_assert!(elapsed <= schedule.max_recovery() && schedule.max_recovery() <= schedule.allowed_recovery() - BROKER_TIME, "{elapsed}: {schedule:?}");
     }
 
-    /// Guards against a pushed list that is acted on later than the rule's time after the agent had it, or, after
-    /// SIGHUP, 4 s and that time later. The agent answers at once; half of what is left is its machine's.
+    /// Guards against a list of a local agent that is acted on later than the drain grace after the agent had it, or,
+    /// after SIGHUP, 4 s and the drain grace later. The agent answers at once.
     #[test]
-    fn a_pushed_list_is_acted_on_in_time(drain_grace in 400_000..20 * SECOND, story in story()) {
-        let (back, hups, fates) = story;
-        // An open watch that hangs has fallen silent and has the other clock: see below.
-        let fates = fates.into_iter().filter(|f| !matches!(f, Fate::Answered(_)));
-        let fates: Vec<Fate> = fates.chain([Fate::Hangs]).collect();
-        let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace), &list(1, true), START);
-        let (acted, hup_at) = acted(&mut tracker, back, &hups, &fates, 0);
+    fn a_pushed_list_is_acted_on_in_time(drain_grace in 400_000..20 * SECOND, outage in outage()) {
+        let (recovered_at, reloads, outcomes) = outage;
+        // An open watch that hangs has fallen silent, and other limits hold for it: see below.
+        let outcomes = outcomes.into_iter().filter(|f| !matches!(f, PollOutcome::AnsweredAfter(_)));
+        let outcomes: Vec<PollOutcome> = outcomes.chain([PollOutcome::Hangs]).collect();
+        let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace), &full_list(1, &NAMES), START);
+        let (responded_at, reloaded_at) = first_response(&mut tracker, recovered_at, &reloads, &outcomes, 0);
         let schedule = PollSchedule::new(drain_grace);
-        prop_assert!(acted <= back.max(hup_at) + schedule.max_recovery() && schedule.max_recovery() <= schedule.allowed_recovery() - ACTED);
-        let reloaded = if hup_at > START { RELOADED } else { 0 };
-        let allowed = back.max(hup_at + reloaded) + drain_grace - ACTED;
-        prop_assert!(acted <= allowed, "{} us too late", acted - allowed);
+        prop_assert!(responded_at <= recovered_at.max(reloaded_at) + schedule.max_recovery() && schedule.max_recovery() <= schedule.allowed_recovery() - BROKER_TIME);
+        let reload_limit = if reloaded_at > START { RELOAD_EFFECTIVE_WITHIN } else { 0 };
+        let allowed = recovered_at.max(reloaded_at + reload_limit) + drain_grace - BROKER_TIME;
+        prop_assert!(responded_at <= allowed, "{} us too late", responded_at - allowed);
     }
 
-    /// Guards against a watch that fell silent and costs more than 6 s: the call beside it is refused or hangs, and so
-    /// is the next one, and the third is answered as late as its call allows.
+    /// Guards against a watch that falls silent and costs more than 6 s: the hedged poll is refused or hangs, and so does
+    /// the next poll, and the third is answered as late as its timeout allows.
     #[test]
     fn a_silent_watch_may_be_refused_twice(
         drain_grace in 0..20 * SECOND, shared in shared(), late in 0..1000_i64, hangs in any::<bool>(),
     ) {
-        let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace).with_shared(shared), &list(1, true), START);
+        let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace).with_shared(shared), &full_list(1, &NAMES), START);
         let mut now = tracker.next_poll(START).start_at;
-        tracker.on_response(now, list(2, false));
-        // It falls silent as it begins, with a change that it holds back.
+        tracker.on_response(now, change(2, &[]));
+        // It falls silent as it starts, with a change that is not delivered.
         let poll = tracker.next_poll(now);
-        let silent = poll.start_at;
-        now = if hangs { given_up(&poll) } else { poll.start_at + poll.response_timeout };
+        let silent_since = poll.start_at;
+        now = if hangs { timed_out_at(&poll) } else { poll.start_at + poll.response_timeout };
         tracker.on_failure(now);
         let mut poll = tracker.next_poll(now);
         if !hangs {
             tracker.on_failure(poll.start_at + 1_000);
             poll = tracker.next_poll(poll.start_at + 1_000);
         }
-        let span = poll.start_at + poll.response_timeout * late / 1000 - silent;
-        let allowed = TOLD + drain_grace.min(TOLD) - ACTED;
-        prop_assert!(span <= allowed, "{span} of {allowed} us");
+        let elapsed = poll.start_at + poll.response_timeout * late / 1000 - silent_since;
+        let allowed = EFFECTIVE_WITHIN + drain_grace.min(EFFECTIVE_WITHIN) - BROKER_TIME;
+        prop_assert!(elapsed <= allowed, "{elapsed} of {allowed} us");
     }
 
-    /// Guards against a pushed watch that fell silent and that SIGHUP, to the same address, leaves as it is: what it
-    /// missed counts 6 s after it fell silent, and what the agent has 4 s after the signal.
+    /// Guards against a silent watch of a local agent that SIGHUP, with the same address, leaves as it is: what it missed
+    /// takes effect 6 s after it fell silent, and what the agent has 4 s after the signal.
     #[test]
     fn a_silent_pushed_watch_needs_no_help_of_a_signal(drain_grace in 0..20 * SECOND) {
-        let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace), &list(1, true), START);
+        let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace), &full_list(1, &NAMES), START);
         let now = tracker.next_poll(START).start_at;
-        tracker.on_response(now, list(2, true));
+        tracker.on_response(now, full_list(2, &NAMES));
         let poll = tracker.next_poll(now);
-        let now = given_up(&poll);
+        let now = timed_out_at(&poll);
         tracker.on_failure(now);
-        let span = tracker.next_poll(now).start_at + poll.connect_timeout - poll.start_at;
-        let allowed = RELOADED + drain_grace.min(TOLD) - ACTED;
-        prop_assert!(span <= allowed, "{span} of {allowed} us");
+        let elapsed = tracker.next_poll(now).start_at + poll.connect_timeout - poll.start_at;
+        let allowed = RELOAD_EFFECTIVE_WITHIN + drain_grace.min(EFFECTIVE_WITHIN) - BROKER_TIME;
+        prop_assert!(elapsed <= allowed, "{elapsed} of {allowed} us");
     }
 }
 
-/// Guards against many proxies that all ask a shared discovery for the whole list at a new configuration, and against
-/// one whose versions mean something else and is never asked for it: an older version, or some time, has it asked for.
+/// Guards against a large fleet that requests the full list from a shared service all at once at a new address, and
+/// against one that never requests it there: an older version, or some time, has it requested.
 #[test]
-fn many_proxies_go_on_from_their_version_at_a_new_address() {
+fn a_large_fleet_resumes_from_its_version_at_a_new_address() {
     let tracker = |proxies| {
         let shared = SharedDiscovery { seed: 3, poll_interval: 10 * SECOND, proxies };
         let mut tracker =
-            EndpointTracker::new(PollSchedule::new(SECOND).with_shared(shared), &list(1, true), START);
+            EndpointTracker::new(PollSchedule::new(SECOND).with_shared(shared), &full_list(1, &NAMES), START);
         let now = tracker.next_poll(START).start_at;
-        tracker.on_response(now, list(7, true));
+        tracker.on_response(now, full_list(7, &NAMES));
         tracker.next_poll(now);
         tracker.on_address_changed(now);
         (tracker, now)
@@ -228,16 +219,16 @@
     let (mut many, now) = tracker(300);
     let poll = many.next_poll(now);
     assert_eq!(poll.kind, PollKind::Watch { version: 7 });
-    assert!(many.on_response(poll.start_at, list(3, false)).update.is_none());
+    assert!(many.on_response(poll.start_at, change(3, &[])).update.is_none());
     assert_eq!(many.next_poll(poll.start_at).kind, PollKind::FullList);
     let (mut many, mut now) = tracker(300);
     let end = now + 2 * 300 * PollSchedule::FULL_LIST_SPREAD_PER_PROXY + 10 * SECOND;
-    let mut wholes = 0;
+    let mut full_lists = 0;
     while now < end {
         let poll = many.next_poll(now);
-        wholes += u32::from(poll.kind == PollKind::FullList);
+        full_lists += u32::from(poll.kind == PollKind::FullList);
         now = poll.start_at + poll.wait;
-        many.on_response(now, list(7, poll.kind == PollKind::FullList));
+        many.on_response(now, unchanged(poll.kind, 7, &NAMES));
     }
-    assert_eq!(wholes, 1);
+    assert_eq!(full_lists, 1);
 }
--- a/crates/discovery/tests/shared_service/service.rs
+++ b/crates/discovery/tests/shared_service/service.rs
@@ -1,60 +1,66 @@
-//! Discovery as one service that answers calls one after the other.
+//! Discovery as one service that answers polls one after the other.
 
 use std::collections::VecDeque;
 
 pub const MS: i64 = 1_000;
 pub const SECOND: i64 = 1_000 * MS;
-/// How long the service lets a call wait in its line, and how soon a watch must be asked again to keep its place.
-const LINE: i64 = 2_300 * MS;
-const AGAIN: i64 = 200 * MS;
-/// The whole list takes so many turns.
-const WHOLE: i64 = 4;
-/// What turning a call away costs the service.
-const REFUSAL: i64 = MS;
+/// The longest time for which the service queues a poll.
+const MAX_QUEUE_TIME: i64 = 2_300 * MS;
+/// A watch keeps its place in the queue if it is continued within this time.
+const CONTINUE_WITHIN: i64 = 200 * MS;
+/// The full list takes this many turns.
+const FULL_LIST_TURNS: i64 = 4;
+/// What refusing a poll costs the service.
+const REFUSAL_COST: i64 = MS;
 
-pub struct Line {
+pub struct QueuedPoll {
     proxy: usize,
-    since: i64,
-    whole: bool,
-    /// The call still waits, or its place is kept until then.
+    queued_at: i64,
+    is_full_list: bool,
+    /// Until when the poll waits.
     until: i64,
 }
 
 pub struct Service {
     pub turn: i64,
-    pub line: VecDeque<Line>,
+    pub queue: VecDeque<QueuedPoll>,
     pub busy_until: i64,
     pub refused: usize,
     pub wasted: usize,
 }
 
 impl Service {
-    /// Whether the call stands in the line now.
-    pub fn ask(&mut self, proxy: usize, now: i64, whole: bool, until: i64) -> bool {
-        if let Some(place) = self.line.iter_mut().find(|l| l.proxy == proxy && !whole && !l.whole) {
-            if now <= place.until + AGAIN {
-                (place.until, place.since) = (until, now);
+    /// Queues a poll; false where it is refused.
+    pub fn enqueue(&mut self, proxy: usize, now: i64, is_full_list: bool, until: i64) -> bool {
+        if let Some(queued) = self
+            .queue
+            .iter_mut()
+            .find(|queued| queued.proxy == proxy && !is_full_list && !queued.is_full_list)
+        {
+            if now <= queued.until + CONTINUE_WITHIN {
+                (queued.until, queued.queued_at) = (until, now);
                 return true;
             }
         }
-        if (self.line.len() as i64) * self.turn >= LINE {
+        if (self.queue.len() as i64) * self.turn >= MAX_QUEUE_TIME {
             self.refused += 1;
-            self.busy_until = self.busy_until.max(now) + REFUSAL;
+            self.busy_until = self.busy_until.max(now) + REFUSAL_COST;
             return false;
         }
-        self.line.push_back(Line { proxy, since: now, whole, until });
+        self.queue.push_back(QueuedPoll { proxy, queued_at: now, is_full_list, until });
         true
     }
 
-    /// Who is answered now. What comes too late has cost its work all the same.
+    /// The proxy that is answered now, and whether with the full list. A poll that has timed out costs its work all the
+    /// same.
     pub fn tick(&mut self, now: i64) -> Option<(usize, bool)> {
         if now < self.busy_until {
             return None;
         }
-        let place = self.line.pop_front()?;
-        self.busy_until = now + self.turn * if place.whole { WHOLE } else { 1 };
-        let good = now <= place.until && now - place.since <= LINE;
-        self.wasted += usize::from(!good);
-        good.then_some((place.proxy, place.whole))
+        let queued = self.queue.pop_front()?;
+        self.busy_until = now + self.turn * if queued.is_full_list { FULL_LIST_TURNS } else { 1 };
+        let is_in_time = now <= queued.until && now - queued.queued_at <= MAX_QUEUE_TIME;
+        self.wasted += usize::from(!is_in_time);
+        is_in_time.then_some((queued.proxy, queued.is_full_list))
     }
 }
