--- a/crates/transport/src/member_pool/opening.rs
+++ b/crates/transport/src/member_pool/opening.rs
@@ -137,19 +137,19 @@
         let mut stream = Async::<TcpStream>::connect(peer).await?;
         let _ = stream.get_ref().set_nodelay(true);
         stream.write_all(&member_request::startup_message(USER, DATABASE)).await?;
-        let mut client = ResponseReader::default();
-        client.accepts_no_row = self.context.allow_empty_result;
+        let mut reader = ResponseReader::default();
+        reader.accepts_no_row = self.context.allow_empty_result;
         loop {
-            match client.advance(false) {
+            match reader.advance(false) {
                 Ok(Some(ResponseEvent::Complete(response))) if response.kind == ResponseKind::Done => break,
                 Ok(Some(_)) | Err(_) => return Err(ConnectError::Rejected),
                 Ok(None) => {}
             }
-            match stream.read(client.buffer.spare()).await? {
+            match stream.read(reader.buffer.spare()).await? {
                 0 => return Err(ConnectError::Closed),
-                count => client.buffer.commit(count),
+                count => reader.buffer.commit(count),
             }
         }
-        Ok(MemberConnection::new(Rc::clone(self), peer, stream, client))
+        Ok(MemberConnection::new(Rc::clone(self), peer, stream, reader))
     }
 }
