--- a/crates/proxy/src/broker/admin_calls.rs
+++ b/crates/proxy/src/broker/admin_calls.rs
@@ -1,9 +1,11 @@
 //! Operators' calls: health and metrics of the process, and cordons on members.
 
-use super::*;
+use super::Broker;
+use crate::log;
 use std::collections::HashMap;
 use wharfplank_admin::{Command, CordonError, Exclusion, Gauges};
-use wharfplank_routing::MemberView;
+use wharfplank_protocol::endpoint_list::EndpointList;
+use wharfplank_routing::{HostId, MemberView, Micros};
 
 impl Broker {
     /// Carries a call out at once, and returns the text of its answer. What a positive answer promises holds before
--- a/crates/proxy/src/broker/attempt_table.rs
+++ b/crates/proxy/src/broker/attempt_table.rs
@@ -1,9 +1,11 @@
 //! The table of attempts that are in flight, and the queue of those that finished without a report from the driver.
 
-use super::*;
 use async_executor::Task;
 use std::cell::Cell;
 use std::collections::{HashMap, VecDeque};
+use std::rc::Rc;
+use wharfplank_routing::{self as routing, AttemptOutcome, HostId, Micros, RequestId};
+use wharfplank_transport::member_pool::AttemptStage;
 
 /// Identifies an attempt: its request, and its number within the request, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -1,9 +1,20 @@
 //! The life of an attempt: sending it, ending it from this side, and handling the driver's report.
 
+use super::attempt_table::{AttemptKey, FinishedAttempt, InFlightAttempt};
 use super::health_checks::role;
-use super::*;
+use super::{Broker, MAX_POSITION_AHEAD};
+use crate::activity_counts;
+use crate::config::SEND_MARGIN;
 use std::cell::Cell;
-use wharfplank_transport::member_pool::{AttemptCompletion, AttemptLimits, MemberPool};
+use std::rc::Rc;
+use wharfplank_protocol::pipeline::FinalResponse;
+use wharfplank_routing::{
+    self as routing, AttemptNo, AttemptOutcome, AttemptResult, HostId, Micros, RequestId,
+};
+use wharfplank_transport::member_pool::{
+    AttemptCompletion, AttemptLimits, AttemptReport, AttemptStage, MemberPool,
+};
+use wharfplank_transport::ProxyEvent;
 
 /// How long before the end of [`SEND_MARGIN`] the last byte of a request must be written.
 const WRITE_MARGIN: Micros = 500;
@@ -48,7 +59,7 @@
         let is_denied = is_retry && self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.retry());
         let may_send = key.number < self.attempt_policy.max_attempts
             && !is_denied
-            && request.responses.is_awaited(request.ticket);
+            && request.responses.is_awaited(request.number);
         self.endpoints.members.get(&host).filter(|_| may_send).cloned()
     }
 
@@ -73,8 +84,8 @@
         let Some(request) = self.requests.get(key.request) else { return };
         let stage: Rc<Cell<AttemptStage>> = Rc::default();
         let responses = Rc::clone(&request.responses);
-        let ticket = request.ticket;
-        let is_awaited = move || responses.is_awaited_now(ticket);
+        let number = request.number;
+        let is_awaited = move || responses.is_awaited_now(number);
         let work =
             Rc::clone(member).attempt(Rc::clone(&request.statement), Rc::clone(&stage), limits, is_awaited);
         let events = self.events.clone();
--- a/crates/proxy/src/broker/budgets.rs
+++ b/crates/proxy/src/broker/budgets.rs
@@ -1,8 +1,11 @@
 //! The fleet's budgets, applied to requests, retries, health checks and connections. What a budget denies is reported
 //! to the router, which decides what follows.
 
-use super::*;
+use super::attempt_table::AttemptKey;
+use super::Broker;
 use std::collections::VecDeque;
+use wharfplank_routing::{self as routing, Action, AttemptOutcome, GroupId, HostId, Micros};
+use wharfplank_transport::member_pool::AttemptReport;
 
 /// What the budgets have denied.
 #[derive(Default)]
--- a/crates/proxy/src/broker/endpoint_table.rs
+++ b/crates/proxy/src/broker/endpoint_table.rs
@@ -1,9 +1,10 @@
 //! The table of members: their records from discovery, their numeric ids, their connection pools and their cordons.
 
-use super::*;
 use std::collections::{BTreeMap, HashMap};
+use std::rc::Rc;
 use wharfplank_admin::Cordons;
-use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
+use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
+use wharfplank_routing::HostId;
 use wharfplank_transport::member_pool::MemberPool;
 
 /// Past so many known names, those of members without a connection pool are forgotten.
--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -1,11 +1,15 @@
 //! Changes of the endpoint list on their way from discovery and operators to the router and the connection pools.
 
-use super::*;
+use super::attempt_table::InFlightAttempt;
+use super::endpoint_table::zone_id;
+use super::Broker;
+use crate::log;
 use std::net::SocketAddr;
+use std::rc::Rc;
 use wharfplank_discovery::{SendDeadline, Staleness, SuspectReason, WatchEvent};
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
-use wharfplank_routing::{Endpoint, EndpointStatus};
-use wharfplank_transport::member_pool::MemberPool;
+use wharfplank_routing::{self as routing, AttemptOutcome, Endpoint, EndpointStatus, GroupId, HostId};
+use wharfplank_transport::member_pool::{AttemptStage, MemberPool};
 
 impl Broker {
     /// Handles a watch event of discovery: a new list, a change of the list's staleness, or both.
--- a/crates/proxy/src/broker/handover/mod.rs
+++ b/crates/proxy/src/broker/handover/mod.rs
@@ -4,14 +4,18 @@
 mod peer;
 mod state;
 
-use super::*;
+use crate::broker::Broker;
+use crate::log;
 use async_executor::Task;
 use async_io::Async;
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
+use std::rc::Rc;
 use wharfplank_admin::{
     Command, CommandId, ConnectionCounts, Cordons, Handover, HandoverMessage, MemberKnowledge,
 };
+use wharfplank_routing::Micros;
+use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::handover::{HandoverLink, Inherited, RendezvousSocket};
 
 /// How often the new process is told how many connections the old one holds.
--- a/crates/proxy/src/broker/handover/peer.rs
+++ b/crates/proxy/src/broker/handover/peer.rs
@@ -1,8 +1,11 @@
 //! The messages of the other process of a handover.
 
-use super::*;
+use crate::broker::Broker;
+use crate::log;
 use async_io::Async;
 use std::os::unix::net::UnixStream;
+use wharfplank_admin::HandoverMessage;
+use wharfplank_routing::Micros;
 use wharfplank_transport::handover::{self as handover_socket, HandoverEvent, HandoverLink};
 
 impl Broker {
--- a/crates/proxy/src/broker/handover/state.rs
+++ b/crates/proxy/src/broker/handover/state.rs
@@ -1,9 +1,9 @@
 //! The state that an old process hands over to the new one.
 
-use super::*;
-use wharfplank_admin::{HandoverState, MemberTraits};
-use wharfplank_protocol::endpoint_list;
-use wharfplank_routing::{MemberView, PeerObservation};
+use crate::broker::Broker;
+use wharfplank_admin::{ConnectionCounts, HandoverState, MemberKnowledge, MemberTraits};
+use wharfplank_protocol::endpoint_list::{self, EndpointList};
+use wharfplank_routing::{self as routing, MemberView, PeerObservation};
 
 impl Broker {
     /// Tells the router what the process before this one had learned of members.
--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -1,8 +1,11 @@
 //! Health checks of members: starting them, and reading their load reports.
 
-use super::*;
+use super::{Broker, MAX_POSITION_AHEAD};
+use std::rc::Rc;
+use std::time::Duration;
 use wharfplank_protocol::load_report::{self, ReportValue};
-use wharfplank_routing::ProbeResult;
+use wharfplank_routing::{self as routing, AttemptOutcome, HostId, Micros, ProbeResult, Role};
+use wharfplank_transport::ProxyEvent;
 
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -1,9 +1,12 @@
 //! The life of the process: its start, readiness and configuration reloads.
 
 use super::shutdown::Shutdown;
-use super::*;
+use super::Broker;
+use crate::config::Config;
+use crate::log;
 use wharfplank_admin::ReloadResult;
 use wharfplank_pool_policy::StartupConnectOrder;
+use wharfplank_routing::Micros;
 
 /// How long readiness waits for discovery to confirm the endpoint list: a proxy that cannot reach discovery still
 /// serves from the list that it has.
--- a/crates/proxy/src/broker/maintenance.rs
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -1,9 +1,11 @@
 //! Work that is due by the clock: the router's timers, and the maintenance of pools, logs and records each second.
 
-use super::*;
+use super::Broker;
+use crate::log;
 use crate::rollout::MemberObservations;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
+use wharfplank_routing::{self as routing, HostId, Micros, Router};
 
 /// The interval of the maintenance.
 const MAINTENANCE_INTERVAL: Micros = 1_000_000;
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -22,23 +22,21 @@
 pub mod shutdown_timing;
 mod streaming;
 
-use attempt_table::{AttemptKey, AttemptPolicy, AttemptTable, FinishedAttempt, InFlightAttempt};
+use attempt_table::{AttemptKey, AttemptPolicy, AttemptTable};
 use budgets::BudgetDenials;
-use endpoint_table::{fnv1a, zone_id, EndpointTable};
+use endpoint_table::{zone_id, EndpointTable};
 use handover::HandoverController;
 use lifecycle::Lifecycle;
 use maintenance::MaintenanceTimers;
-use request_log::Disposition;
-use request_table::{OpenRequest, RequestTable};
+use request_table::RequestTable;
 use streaming::StreamingAttempts;
 
-use super::activity_counts::{self, ActivityCounts};
+use super::activity_counts::ActivityCounts;
 use super::clock::Clock;
-use super::config::{Config, SEND_MARGIN};
+use super::config::Config;
 use super::gossip_client::GossipClient;
-use super::log;
 use super::missing::Lookups;
-use super::recording::{record_reason, DecisionRecorder, RequestSummary};
+use super::recording::DecisionRecorder;
 use super::rollout::RolloutReporter;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
@@ -46,17 +44,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_protocol::endpoint_list::EndpointList;
-use wharfplank_protocol::pipeline::FinalResponse;
 use wharfplank_routing::settings::ProxyParameters;
-use wharfplank_routing::{
-    self as routing, Action, AttemptNo, AttemptOutcome, AttemptResult, ClassId, GroupId, HostId, Micros,
-    RequestId, Role, Router,
-};
+use wharfplank_routing::{self as routing, Micros, Router};
 use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::DiscoveryWatch;
 use wharfplank_transport::fleet::Witness;
-use wharfplank_transport::member_pool::{AttemptReport, AttemptStage, PoolContext};
+use wharfplank_transport::member_pool::PoolContext;
 use wharfplank_transport::ProxyEvent;
 
 /// How far a log position may be ahead of this process's clock before it is discarded as invalid: all machines read
@@ -211,8 +205,8 @@
     fn on_event(&mut self, event: ProxyEvent) {
         match event {
             ProxyEvent::RequestReceived(request) => self.on_client_request(*request),
-            ProxyEvent::ClientDisconnected(ticket) => self.on_client_disconnected(ticket),
-            ProxyEvent::RequestCancelled(ticket) => self.on_request_cancelled(ticket),
+            ProxyEvent::ClientDisconnected(number) => self.on_client_disconnected(number),
+            ProxyEvent::RequestCancelled(number) => self.on_request_cancelled(number),
             ProxyEvent::AttemptFinished { id, attempt, report } => {
                 self.on_attempt_report(AttemptKey::new(id, attempt), report)
             }
--- a/crates/proxy/src/broker/negative_cache.rs
+++ b/crates/proxy/src/broker/negative_cache.rs
@@ -1,7 +1,10 @@
 //! The negative cache in the request path: it may answer a read of a missing key at once, and a write needs a lease.
 
-use super::*;
+use super::request_log::Disposition;
+use super::Broker;
 use wharfplank_protocol::member_response::MemberResponse;
+use wharfplank_protocol::pipeline::FinalResponse;
+use wharfplank_routing::{Micros, RequestId};
 
 /// The Retry-After of a write that was rejected for lack of a lease, in milliseconds: a lease server answers within
 /// this time, or is down.
--- a/crates/proxy/src/broker/request_log.rs
+++ b/crates/proxy/src/broker/request_log.rs
@@ -1,7 +1,10 @@
 //! How requests end, for the counters, the debug log and the records.
 
-use super::request_table::AttemptOutcomeAt;
-use super::*;
+use super::request_table::{AttemptOutcomeAt, OpenRequest};
+use super::Broker;
+use crate::recording::{DecisionRecorder, RequestSummary};
+use crate::{activity_counts, log};
+use wharfplank_routing::{AttemptOutcome, HostId, RequestId};
 
 /// How a request was answered, as the counters name it.
 #[derive(Clone, Copy, PartialEq, Eq)]
--- a/crates/proxy/src/broker/request_table.rs
+++ b/crates/proxy/src/broker/request_table.rs
@@ -1,14 +1,16 @@
-//! The table of open requests, indexed by the router's request id, the connection's ticket and the client's id.
+//! The table of open requests, indexed by the router's request id, the client listener's request number and the
+//! client's id.
 
-use super::*;
 use std::collections::{HashMap, HashSet};
+use std::rc::Rc;
 use wharfplank_protocol::pipeline::RequestNumber;
+use wharfplank_routing::{AttemptOutcome, ClassId, GroupId, HostId, Micros, RequestId};
 use wharfplank_transport::client_connection::ResponseWriter;
 use wharfplank_transport::Statement;
 
 /// A request that has no final answer yet.
 pub(super) struct OpenRequest {
-    pub(super) ticket: RequestNumber,
+    pub(super) number: RequestNumber,
     /// The id that the client gave the request.
     pub(super) client_id: String,
     pub(super) statement: Rc<Statement>,
@@ -36,7 +38,7 @@
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, OpenRequest>,
-    ids_by_ticket: HashMap<RequestNumber, RequestId>,
+    ids_by_number: HashMap<RequestNumber, RequestId>,
     client_ids: HashSet<String>,
 }
 
@@ -48,14 +50,14 @@
 
     /// Adds a request whose client id has been reserved.
     pub(super) fn insert(&mut self, id: RequestId, request: OpenRequest) {
-        self.ids_by_ticket.insert(request.ticket, id);
+        self.ids_by_number.insert(request.number, id);
         self.requests.insert(id, request);
     }
 
     /// Removes a request from all indexes.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<OpenRequest> {
         let request = self.requests.remove(&id)?;
-        self.ids_by_ticket.remove(&request.ticket);
+        self.ids_by_number.remove(&request.number);
         self.client_ids.remove(&request.client_id);
         Some(request)
     }
@@ -72,8 +74,8 @@
         self.requests.contains_key(&id)
     }
 
-    pub(super) fn id_of(&self, ticket: RequestNumber) -> Option<RequestId> {
-        self.ids_by_ticket.get(&ticket).copied()
+    pub(super) fn id_of(&self, number: RequestNumber) -> Option<RequestId> {
+        self.ids_by_number.get(&number).copied()
     }
 
     pub(super) fn len(&self) -> usize {
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -1,10 +1,17 @@
 //! The life of a request, from its arrival to its one final answer.
 
-use super::*;
+use super::attempt_table::AttemptKey;
+use super::endpoint_table::fnv1a;
+use super::request_log::Disposition;
+use super::request_table::OpenRequest;
+use super::Broker;
 use wharfplank_admin::ReplyStatus;
-use wharfplank_protocol::pipeline::RequestNumber;
+use wharfplank_protocol::pipeline::{FinalResponse, RequestNumber};
 use wharfplank_protocol::request_comment::MAX_ID_BYTES;
-use wharfplank_routing::{Request, SessionKey};
+use wharfplank_routing::{
+    self as routing, AttemptOutcome, ClassId, GroupId, Micros, Request, RequestId, SessionKey,
+};
+use wharfplank_transport::member_pool::AttemptStage;
 use wharfplank_transport::ClientRequest;
 
 /// The client counts its wait from its own send: answers are due this much earlier here.
@@ -75,7 +82,7 @@
             &received.statement,
         );
         let open = OpenRequest {
-            ticket: received.number,
+            number: received.number,
             client_id: received.id,
             statement: received.statement,
             responses: received.response_writer,
@@ -107,8 +114,8 @@
     }
 
     /// A client cancelled a request, which its connection has answered: none of its attempts continues.
-    pub(super) fn on_request_cancelled(&mut self, ticket: RequestNumber) {
-        let Some(id) = self.requests.id_of(ticket) else { return };
+    pub(super) fn on_request_cancelled(&mut self, number: RequestNumber) {
+        let Some(id) = self.requests.id_of(number) else { return };
         self.count_request(id, Disposition::Failed, "cancelled");
         let attempts = self.finish(id, &FinalResponse::Cancelled).map_or(0, |request| request.attempts);
         let begun = match self.attempt_policy.may_cancel {
@@ -120,8 +127,8 @@
     }
 
     /// A client disconnected: its request needs no answer any more.
-    pub(super) fn on_client_disconnected(&mut self, ticket: RequestNumber) {
-        let Some(id) = self.requests.id_of(ticket) else { return };
+    pub(super) fn on_client_disconnected(&mut self, number: RequestNumber) {
+        let Some(id) = self.requests.id_of(number) else { return };
         self.note_abandoned_write(id);
         let attempts = self.close(id).map_or(0, |request| request.attempts);
         self.withdraw_attempts(id, attempts, BegunAttempts::Continue);
@@ -142,7 +149,7 @@
     pub(super) fn notice_client_left(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         if request.responses.is_disconnected() {
-            self.on_client_disconnected(request.ticket);
+            self.on_client_disconnected(request.number);
         }
     }
 
@@ -176,7 +183,7 @@
     /// Gives a request its one final answer.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         if let Some(request) = self.finish(id, &answer) {
-            request.responses.respond(request.ticket, answer);
+            request.responses.respond(request.number, answer);
         }
     }
 
@@ -196,12 +203,12 @@
     }
 }
 
-/// The router's id of a request: the ticket, which keeps equal ids of several clients apart, and the client's id.
-fn request_id(ticket: RequestNumber, client_id: &str) -> RequestId {
-    const TICKET_DIGITS: usize = 16;
+/// The router's id of a request: the request number, which keeps equal ids of several clients apart, and the client's id.
+fn request_id(number: RequestNumber, client_id: &str) -> RequestId {
+    const NUMBER_DIGITS: usize = 16;
     let mut bytes = [b'.'; 36];
-    bytes[..TICKET_DIGITS].copy_from_slice(format!("{:016x}", ticket.0).as_bytes());
+    bytes[..NUMBER_DIGITS].copy_from_slice(format!("{:016x}", number.0).as_bytes());
     let client_id = &client_id.as_bytes()[..client_id.len().min(MAX_ID_BYTES)];
-    bytes[TICKET_DIGITS..TICKET_DIGITS + client_id.len()].copy_from_slice(client_id);
+    bytes[NUMBER_DIGITS..NUMBER_DIGITS + client_id.len()].copy_from_slice(client_id);
     RequestId(bytes)
 }
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -1,6 +1,13 @@
 //! Delivers events to the router and carries out the actions that it returns.
 
-use super::*;
+use super::attempt_table::{AttemptKey, FinishedAttempt};
+use super::request_log::Disposition;
+use super::Broker;
+use crate::activity_counts;
+use crate::recording::record_reason;
+use wharfplank_protocol::pipeline::FinalResponse;
+use wharfplank_routing::{self as routing, Action, AttemptOutcome, Micros, RequestId};
+use wharfplank_transport::member_pool::AttemptReport;
 
 impl Broker {
     /// Delivers an event to the router, carries out its actions, and reports the attempts that end by these at once.
--- a/crates/proxy/src/broker/shutdown.rs
+++ b/crates/proxy/src/broker/shutdown.rs
@@ -1,7 +1,10 @@
 //! Graceful shutdown: after SIGTERM clients are drained, the listener closes, and what is still open then is given up.
 
+use super::attempt_table::InFlightAttempt;
 use super::shutdown_timing::{give_up_delay, CLOSE_LISTENER_AFTER, FINAL_WRITE_TIME};
-use super::*;
+use super::Broker;
+use wharfplank_routing::{self as routing, AttemptOutcome, Micros};
+use wharfplank_transport::member_pool::AttemptStage;
 
 /// How often the end of the last connections and streams is checked once the listener is closed.
 const EXIT_CHECK_INTERVAL: Micros = FINAL_WRITE_TIME / 4;
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -1,8 +1,16 @@
 //! Streaming responses: answers whose first bytes are passed on to the client while the rest still arrives.
 
-use super::*;
+use super::attempt_table::{AttemptKey, InFlightAttempt};
+use super::request_log::Disposition;
+use super::Broker;
+use crate::activity_counts;
 use std::collections::HashMap;
-use wharfplank_routing::{Class, Consistency, PeerObservation, Settings};
+use wharfplank_protocol::pipeline::FinalResponse;
+use wharfplank_routing::{
+    self as routing, AttemptOutcome, AttemptResult, Class, ClassId, Consistency, HostId, Micros,
+    PeerObservation, RequestId, Settings,
+};
+use wharfplank_transport::member_pool::AttemptReport;
 
 /// An attempt whose answer is being streamed.
 struct StreamingAttempt {
@@ -56,7 +64,7 @@
         let Some(attempt) = self.attempts.remove(key) else { return };
         let request = self.requests.get(key.request);
         if let Some((request, flow)) = request.zip(report.stream.take()) {
-            request.responses.begin_stream(request.ticket, flow);
+            request.responses.begin_stream(request.number, flow);
         }
         let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
         let request = self.requests.get(key.request);
