--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -49,7 +49,7 @@
 use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::discovery::DiscoveryWatch;
-use wharfplank_transport::fleet::Witness;
+use wharfplank_transport::gossip::GossipHandle;
 use wharfplank_transport::member_pool::PoolContext;
 use wharfplank_transport::ProxyEvent;
 
@@ -132,8 +132,8 @@
     }
 
     /// Reports what members do to the gossip thread from now on.
-    pub fn enable_gossip(&mut self, witness: Witness) {
-        self.gossip.connect(witness);
+    pub fn enable_gossip(&mut self, handle: GossipHandle) {
+        self.gossip.connect(handle);
     }
 
     /// Reports the state of members to the rollout service from now on.
@@ -214,12 +214,12 @@
                 self.on_stream_finished(AttemptKey::new(id, attempt), report)
             }
             ProxyEvent::ProbeFinished { host, report } => self.on_health_check_result(host, report),
-            ProxyEvent::PeerNews(updates) => {
+            ProxyEvent::StateUpdates(updates) => {
                 let observations =
                     self.gossip.peer_observations(&updates, self.clock.now() + MAX_POSITION_AHEAD);
                 self.notify_router(routing::Event::PeerObservations(observations));
             }
-            ProxyEvent::EndpointsChanged(event, staleness) => self.on_watch_event(event, staleness),
+            ProxyEvent::EndpointsChanged { event, staleness } => self.on_watch_event(event, staleness),
             ProxyEvent::ZoneShares(shares) => {
                 let shares = shares.iter().map(|(zone, share)| (zone_id(zone), *share)).collect();
                 self.notify_router(routing::Event::ZoneReadShares(shares));
--- a/crates/proxy/src/gossip_client/mod.rs
+++ b/crates/proxy/src/gossip_client/mod.rs
@@ -19,12 +19,12 @@
     AttemptOutcome, Class, ClassId, HostId, Idempotency, Micros, PeerObservation, RequestId,
 };
 use wharfplank_shared_state::{hash_name, MemberStatus, StateUpdate, WriteOutcome};
-use wharfplank_transport::fleet::{Seen, Witness};
+use wharfplank_transport::gossip::{GossipHandle, MemberContact};
 
 /// Reports to the gossip thread, and reads what it has received.
 pub struct GossipClient {
     /// The gossip thread's inbox, where the settings name peers.
-    thread: Option<Witness>,
+    thread: Option<GossipHandle>,
     members: MemberIndex,
     /// Members that this proxy has reported as suspected.
     reported_suspects: HashSet<HostId>,
@@ -49,7 +49,7 @@
     }
 
     /// Reports to this gossip thread from now on.
-    pub fn connect(&mut self, thread: Witness) {
+    pub fn connect(&mut self, thread: GossipHandle) {
         self.thread = Some(thread);
     }
 
@@ -57,7 +57,7 @@
     pub fn update_member(&mut self, host: HostId, record: &EndpointRecord) {
         let Some(thread) = &self.thread else { return };
         let key = hash_name(&record.name);
-        thread.listed(key, &record.name, &record.zone, record.started_at_ms);
+        thread.on_endpoint_listed(key, &record.name, &record.zone, record.started_at_ms);
         self.members.insert(host, key, record);
     }
 
@@ -65,7 +65,7 @@
     pub fn retain_members(&mut self, is_known: impl Fn(&HostId) -> bool) {
         self.members.retain(is_known);
         if let Some(thread) = &self.thread {
-            thread.retain(self.members.keys());
+            thread.retain_members(self.members.keys());
         }
     }
 
@@ -81,16 +81,16 @@
     ) {
         let (Some(thread), Some(member)) = (&self.thread, self.members.get(host)) else { return };
         let outcome = match outcome {
-            AttemptOutcome::Ok => Outcome::Answered { class: class.0, took: now - sent_at },
-            AttemptOutcome::Error => Outcome::Failed,
-            AttemptOutcome::Overloaded => Outcome::Refused,
-            AttemptOutcome::ConnectFailed | AttemptOutcome::Timeout => Outcome::Silent,
+            AttemptOutcome::Ok => Outcome::Answered { class: class.0, latency: now - sent_at },
+            AttemptOutcome::Error => Outcome::Error,
+            AttemptOutcome::Overloaded => Outcome::Rejected,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Timeout => Outcome::Unreachable,
             AttemptOutcome::Misrouted
             | AttemptOutcome::Reset
             | AttemptOutcome::Cancelled
             | AttemptOutcome::NotSent => return,
         };
-        thread.outcome(now, member.key, outcome);
+        thread.record_request_outcome(now, member.key, outcome);
     }
 
     /// Reports whether a member answered what it was sent at `sent_at`, for the failover of its zone. Any answer shows
@@ -106,15 +106,15 @@
             AttemptOutcome::Reset | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return,
         };
         let zone = Arc::clone(&member.zone);
-        thread.saw(Seen { zone, member: host.0, sent: sent_at, answered });
+        thread.record_contact(MemberContact { zone, member: host.0, sent_at, answered });
     }
 
     /// Reports a log position that a member stated itself, and its replication lag.
     pub fn report_position(&self, now: Micros, host: HostId, position: Option<Micros>) {
         let (Some(thread), Some(member)) = (&self.thread, self.members.get(host)) else { return };
         if let Some(position) = position {
-            thread.position(now, member.key, member.started_at_ms, position);
-            thread.lags(now, member.key, now - position);
+            thread.record_position(now, member.key, member.started_at_ms, position);
+            thread.record_lag(now, member.key, now - position);
         }
     }
 
@@ -128,7 +128,7 @@
                 true => MemberStatus::Suspected,
                 false => MemberStatus::Alive,
             };
-            thread.suspects(now, member.key, status);
+            thread.record_member_status(now, member.key, status);
         }
         self.reported_suspects = suspects;
     }
@@ -141,7 +141,7 @@
             FinalResponse::Rejected { .. } => REFUSED,
             FinalResponse::Failed | FinalResponse::Cancelled | FinalResponse::Malformed(_) => FAILED,
         };
-        thread.count(now, counter);
+        thread.increment_counter(now, counter);
     }
 
     /// The latency factors of members, by the router's ids instead of the keys that proxies share.
@@ -186,7 +186,7 @@
     /// until just now, and the client may have sent the request to another proxy meanwhile.
     pub fn may_have_run(&self, now: Micros, client_id: &str) -> bool {
         let Some(thread) = &self.thread else { return false };
-        self.stalls.has_just_resumed(now) || thread.in_doubt(now, hash_name(client_id))
+        self.stalls.has_just_resumed(now) || thread.is_in_doubt(now, hash_name(client_id))
     }
 
     /// A request has failed after this number of attempts: one that is not idempotent may have run.
@@ -219,7 +219,7 @@
 
     fn report_write(&self, now: Micros, write: u64, outcome: WriteOutcome) {
         if let Some(thread) = &self.thread {
-            thread.doubt(now, write, outcome);
+            thread.record_write_outcome(now, write, outcome);
         }
     }
 }
