--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -12,7 +12,7 @@
 use wharfplank_rollout::status::rollout_name;
 use wharfplank_rollout::ServiceEvent;
 use wharfplank_routing::{ClassId, GroupId, HostId, MemberView, Micros, RejectReason};
-use wharfplank_settings::Records;
+use wharfplank_settings::RecordSettings;
 
 const MICROS_PER_DAY: Micros = 86_400_000_000;
 /// Latency relative to the usual one is recorded in hundredths.
@@ -62,7 +62,11 @@
 
 impl DecisionRecorder {
     /// Starts the recorder that the settings ask for, and records the zone and the classes of this process.
-    pub fn start(settings: Option<&Records>, config: &Config, clock: Clock) -> Result<Self, StartError> {
+    pub fn start(
+        settings: Option<&RecordSettings>,
+        config: &Config,
+        clock: Clock,
+    ) -> Result<Self, StartError> {
         let latency_objectives: Vec<Micros> =
             config.settings.classes.iter().map(|class| class.latency_objective).collect();
         let recorder = settings.map(|settings| start_recorder(settings, clock)).transpose()?;
@@ -192,7 +196,7 @@
     pub fn record_rollout_action(&self, event: &ServiceEvent, names: &BTreeMap<u64, String>) {
         let ServiceEvent::Action(rollout, action) = event else { return };
         self.record(|| {
-            let (what, member, detail) = log::words(names, action);
+            let (what, member, detail) = log::describe_action(names, action);
             Record::Release {
                 release: rollout_name(*rollout),
                 what: what.to_string(),
@@ -208,12 +212,12 @@
     }
 }
 
-fn start_recorder(settings: &Records, clock: Clock) -> Result<Recorder, StartError> {
+fn start_recorder(settings: &RecordSettings, clock: Clock) -> Result<Recorder, StartError> {
     let days = |days: u32| Micros::from(days) * MICROS_PER_DAY;
     let terms = Terms {
         directory: settings.directory.clone(),
         proxy: settings.proxy.clone(),
-        queue: settings.queue,
+        queue: settings.queue_capacity,
         flush: Duration::from_millis(settings.flush_ms),
         limits: Limits {
             bytes: settings.max_megabytes << 20,
@@ -221,7 +225,7 @@
             sums: days(settings.keep_sums_days),
         },
     };
-    Recorder::start(terms, move || clock.now(), log::records)
+    Recorder::start(terms, move || clock.now(), log::recorder_fault)
         .map_err(StartError::component_start(Component::Records))
 }
 
