--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -1,8 +1,11 @@
 //! Health checks of members: starting them, and reading their load reports.
 
-use super::*;
+use super::{Broker, MAX_POSITION_AHEAD};
+use std::rc::Rc;
+use std::time::Duration;
 use wharfplank_protocol::load_report::{self, ReportValue};
-use wharfplank_routing::ProbeResult;
+use wharfplank_routing::{self as routing, AttemptOutcome, HostId, Micros, ProbeResult, Role};
+use wharfplank_transport::ProxyEvent;
 
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
@@ -14,7 +17,7 @@
     pub(super) fn start_health_check(&mut self, host: HostId) {
         let Some(member) = self.endpoints.members.get(&host) else { return };
         let budgets = self.pools.budgets.as_ref();
-        if budgets.is_some_and(|budgets| !budgets.probe(member.name())) {
+        if budgets.is_some_and(|budgets| !budgets.try_spend_health_check(member.name())) {
             return self.budget_denials.push_health_check(host);
         }
         let member = Rc::clone(member);
--- a/crates/proxy/src/broker/maintenance.rs
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -1,9 +1,11 @@
 //! Work that is due by the clock: the router's timers, and the maintenance of pools, logs and records each second.
 
-use super::*;
+use super::Broker;
+use crate::log;
 use crate::rollout::MemberObservations;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
+use wharfplank_routing::{self as routing, HostId, Micros, Router};
 
 /// The interval of the maintenance.
 const MAINTENANCE_INTERVAL: Micros = 1_000_000;
@@ -82,7 +84,7 @@
     fn log_counts(&mut self, now: Micros) {
         self.counts.add("connections", "open", "", self.pools.open_connections.get() as u64);
         if let Some(counts) = self.counts.take_text() {
-            log::counts(now as u64 / 1000, &counts);
+            log::activity_counts(now as u64 / 1000, &counts);
         }
     }
 
--- a/crates/proxy/src/gossip_client/mod.rs
+++ b/crates/proxy/src/gossip_client/mod.rs
@@ -6,7 +6,7 @@
 mod member_index;
 mod stall_detector;
 
-use super::fleet::{FAILED, REFUSED, SERVED};
+use super::gossip::FleetCounter;
 use abandoned_writes::AbandonedWrites;
 use member_index::MemberIndex;
 use stall_detector::StallDetector;
@@ -137,11 +137,13 @@
     pub fn count_answer(&self, now: Micros, answer: &FinalResponse) {
         let Some(thread) = &self.thread else { return };
         let counter = match answer {
-            FinalResponse::Served(_) => SERVED,
-            FinalResponse::Rejected { .. } => REFUSED,
-            FinalResponse::Failed | FinalResponse::Cancelled | FinalResponse::Malformed(_) => FAILED,
+            FinalResponse::Served(_) => FleetCounter::Served,
+            FinalResponse::Rejected { .. } => FleetCounter::Rejected,
+            FinalResponse::Failed | FinalResponse::Cancelled | FinalResponse::Malformed(_) => {
+                FleetCounter::Failed
+            }
         };
-        thread.increment_counter(now, counter);
+        thread.increment_counter(now, counter.id());
     }
 
     /// The latency factors of members, by the router's ids instead of the keys that proxies share.
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -10,7 +10,7 @@
 use crate::missing::Lookups;
 use crate::recording::DecisionRecorder;
 use crate::rollout::RolloutReporter;
-use crate::{budgets, fleet, log};
+use crate::{budgets, gossip, log};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use descriptors::connection_limits;
@@ -116,7 +116,7 @@
             clock,
             now: Rc::new(move || clock.now()),
             events,
-            on_connection_end: Rc::new(log::ended),
+            on_connection_end: Rc::new(log::connection_ended),
         }
     }
 
@@ -140,7 +140,7 @@
             max_connections_per_member: (limits.members / 4).max(1),
             open_connections: Cell::new(0),
             memory_budget: MemoryBudget::new(config.max_memory_bytes / LARGE_MESSAGE_FRACTION),
-            allow_empty_result: self.settings.missing.is_some(),
+            allow_empty_result: self.settings.negative_cache.is_some(),
             liveness_check_after: Cell::new(member_pool::CHECK_AFTER),
             now: Rc::clone(&self.now),
             metrics: Metrics::new(&config.terms.class_names),
@@ -174,29 +174,22 @@
     /// Starts gossip between proxies only where the settings ask for it: the platform's days forbid it. The returned task
     /// ends once this process has announced that it leaves.
     fn start_gossip(&self, config: &Config, broker: &mut Broker) -> Result<Option<Task<()>>, StartError> {
-        let Some(peers) = &self.settings.peers else { return Ok(None) };
-        let (handle, ended) = fleet::start(
-            peers,
-            self.settings.replica.as_ref(),
-            self.settings.health.is_some(),
-            config,
-            self.clock,
-            self.events.clone(),
-            &self.executor,
-        )?;
+        let Some(peers) = &self.settings.gossip else { return Ok(None) };
+        let (handle, ended) =
+            gossip::start(peers, self.settings, config, self.clock, self.events.clone(), &self.executor)?;
         broker.enable_gossip(handle);
         Ok(Some(ended))
     }
 
     fn start_negative_cache(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
-        if let Some(settings) = &self.settings.missing {
+        if let Some(settings) = &self.settings.negative_cache {
             broker.enable_negative_cache(Lookups::start(settings, config, self.clock, &self.executor)?);
         }
         Ok(())
     }
 
     fn start_rollout(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
-        if let Some(settings) = &self.settings.release {
+        if let Some(settings) = &self.settings.rollout {
             broker.enable_rollout(RolloutReporter::start(settings, config, self.clock)?);
         }
         Ok(())
@@ -206,7 +199,7 @@
     fn serve_admin(&self, socket: Option<AdminSocket>) -> Receiver<AdminCall> {
         let (calls, queue) = async_channel::bounded(ADMIN_QUEUE);
         if let Some(socket) = socket {
-            log::admin(socket.local_address());
+            log::admin_listening(socket.local_address());
             let admin = AdminListener::new(Rc::clone(&self.executor), calls);
             self.executor.spawn(admin.accept_connections(socket.listener)).detach();
         }
