--- a/crates/discovery/tests/subscription.rs
+++ b/crates/discovery/tests/subscription.rs
@@ -47,8 +47,7 @@
 
 /// How many proxies are subscribed after this many seconds, and the service.
 fn play(schedule: impl Fn(u64) -> PollSchedule, seconds: i64) -> (usize, Service) {
-    let known =
-        br#"{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}"#;
+    let known = br#"{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}"#;
     let known = parse(known).unwrap();
     let mut service = Service::default();
     let mut subscribed = [false; PROXIES];
