--- a/crates/failover/tests/fleet.rs
+++ b/crates/failover/tests/fleet.rs
@@ -1,12 +1,15 @@
-//! Many proxies in virtual time, each with its own membership (the real `Peers` on a modelled wire) and its own
+//! Many proxies in virtual time, each with its own membership (the real `Membership` on a modelled network) and its own
 //! decision, and members whose zone is lost: how many proxies hold the same decision how soon, against the same
 //! fleet in which each decides alone. Counts only; no clock of the machine is read.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use wharfplank_failover::{decode, encode, Alone, Standing, Terms, Zones, TOPIC};
-use wharfplank_gossip::net::{Net, Wire};
-use wharfplank_gossip::{Micros, Terms as PeerTerms};
+use wharfplank_failover::{
+    decode_votes, encode_votes, FailoverController, FailoverTerms, IsolationPolicy, MemberOutcome,
+    VoteVersion, ZoneState, TOPIC,
+};
+use wharfplank_gossip::simulation::{LinkFaults, SimulatedNetwork};
+use wharfplank_gossip::{Micros, SwimConfig};
 
 const MS: Micros = 1_000;
 const STEP: Micros = 10 * MS;
@@ -19,10 +22,19 @@
 const SILENT_AFTER: Micros = 250 * MS;
 const ANSWER_AFTER: Micros = 40 * MS;
 
+/// A request to a member, and how it will end.
+struct Pending {
+    ends_at: Micros,
+    zone: String,
+    member: u32,
+    outcome: MemberOutcome,
+}
+
 struct Fleet {
-    net: Net,
-    zones: Vec<Zones>,
-    pending: Vec<Vec<(Micros, String, u32, bool)>>,
+    network: SimulatedNetwork,
+    controllers: Vec<FailoverController>,
+    /// What each proxy sent and is not answered yet.
+    pending: Vec<Vec<Pending>>,
     rng: SmallRng,
 }
 
@@ -31,83 +43,101 @@
 }
 
 impl Fleet {
-    fn new(n: usize, together: bool, wire: Wire, seed: u64) -> Fleet {
-        let mut net =
-            Net::new(n, &ZONES, PeerTerms { expected: n as u32, ..PeerTerms::default() }, wire, seed);
+    fn new(n: usize, together: bool, faults: LinkFaults, seed: u64) -> Fleet {
+        let mut network = SimulatedNetwork::new(
+            n,
+            &ZONES,
+            SwimConfig { expected_proxies: n as u32, ..SwimConfig::default() },
+            faults,
+            seed,
+        );
         if !together {
             let all: Vec<usize> = (0..n).collect();
             for a in &all {
                 for b in &all {
-                    net.cut.insert((*a, *b));
+                    network.blocked.insert((*a, *b));
                 }
             }
         }
-        let alone = if together { Alone::Serve } else { Alone::Own };
-        let zones = (0..n).map(|_| Zones::new(Terms::default(), alone)).collect();
-        Fleet { net, zones, pending: vec![Vec::new(); n], rng: SmallRng::seed_from_u64(seed) }
+        let isolation = if together { IsolationPolicy::KeepServing } else { IsolationPolicy::FollowOwnVote };
+        let controllers =
+            (0..n).map(|_| FailoverController::new(FailoverTerms::default(), isolation)).collect();
+        let pending = (0..n).map(|_| Vec::new()).collect();
+        Fleet { network, controllers, pending, rng: SmallRng::seed_from_u64(seed) }
     }
 
     /// One step of 10 ms: sends, their outcomes, notes in and out, decisions.
     fn step(&mut self, lost: Option<&str>) {
-        let now = self.net.now + STEP;
-        self.net.run(now, STEP);
-        for i in 0..self.zones.len() {
-            let near = self.net.nodes[i].zone.clone();
+        let now = self.network.now + STEP;
+        self.network.run(now, STEP);
+        for i in 0..self.controllers.len() {
+            let near = self.network.proxies[i].zone.clone();
             for zone in ZONES {
-                let share = self.zones[i].share(zone, now);
+                let share = self.controllers[i].read_share(zone, now);
                 let reads = if zone == near { NEAR } else { 0.0 } * share;
                 let rate = reads + FAR;
                 if self.rng.random::<f64>() < rate * STEP as f64 / 1e6 {
                     let member = self.rng.random_range(0..MEMBERS);
                     let silent = lost == Some(zone);
-                    let at = now + if silent { SILENT_AFTER } else { ANSWER_AFTER };
-                    self.pending[i].push((at, zone.to_string(), member, !silent));
+                    let (outcome, ends_at) = if silent {
+                        (MemberOutcome::Silent, now + SILENT_AFTER)
+                    } else {
+                        (MemberOutcome::Answered, now + ANSWER_AFTER)
+                    };
+                    self.pending[i].push(Pending { ends_at, zone: zone.to_string(), member, outcome });
                 }
             }
-            let (due, later): (Vec<_>, Vec<_>) = self.pending[i].drain(..).partition(|(at, ..)| *at <= now);
+            let (due, later): (Vec<_>, Vec<_>) =
+                self.pending[i].drain(..).partition(|sent| sent.ends_at <= now);
             self.pending[i] = later;
-            for (at, zone, member, answered) in due {
-                self.zones[i].observe(at, &zone, member, answered);
+            for sent in due {
+                self.controllers[i].record(sent.ends_at, &sent.zone, sent.member, sent.outcome);
             }
-            let Some(peers) = self.net.nodes[i].peers.as_mut() else { continue };
-            let alive: Vec<u64> = peers.alive().map(|p| key(p.addr)).collect();
-            let notes: Vec<_> = peers
-                .board()
-                .topic(TOPIC)
-                .map(|n| (key(n.origin), (n.generation, n.version), n.body.clone()))
+            let Some(membership) = self.network.proxies[i].membership.as_mut() else { continue };
+            let alive: Vec<u64> = membership.live_peers().map(|peer| key(peer.addr)).collect();
+            let notes: Vec<_> = membership
+                .notes()
+                .by_topic(TOPIC)
+                .map(|note| {
+                    let version = VoteVersion { generation: note.generation, version: note.version };
+                    (key(note.origin), version, note.body.clone())
+                })
                 .collect();
-            let me = key(peers.me().addr);
-            for (from, note, body) in notes.into_iter().filter(|(from, ..)| *from != me) {
-                if let Some(opinions) = decode(&body) {
-                    self.zones[i].heard(now, from, note, &opinions);
+            let me = key(membership.local_peer().addr);
+            for (from, version, body) in notes.into_iter().filter(|(from, ..)| *from != me) {
+                if let Ok(votes) = decode_votes(&body) {
+                    self.controllers[i].on_peer_votes(now, from, version, &votes);
                 }
             }
-            self.zones[i].alive(now, alive.into_iter());
-            if let Some(opinions) = self.zones[i].to_publish(now) {
-                peers.publish(TOPIC, encode(&opinions));
+            self.controllers[i].set_live_peers(now, alive.into_iter());
+            if let Some(votes) = self.controllers[i].votes_to_publish(now) {
+                membership.publish(TOPIC, encode_votes(&votes)).unwrap();
             }
-            self.zones[i].decide(now);
+            self.controllers[i].evaluate(now);
         }
     }
 
     /// The part of the proxies that hold the decision that most hold.
-    fn agree(&self, zone: &str) -> f64 {
-        let left = self.left(zone);
-        left.max(1.0 - left)
+    fn agreeing_part(&self, zone: &str) -> f64 {
+        let evacuated = self.evacuated_part(zone);
+        evacuated.max(1.0 - evacuated)
     }
 
-    fn left(&self, zone: &str) -> f64 {
-        let left = self.zones.iter().filter(|z| matches!(z.standing(zone), Standing::Left { .. })).count();
-        left as f64 / self.zones.len() as f64
+    /// The part of the proxies that have evacuated a zone.
+    fn evacuated_part(&self, zone: &str) -> f64 {
+        let is_evacuated =
+            |failover: &&FailoverController| matches!(failover.zone_state(zone), ZoneState::Evacuated { .. });
+        self.controllers.iter().filter(is_evacuated).count() as f64 / self.controllers.len() as f64
     }
 }
 
-/// The part of the proxies that have left the lost zone, and that hold the same decision, 1, 2 and 5 s after it is
+/// The part of the proxies that have evacuated the lost zone, and that hold the same decision, 1, 2 and 5 s after it is
 /// lost.
-fn agreement(n: usize, together: bool, wire: Wire, seed: u64) -> ([f64; 3], [f64; 3]) {
-    let mut fleet = Fleet::new(n, together, wire, seed);
+fn agreement(n: usize, together: bool, faults: LinkFaults, seed: u64) -> ([f64; 3], [f64; 3]) {
+    let mut fleet = Fleet::new(n, together, faults, seed);
     (0..300).for_each(|_| fleet.step(None));
-    let (mut left, mut same) = ([0.0; 3], [0.0; 3]);
+    let mut left = [0.0; 3];
+    let mut same = [0.0; 3];
     for step in 1..=500 {
         fleet.step(Some("isando"));
         let at = match step {
@@ -116,16 +146,17 @@
             500 => 2,
             _ => continue,
         };
-        (left[at], same[at]) = (fleet.left("isando"), fleet.agree("isando"));
+        left[at] = fleet.evacuated_part("isando");
+        same[at] = fleet.agreeing_part("isando");
     }
     (left, same)
 }
 
 #[test]
-fn proxies_that_hear_each_other_leave_a_lost_zone_together_within_two_seconds() {
+fn proxies_that_reach_each_other_evacuate_a_lost_zone_together_within_two_seconds() {
     for seed in [3, 4] {
-        let (together, same) = agreement(30, true, Wire::default(), seed);
-        let (alone, alone_same) = agreement(30, false, Wire::default(), seed);
+        let (together, same) = agreement(30, true, LinkFaults::default(), seed);
+        let (alone, alone_same) = agreement(30, false, LinkFaults::default(), seed);
         println!(
             "seed {seed}, 30 proxies, at 1, 2, 5 s: left together {together:.2?}, the same {same:.2?}; \
              left alone {alone:.2?}, the same {alone_same:.2?}"
@@ -136,22 +167,22 @@
 }
 
 #[test]
-fn under_loss_and_reordering_between_proxies_they_still_agree() {
-    let wire = Wire { loss: 0.2, duplicate: 0.1, delay: MS, jitter: 5 * MS };
-    let (seen, _) = agreement(30, true, wire, 5);
+fn proxies_still_agree_under_loss_and_reordering_between_them() {
+    let faults = LinkFaults { loss: 0.2, duplicate: 0.1, delay: MS, jitter: 5 * MS };
+    let (seen, _) = agreement(30, true, faults, 5);
     println!("left the lost zone at 1, 2, 5 s under 20% loss: {seen:.2?}");
     assert!(seen[2] >= 0.95, "only {:.2} had left after 5 s", seen[2]);
 }
 
 #[test]
-fn a_healthy_zone_is_never_left() {
-    let mut fleet = Fleet::new(30, true, Wire { loss: 0.2, ..Wire::default() }, 9);
+fn a_healthy_zone_is_never_evacuated() {
+    let mut fleet = Fleet::new(30, true, LinkFaults { loss: 0.2, ..LinkFaults::default() }, 9);
     for _ in 0..1_000 {
         fleet.step(None);
         assert!(
-            ZONES.iter().all(|z| fleet.left(z) == 0.0),
+            ZONES.iter().all(|z| fleet.evacuated_part(z) == 0.0),
             "a healthy zone was left at {} µs",
-            fleet.net.now
+            fleet.network.now
         );
     }
 }
--- a/crates/fleet-harness/src/proxies.rs
+++ b/crates/fleet-harness/src/proxies.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{channel, Receiver};
 use wharfplank_lab::fleet::CLASSES;
-use wharfplank_shared_state::{named, Replica, Terms};
+use wharfplank_shared_state::{hash_name, MemberStatus, SharedState, SharedStateConfig};
 
 /// What a proxy's log said that the rig must know at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,12 +65,12 @@
     /// ahead, as none of them is.
     pub fn age_snapshot(&self, now: i64) -> std::io::Result<()> {
         let hour = 3_600_000_000;
-        let mut old = Replica::new(0, Terms::default(), 0, now - hour);
+        let mut old = SharedState::new(0, SharedStateConfig::default(), 0, now - hour);
         for name in self.known.get("hosts").and_then(Value::as_array).into_iter().flatten() {
             let name = name.get("host").and_then(Value::as_str).unwrap_or_default();
-            let member = named(name);
-            old.suspects(now - hour, member, true);
-            old.position(now - hour, member, 0, now + hour);
+            let member = hash_name(name);
+            old.record_member_status(now - hour, member, MemberStatus::Suspected);
+            old.record_position(now - hour, member, 0, now + hour);
         }
         std::fs::write(self.file("replica"), old.snapshot(now - hour))
     }
@@ -132,7 +132,7 @@
 impl Drop for Proxy {
     fn drop(&mut self) {
         if self.paused {
-            let _ = kill_process(Pid::from_child(&self.child), Signal::CONT);
+            self.send(Signal::CONT);
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -166,14 +166,25 @@
         Ok(Proxy { child, heard, paused: false })
     }
 
-    /// Pauses or resumes it.
-    pub fn pause(&mut self, pause: bool) {
-        let signal = if pause { Signal::STOP } else { Signal::CONT };
-        if kill_process(Pid::from_child(&self.child), signal).is_ok() {
-            self.paused = pause;
+    /// Stops its process until it is resumed.
+    pub fn pause(&mut self) {
+        if self.send(Signal::STOP) {
+            self.paused = true;
         }
     }
 
+    /// Lets its process go on.
+    pub fn resume(&mut self) {
+        if self.send(Signal::CONT) {
+            self.paused = false;
+        }
+    }
+
+    /// Whether a signal could be sent to its process.
+    fn send(&self, signal: Signal) -> bool {
+        kill_process(Pid::from_child(&self.child), signal).is_ok()
+    }
+
     /// Whether it has ended, and how.
     pub fn ended(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
@@ -181,8 +192,8 @@
 
     /// Asks it to end (SIGTERM), and kills it if it has not after `most`.
     pub fn end(mut self, most: std::time::Duration) -> Result<(), String> {
-        self.pause(false);
-        let _ = kill_process(Pid::from_child(&self.child), Signal::TERM);
+        self.resume();
+        self.send(Signal::TERM);
         let end = std::time::Instant::now() + most;
         while std::time::Instant::now() < end {
             if let Ok(Some(status)) = self.child.try_wait() {
--- a/crates/fleet-harness/src/relay/links.rs
+++ b/crates/fleet-harness/src/relay/links.rs
@@ -1,15 +1,17 @@
 //! The connections between proxies and members.
 
+use crate::schedule::ZONES;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_lab::stand::Stand;
-use wharfplank_protocol::comment;
+use wharfplank_protocol::request_comment;
 
 /// Bytes between a proxy and a member of another zone take this much longer each way, as between data centres.
 const FAR: Duration = Duration::from_millis(2);
@@ -50,19 +52,31 @@
     pub ways: RefCell<BTreeMap<Way, u64>>,
 }
 
+/// The address and the zone of each member.
+fn member_addresses(stand: &Stand) -> Vec<(SocketAddr, &'static str)> {
+    let list = stand.list();
+    let hosts = list.get("hosts").and_then(Value::as_array).cloned().unwrap_or_default();
+    let zone_of = |site: &str| ZONES.into_iter().find(|zone| *zone == site).unwrap_or(ZONES[0]);
+    let address = |host: &Value| {
+        let addr = host.get("dial")?.as_str()?.parse().ok()?;
+        Some((addr, zone_of(host.get("site")?.as_str()?)))
+    };
+    hosts.iter().filter_map(address).collect()
+}
+
 impl Links {
-    /// Listeners for each proxy and member, leading to `members`.
+    /// Listeners for each proxy and member, leading to the members of the stand.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         stand: &Rc<Stand>,
-        members: &[(SocketAddr, &'static str)],
         proxy_zones: Vec<&'static str>,
     ) -> std::io::Result<Rc<Links>> {
+        let members = member_addresses(stand);
         let mut dials = Vec::new();
         let mut listeners = Vec::new();
         for _ in &proxy_zones {
             let mut row = Vec::new();
-            for _ in members {
+            for _ in &members {
                 let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
                 row.push(listener.get_ref().local_addr()?);
                 listeners.push(listener);
@@ -200,7 +214,8 @@
                 let text = String::from_utf8_lossy(&self.bytes[head..whole]);
                 let text = text.trim_end_matches('\0');
                 let names = wharfplank_lab::fleet::CLASSES.iter().map(|c| c.name);
-                let class = comment::read(text).ok().and_then(|c| names.clone().position(|n| n == c.class));
+                let class =
+                    request_comment::parse(text).ok().and_then(|c| names.clone().position(|n| n == c.class));
                 classes.extend(class);
             }
             self.started = true;
--- /dev/null
+++ b/crates/proxy/src/log/gossip.rs
@@ -0,0 +1,101 @@
+//! Log lines of gossip between proxies.
+
+use crate::gossip::FleetCounter;
+use std::net::SocketAddrV4;
+use tracing::{error, info, warn};
+use wharfplank_failover::ZoneState;
+use wharfplank_gossip::MembershipEvent;
+use wharfplank_transport::gossip::GossipLogEvent;
+
+/// The gossip socket is bound; other proxies send to `advertise`.
+pub fn gossip_started(listen: SocketAddrV4, advertise: SocketAddrV4) {
+    info!(listen = %listen, advertise = %advertise, "peers_started");
+}
+
+/// What the gossip thread did.
+pub fn gossip_event(event: GossipLogEvent<'_>) {
+    match event {
+        GossipLogEvent::Started(me) => {
+            info!(addr = %me.addr, zone = me.zone.as_str(), generation = me.generation, "peer_me")
+        }
+        GossipLogEvent::PeerChanged(change) => {
+            let (how, peer) = match change {
+                MembershipEvent::Up(peer) => ("up", peer),
+                MembershipEvent::Down(peer) => ("down", peer),
+                MembershipEvent::Rejoined(peer) => ("renewed", peer),
+            };
+            info!(change = how, addr = %peer.addr, zone = peer.zone.as_str(), generation = peer.generation, "peer");
+        }
+        GossipLogEvent::ZoneChanged { zone, state, share, live_peers, is_isolated } => {
+            let (standing, since) = match state {
+                ZoneState::InService => ("served", 0),
+                ZoneState::Evacuated { since } => ("left", since / 1000),
+                ZoneState::Recovering { since } => ("returning", since / 1000),
+            };
+            let share = format!("{share:.2}");
+            info!(
+                zone,
+                standing,
+                since_ms = since,
+                share = share.as_str(),
+                alive = live_peers as u64,
+                alone = is_isolated,
+                "zone"
+            );
+        }
+        GossipLogEvent::MemberHealthChanged { name, verdict, score, observers } => {
+            let (verdict, score) = (verdict.to_string(), format!("{:.2}", score.unwrap_or(0.0)));
+            let (verdict, score) = (verdict.as_str(), score.as_str());
+            info!(name, verdict, score, voices = observers as u64, "member_health");
+        }
+        GossipLogEvent::SharedStateChanged(state) => {
+            let (store, stats) = (state.store(), state.stats);
+            let digest = format!("{:016x}", store.digest());
+            let total = |counter: FleetCounter| state.counter_total(counter.id());
+            info!(
+                digest = digest.as_str(),
+                entries = store.len() as u64,
+                rumours = state.rumours().len() as u64,
+                rumour_bytes = state.rumours().bytes_sent,
+                sync_bytes = stats.exchange_bytes,
+                asked = stats.exchanges_started,
+                differed = stats.exchanges_with_differences,
+                taken = stats.entries_updated,
+                known = stats.entries_unchanged,
+                refused = store.rejected,
+                dropped = store.dropped + stats.dropped,
+                waited = state.rumours().deferred,
+                held_back = stats.throttled_messages,
+                unread = stats.undecodable_messages,
+                fleet_served = total(FleetCounter::Served),
+                fleet_refused = total(FleetCounter::Rejected),
+                fleet_failed = total(FleetCounter::Failed),
+                "replica"
+            );
+        }
+        GossipLogEvent::WorkerFailed => {
+            error!(what = "the fleet's thread failed; this proxy goes on alone", "peers_failed")
+        }
+        GossipLogEvent::Traffic { membership: peers, observations_dropped, updates_dropped } => {
+            let notes = peers.notes();
+            info!(
+                alive = peers.live_peers().count() as u64,
+                sent_datagrams = peers.sent.datagrams,
+                sent_bytes = peers.sent.bytes,
+                received_datagrams = peers.received.datagrams,
+                received_bytes = peers.received.bytes,
+                rejected = peers.rejected,
+                notes = notes.len() as u64,
+                stale_notes = notes.stale,
+                seen_dropped = observations_dropped,
+                told_dropped = updates_dropped,
+                "peers"
+            );
+        }
+    }
+}
+
+/// The snapshot of the shared state was read, or could not be read or written.
+pub fn snapshot_event(what: &str) {
+    warn!(what, "replica_snapshot");
+}
