--- a/crates/negative-cache/src/lib.rs
+++ b/crates/negative-cache/src/lib.rs
@@ -23,7 +23,7 @@
 //! - [`KeyHasher`]: keyed hashes of statements and keys.
 //!
 //! Positions are rounded down, and positions that reads need are rounded up. Clocks, including those of members, which
-//! stamp commits, may differ by [`NegativeCacheConfig::max_clock_skew`] at any time. See `docs/design/missing.md`.
+//! stamp commits, may differ by [`NegativeCacheConfig::max_clock_skew`] at any time. See `docs/design/negative-cache.md`.
 //!
 //! ```
 //! use wharfplank_negative_cache::{Freshness, KeyHasher, Lookup, LookupResult, NegativeCache, NegativeCacheConfig};
--- a/crates/negative-cache/tests/effectiveness.rs
+++ b/crates/negative-cache/tests/effectiveness.rs
@@ -94,7 +94,7 @@
     line.trim().trim_end_matches(" kB").parse().unwrap_or(0)
 }
 
-/// The figures of `docs/design/missing.md`. `make missing`.
+/// The figures of `docs/design/negative-cache.md`. `make missing`.
 #[test]
 #[ignore = "takes minutes"]
 fn figures() {
