--- a/crates/fleet-harness/src/releases/agents.rs
+++ b/crates/fleet-harness/src/releases/agents.rs
@@ -2,7 +2,7 @@
 //! names, and notes what its member did.
 
 use super::case::{Case, Played, NEW, OLD};
-use super::diary::{Event, What, Why};
+use super::events::{MemberEvent, MemberEventKind, StopCause};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use rand::rngs::SmallRng;
@@ -41,7 +41,7 @@
     /// The members.
     pub states: RefCell<Vec<State>>,
     /// What they did.
-    pub diary: RefCell<Vec<Event>>,
+    pub events: RefCell<Vec<MemberEvent>>,
     rng: RefCell<SmallRng>,
     /// Calls that named another launch than the member's.
     pub void: Cell<u64>,
@@ -67,7 +67,7 @@
             played: played.clone(),
             addresses,
             states: RefCell::new(vec![state; count]),
-            diary: RefCell::default(),
+            events: RefCell::default(),
             rng: RefCell::new(SmallRng::seed_from_u64(played.seed ^ 0xa9e27)),
             void: Cell::new(0),
         });
@@ -108,7 +108,7 @@
             AgentCommand::Status => {}
             AgentCommand::Restart { incarnation: launch, version, only_if_down } => {
                 if launch == state.launch && !state.moving && !(only_if_down && state.ready) {
-                    self.leave(member, version, Why::Order);
+                    self.leave(member, version, StopCause::Ordered);
                 } else if launch != state.launch {
                     self.void.set(self.void.get() + 1);
                 }
@@ -124,7 +124,7 @@
     }
 
     /// Lets the member out, and back as that version; what falls goes at once.
-    pub fn leave(self: &Rc<Self>, member: usize, version: u64, why: Why) {
+    pub fn leave(self: &Rc<Self>, member: usize, version: u64, cause: StopCause) {
         let was = self.states.borrow()[member];
         if was.moving {
             return;
@@ -133,9 +133,12 @@
             let mut states = self.states.borrow_mut();
             (states[member].moving, states[member].ready) = (true, false);
         }
-        let primary = self.stand.fleet().members[member].primary;
-        self.note(member, What::Out { why, launch: was.launch, primary, served: was.ready });
-        let drains = if why == Why::Fell { Duration::ZERO } else { DRAIN };
+        let was_primary = self.stand.fleet().members[member].primary;
+        self.record(
+            member,
+            MemberEventKind::Stopped { cause, incarnation: was.launch, was_primary, was_serving: was.ready },
+        );
+        let drains = if cause == StopCause::Crashed { Duration::ZERO } else { DRAIN };
         self.stand.change(|fleet| fleet.members[member].hand = Hand { drains: true, ..Hand::default() });
         let at = Rc::clone(self);
         let move_on = async move {
@@ -166,7 +169,7 @@
         let launch = launch as u64;
         self.states.borrow_mut()[member] = State { version, launch, ready, moving: false };
         if ready {
-            self.note(member, What::Back { launch, version });
+            self.record(member, MemberEventKind::Started { incarnation: launch, version });
         }
     }
 
@@ -194,16 +197,20 @@
         }
         self.stand.change(|fleet| fleet.members[member].hand.drains = drains);
         let State { launch, version, .. } = state;
-        self.note(
-            member,
-            match drains {
-                true => What::Out { why: Why::Drained, launch, primary: false, served: true },
-                false => What::Back { launch, version },
-            },
-        );
+        let kind = if drains {
+            MemberEventKind::Stopped {
+                cause: StopCause::Drained,
+                incarnation: launch,
+                was_primary: false,
+                was_serving: true,
+            }
+        } else {
+            MemberEventKind::Started { incarnation: launch, version }
+        };
+        self.record(member, kind);
     }
 
-    fn note(&self, member: usize, what: What) {
-        self.diary.borrow_mut().push(Event { at: now(), member, what });
+    fn record(&self, member: usize, kind: MemberEventKind) {
+        self.events.borrow_mut().push(MemberEvent { at: now(), member, kind });
     }
 }
--- a/crates/fleet-harness/src/releases/faults.rs
+++ b/crates/fleet-harness/src/releases/faults.rs
@@ -1,7 +1,7 @@
 //! The faults of a run, carried out at their times.
 
 use super::case::{Case, NEW, OLD, OTHER};
-use super::diary::Why;
+use super::events::StopCause;
 use super::run::Rig;
 use super::settings::signal;
 use async_io::Timer;
@@ -23,7 +23,7 @@
     pub(super) async fn begin(self: &Rc<Self>) -> Result<(), String> {
         let start = |target: u64| format!("start {target} {OLD}\n");
         if self.played.case == Case::ByThemselves {
-            (0..self.agents.addresses.len()).for_each(|m| self.agents.leave(m, NEW, Why::Order));
+            (0..self.agents.addresses.len()).for_each(|m| self.agents.leave(m, NEW, StopCause::Ordered));
             return Ok(());
         }
         if self.played.case == Case::Lossy {
@@ -82,7 +82,7 @@
                 let from = (0..states.len()).map(|n| (self.played.member + n) % states.len());
                 let fit = from.clone().find(|member| states[*member].ready);
                 let member = fit.unwrap_or(self.played.member);
-                self.agents.leave(member, states[member].version, Why::Fell);
+                self.agents.leave(member, states[member].version, StopCause::Crashed);
             }
             Case::Drained => {
                 self.agents.drain(self.played.member, true);
--- a/crates/fleet-harness/src/releases/mod.rs
+++ b/crates/fleet-harness/src/releases/mod.rs
@@ -3,13 +3,15 @@
 //!
 //! - [`case`]: the hard cases, drawn from a seed.
 //! - [`agents`]: the agents on members' machines.
-//! - [`diary`]: what members did, and the count of broken rules.
+//! - [`events`]: what members did.
+//! - [`rules`]: the rules of a release, and the count of broken ones.
 //! - [`run`]: one run.
 
 pub mod agents;
 pub mod case;
-pub mod diary;
+pub mod events;
 mod faults;
 pub mod outcome;
+pub mod rules;
 pub mod run;
 mod settings;
--- a/crates/fleet-harness/src/releases/outcome.rs
+++ b/crates/fleet-harness/src/releases/outcome.rs
@@ -1,6 +1,6 @@
 //! What a run came to.
 
-use super::diary::Broken;
+use super::rules::RuleViolations;
 use serde::Serialize;
 use std::path::Path;
 use wharfplank_lab::fleet::{Micros, CLASSES};
@@ -14,7 +14,8 @@
     /// See `case`.
     pub seed: u64,
     /// The rules that were broken.
-    pub broken: Broken,
+    #[serde(rename = "broken")]
+    pub violations: RuleViolations,
     /// Whether all releases were over at all proxies in the end.
     pub ended: bool,
     /// Whether the case's fault came, in mid-release.
@@ -65,7 +66,7 @@
              served {}/{} worth {:.0}/{:.0}",
             self.case,
             self.seed,
-            self.broken,
+            self.violations,
             self.ended,
             self.version,
             self.followed,
--- a/crates/fleet-harness/src/releases/run.rs
+++ b/crates/fleet-harness/src/releases/run.rs
@@ -3,9 +3,10 @@
 
 use super::agents::Agents;
 use super::case::{Case, Played, NEW};
-use super::diary::{check, What, Why};
+use super::events::{MemberEvent, MemberEventKind, StopCause};
 use super::outcome::{is_over, turned, Outcome};
-use super::settings::{banks, element, ledger, signal, sites, BOUNDS};
+use super::rules::check;
+use super::settings::{banks, element, ledger, signal, sites, LIMITS};
 use crate::agent;
 use crate::cluster::Cluster;
 use crate::proxies::Plan;
@@ -50,8 +51,10 @@
 
     /// Orders that were followed so far.
     pub(super) fn followed(&self) -> usize {
-        let order = |what: &What| matches!(what, What::Out { why: Why::Order, .. });
-        self.agents.diary.borrow().iter().filter(|event| order(&event.what)).count()
+        let is_order = |event: &&MemberEvent| {
+            matches!(event.kind, MemberEventKind::Stopped { cause: StopCause::Ordered, .. })
+        };
+        self.agents.events.borrow().iter().filter(is_order).count()
     }
 
     /// Takes over the addresses that proxies have logged since the last call.
@@ -78,8 +81,8 @@
         .map_err(fault)?;
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
     let outcome = async_io::block_on(executor.run(playing(played, place, &executor)))?;
-    let diary = serde_json::to_string_pretty(&outcome).map_err(|e| e.to_string())?;
-    std::fs::write(place.directory.join("outcome.json"), diary).map_err(fault)?;
+    let json = serde_json::to_string_pretty(&outcome).map_err(|e| e.to_string())?;
+    std::fs::write(place.directory.join("outcome.json"), json).map_err(fault)?;
     Ok(outcome)
 }
 
@@ -180,20 +183,20 @@
         loaded.cancel().await;
     }
     let states = rig.agents.states.borrow().clone();
-    let diary = rig.agents.diary.borrow().clone();
+    let events = rig.agents.events.borrow().clone();
     let same = states.iter().all(|state| state.ready && state.version == states[0].version);
-    let new = |event: &&super::diary::Event| matches!(event.what, What::Back { version: NEW, .. });
+    let runs_new = |event: &&MemberEvent| matches!(event.kind, MemberEventKind::Started { version: NEW, .. });
     let logs = (0..played.proxies).map(|n| Plan::log(&place.directory, n));
     let all_turned: BTreeSet<String> = logs.flat_map(|log| turned(&log)).collect();
     let mut outcome = Outcome {
         case: played.case.name().to_string(),
         seed: played.seed,
-        broken: check(&diary, &sites(&stand), BOUNDS),
+        violations: check(&events, &sites(&stand), LIMITS),
         ended,
         faulted: rig.faulted.get(),
         version: same.then_some(states[0].version),
         followed: rig.followed(),
-        touched: diary.iter().filter(new).map(|event| event.member).collect::<BTreeSet<_>>().len(),
+        touched: events.iter().filter(runs_new).map(|event| event.member).collect::<BTreeSet<_>>().len(),
         void: rig.agents.void.get(),
         took_ms: (end - begin) / 1000,
         turned: all_turned.into_iter().collect(),
@@ -201,7 +204,7 @@
     };
     let until = begin + if played.load_s > 0 { played.load_s as Micros * 1_000_000 } else { end - begin };
     outcome.clients(&rig.load.done.borrow(), begin, until);
-    let text = serde_json::to_string_pretty(&diary).map_err(|e| e.to_string())?;
+    let text = serde_json::to_string_pretty(&events).map_err(|e| e.to_string())?;
     std::fs::write(place.directory.join("diary.json"), text).map_err(|e| e.to_string())?;
     for proxy in rig.cluster.take_all() {
         proxy.end(END_MOST)?;
--- a/crates/fleet-harness/src/releases/settings.rs
+++ b/crates/fleet-harness/src/releases/settings.rs
@@ -2,7 +2,7 @@
 
 use super::agents::Agents;
 use super::case::Played;
-use super::diary::{Bounds, Site};
+use super::rules::{DisruptionLimits, Site};
 use crate::proxies::Plan;
 use crate::relay::Mesh;
 use std::fmt::Write;
@@ -10,7 +10,7 @@
 use wharfplank_lab::stand::Stand;
 
 /// What may be out at once: one of a group, one of each zone and bank, one of the fleet and bank.
-pub const BOUNDS: Bounds = Bounds { group: 1, zone: 3, fleet: 3 };
+pub const LIMITS: DisruptionLimits = DisruptionLimits { group: 1, zone: 3, fleet: 3 };
 /// How long a member may be away before the release halts, and a wave is watched at most.
 const READY_WITHIN_S: u64 = 12;
 const WATCH_S: u64 = 3;
@@ -38,7 +38,7 @@
 /// The element for one proxy.
 pub fn element(played: &Played, stand: &Stand, agents: &Agents, mesh: &Mesh, plan: &Plan) -> String {
     let (n, directory, banks) = (plan.number, &plan.directory, banks(played.proxies));
-    let Bounds { group, zone, fleet } = BOUNDS;
+    let DisruptionLimits { group, zone, fleet } = LIMITS;
     let kept = if n < banks { ledger(directory, n).display().to_string() } else { "no".to_string() };
     let mut text = format!(
         "  <release listen=\"127.0.0.1:0\" rank=\"{}\" banks=\"{banks}\" group=\"{group}\" zone=\"{zone}\" \
--- a/tests/release_rig.rs
+++ b/tests/release_rig.rs
@@ -28,7 +28,7 @@
 
 fn holds(played: &Played, outcome: &Outcome) {
     let line = outcome.line();
-    assert_eq!(outcome.broken.count(), 0, "broken rules: {line}");
+    assert_eq!(outcome.violations.count(), 0, "broken rules: {line}");
     assert!(outcome.ended, "the release did not end: {line}");
     assert!(outcome.faulted || !played.case.has_fault(), "its fault never came: {line}");
     // Of two at once the older goes on, by the clock: the other one's members go on to its version.
