--- a/crates/routing/src/settings/fields.rs
+++ b/crates/routing/src/settings/fields.rs
@@ -1,34 +1,14 @@
-//! Named values, read with the name of what is wrong.
+//! Named values, read with errors that name the field.
 
+use super::error::{check_span, FieldError, FieldProblem};
 use crate::api::Micros;
 use serde_json::Value;
 use std::borrow::Cow;
-use std::fmt;
 use std::str::FromStr;
 
 /// The longest span that is taken, a year: sums of such spans and times stay far from the end of the clock.
 pub const LONGEST_SPAN: Micros = 365 * 24 * 3_600 * 1_000_000;
 
-/// What is wrong with a line, and in which of its fields.
-#[derive(Debug)]
-pub struct FieldError {
-    field: String,
-    what: String,
-}
-
-impl FieldError {
-    /// A fault of that field.
-    pub fn new(field: &str, what: &str) -> Self {
-        FieldError { field: field.to_string(), what: what.to_string() }
-    }
-}
-
-impl fmt::Display for FieldError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "field {}: {}", self.field, self.what)
-    }
-}
-
 /// Named values: the pairs of a line of the simulator's wire, or a JSON object laid out as that wire
 /// lays it out.
 #[derive(Debug, Default)]
@@ -38,7 +18,8 @@
     /// Reads `name=value` parts.
     pub fn read(parts: impl Iterator<Item = &'a str>) -> Result<Self, FieldError> {
         let pair = |part: &'a str| {
-            let (name, value) = part.split_once('=').ok_or_else(|| FieldError::new(part, "has no value"))?;
+            let (name, value) =
+                part.split_once('=').ok_or_else(|| FieldError::new(part, FieldProblem::NoValue))?;
             Ok((Cow::Borrowed(name), Cow::Borrowed(value)))
         };
         Ok(Fields(parts.filter(|p| !p.is_empty()).map(pair).collect::<Result<_, _>>()?))
@@ -63,10 +44,10 @@
                 items.iter().enumerate().for_each(|(i, v)| self.flatten(&below(&i.to_string()), v));
             }
             Value::Array(items) => {
-                let plain: Vec<String> = items.iter().map(plain).collect();
-                self.put(path, plain.join(","));
+                let texts: Vec<String> = items.iter().map(plain_text).collect();
+                self.put(path, texts.join(","));
             }
-            _ => self.put(path, plain(value)),
+            _ => self.put(path, plain_text(value)),
         }
     }
 
@@ -75,32 +56,32 @@
         self.0.push((Cow::Owned(name.to_string()), Cow::Owned(value)));
     }
 
-    /// The last value of that name.
+    /// The last value of that name, if there is one.
     pub fn find(&self, name: &str) -> Option<&str> {
         self.0.iter().rev().find(|(n, _)| n == name).map(|(_, value)| &**value)
     }
 
-    /// Whether there are values below that name: it stands for an object or a list of objects.
-    fn holds_more(&self, name: &str) -> bool {
+    /// Whether the name stands for an object or a list of objects: there are values below it.
+    fn is_object(&self, name: &str) -> bool {
         self.0.iter().any(|(n, _)| n.strip_prefix(name).is_some_and(|rest| rest.starts_with('.')))
     }
 
-    /// The value, if it is there and not empty. One that is no plain value is a fault.
+    /// The value, if it is there and not empty.
     pub fn get<T: FromStr>(&self, name: &str) -> Result<Option<T>, FieldError> {
-        if self.holds_more(name) {
-            return Err(FieldError::new(name, "is no plain value"));
+        if self.is_object(name) {
+            return Err(FieldError::new(name, FieldProblem::NotPlainValue));
         }
         let Some(text) = self.find(name).filter(|t| !t.is_empty()) else {
             return Ok(None);
         };
         let value =
-            text.parse().map_err(|_| FieldError::new(name, &format!("cannot be read from '{text}'")))?;
+            text.parse().map_err(|_| FieldError::new(name, FieldProblem::Unreadable(text.to_string())))?;
         Ok(Some(value))
     }
 
     /// The value, which must be there.
     pub fn need<T: FromStr>(&self, name: &str) -> Result<T, FieldError> {
-        self.get(name)?.ok_or_else(|| FieldError::new(name, "is missing"))
+        self.get(name)?.ok_or_else(|| FieldError::new(name, FieldProblem::Missing))
     }
 
     /// The value, or another where it is absent.
@@ -111,7 +92,7 @@
     /// A finite number.
     pub fn number(&self, name: &str) -> Result<Option<f64>, FieldError> {
         match self.get::<f64>(name)? {
-            Some(value) if !value.is_finite() => Err(FieldError::new(name, "is not a finite number")),
+            Some(value) if !value.is_finite() => Err(FieldError::new(name, FieldProblem::NotFinite)),
             other => Ok(other),
         }
     }
@@ -119,22 +100,25 @@
     /// A number from 0 to `most`.
     pub fn amount(&self, name: &str, most: f64) -> Result<Option<f64>, FieldError> {
         match self.number(name)? {
-            Some(value) if value < 0.0 => Err(FieldError::new(name, &format!("is negative: {value}"))),
-            Some(value) if value > most => Err(FieldError::new(name, &format!("is over {most}: {value}"))),
+            Some(value) if value < 0.0 => Err(FieldError::new(name, FieldProblem::Negative(value))),
+            Some(value) if value > most => Err(FieldError::new(name, FieldProblem::TooLarge { most, value })),
             other => Ok(other),
         }
     }
 
     /// A span in microseconds, from 0 to [`LONGEST_SPAN`].
     pub fn span(&self, name: &str) -> Result<Option<Micros>, FieldError> {
-        self.get(name)?.map(|span| in_range(name, span)).transpose()
+        self.get(name)?.map(|span| check_span(name, span)).transpose()
     }
 
     /// A span for each part between commas; an empty one, or null, is 0.
     pub fn spans(&self, name: &str) -> Result<Vec<Micros>, FieldError> {
         let span = |text: &str| {
             let read = if text.is_empty() { Ok(0) } else { text.parse() };
-            in_range(name, read.map_err(|_| FieldError::new(name, &format!("holds no span: '{text}'")))?)
+            check_span(
+                name,
+                read.map_err(|_| FieldError::new(name, FieldProblem::NotSpan(text.to_string())))?,
+            )
         };
         self.parts(name)?.into_iter().map(span).collect()
     }
@@ -145,27 +129,27 @@
         let text = self.plain(name)?;
         match text.is_empty() || text.starts_with(char::is_alphabetic) {
             true => Ok(text),
-            false => Err(FieldError::new(name, &format!("'{text}' is no word"))),
+            false => Err(FieldError::new(name, FieldProblem::NotWord(text.to_string()))),
         }
     }
 
-    /// A group of fields: where a plain value stands in its place, that is a fault.
+    /// Checks that the name stands for an object, or for nothing; a plain value in its place is an error.
     pub fn section(&self, name: &str) -> Result<(), FieldError> {
         match self.text(name) {
             "" => Ok(()),
-            other => Err(FieldError::new(name, &format!("is no group of fields: '{other}'"))),
+            other => Err(FieldError::new(name, FieldProblem::NotSection(other.to_string()))),
         }
     }
 
     /// A yes or no; absent means no.
     pub fn flag(&self, name: &str) -> Result<bool, FieldError> {
-        if self.holds_more(name) {
-            return Err(FieldError::new(name, "is no plain value"));
+        if self.is_object(name) {
+            return Err(FieldError::new(name, FieldProblem::NotPlainValue));
         }
         match self.find(name) {
             None | Some("" | "0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(other) => Err(FieldError::new(name, &format!("cannot be read from '{other}'"))),
+            Some(other) => Err(FieldError::new(name, FieldProblem::Unreadable(other.to_string()))),
         }
     }
 
@@ -176,8 +160,8 @@
 
     /// The text, which must be no object; empty where it is absent.
     pub fn plain(&self, name: &str) -> Result<&str, FieldError> {
-        match self.holds_more(name) {
-            true => Err(FieldError::new(name, "is no plain value")),
+        match self.is_object(name) {
+            true => Err(FieldError::new(name, FieldProblem::NotPlainValue)),
             false => Ok(self.text(name)),
         }
     }
@@ -194,15 +178,7 @@
     }
 }
 
-fn in_range(name: &str, span: Micros) -> Result<Micros, FieldError> {
-    match span {
-        0..=LONGEST_SPAN => Ok(span),
-        ..0 => Err(FieldError::new(name, &format!("is negative: {span}"))),
-        _ => Err(FieldError::new(name, &format!("is over a year: {span}"))),
-    }
-}
-
-fn plain(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
         Value::String(text) => text.clone(),
--- /dev/null
+++ b/src/bin/wharfplank-simulator-adapter/message.rs
@@ -0,0 +1,154 @@
+//! The simulator's lines, read one by one.
+
+use crate::error::{missing, unknown_value, LineError};
+use crate::instance::LineReader;
+use wharfplank::routing::settings::{translate, Fields};
+use wharfplank::routing::{EndpointStatus, Event, GroupId, HostId, Micros, RequestId, Settings};
+
+/// What a MEMBERSHIP line says about the endpoint list.
+#[derive(Clone, Copy, Debug)]
+pub enum MembershipScope {
+    /// Some entries changed.
+    Patch,
+    /// The list is complete.
+    Complete,
+    /// The subscription was lost.
+    Broken,
+}
+
+/// An entry of a ROSTER, before it is read for an instance.
+#[derive(Debug)]
+pub struct RosterEntry {
+    pub host: HostId,
+    pub group: GroupId,
+    pub status: EndpointStatus,
+    pub primary: bool,
+    pub started_at: Option<Micros>,
+    pub zone: String,
+}
+
+/// A line of input. `who` is the number of a router instance.
+#[derive(Debug)]
+pub enum Message<'a> {
+    BatchStart(Micros),
+    Commit,
+    Roster {
+        page: u32,
+        members: usize,
+    },
+    Configure {
+        who: u64,
+        settings: Box<Settings>,
+        reader: LineReader,
+    },
+    Exit {
+        who: u64,
+    },
+    Membership {
+        who: u64,
+        page: u32,
+        scope: MembershipScope,
+    },
+    Request {
+        who: u64,
+        fields: Fields<'a>,
+    },
+    AttemptFinished {
+        who: u64,
+        fields: Fields<'a>,
+    },
+    ProbeFinished {
+        who: u64,
+        fields: Fields<'a>,
+    },
+    Event {
+        who: u64,
+        event: Event,
+    },
+    /// A line that means nothing to a router.
+    Ignored {
+        who: u64,
+    },
+}
+
+/// Reads one line, other than an entry of a ROSTER.
+pub fn parse(line: &str) -> Result<Message<'_>, LineError> {
+    let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
+    let fields = Fields::read(rest.split(' '))?;
+    match name {
+        "BATCH" => Ok(Message::BatchStart(fields.need("NowUs")?)),
+        "COMMIT" => Ok(Message::Commit),
+        "ROSTER" => Ok(Message::Roster { page: fields.need("Page")?, members: fields.need("Members")? }),
+        "CONFIGURE" | "EXIT" | "MEMBERSHIP" | "INCOMING" | "RESOLVED" | "ECHO" | "TIMER" | "GONE"
+        | "FIRST_BYTE" | "NEIGHBOUR_SAYS" => parse_for_instance(name, fields),
+        _ => Err(LineError::UnknownMessage(name.to_string())),
+    }
+}
+
+/// Reads a line that is meant for one instance.
+fn parse_for_instance<'a>(name: &str, fields: Fields<'a>) -> Result<Message<'a>, LineError> {
+    let who = fields.need("Who")?;
+    Ok(match name {
+        "CONFIGURE" => {
+            let (settings, parameters) = translate(&fields)?;
+            Message::Configure { who, settings: Box::new(settings), reader: LineReader::new(parameters) }
+        }
+        "EXIT" => Message::Exit { who },
+        "MEMBERSHIP" => parse_membership(who, &fields)?,
+        "INCOMING" => Message::Request { who, fields },
+        "RESOLVED" => Message::AttemptFinished { who, fields },
+        "ECHO" => Message::ProbeFinished { who, fields },
+        "TIMER" => Message::Event { who, event: Event::Timer },
+        "GONE" => Message::Event { who, event: Event::ClientDisconnected(request_id(&fields)?) },
+        _ => Message::Ignored { who },
+    })
+}
+
+fn parse_membership<'a>(who: u64, fields: &Fields<'_>) -> Result<Message<'a>, LineError> {
+    let scope = match fields.need::<String>("Scope")?.as_str() {
+        "patch" => MembershipScope::Patch,
+        "whole" | "stale_copy" => MembershipScope::Complete,
+        "broken" => MembershipScope::Broken,
+        other => return Err(unknown_value("Scope", other)),
+    };
+    let page = match scope {
+        MembershipScope::Broken => fields.or("Page", 0)?,
+        _ => fields.need("Page")?,
+    };
+    Ok(Message::Membership { who, page, scope })
+}
+
+/// Reads an entry of a ROSTER.
+pub fn parse_roster_entry(line: &str) -> Result<RosterEntry, LineError> {
+    let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
+    if name != "M" {
+        return Err(LineError::TooFewEndpoints);
+    }
+    let fields = Fields::read(rest.split(' '))?;
+    let status = match fields.need::<String>("Health")?.as_str() {
+        "up" => EndpointStatus::Up,
+        "draining" => EndpointStatus::Draining,
+        "removed" => EndpointStatus::Removed,
+        other => return Err(unknown_value("Health", other)),
+    };
+    Ok(RosterEntry {
+        host: host_id(&fields)?,
+        group: GroupId(fields.or("Shard", 0)?),
+        status,
+        primary: fields.number("Head")? == Some(1.0),
+        started_at: fields.get("LaunchedUs")?.filter(|started_at| *started_at > 0),
+        zone: fields.text("Campus").to_string(),
+    })
+}
+
+/// The request that a line names.
+pub fn request_id(fields: &Fields<'_>) -> Result<RequestId, LineError> {
+    let text = fields.find("Id").ok_or_else(|| missing("Id"))?;
+    let bytes = text.as_bytes().try_into();
+    Ok(RequestId(bytes.map_err(|_| LineError::MalformedId)?))
+}
+
+/// The member that a line names.
+pub fn host_id(fields: &Fields<'_>) -> Result<HostId, LineError> {
+    Ok(HostId(fields.need("Host")?))
+}
