--- a/crates/fleet-harness/src/budgets/rig.rs
+++ b/crates/fleet-harness/src/budgets/rig.rs
@@ -6,10 +6,10 @@
 use crate::proxies::{Heard, Plan, Proxy};
 use crate::relay::{Links, Mesh};
 use crate::run::Place;
-use crate::schedule::ZONES;
+use crate::stand_ins::member_addresses;
 use async_executor::LocalExecutor;
 use std::cell::RefCell;
-use std::net::{SocketAddr, SocketAddrV4};
+use std::net::SocketAddrV4;
 use std::rc::Rc;
 use wharfplank_lab::fleet::Fleet;
 use wharfplank_lab::load::Load;
@@ -145,18 +145,6 @@
     Stand::start(executor, Fleet::new(&timeline, now()))
 }
 
-/// The address and the zone of each stand-in member.
-fn member_addresses(stand: &Rc<Stand>) -> Vec<(SocketAddr, &'static str)> {
-    let list = stand.list();
-    let hosts = list.get("hosts").and_then(serde_json::Value::as_array).cloned().unwrap_or_default();
-    let zone_of = |site: &str| ZONES.into_iter().find(|zone| *zone == site).unwrap_or(ZONES[0]);
-    let address = |host: &serde_json::Value| {
-        let dial = host.get("dial")?.as_str()?.parse().ok()?;
-        Some((dial, zone_of(host.get("site")?.as_str()?)))
-    };
-    hosts.iter().filter_map(address).collect()
-}
-
 fn make_lossy(mesh: &Mesh) {
     let mut wire = mesh.wire.borrow_mut();
     wire.loss = LOSS;
--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -11,6 +11,7 @@
 //! - [`proxies`]: the processes.
 //! - [`check`], [`health`], [`report`]: what a run showed.
 //! - [`budgets`]: runs whose proxies share budgets, and the checker of these.
+//! - [`rollouts`]: runs with rollouts under a disruption budget, and the checker of these.
 //! - [`run`]: one run.
 //! - [`goodput`], [`ground_truth`]: what was served, weighted by priority, and what could have been.
 //! - [`sweep`]: many runs, some beside each other, added up by scenario.
@@ -23,9 +24,10 @@
 pub mod health;
 pub mod proxies;
 pub mod relay;
-pub mod releases;
 pub mod report;
+pub mod rollouts;
 pub mod run;
 pub mod scenario;
 pub mod schedule;
+mod stand_ins;
 pub mod sweep;
--- /dev/null
+++ b/crates/fleet-harness/src/rollouts/member_agents.rs
@@ -0,0 +1,275 @@
+//! The agents on the members' machines: each takes requests on a port of its own, follows an order at the incarnation
+//! that it names, and logs what its member did.
+
+use super::case::{Case, Scenario, NEW_VERSION, OLD_VERSION};
+use super::event::{MemberEvent, MemberEventKind, OutageCause};
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use std::cell::{Cell, RefCell};
+use std::net::{SocketAddr, UdpSocket};
+use std::rc::Rc;
+use std::time::Duration;
+use wharfplank_lab::fleet::Hand;
+use wharfplank_lab::stand::{now, Stand};
+use wharfplank_rollout::{AgentCommand, AgentRequest, AgentStatus};
+
+/// A member takes no new requests for so long before its process ends, so that proxies learn of the drain.
+const DRAIN_TIME: Duration = Duration::from_millis(400);
+/// Tells the random numbers of the agents from others of the same seed.
+const AGENT_SEED: u64 = 0xa9e27;
+/// The number of copies of a request in [`Case::Lossy`], of which one is drawn.
+const LOSSY_COPIES: [usize; 5] = [0, 2, 1, 1, 1];
+/// One reply in so many is lost in [`Case::Lossy`].
+const LOSSY_REPLIES: i32 = 5;
+/// The longest delay of a request in [`Case::Lossy`], in milliseconds.
+const LOSSY_DELAY_MS: u64 = 300;
+/// The fraction of requests that the new version rejects in [`Case::Rejects`].
+const REJECTED_FRACTION: f64 = 0.5;
+/// How much longer the new version takes in [`Case::Slow`].
+const SLOWNESS: f64 = 20.0;
+const MICROS_PER_MS: i64 = 1000;
+
+/// The state of a member on its machine.
+#[derive(Clone, Copy, Debug)]
+pub struct MemberState {
+    /// The version that it runs, or is to run.
+    pub version: u64,
+    /// Its incarnation.
+    pub incarnation: u64,
+    /// Whether it serves.
+    pub ready: bool,
+    /// Whether it is on its way out or back.
+    pub is_restarting: bool,
+}
+
+/// A copy of a request that arrives at an agent.
+struct Arrival {
+    delay: Duration,
+    is_answered: bool,
+}
+
+/// The agents of all members.
+pub struct MemberAgents {
+    stand: Rc<Stand>,
+    executor: Rc<LocalExecutor<'static>>,
+    scenario: Scenario,
+    /// The address of each member's agent.
+    pub addresses: Vec<SocketAddr>,
+    /// The state of each member.
+    pub states: RefCell<Vec<MemberState>>,
+    /// What the members did.
+    pub events: RefCell<Vec<MemberEvent>>,
+    rng: RefCell<SmallRng>,
+    /// The number of orders that named another incarnation than the member's.
+    pub stale_orders: Cell<u64>,
+}
+
+impl MemberAgents {
+    /// Starts the agents of all members of the stand.
+    ///
+    /// # Errors
+    ///
+    /// If a socket can't be bound.
+    pub fn start(
+        executor: &Rc<LocalExecutor<'static>>,
+        stand: &Rc<Stand>,
+        scenario: &Scenario,
+    ) -> std::io::Result<Rc<MemberAgents>> {
+        let count = stand.fleet().members.len();
+        let mut sockets = Vec::new();
+        for _ in 0..count {
+            sockets.push(Async::<UdpSocket>::bind(([127, 0, 0, 1], 0))?);
+        }
+        let addresses =
+            sockets.iter().map(|socket| socket.get_ref().local_addr()).collect::<Result<_, _>>()?;
+        let initial = MemberState { version: OLD_VERSION, incarnation: 0, ready: true, is_restarting: false };
+        let agents = Rc::new(MemberAgents {
+            stand: Rc::clone(stand),
+            executor: Rc::clone(executor),
+            scenario: scenario.clone(),
+            addresses,
+            states: RefCell::new(vec![initial; count]),
+            events: RefCell::default(),
+            rng: RefCell::new(SmallRng::seed_from_u64(scenario.seed ^ AGENT_SEED)),
+            stale_orders: Cell::new(0),
+        });
+        for (member, socket) in sockets.into_iter().enumerate() {
+            executor.spawn(Rc::clone(&agents).serve(member, Rc::new(socket))).detach();
+        }
+        Ok(agents)
+    }
+
+    async fn serve(self: Rc<Self>, member: usize, socket: Rc<Async<UdpSocket>>) {
+        let mut buffer = [0_u8; 2048];
+        loop {
+            let Ok((count, from)) = socket.recv_from(&mut buffer).await else { continue };
+            let Ok(request) = AgentRequest::from_bytes(&buffer[..count]) else { continue };
+            for arrival in self.arrivals() {
+                let agents = Rc::clone(&self);
+                let socket = Rc::clone(&socket);
+                let answer = async move {
+                    Timer::after(arrival.delay).await;
+                    let status = agents.on_request(member, &request);
+                    if arrival.is_answered {
+                        // A reply that can't be sent is a lost datagram.
+                        let _ = socket.send_to(&status.to_bytes(), from).await;
+                    }
+                };
+                self.executor.spawn(answer).detach();
+            }
+        }
+    }
+
+    /// The copies of a request that arrive: one at once, unless the network is lossy.
+    fn arrivals(&self) -> Vec<Arrival> {
+        if self.scenario.case != Case::Lossy {
+            return vec![Arrival { delay: Duration::ZERO, is_answered: true }];
+        }
+        let mut rng = self.rng.borrow_mut();
+        let copies = LOSSY_COPIES[rng.random_range(0..LOSSY_COPIES.len())];
+        let mut arrivals = Vec::new();
+        for _ in 0..copies {
+            let delay = Duration::from_millis(rng.random_range(0..LOSSY_DELAY_MS));
+            let is_answered = rng.random_range(0..LOSSY_REPLIES) > 0;
+            arrivals.push(Arrival { delay, is_answered });
+        }
+        arrivals
+    }
+
+    /// Follows a request, and returns the member's state after it.
+    fn on_request(self: &Rc<Self>, member: usize, request: &AgentRequest) -> AgentStatus {
+        let state = self.states.borrow()[member];
+        match request.command {
+            AgentCommand::Status => {}
+            AgentCommand::Restart { incarnation, version, only_if_down } => {
+                let is_rejected = state.is_restarting || only_if_down && state.ready;
+                if incarnation != state.incarnation {
+                    self.stale_orders.set(self.stale_orders.get() + 1);
+                } else if !is_rejected {
+                    self.take_out(member, version, OutageCause::Order);
+                }
+            }
+            AgentCommand::HandOver { incarnation } => {
+                if incarnation == state.incarnation && state.ready {
+                    self.hand_over(member);
+                }
+            }
+        }
+        let MemberState { version, incarnation, ready, .. } = self.states.borrow()[member];
+        AgentStatus { sequence: request.sequence, incarnation, version, ready }
+    }
+
+    /// Takes a member out, and brings it back with this version. One that crashes goes without a drain.
+    pub fn take_out(self: &Rc<Self>, member: usize, version: u64, cause: OutageCause) {
+        let state = self.states.borrow()[member];
+        if state.is_restarting {
+            return;
+        }
+        self.states.borrow_mut()[member] = MemberState { is_restarting: true, ready: false, ..state };
+        let was_primary = self.stand.fleet().members[member].primary;
+        let (incarnation, did_serve) = (state.incarnation, state.ready);
+        self.log(member, MemberEventKind::WentOut { cause, incarnation, was_primary, did_serve });
+        let drain_time = if cause == OutageCause::Crash { Duration::ZERO } else { DRAIN_TIME };
+        self.set_behavior(member, Hand { drains: true, ..Hand::default() });
+        let agents = Rc::clone(self);
+        let restart = async move {
+            Timer::after(drain_time).await;
+            agents.set_behavior(member, Hand { drains: true, away: true, ..Hand::default() });
+            Timer::after(Duration::from_millis(agents.scenario.restart_ms)).await;
+            agents.bring_back(member, version);
+        };
+        self.executor.spawn(restart).detach();
+    }
+
+    fn bring_back(&self, member: usize, version: u64) {
+        let started_at_ms = now() / MICROS_PER_MS;
+        let incarnation = started_at_ms as u64;
+        let behavior = self.behavior_of(version);
+        let ready = !behavior.away;
+        self.stand.change(|fleet| {
+            fleet.members[member].hand = behavior;
+            fleet.members[member].born = started_at_ms * MICROS_PER_MS;
+        });
+        self.states.borrow_mut()[member] = MemberState { version, incarnation, ready, is_restarting: false };
+        if ready {
+            self.log(member, MemberEventKind::CameBack { incarnation, version });
+        }
+    }
+
+    /// How a member behaves with this version.
+    fn behavior_of(&self, version: u64) -> Hand {
+        let normal = Hand::default();
+        if version != NEW_VERSION {
+            return normal;
+        }
+        match self.scenario.case {
+            // It stays on the list as it was, and answers nothing.
+            Case::NeverReady => Hand { drains: true, away: true, ..normal },
+            Case::Rejects => Hand { refuses: REJECTED_FRACTION, ..normal },
+            Case::Slow => Hand { pace: SLOWNESS, ..normal },
+            _ => normal,
+        }
+    }
+
+    fn set_behavior(&self, member: usize, behavior: Hand) {
+        self.stand.change(|fleet| fleet.members[member].hand = behavior);
+    }
+
+    /// Makes the ready replica with the most of the log the primary.
+    fn hand_over(&self, member: usize) {
+        let states = self.states.borrow();
+        self.stand.change(|fleet| {
+            if !fleet.members[member].primary {
+                return;
+            }
+            let group = fleet.members[member].group;
+            let is_able = |other: &usize| {
+                *other != member && fleet.members[*other].group == group && states[*other].ready
+            };
+            let most_advanced =
+                (0..fleet.members.len()).filter(is_able).max_by_key(|other| fleet.position_ms(*other));
+            if let Some(successor) = most_advanced {
+                fleet.members[member].primary = false;
+                fleet.members[successor].primary = true;
+            }
+        });
+    }
+
+    /// Has service discovery drain a member.
+    pub fn start_drain(&self, member: usize) {
+        self.set_drained(member, true, |state| MemberEventKind::WentOut {
+            cause: OutageCause::Drain,
+            incarnation: state.incarnation,
+            was_primary: false,
+            did_serve: true,
+        });
+    }
+
+    /// Ends the drain of a member.
+    pub fn end_drain(&self, member: usize) {
+        self.set_drained(member, false, |state| MemberEventKind::CameBack {
+            incarnation: state.incarnation,
+            version: state.version,
+        });
+    }
+
+    fn set_drained(
+        &self,
+        member: usize,
+        is_drained: bool,
+        event: impl FnOnce(MemberState) -> MemberEventKind,
+    ) {
+        let state = self.states.borrow()[member];
+        if state.is_restarting {
+            return;
+        }
+        self.stand.change(|fleet| fleet.members[member].hand.drains = is_drained);
+        self.log(member, event(state));
+    }
+
+    fn log(&self, member: usize, kind: MemberEventKind) {
+        self.events.borrow_mut().push(MemberEvent { at: now(), member, kind });
+    }
+}
--- /dev/null
+++ b/crates/fleet-harness/src/rollouts/rig.rs
@@ -0,0 +1,163 @@
+//! The processes of a run, the members' agents, and the network between them.
+
+use super::case::{Case, Scenario};
+use super::checker::Location;
+use super::event::MemberEvent;
+use super::member_agents::MemberAgents;
+use super::report::are_rollouts_finished;
+use super::settings::{locations, release_element, status_file};
+use crate::agent;
+use crate::proxies::{Heard, Plan, Proxy};
+use crate::relay::{Links, Mesh};
+use crate::run::Place;
+use crate::stand_ins::member_addresses;
+use async_executor::LocalExecutor;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+use wharfplank_lab::fleet::Fleet;
+use wharfplank_lab::load::Load;
+use wharfplank_lab::stand::{now, Stand};
+use wharfplank_lab::timeline::Timeline;
+
+/// The processes of a run, the members' agents, the network between them and the load.
+pub(super) struct Rig {
+    pub(super) place: Place,
+    pub(super) scenario: Scenario,
+    pub(super) agents: Rc<MemberAgents>,
+    pub(super) mesh: Rc<Mesh>,
+    pub(super) load: Rc<Load>,
+    /// Whether the fault was injected.
+    pub(super) had_fault: Cell<bool>,
+    stand: Rc<Stand>,
+    plans: Vec<Plan>,
+    /// The running proxies; `None`: not started, or killed.
+    proxies: RefCell<Vec<Option<Proxy>>>,
+}
+
+impl Rig {
+    /// Starts the stand-ins, the agents and the network of a run; no proxy is started yet.
+    pub(super) fn prepare(
+        scenario: &Scenario,
+        place: &Place,
+        load_seconds: u64,
+        executor: &Rc<LocalExecutor<'static>>,
+    ) -> std::io::Result<Rc<Rig>> {
+        let stand = start_stand_ins(scenario, load_seconds, executor)?;
+        let agents = MemberAgents::start(executor, &stand, scenario)?;
+        let zones = (0..scenario.proxies).map(Plan::zone).collect();
+        let links = Links::start(executor, &stand, &member_addresses(&stand), zones)?;
+        let mesh = Mesh::start(executor, scenario.proxies, scenario.seed)?;
+        let mut plans = Vec::new();
+        for number in 0..scenario.proxies {
+            let mut plan = Plan {
+                program: place.program.clone(),
+                directory: place.directory.clone(),
+                number,
+                discovery: agent::start(executor, &stand, &links, number)?,
+                known: agent::list(&stand, &links, number),
+                peers: None,
+                proxies: scenario.proxies,
+                replica_bytes: 0,
+                skew_ms: 0,
+                more: String::new(),
+            };
+            if scenario.case != Case::WithoutRollout {
+                plan.more = release_element(scenario, &stand, &agents, &mesh, &plan);
+            }
+            plans.push(plan);
+        }
+        Ok(Rc::new(Rig {
+            place: place.clone(),
+            scenario: scenario.clone(),
+            agents,
+            mesh,
+            load: Load::new(executor, scenario.proxies),
+            had_fault: Cell::new(false),
+            stand,
+            plans,
+            proxies: RefCell::new((0..scenario.proxies).map(|_| None).collect()),
+        }))
+    }
+
+    pub(super) fn start_all(&self) -> Result<(), String> {
+        (0..self.plans.len()).try_for_each(|proxy| self.start(proxy))
+    }
+
+    pub(super) fn start(&self, proxy: usize) -> Result<(), String> {
+        self.proxies.borrow_mut()[proxy] = Some(Proxy::start(&self.plans[proxy])?);
+        Ok(())
+    }
+
+    /// Kills a proxy's process, which ends when it is dropped.
+    pub(super) fn kill(&self, proxy: usize) {
+        self.load.down(proxy);
+        self.proxies.borrow_mut()[proxy] = None;
+    }
+
+    pub(super) fn pause(&self, proxy: usize) {
+        if let Some(proxy) = &mut self.proxies.borrow_mut()[proxy] {
+            proxy.pause(true);
+        }
+    }
+
+    pub(super) fn resume(&self, proxy: usize) {
+        if let Some(proxy) = &mut self.proxies.borrow_mut()[proxy] {
+            proxy.pause(false);
+        }
+    }
+
+    /// Ends all proxies, each within this time.
+    pub(super) fn end_all(&self, timeout: Duration) -> Result<(), String> {
+        let running: Vec<Proxy> = self.proxies.borrow_mut().iter_mut().filter_map(Option::take).collect();
+        running.into_iter().try_for_each(|proxy| proxy.end(timeout))
+    }
+
+    /// Takes over the addresses that proxies have logged since the last call.
+    pub(super) fn register_addresses(&self) {
+        for (index, proxy) in self.proxies.borrow_mut().iter_mut().enumerate() {
+            while let Some(heard) = proxy.as_mut().and_then(|proxy| proxy.heard.try_recv().ok()) {
+                match heard {
+                    Heard::Listens(addr) => self.load.proxies[index].set(Some(addr)),
+                    Heard::Peers(addr) => self.mesh.register(index, addr),
+                }
+            }
+        }
+    }
+
+    /// Whether all rollouts have finished at all proxies, and all members serve.
+    pub(super) fn is_finished(&self) -> bool {
+        let is_finished_at = |proxy: usize| are_rollouts_finished(&status_file(&self.place.directory, proxy));
+        let are_finished =
+            self.scenario.case == Case::WithoutRollout || (0..self.plans.len()).all(is_finished_at);
+        are_finished && self.agents.states.borrow().iter().all(|state| state.ready)
+    }
+
+    /// The number of orders that were followed so far.
+    pub(super) fn followed_orders(&self) -> usize {
+        let is_order = |event: &&MemberEvent| event.kind.is_followed_order();
+        self.agents.events.borrow().iter().filter(is_order).count()
+    }
+
+    /// The location of each member.
+    pub(super) fn locations(&self) -> Vec<Location> {
+        locations(&self.stand)
+    }
+}
+
+fn start_stand_ins(
+    scenario: &Scenario,
+    load_seconds: u64,
+    executor: &Rc<LocalExecutor<'static>>,
+) -> std::io::Result<Rc<Stand>> {
+    let timeline = Timeline {
+        seconds: load_seconds,
+        rate: scenario.request_rate,
+        proxies: scenario.proxies,
+        groups: scenario.groups,
+        members: scenario.members_per_group,
+        seed: scenario.seed,
+        troubles: Vec::new(),
+    };
+    Stand::start(executor, Fleet::new(&timeline, now()))
+}
--- /dev/null
+++ b/crates/fleet-harness/src/rollouts/settings.rs
@@ -0,0 +1,81 @@
+//! The settings of a run's proxies for rollouts, and the files that they name.
+
+use super::case::Scenario;
+use super::checker::{DisruptionBudget, Location};
+use super::member_agents::MemberAgents;
+use crate::proxies::Plan;
+use crate::relay::Mesh;
+use std::fmt::Write;
+use std::path::{Path, PathBuf};
+use wharfplank_lab::stand::Stand;
+
+/// One of each group, and one of each zone and one of the fleet for each permit server.
+pub(super) const BUDGET: DisruptionBudget = DisruptionBudget { per_group: 1, per_zone: 3, fleet: 3 };
+const MAX_PERMIT_SERVERS: usize = 3;
+/// How long a member may be out before the rollout halts.
+const READY_TIMEOUT_S: u64 = 12;
+/// How long a wave is watched at most.
+const SOAK_TIME_S: u64 = 3;
+
+/// The signal file of a proxy.
+pub(super) fn signal_file(directory: &Path, proxy: usize) -> PathBuf {
+    directory.join(format!("n{proxy}.signal"))
+}
+
+/// The status file of a proxy, beside its signal file.
+pub(super) fn status_file(directory: &Path, proxy: usize) -> PathBuf {
+    signal_file(directory, proxy).with_extension("signal.status")
+}
+
+/// The ledger of a proxy that is a permit server.
+pub(super) fn ledger_file(directory: &Path, proxy: usize) -> PathBuf {
+    directory.join(format!("n{proxy}.ledger"))
+}
+
+/// The number of permit servers among so many proxies.
+pub(super) fn permit_servers(proxies: usize) -> usize {
+    proxies.min(MAX_PERMIT_SERVERS)
+}
+
+/// The location of each member.
+pub(super) fn locations(stand: &Stand) -> Vec<Location> {
+    let members = &stand.fleet().members;
+    members.iter().map(|member| Location { group: member.group, zone: member.zone }).collect()
+}
+
+/// The `<release>` element of one proxy's settings.
+pub(super) fn release_element(
+    scenario: &Scenario,
+    stand: &Stand,
+    agents: &MemberAgents,
+    mesh: &Mesh,
+    plan: &Plan,
+) -> String {
+    let proxy = plan.number;
+    let servers = permit_servers(scenario.proxies);
+    let DisruptionBudget { per_group, per_zone, fleet } = BUDGET;
+    let ledger = if proxy < servers {
+        ledger_file(&plan.directory, proxy).display().to_string()
+    } else {
+        String::from("no")
+    };
+    let mut text = format!(
+        "  <release listen=\"127.0.0.1:0\" rank=\"{}\" banks=\"{servers}\" group=\"{per_group}\" zone=\"{per_zone}\" \
+         fleet=\"{fleet}\" ledger=\"{ledger}\" signal=\"{}\" ready-within-s=\"{READY_TIMEOUT_S}\" \
+         watch-s=\"{SOAK_TIME_S}\">\n",
+        proxy + 1,
+        signal_file(&plan.directory, proxy).display()
+    );
+    // Writing to a string can't fail.
+    for inbox in &mesh.inbox {
+        let _ = writeln!(text, "    <proxy address=\"{inbox}\"/>");
+    }
+    for (member, agent) in stand.fleet().members.iter().zip(&agents.addresses) {
+        let (name, group, zone) = (&member.name, member.group, member.zone);
+        let _ = writeln!(
+            text,
+            "    <member name=\"{name}\" group=\"{group}\" zone=\"{zone}\" agent=\"{agent}\"/>"
+        );
+    }
+    text + "  </release>\n"
+}
--- a/crates/fleet-harness/src/run.rs
+++ b/crates/fleet-harness/src/run.rs
@@ -11,12 +11,13 @@
 use crate::ground_truth::GroundTruth;
 use crate::proxies::{Heard, Plan, Proxy};
 use crate::relay::{Links, Mesh};
-use crate::schedule::{Fault, Schedule, ZONES};
+use crate::schedule::{Fault, Schedule};
+use crate::stand_ins::member_addresses;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use script::timeline;
 use std::cell::RefCell;
-use std::net::{SocketAddr, SocketAddrV4};
+use std::net::SocketAddrV4;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -134,13 +135,7 @@
     let mut fleet = Fleet::new(&timeline(schedule), now());
     fleet.begin(now() + 600_000_000);
     let stand = Stand::start(executor, fleet).map_err(fault)?;
-    let list = stand.list();
-    let hosts = list.get("hosts").and_then(serde_json::Value::as_array).cloned().unwrap_or_default();
-    let zone_of = |site: &str| ZONES.into_iter().find(|z| *z == site).unwrap_or(ZONES[0]);
-    let members: Vec<(SocketAddr, &'static str)> = hosts
-        .iter()
-        .filter_map(|h| Some((h.get("dial")?.as_str()?.parse().ok()?, zone_of(h.get("site")?.as_str()?))))
-        .collect();
+    let members = member_addresses(&stand);
     let proxy_zones = (0..schedule.proxies).map(Plan::zone).collect();
     let links = Links::start(executor, &stand, &members, proxy_zones).map_err(fault)?;
     let mesh = Mesh::start(executor, schedule.proxies, schedule.seed).map_err(fault)?;
--- a/tests/release_rig.rs
+++ b/tests/release_rig.rs
@@ -1,76 +1,76 @@
-//! Releases by processes, with faults between them: none out beyond the allowance, each ended, all sound at the end.
+//! Rollouts by processes, with faults between them: none out beyond the budget, each finished, all healthy at the end.
 //! Events are counted, no times.
 
 use std::path::{Path, PathBuf};
-use wharfplank::fleetrig::releases::case::{Case, Played, NEW, OLD, OTHER};
-use wharfplank::fleetrig::releases::outcome::Outcome;
-use wharfplank::fleetrig::releases::run::play;
+use wharfplank::fleetrig::rollouts::{play, Case, Report, Scenario, NEW_VERSION, OLD_VERSION, OTHER_VERSION};
 use wharfplank::fleetrig::run::Place;
 
-/// Plays runs beside each other, each in a directory of its own.
-fn play_all(all: &[Played], directory: &Path, beside: usize) -> Vec<Outcome> {
-    let mut outcomes = Vec::new();
-    for some in all.chunks(beside) {
-        outcomes.extend(std::thread::scope(|scope| {
-            let one = |played: &Played| {
-                let directory = directory.join(format!("{}-{}", played.case.name(), played.seed));
-                let place = Place { program: PathBuf::from(env!("CARGO_BIN_EXE_wharfplank")), directory };
-                play(played, &place).unwrap_or_else(|what| panic!("{}: {what}", played.case.name()))
-            };
-            let runs: Vec<_> = some.iter().map(|played| scope.spawn(move || one(played))).collect();
-            let outcome = |run: std::thread::ScopedJoinHandle<'_, Outcome>| run.join().expect("the run ends");
-            runs.into_iter().map(outcome).collect::<Vec<_>>()
-        }));
-        outcomes.iter().rev().take(some.len()).for_each(|outcome| println!("{}", outcome.line()));
+/// Plays runs, some at the same time, each in a directory of its own.
+fn play_all(scenarios: &[Scenario], directory: &Path, at_once: usize) -> Vec<Report> {
+    let mut reports = Vec::new();
+    for some in scenarios.chunks(at_once) {
+        let finished = std::thread::scope(|scope| {
+            let runs: Vec<_> =
+                some.iter().map(|scenario| scope.spawn(|| play_one(scenario, directory))).collect();
+            runs.into_iter().map(|run| run.join().expect("the run ends")).collect::<Vec<_>>()
+        });
+        finished.iter().rev().for_each(|report| println!("{}", report.line()));
+        reports.extend(finished);
     }
-    outcomes
+    reports
 }
 
-fn holds(played: &Played, outcome: &Outcome) {
-    let line = outcome.line();
-    assert_eq!(outcome.broken.count(), 0, "broken rules: {line}");
-    assert!(outcome.ended, "the release did not end: {line}");
-    assert!(outcome.faulted || !played.case.has_fault(), "its fault never came: {line}");
+fn play_one(scenario: &Scenario, directory: &Path) -> Report {
+    let directory = directory.join(format!("{}-{}", scenario.case.name(), scenario.seed));
+    let place = Place { program: PathBuf::from(env!("CARGO_BIN_EXE_wharfplank")), directory };
+    play(scenario, &place).unwrap_or_else(|what| panic!("{}: {what}", scenario.case.name()))
+}
+
+fn assert_rules(scenario: &Scenario, report: &Report) {
+    let case = scenario.case;
+    let line = report.line();
+    assert_eq!(report.violations.total(), 0, "broken rules: {line}");
+    assert!(report.is_finished, "the release did not end: {line}");
+    assert!(report.had_fault || !case.has_fault(), "its fault never came: {line}");
     // Of two at once the older goes on, by the clock: the other one's members go on to its version.
-    let versions: &[u64] = match played.case {
-        Case::TwoAtOnce => &[NEW, OTHER],
-        case if case.is_bad() => &[OLD],
-        _ => &[NEW],
+    let versions: &[u64] = match case {
+        Case::TwoAtOnce => &[NEW_VERSION, OTHER_VERSION],
+        case if case.has_bad_version() => &[OLD_VERSION],
+        _ => &[NEW_VERSION],
     };
-    assert!(outcome.version.is_some_and(|v| versions.contains(&v)), "not all sound as one version: {line}");
-    let expected = |turned: &String| match played.case {
-        Case::TwoAtOnce => turned.starts_with("back:other_release"),
-        case => case.is_bad(),
+    let has_version = report.final_version.is_some_and(|version| versions.contains(&version));
+    assert!(has_version, "not all sound as one version: {line}");
+    let is_expected = |halt: &String| match case {
+        Case::TwoAtOnce => halt.starts_with("back:other_release"),
+        case => case.has_bad_version(),
     };
-    assert!(outcome.turned.iter().all(expected), "the release turned: {line}");
-    assert!(
-        outcome.turned.iter().any(|t| t.starts_with("back:")) || !played.case.is_bad(),
-        "not halted: {line}"
-    );
+    assert!(report.halts.iter().all(is_expected), "the release turned: {line}");
+    let was_rolled_back = report.halts.iter().any(|halt| halt.starts_with("back:"));
+    assert!(was_rolled_back || !case.has_bad_version(), "not halted: {line}");
 }
 
 #[test]
-fn a_release_keeps_the_allowance_and_ends_whoever_drives() {
+fn a_rollout_keeps_the_budget_and_finishes_whoever_leads() {
     let directory = tempfile::tempdir().expect("a directory");
-    let cases = [(Case::TwoAtOnce, 3), (Case::DriverKilled, 3), (Case::Cut, 5), (Case::NeverReady, 3)];
-    let all: Vec<Played> =
-        cases.into_iter().map(|(case, proxies)| Played::draw(case, proxies, 3, 3, 1)).collect();
-    let outcomes = play_all(&all, directory.path(), all.len());
-    for (played, outcome) in all.iter().zip(&outcomes) {
-        holds(played, outcome);
+    let cases = [(Case::TwoAtOnce, 3), (Case::LeaderKilled, 3), (Case::Partition, 5), (Case::NeverReady, 3)];
+    let scenarios: Vec<Scenario> =
+        cases.into_iter().map(|(case, proxies)| Scenario::from_seed(case, proxies, 3, 3, 1)).collect();
+    let reports = play_all(&scenarios, directory.path(), scenarios.len());
+    for (scenario, report) in scenarios.iter().zip(&reports) {
+        assert_rules(scenario, report);
     }
 }
 
 /// `RELEASE_SEEDS` runs of each case, or of those that `RELEASE_CASES` names; files in `RELEASE_OUT`.
 #[test]
 #[ignore = "takes minutes to hours"]
-fn seeded_releases_of_every_hard_case() {
+fn seeded_rollouts_of_every_hard_case() {
     let number = |name: &str, usual: usize| {
         std::env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(usual)
     };
     let named = std::env::var("RELEASE_CASES").unwrap_or_default();
     let directory = std::env::var("RELEASE_OUT").unwrap_or_else(|_| "target/release-rig".to_string());
-    let (seeds, proxies, beside) =
+    let (seeds, proxies, at_once) =
         (number("RELEASE_SEEDS", 20), number("RELEASE_PROXIES", 5), number("RELEASE_BESIDE", 4));
     let (first, groups, each, load_s) = (
         number("RELEASE_FIRST", 1),
@@ -78,22 +78,23 @@
         number("RELEASE_EACH", 4),
         number("RELEASE_LOAD_S", 0),
     );
-    let cases = Case::ALL.into_iter().chain([Case::ByThemselves]);
+    let cases = Case::ALL.into_iter().chain([Case::WithoutRollout]);
     let wanted = |case: &Case| match named.is_empty() {
-        true => *case != Case::ByThemselves,
+        true => *case != Case::WithoutRollout,
         false => named.split(' ').any(|name| name == case.name()),
     };
-    let all: Vec<Played> = cases
+    let scenarios: Vec<Scenario> = cases
         .filter(wanted)
         .flat_map(|case| (0..seeds).map(move |n| (case, n)))
         .map(|(case, n)| {
-            let drawn = Played::draw(case, proxies, groups, each, (first + n) as u64);
-            Played { load_s: load_s as u64, ..drawn }
+            let drawn = Scenario::from_seed(case, proxies, groups, each, (first + n) as u64);
+            Scenario { load_seconds: load_s as u64, ..drawn }
         })
         .collect();
-    let outcomes = play_all(&all, Path::new(&directory), beside);
-    for (played, outcome) in all.iter().zip(&outcomes).filter(|(played, _)| played.case != Case::ByThemselves)
-    {
-        holds(played, outcome);
+    let reports = play_all(&scenarios, Path::new(&directory), at_once);
+    for (scenario, report) in scenarios.iter().zip(&reports) {
+        if scenario.case != Case::WithoutRollout {
+            assert_rules(scenario, report);
+        }
     }
 }
