--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod agent;
 pub mod budgets;
 pub mod check;
+mod cluster;
 pub mod goodput;
 pub mod ground_truth;
 pub mod health;
@@ -29,5 +30,4 @@
 pub mod run;
 pub mod scenario;
 pub mod schedule;
-mod stand_ins;
 pub mod sweep;
--- a/crates/fleet-harness/src/rollouts/faults.rs
+++ b/crates/fleet-harness/src/rollouts/faults.rs
@@ -52,7 +52,7 @@
     }
 
     fn make_lossy(&self) {
-        let mut wire = self.mesh.wire.borrow_mut();
+        let mut wire = self.cluster.mesh.wire.borrow_mut();
         wire.loss = LOSS;
         wire.duplicate = DUPLICATES;
         wire.jitter = JITTER_MICROS;
@@ -71,9 +71,9 @@
             Case::LeaderKilled => self.kill_for_a_while(LEADER).await?,
             Case::PermitServerKilled => self.kill_for_a_while(OTHER_PERMIT_SERVER).await?,
             Case::LeaderPaused => {
-                self.pause(LEADER);
+                self.cluster.pause(LEADER);
                 self.fault_duration().await;
-                self.resume(LEADER);
+                self.cluster.resume(LEADER);
             }
             Case::Partition => self.partition_for_a_while().await,
             Case::MemberCrashes => self.crash_member(),
@@ -102,19 +102,15 @@
     async fn kill_for_a_while(&self, proxy: usize) -> Result<(), String> {
         self.kill(proxy);
         self.fault_duration().await;
-        self.start(proxy)
+        self.cluster.start(proxy)
     }
 
     /// Partitions a third of the proxies, with the leader among them, from the others.
     async fn partition_for_a_while(&self) {
-        let proxies = self.scenario.proxies;
-        let is_minority = |proxy: usize| proxy < proxies.div_ceil(3);
-        let pairs = (0..proxies).flat_map(|from| (0..proxies).map(move |to| (from, to)));
-        let across: Vec<(usize, usize)> =
-            pairs.filter(|(from, to)| is_minority(*from) != is_minority(*to)).collect();
-        self.mesh.wire.borrow_mut().blocked.extend(&across);
+        let minority: Vec<usize> = (0..self.scenario.proxies.div_ceil(3)).collect();
+        self.cluster.cut_off(&minority);
         self.fault_duration().await;
-        self.mesh.wire.borrow_mut().blocked.clear();
+        self.cluster.reconnect(&minority);
     }
 
     /// Crashes the scenario's member, or the next one that serves.
--- a/crates/fleet-harness/src/rollouts/run.rs
+++ b/crates/fleet-harness/src/rollouts/run.rs
@@ -70,7 +70,7 @@
     executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<Report, String> {
     let rig = Rig::prepare(scenario, place, MAX_LOAD_SECONDS, executor).map_err(|e| e.to_string())?;
-    rig.start_all()?;
+    (0..scenario.proxies).try_for_each(|proxy| rig.cluster.start(proxy))?;
     let _watcher = executor.spawn(watch_logs(Rc::clone(&rig)));
     wait_until_ready(&rig).await?;
     let load = start_load(&rig, executor);
@@ -85,7 +85,7 @@
     end_load(scenario, load).await;
     let report = report(&rig, is_finished, &Span { began_at, finished_at });
     write_json(&place.directory.join("diary.json"), &*rig.agents.events.borrow())?;
-    rig.end_all(END_TIMEOUT)?;
+    rig.cluster.take_all().into_iter().try_for_each(|proxy| proxy.end(END_TIMEOUT))?;
     Ok(report)
 }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod clock;
 pub mod config;
 pub mod error;
-mod fleet;
+mod gossip;
 mod gossip_client;
 pub mod log;
 mod missing;
--- a/tests/release_rig.rs
+++ b/tests/release_rig.rs
@@ -2,8 +2,10 @@
 //! Events are counted, no times.
 
 use std::path::{Path, PathBuf};
-use wharfplank::fleetrig::rollouts::{play, Case, Report, Scenario, NEW_VERSION, OLD_VERSION, OTHER_VERSION};
-use wharfplank::fleetrig::run::Place;
+use wharfplank::fleet_harness::rollouts::{
+    play, Case, Report, Scenario, NEW_VERSION, OLD_VERSION, OTHER_VERSION,
+};
+use wharfplank::fleet_harness::run::Place;
 
 /// Plays runs, some at the same time, each in a directory of its own.
 fn play_all(scenarios: &[Scenario], directory: &Path, at_once: usize) -> Vec<Report> {
