--- a/crates/fleet-harness/src/rollouts/event.rs
+++ b/crates/fleet-harness/src/rollouts/events.rs
@@ -1,27 +1,27 @@
-//! What members did, as their agents logged it.
+//! What members did in a run, as their agents recorded it.
 
 use serde::Serialize;
 use wharfplank_lab::fleet::Micros;
 
-/// Why a member went out.
+/// Why a member stopped serving. The encoded names are those of the run's files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum OutageCause {
-    /// It followed an order.
-    Order,
+pub enum StopCause {
+    /// A rollout ordered it.
+    #[serde(rename = "Order")]
+    Ordered,
     /// It crashed.
     #[serde(rename = "Fell")]
-    Crash,
-    /// Service discovery drained it.
-    #[serde(rename = "Drained")]
-    Drain,
+    Crashed,
+    /// Discovery drained it.
+    Drained,
 }
 
-/// What a member did.
+/// Something that a member did.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MemberEvent {
     /// When.
     pub at: Micros,
-    /// The member's index.
+    /// The member's number.
     pub member: usize,
     /// What it did.
     #[serde(rename = "what")]
@@ -31,12 +31,12 @@
 /// What a member did.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum MemberEventKind {
-    /// It went out.
+    /// It stopped serving.
     #[serde(rename = "Out")]
-    WentOut {
+    Stopped {
         /// Why.
         #[serde(rename = "why")]
-        cause: OutageCause,
+        cause: StopCause,
         /// The incarnation that ended.
         #[serde(rename = "launch")]
         incarnation: u64,
@@ -45,22 +45,15 @@
         was_primary: bool,
         /// Whether it served before.
         #[serde(rename = "served")]
-        did_serve: bool,
+        was_serving: bool,
     },
     /// It serves again.
     #[serde(rename = "Back")]
-    CameBack {
-        /// The new incarnation.
+    Started {
+        /// Its new incarnation.
         #[serde(rename = "launch")]
         incarnation: u64,
         /// The version that it runs.
         version: u64,
     },
 }
-
-impl MemberEventKind {
-    /// Whether it followed an order.
-    pub fn is_followed_order(&self) -> bool {
-        matches!(self, MemberEventKind::WentOut { cause: OutageCause::Order, .. })
-    }
-}
--- a/crates/fleet-harness/src/rollouts/faults.rs
+++ b/crates/fleet-harness/src/rollouts/faults.rs
@@ -1,7 +1,7 @@
 //! Starts the rollouts of a run, and injects its fault.
 
 use super::case::{Case, NEW_VERSION, OLD_VERSION, OTHER_VERSION};
-use super::event::OutageCause;
+use super::events::StopCause;
 use super::rig::Rig;
 use super::settings::signal_file;
 use async_io::Timer;
@@ -29,7 +29,7 @@
         match self.scenario.case {
             Case::WithoutRollout => {
                 for member in 0..self.agents.addresses.len() {
-                    self.agents.take_out(member, NEW_VERSION, OutageCause::Order);
+                    self.agents.take_out(member, NEW_VERSION, StopCause::Ordered);
                 }
                 return Ok(());
             }
@@ -119,6 +119,6 @@
         let faulty = self.scenario.faulty_member;
         let mut candidates = (0..states.len()).map(|offset| (faulty + offset) % states.len());
         let member = candidates.find(|member| states[*member].ready).unwrap_or(faulty);
-        self.agents.take_out(member, states[member].version, OutageCause::Crash);
+        self.agents.take_out(member, states[member].version, StopCause::Crashed);
     }
 }
--- a/crates/fleet-harness/src/rollouts/member_agents.rs
+++ b/crates/fleet-harness/src/rollouts/member_agents.rs
@@ -2,7 +2,7 @@
 //! that it names, and logs what its member did.
 
 use super::case::{Case, Scenario, NEW_VERSION, OLD_VERSION};
-use super::event::{MemberEvent, MemberEventKind, OutageCause};
+use super::events::{MemberEvent, MemberEventKind, StopCause};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use rand::rngs::SmallRng;
@@ -148,7 +148,7 @@
                 if incarnation != state.incarnation {
                     self.stale_orders.set(self.stale_orders.get() + 1);
                 } else if !is_rejected {
-                    self.take_out(member, version, OutageCause::Order);
+                    self.take_out(member, version, StopCause::Ordered);
                 }
             }
             AgentCommand::HandOver { incarnation } => {
@@ -162,16 +162,16 @@
     }
 
     /// Takes a member out, and brings it back with this version. One that crashes goes without a drain.
-    pub fn take_out(self: &Rc<Self>, member: usize, version: u64, cause: OutageCause) {
+    pub fn take_out(self: &Rc<Self>, member: usize, version: u64, cause: StopCause) {
         let state = self.states.borrow()[member];
         if state.is_restarting {
             return;
         }
         self.states.borrow_mut()[member] = MemberState { is_restarting: true, ready: false, ..state };
         let was_primary = self.stand.fleet().members[member].primary;
-        let (incarnation, did_serve) = (state.incarnation, state.ready);
-        self.log(member, MemberEventKind::WentOut { cause, incarnation, was_primary, did_serve });
-        let drain_time = if cause == OutageCause::Crash { Duration::ZERO } else { DRAIN_TIME };
+        let (incarnation, was_serving) = (state.incarnation, state.ready);
+        self.log(member, MemberEventKind::Stopped { cause, incarnation, was_primary, was_serving });
+        let drain_time = if cause == StopCause::Crashed { Duration::ZERO } else { DRAIN_TIME };
         self.set_behavior(member, Hand { drains: true, ..Hand::default() });
         let agents = Rc::clone(self);
         let restart = async move {
@@ -194,7 +194,7 @@
         });
         self.states.borrow_mut()[member] = MemberState { version, incarnation, ready, is_restarting: false };
         if ready {
-            self.log(member, MemberEventKind::CameBack { incarnation, version });
+            self.log(member, MemberEventKind::Started { incarnation, version });
         }
     }
 
@@ -239,17 +239,17 @@
 
     /// Has service discovery drain a member.
     pub fn start_drain(&self, member: usize) {
-        self.set_drained(member, true, |state| MemberEventKind::WentOut {
-            cause: OutageCause::Drain,
+        self.set_drained(member, true, |state| MemberEventKind::Stopped {
+            cause: StopCause::Drained,
             incarnation: state.incarnation,
             was_primary: false,
-            did_serve: true,
+            was_serving: true,
         });
     }
 
     /// Ends the drain of a member.
     pub fn end_drain(&self, member: usize) {
-        self.set_drained(member, false, |state| MemberEventKind::CameBack {
+        self.set_drained(member, false, |state| MemberEventKind::Started {
             incarnation: state.incarnation,
             version: state.version,
         });
--- a/crates/fleet-harness/src/rollouts/report.rs
+++ b/crates/fleet-harness/src/rollouts/report.rs
@@ -1,6 +1,6 @@
 //! What a run showed.
 
-use super::checker::Violations;
+use super::rules::RuleViolations;
 use serde::Serialize;
 use std::path::Path;
 use wharfplank_lab::fleet::{Class, Micros, CLASSES};
@@ -15,7 +15,7 @@
     pub seed: u64,
     /// The violations that the checker counted.
     #[serde(rename = "broken")]
-    pub violations: Violations,
+    pub violations: RuleViolations,
     /// Whether all rollouts had finished at all proxies, and all members served.
     #[serde(rename = "ended")]
     pub is_finished: bool,
--- a/crates/fleet-harness/src/rollouts/rig.rs
+++ b/crates/fleet-harness/src/rollouts/rig.rs
@@ -1,11 +1,11 @@
 //! The processes of a run, the members' agents, and the network between them.
 
 use super::case::{Case, Scenario};
-use super::checker::Location;
-use super::event::MemberEvent;
+use super::events::{MemberEvent, MemberEventKind, StopCause};
 use super::member_agents::MemberAgents;
 use super::report::are_rollouts_finished;
-use super::settings::{locations, release_element, status_file};
+use super::rules::Site;
+use super::settings::{release_element, sites, status_file};
 use crate::agent;
 use crate::cluster::Cluster;
 use crate::proxies::Plan;
@@ -95,13 +95,15 @@
 
     /// The number of orders that were followed so far.
     pub(super) fn followed_orders(&self) -> usize {
-        let is_order = |event: &&MemberEvent| event.kind.is_followed_order();
+        let is_order = |event: &&MemberEvent| {
+            matches!(event.kind, MemberEventKind::Stopped { cause: StopCause::Ordered, .. })
+        };
         self.agents.events.borrow().iter().filter(is_order).count()
     }
 
-    /// The location of each member.
-    pub(super) fn locations(&self) -> Vec<Location> {
-        locations(&self.stand)
+    /// The site of each member.
+    pub(super) fn sites(&self) -> Vec<Site> {
+        sites(&self.stand)
     }
 }
 
--- a/crates/fleet-harness/src/rollouts/run.rs
+++ b/crates/fleet-harness/src/rollouts/run.rs
@@ -2,12 +2,12 @@
 //! it starts ends, whatever happens.
 
 use super::case::{Scenario, NEW_VERSION};
-use super::checker::count_violations;
-use super::event::{MemberEvent, MemberEventKind};
+use super::events::{MemberEvent, MemberEventKind};
 use super::member_agents::MemberState;
 use super::report::{halts, Report};
 use super::rig::Rig;
-use super::settings::{ledger_file, permit_servers, BUDGET};
+use super::rules::check;
+use super::settings::{ledger_file, permit_servers, LIMITS};
 use crate::proxies::Plan;
 use crate::run::Place;
 use async_executor::{LocalExecutor, Task};
@@ -141,7 +141,7 @@
     let mut report = Report {
         case: rig.scenario.case.name().to_string(),
         seed: rig.scenario.seed,
-        violations: count_violations(&events, &rig.locations(), BUDGET),
+        violations: check(&events, &rig.sites(), LIMITS),
         is_finished,
         had_fault: rig.had_fault.get(),
         final_version: common_version(&rig.agents.states.borrow()),
@@ -168,7 +168,7 @@
 /// The number of members that ran the new version at any time.
 fn touched_members(events: &[MemberEvent]) -> usize {
     let is_upgrade =
-        |event: &&MemberEvent| matches!(event.kind, MemberEventKind::CameBack { version: NEW_VERSION, .. });
+        |event: &&MemberEvent| matches!(event.kind, MemberEventKind::Started { version: NEW_VERSION, .. });
     events.iter().filter(is_upgrade).map(|event| event.member).collect::<BTreeSet<_>>().len()
 }
 
--- a/crates/fleet-harness/src/rollouts/settings.rs
+++ b/crates/fleet-harness/src/rollouts/settings.rs
@@ -1,8 +1,8 @@
 //! The settings of a run's proxies for rollouts, and the files that they name.
 
 use super::case::Scenario;
-use super::checker::{DisruptionBudget, Location};
 use super::member_agents::MemberAgents;
+use super::rules::{DisruptionLimits, Site};
 use crate::proxies::Plan;
 use crate::relay::Mesh;
 use std::fmt::Write;
@@ -10,7 +10,7 @@
 use wharfplank_lab::stand::Stand;
 
 /// One of each group, and one of each zone and one of the fleet for each permit server.
-pub(super) const BUDGET: DisruptionBudget = DisruptionBudget { per_group: 1, per_zone: 3, fleet: 3 };
+pub(super) const LIMITS: DisruptionLimits = DisruptionLimits { group: 1, zone: 3, fleet: 3 };
 const MAX_PERMIT_SERVERS: usize = 3;
 /// How long a member may be out before the rollout halts.
 const READY_TIMEOUT_S: u64 = 12;
@@ -37,10 +37,10 @@
     proxies.min(MAX_PERMIT_SERVERS)
 }
 
-/// The location of each member.
-pub(super) fn locations(stand: &Stand) -> Vec<Location> {
+/// The site of each member.
+pub(super) fn sites(stand: &Stand) -> Vec<Site> {
     let members = &stand.fleet().members;
-    members.iter().map(|member| Location { group: member.group, zone: member.zone }).collect()
+    members.iter().map(|member| Site { group: member.group, zone: member.zone }).collect()
 }
 
 /// The `<release>` element of one proxy's settings.
@@ -53,14 +53,14 @@
 ) -> String {
     let proxy = plan.number;
     let servers = permit_servers(scenario.proxies);
-    let DisruptionBudget { per_group, per_zone, fleet } = BUDGET;
+    let DisruptionLimits { group, zone, fleet } = LIMITS;
     let ledger = if proxy < servers {
         ledger_file(&plan.directory, proxy).display().to_string()
     } else {
         String::from("no")
     };
     let mut text = format!(
-        "  <release listen=\"127.0.0.1:0\" rank=\"{}\" banks=\"{servers}\" group=\"{per_group}\" zone=\"{per_zone}\" \
+        "  <release listen=\"127.0.0.1:0\" rank=\"{}\" banks=\"{servers}\" group=\"{group}\" zone=\"{zone}\" \
          fleet=\"{fleet}\" ledger=\"{ledger}\" signal=\"{}\" ready-within-s=\"{READY_TIMEOUT_S}\" \
          watch-s=\"{SOAK_TIME_S}\">\n",
         proxy + 1,
--- a/tests/release_rig.rs
+++ b/tests/release_rig.rs
@@ -31,7 +31,7 @@
 fn assert_rules(scenario: &Scenario, report: &Report) {
     let case = scenario.case;
     let line = report.line();
-    assert_eq!(report.violations.total(), 0, "broken rules: {line}");
+    assert_eq!(report.violations.count(), 0, "broken rules: {line}");
     assert!(report.is_finished, "the release did not end: {line}");
     assert!(report.had_fault || !case.has_fault(), "its fault never came: {line}");
     // Of two at once the older goes on, by the clock: the other one's members go on to its version.
