--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -203,7 +203,8 @@
     }
 }
 
-/// The router's id of a request: the request number, which keeps equal ids of several clients apart, and the client's id.
+/// The router's id of a request: the request number, which keeps equal ids of several clients apart, and the client's
+/// id.
 fn request_id(number: RequestNumber, client_id: &str) -> RequestId {
     const NUMBER_DIGITS: usize = 16;
     let mut bytes = [b'.'; 36];
--- a/crates/proxy/src/gossip_client/mod.rs
+++ b/crates/proxy/src/gossip_client/mod.rs
@@ -152,8 +152,10 @@
         known.collect()
     }
 
-    /// What other proxies observed, in the router's terms. Positions past `latest_position` are invalid and left out, as
-    /// are those of an earlier start of a member than the endpoint list has: their data may be lost.
+    /// What other proxies observed, in the router's terms.
+    ///
+    /// Positions past `latest_position` are invalid and left out. So are those of an earlier start of a member than the
+    /// endpoint list has: their data may be lost.
     pub fn peer_observations(
         &self,
         updates: &[StateUpdate],
