--- a/crates/budget/src/lease_holder.rs
+++ b/crates/budget/src/lease_holder.rs
@@ -1,13 +1,12 @@
 //! One proxy's side of the budgets: its leases, its meters, and when it sends requests to which allocator.
 
+use crate::request_schedule::RequestSchedule;
 use crate::{
     BudgetAmount, BudgetId, BudgetKind, BudgetLimits, ConcurrencyBudget, GrantEffect, HolderId, LeaseGrant,
     LeaseRequest, LeaseTable, LeaseTerms, Micros, RateMeter,
 };
 use std::collections::BTreeMap;
 
-/// An allocator that will have more soon is sent the next request after this fraction of the usual interval.
-const SHORT_INTERVAL_DIVISOR: Micros = 4;
 /// The caller looks for what is overdue once a second, and closes it a little later: it hears so much ahead of time.
 const OVERDUE_LEAD: Micros = 1_500_000;
 /// Budgets of one proxy at most, as those of members: one past that has no quota. A request then still fits a datagram.
@@ -31,8 +30,7 @@
     static_quotas: BudgetLimits,
     rate_meters: BTreeMap<BudgetId, RateMeter>,
     concurrency_budgets: BTreeMap<BudgetId, ConcurrencyBudget>,
-    /// When the next request to each allocator is due.
-    next_request_at: Vec<Micros>,
+    schedule: RequestSchedule,
     /// Offsets the allocators that get the remainder of a demand that does not divide.
     remainder_offset: u64,
 }
@@ -48,11 +46,11 @@
     ) -> LeaseHolder {
         LeaseHolder {
             leases: LeaseTable::new(holder, terms.clone(), allocators),
+            schedule: RequestSchedule::new(terms.request_interval, allocators, now),
             terms,
             static_quotas: BudgetLimits::default(),
             rate_meters: budgets.into_iter().map(|budget| (budget, RateMeter::new(now))).collect(),
             concurrency_budgets: BTreeMap::new(),
-            next_request_at: vec![now; allocators],
             remainder_offset: holder >> 16 ^ holder,
         }
     }
@@ -76,7 +74,7 @@
         } else {
             self.rate_meters.insert(budget, RateMeter::new(now));
         }
-        (0..self.next_request_at.len()).for_each(|allocator| self.request_soon(now, allocator));
+        self.schedule.request_soon_from_all(now);
     }
 
     fn is_registered(&self, budget: BudgetId) -> bool {
@@ -87,13 +85,6 @@
         self.static_quotas.get(budget).unwrap_or(0)
     }
 
-    /// Brings the next request to an allocator forward to a fraction of the usual interval.
-    fn request_soon(&mut self, now: Micros, allocator: usize) {
-        let soon = now + self.terms.request_interval / SHORT_INTERVAL_DIVISOR;
-        let next = &mut self.next_request_at[allocator];
-        *next = soon.min(*next);
-    }
-
     /// Forgets the budgets that are not to be kept; a concurrency budget only once nothing of it is in use.
     pub fn retain(&mut self, is_kept: impl Fn(BudgetId) -> bool) {
         self.rate_meters.retain(|budget, _| is_kept(*budget));
@@ -106,11 +97,10 @@
         self.refresh_quotas(now);
         let reachable = self.leases.reachable_allocators(now).max(1) as u64;
         let mut requests = Vec::new();
-        for allocator in 0..self.next_request_at.len() {
-            if now < self.next_request_at[allocator] {
+        for allocator in 0..self.schedule.allocators() {
+            if !self.schedule.take_due(now, allocator) {
                 continue;
             }
-            self.next_request_at[allocator] = now + self.terms.request_interval;
             let demand = self.demand(now, allocator, reachable);
             if let Some(request) = self.request(now, allocator, demand) {
                 requests.push((allocator, request));
@@ -121,7 +111,7 @@
 
     /// The part of the demand that one allocator is asked for, of each budget.
     fn demand(&mut self, now: Micros, allocator: usize, reachable: u64) -> Vec<BudgetAmount> {
-        let allocators = self.next_request_at.len().max(1) as u64;
+        let allocators = self.schedule.allocators().max(1) as u64;
         // The remainder goes to other allocators first at each proxy: rounded up everywhere, small quotas would lie
         // idle by the hundred.
         let position = (allocator as u64 + self.remainder_offset) % allocators;
@@ -159,8 +149,8 @@
     pub fn on_grant(&mut self, now: Micros, allocator: usize, grant: &LeaseGrant) -> bool {
         let effect = self.leases.on_grant(now, allocator, grant);
         match effect {
-            Some(GrantEffect { is_reduced: true, .. }) => self.next_request_at[allocator] = now,
-            Some(GrantEffect { more_available: true, .. }) => self.request_soon(now, allocator),
+            Some(GrantEffect { is_reduced: true, .. }) => self.schedule.request_now(now, allocator),
+            Some(GrantEffect { more_available: true, .. }) => self.schedule.request_soon(now, allocator),
             Some(_) | None => {}
         }
         self.refresh_quotas(now);
@@ -236,7 +226,7 @@
 
     /// When [`LeaseHolder::due_requests`] next has something to send.
     pub fn next_due(&self) -> Micros {
-        self.next_request_at.iter().copied().min().unwrap_or(Micros::MAX)
+        self.schedule.next_due()
     }
 
     /// When an allocator's newest lease expires or has expired.
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -46,6 +46,7 @@
 mod limits;
 mod messages;
 mod rate_meter;
+mod request_schedule;
 mod takeover;
 mod terms;
 
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -33,18 +33,22 @@
 
 mod config;
 mod dissemination;
+mod event;
 mod membership;
 mod note;
 mod note_store;
 mod peer;
 pub mod simulation;
 mod timers;
+mod traffic;
 
 pub use config::SwimConfig;
-pub use membership::{Datagram, Membership, MembershipEvent, PublishError, Traffic};
+pub use event::MembershipEvent;
+pub use membership::{Membership, PublishError};
 pub use note::{Note, NoteKey, MAX_NOTE_BYTES};
 pub use note_store::{NoteStore, RejectedNote, MAX_NOTES};
 pub use peer::{Peer, MAX_ZONE_BYTES};
+pub use traffic::{Datagram, Traffic};
 
 /// A time or a span of time, in microseconds, on the caller's clock.
 pub type Micros = i64;
--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -2,12 +2,14 @@
 
 use crate::config::SwimConfig;
 use crate::dissemination::NoteReceiver;
+use crate::event::MembershipEvent;
 use crate::note::Note;
 use crate::note_store::NoteStore;
 use crate::peer::Peer;
 use crate::timers::TimerQueue;
+use crate::traffic::{Datagram, Traffic};
 use crate::Micros;
-use foca::{AccumulatingRuntime, Foca, OwnedNotification, PostcardCodec};
+use foca::{AccumulatingRuntime, Foca, PostcardCodec};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use std::cell::{Ref, RefCell};
@@ -19,42 +21,6 @@
 const MAX_OUTGOING: usize = 1024;
 const MICROS_PER_MS: Micros = 1000;
 
-/// What changed in the membership.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MembershipEvent {
-    /// A peer is alive.
-    Up(Peer),
-    /// A peer is declared down.
-    Down(Peer),
-    /// This proxy was declared down and rejoined as this newer generation.
-    Rejoined(Peer),
-}
-
-/// Counts of datagrams.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Traffic {
-    /// Datagrams.
-    pub datagrams: u64,
-    /// Their bytes.
-    pub bytes: u64,
-}
-
-impl Traffic {
-    fn count(&mut self, datagram: &[u8]) {
-        self.datagrams += 1;
-        self.bytes += datagram.len() as u64;
-    }
-}
-
-/// A datagram to send.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Datagram {
-    /// Where it goes to.
-    pub to: SocketAddrV4,
-    /// What it carries.
-    pub payload: Vec<u8>,
-}
-
 /// Why a note was not published.
 #[derive(Debug, thiserror::Error)]
 pub enum PublishError {
@@ -237,19 +203,7 @@
             }
         }
         while let Some(notification) = self.runtime.to_notify() {
-            self.events.extend(event(notification));
-        }
-    }
-}
-
-/// What a notification means to the membership's owner.
-fn event(notification: OwnedNotification<Peer>) -> Option<MembershipEvent> {
-    match notification {
-        OwnedNotification::MemberUp(peer) | OwnedNotification::Rename(_, peer) => {
-            Some(MembershipEvent::Up(peer))
+            self.events.extend(MembershipEvent::from_foca(notification));
         }
-        OwnedNotification::MemberDown(peer) => Some(MembershipEvent::Down(peer)),
-        OwnedNotification::Rejoin(peer) => Some(MembershipEvent::Rejoined(peer)),
-        _ => None,
     }
 }
