--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -26,7 +26,8 @@
             return self.report_not_sent(now, key, host);
         };
         let Some(request) = self.requests.get(id) else { return };
-        let write = self.negative_cache.begin(now, key.into(), request.class, request.touched_key.as_ref());
+        let write =
+            self.negative_cache.begin_attempt(now, key.into(), request.class, request.touched_key.as_ref());
         let Ok(write_until) = write else {
             return self.report_not_sent(now, key, host);
         };
@@ -117,7 +118,7 @@
     /// Tells gossip and the negative cache how an attempt ended: a write may now be settled, or in doubt.
     pub(super) fn note_attempt_ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         self.gossip.on_attempt_finished(self.clock.now(), key.request, outcome);
-        self.negative_cache.ended(self.clock.now(), key.into(), outcome);
+        self.negative_cache.on_attempt_finished(self.clock.now(), key.into(), outcome);
     }
 
     /// Handles the driver's report of an attempt: the complete answer, its first bytes, or the failure.
@@ -143,7 +144,7 @@
         self.gossip.report_reachability(attempt.host, attempt.sent_at, outcome);
         let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
         self.gossip.report_position(self.clock.now(), attempt.host, result.position);
-        self.negative_cache.learned(attempt.host, result.position);
+        self.negative_cache.on_position(attempt.host, result.position);
         self.notify_router(routing::Event::AttemptFinished(result));
     }
 
--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -90,7 +90,7 @@
         }
         self.recorder.record_endpoint(version, host, record);
         self.gossip.update_member(host, record);
-        self.negative_cache.listed(host, record);
+        self.negative_cache.on_endpoint(host, record);
         self.update_pool(host, record);
         Endpoint {
             host,
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -37,7 +37,7 @@
 use super::config::{Config, SEND_MARGIN};
 use super::gossip_client::GossipClient;
 use super::log;
-use super::missing::Lookups;
+use super::negative_cache_client::NegativeCacheClient;
 use super::recording::{record_reason, DecisionRecorder, RequestSummary};
 use super::rollout::RolloutReporter;
 use async_channel::{Receiver, Sender};
@@ -95,7 +95,7 @@
     /// Present where another process may take over from this one while it serves.
     handover: Option<HandoverController>,
     gossip: GossipClient,
-    negative_cache: Lookups,
+    negative_cache: NegativeCacheClient,
     rollout: RolloutReporter,
 }
 
@@ -132,7 +132,7 @@
             budget_denials: BudgetDenials::default(),
             handover: None,
             gossip: GossipClient::new(&config.settings.classes),
-            negative_cache: Lookups::default(),
+            negative_cache: NegativeCacheClient::default(),
             rollout: RolloutReporter::default(),
         }
     }
@@ -148,7 +148,7 @@
     }
 
     /// Answers reads of missing keys from the negative cache, and requires a lease for writes, from now on.
-    pub fn enable_negative_cache(&mut self, negative_cache: Lookups) {
+    pub fn enable_negative_cache(&mut self, negative_cache: NegativeCacheClient) {
         self.negative_cache = negative_cache;
     }
 
--- a/crates/proxy/src/broker/negative_cache.rs
+++ b/crates/proxy/src/broker/negative_cache.rs
@@ -44,6 +44,6 @@
     ) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(key) = &request.touched_key else { return };
-        self.negative_cache.heard(self.clock.now(), request.class, key, position_at_send, answer);
+        self.negative_cache.on_read_answered(self.clock.now(), request.class, key, position_at_send, answer);
     }
 }
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -68,7 +68,7 @@
     }
 
     fn open_request(&mut self, request: &Request, received: ClientRequest) {
-        let touched_key = self.negative_cache.asked(
+        let touched_key = self.negative_cache.lookup_for(
             request.class,
             request.group,
             received.session_key.as_deref(),
--- a/crates/proxy/src/broker/shutdown.rs
+++ b/crates/proxy/src/broker/shutdown.rs
@@ -44,7 +44,7 @@
         if let Some(shutdown) = &mut self.lifecycle.shutdown {
             shutdown.is_listener_closed = true;
         }
-        self.negative_cache.end();
+        self.negative_cache.shut_down();
         self.clients.stop_accepting();
         self.release_listener();
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -9,7 +9,7 @@
 mod gossip;
 mod gossip_client;
 pub mod log;
-mod missing;
+mod negative_cache_client;
 mod recording;
 pub mod rollout;
 mod startup;
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -7,7 +7,7 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::error::StartError;
-use crate::missing::Lookups;
+use crate::negative_cache_client::NegativeCacheClient;
 use crate::recording::DecisionRecorder;
 use crate::rollout::RolloutReporter;
 use crate::{budgets, gossip, log};
@@ -183,7 +183,12 @@
 
     fn start_negative_cache(&self, config: &Config, broker: &mut Broker) -> Result<(), StartError> {
         if let Some(settings) = &self.settings.negative_cache {
-            broker.enable_negative_cache(Lookups::start(settings, config, self.clock, &self.executor)?);
+            broker.enable_negative_cache(NegativeCacheClient::start(
+                settings,
+                config,
+                self.clock,
+                &self.executor,
+            )?);
         }
         Ok(())
     }
