--- a/crates/fleet-harness/src/releases/faults.rs
+++ b/crates/fleet-harness/src/releases/faults.rs
@@ -1,7 +1,7 @@
 //! The faults of a run, carried out at their times.
 
 use super::case::{Case, NEW, OLD, OTHER};
-use super::diary::Why;
+use super::events::StopCause;
 use super::run::Rig;
 use super::settings::signal;
 use async_io::Timer;
@@ -23,11 +23,11 @@
     pub(super) async fn begin(self: &Rc<Self>) -> Result<(), String> {
         let start = |target: u64| format!("start {target} {OLD}\n");
         if self.played.case == Case::ByThemselves {
-            (0..self.agents.addresses.len()).for_each(|m| self.agents.leave(m, NEW, Why::Order));
+            (0..self.agents.addresses.len()).for_each(|m| self.agents.leave(m, NEW, StopCause::Ordered));
             return Ok(());
         }
         if self.played.case == Case::Lossy {
-            let mut wire = self.mesh.wire.borrow_mut();
+            let mut wire = self.cluster.mesh.wire.borrow_mut();
             (wire.loss, wire.duplicate, wire.jitter) = (0.2, 0.2, 300_000);
         }
         self.say(0, &start(NEW))?;
@@ -62,29 +62,27 @@
                 let proxy = usize::from(case == Case::BankKilled);
                 self.kill(proxy);
                 lasts().await;
-                self.start(proxy)?;
+                self.cluster.start(proxy)?;
             }
             Case::DriverPaused => {
-                self.pause(0, true);
+                self.cluster.pause(0);
                 lasts().await;
-                self.pause(0, false);
+                self.cluster.resume(0);
             }
             Case::Cut => {
                 // The driver is in the third that is cut off.
                 let proxies = self.played.proxies;
-                let side = |p: usize| p < proxies.div_ceil(3);
-                let pairs = (0..proxies).flat_map(|a| (0..proxies).map(move |b| (a, b)));
-                let across: Vec<(usize, usize)> = pairs.filter(|(a, b)| side(*a) != side(*b)).collect();
-                self.mesh.wire.borrow_mut().blocked.extend(&across);
+                let side: Vec<usize> = (0..proxies.div_ceil(3)).collect();
+                self.cluster.cut_off(&side);
                 lasts().await;
-                self.mesh.wire.borrow_mut().blocked.clear();
+                self.cluster.reconnect(&side);
             }
             Case::MemberFalls => {
                 let states = self.agents.states.borrow().clone();
                 let from = (0..states.len()).map(|n| (self.played.member + n) % states.len());
                 let fit = from.clone().find(|member| states[*member].ready);
                 let member = fit.unwrap_or(self.played.member);
-                self.agents.leave(member, states[member].version, Why::Fell);
+                self.agents.leave(member, states[member].version, StopCause::Crashed);
             }
             Case::Drained => {
                 self.agents.drain(self.played.member, true);
