--- a/crates/rollout/src/peer/mod.rs
+++ b/crates/rollout/src/peer/mod.rs
@@ -1,41 +1,23 @@
 //! One proxy's part in rollouts: its permit server if it is one, the rollouts that it knows, the controller, the leader
 //! election, and the encoded messages between proxies. It does no I/O.
 
+mod commands;
 mod election;
 mod message;
 mod response_queue;
+mod tick;
 
+pub use commands::CommandError;
 pub use election::LeaderElection;
 pub use message::{Destination, Effect, PeerIdentity};
 
 use crate::{
-    ControllerAction, HaltReason, Inventory, Micros, NodeId, NodeObservation, OperatorCommand, OutageCause,
-    PermitLedger, PermitRequest, PermitServer, Phase, Rollout, RolloutConfig, RolloutController, RolloutId,
-    RolloutTable, TableFull, Version,
+    Inventory, Micros, NodeId, NodeObservation, OutageCause, PermitLedger, PermitRequest, PermitServer,
+    RolloutConfig, RolloutController, RolloutId, RolloutTable,
 };
 use message::PeerMessage;
 use response_queue::{QueuedResponse, ResponseQueue};
 use std::collections::BTreeSet;
-use thiserror::Error;
-
-/// How often a proxy sends its rollouts to one of the others.
-const GOSSIP_INTERVAL: Micros = 200_000;
-/// How many heartbeats the leader sends in the time after which it would count as silent.
-const HEARTBEATS_PER_TIMEOUT: Micros = 3;
-
-/// Why an operator's command had no effect.
-#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum CommandError {
-    /// The rollout can't start: too many are unfinished.
-    #[error(transparent)]
-    TableFull(#[from] TableFull),
-    /// There is no rollout that the command could apply to.
-    #[error("no release is under way")]
-    NoRollout,
-    /// The rollout is in that phase already, or rolls back.
-    #[error("the release goes that way, or back, already")]
-    PhaseUnchanged,
-}
 
 /// One proxy's part in rollouts.
 #[derive(Clone, Debug)]
@@ -160,51 +142,6 @@
         }
     }
 
-    /// Applies an operator's command, and returns the rollout that it applied to.
-    ///
-    /// # Errors
-    ///
-    /// If it had no effect.
-    pub fn apply_command(
-        &mut self,
-        now_ms: u64,
-        command: &OperatorCommand,
-    ) -> Result<RolloutId, CommandError> {
-        match command {
-            OperatorCommand::Start { target, previous } => self.start_rollout(now_ms, *target, *previous),
-            OperatorCommand::Halt => self.change_phase(command, Phase::Halted(HaltReason::Operator)),
-            OperatorCommand::Resume => self.change_phase(command, Phase::Forward),
-            OperatorCommand::Undo => self.change_phase(command, Phase::RollingBack(HaltReason::Operator)),
-        }
-    }
-
-    fn start_rollout(
-        &mut self,
-        now_ms: u64,
-        target: Version,
-        previous: Version,
-    ) -> Result<RolloutId, CommandError> {
-        let id = RolloutId { started_ms: now_ms, started_by: self.identity.rank };
-        let is_primary = |id| self.primaries.contains(&id) || self.controller.is_primary(id);
-        let members = self.inventory.upgrade_order(is_primary);
-        let budget = self.inventory.budget().fleet as usize;
-        self.rollouts.start(Rollout::new(id, target, previous, &members, budget))?;
-        Ok(id)
-    }
-
-    /// Changes the phase of the newest rollout that a command can apply to.
-    fn change_phase(&mut self, command: &OperatorCommand, phase: Phase) -> Result<RolloutId, CommandError> {
-        // A finished rollout can still be undone.
-        let is_eligible =
-            |rollout: &&mut Rollout| !rollout.is_finished() || *command == OperatorCommand::Undo;
-        let newest = self.rollouts.iter_mut().filter(is_eligible).last();
-        let rollout = newest.ok_or(CommandError::NoRollout)?;
-        if !rollout.set_phase(phase) {
-            return Err(CommandError::PhaseUnchanged);
-        }
-        Ok(rollout.id)
-    }
-
     /// Handles a message from the proxy with this rank.
     pub fn on_message(&mut self, now: Micros, from: u64, bytes: &[u8]) {
         let Ok(message) = postcard::from_bytes(bytes) else {
@@ -257,71 +194,6 @@
         }
     }
 
-    /// Does what is due now.
-    pub fn on_tick(&mut self, now: Micros) {
-        self.gossip(now);
-        self.is_leader = self.election.check_leadership(now);
-        if self.is_leader {
-            self.send_heartbeats(now);
-            self.lead_rollouts(now);
-        }
-    }
-
-    /// Sends all rollouts to the next of the other proxies.
-    fn gossip(&mut self, now: Micros) {
-        if now < self.next_gossip_at || self.peers.is_empty() {
-            return;
-        }
-        self.next_gossip_at = now + GOSSIP_INTERVAL;
-        self.gossip_round += 1;
-        let peer = Destination::Proxy(self.peers[self.gossip_round % self.peers.len()]);
-        let rollouts: Vec<PeerMessage> = self.rollouts.iter().cloned().map(PeerMessage::Rollout).collect();
-        for message in &rollouts {
-            self.send(peer, message);
-        }
-        if rollouts.is_empty() {
-            self.send(peer, &PeerMessage::Heartbeat);
-        }
-    }
-
-    /// Tells all others that this proxy is alive and leads: in a large fleet the rounds of gossip are too rare for that.
-    fn send_heartbeats(&mut self, now: Micros) {
-        if now < self.next_heartbeat_at {
-            return;
-        }
-        self.next_heartbeat_at = now + self.peer_timeout / HEARTBEATS_PER_TIMEOUT;
-        for peer in self.peers.clone() {
-            self.send(Destination::Proxy(peer), &PeerMessage::Heartbeat);
-        }
-    }
-
-    fn lead_rollouts(&mut self, now: Micros) {
-        let mut actions = Vec::new();
-        for rollout in self.rollouts.iter_mut() {
-            let id = rollout.id;
-            actions.extend(self.controller.on_tick(now, rollout).into_iter().map(|action| (id, action)));
-        }
-        for (rollout, action) in actions {
-            self.perform(rollout, action);
-        }
-    }
-
-    fn perform(&mut self, rollout: RolloutId, action: ControllerAction) {
-        match action {
-            ControllerAction::RequestPermits(server, request) => {
-                self.send(Destination::PermitServer(server), &PeerMessage::PermitRequest(request));
-            }
-            ControllerAction::ReturnPermit(server, returned) => {
-                self.send(Destination::PermitServer(server), &PeerMessage::PermitReturn(returned));
-            }
-            ControllerAction::Restart(order) => self.effects.push(Effect::Restart(order)),
-            ControllerAction::HandOver(id, incarnation) => {
-                self.effects.push(Effect::HandOver(id, incarnation));
-            }
-            action => self.effects.push(Effect::Log(rollout, action)),
-        }
-    }
-
     fn send(&mut self, to: Destination, message: &PeerMessage) {
         self.outbox.extend(postcard::to_allocvec(message).map(|bytes| (to, bytes)));
     }
