--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod budgets;
 pub mod check;
 mod cluster;
+mod draw;
 pub mod goodput;
 pub mod ground_truth;
 pub mod health;
--- a/crates/fleet-harness/tests/schedule.rs
+++ b/crates/fleet-harness/tests/schedule.rs
@@ -1,6 +1,6 @@
 //! Schedules that are drawn, written out and read back.
 
-use wharfplank_fleet_harness::schedule::{Fault, Scenario, Schedule};
+use wharfplank_fleet_harness::schedule::{Fault, Scenario, Schedule, ScheduleError};
 
 #[test]
 fn a_schedule_is_drawn_alike_from_a_seed_and_read_back_as_written() {
@@ -16,10 +16,13 @@
 }
 
 #[test]
-fn a_schedule_that_names_what_the_run_lacks_is_refused() {
+fn a_schedule_that_names_what_the_run_lacks_is_rejected() {
     let mut schedule = Schedule::draw(Scenario::Pause, 5, 1, true);
     schedule.faults.push(Fault::Pause { at_ms: 0, for_ms: 1, proxy: 9 });
-    assert!(Schedule::read(&serde_json::to_string(&schedule).unwrap()).is_err());
+    let text = serde_json::to_string(&schedule).unwrap();
+    assert_eq!(Schedule::read(&text), Err(ScheduleError::UnknownTarget));
     schedule.proxies = 1000;
-    assert!(Schedule::read(&serde_json::to_string(&schedule).unwrap()).is_err());
+    let text = serde_json::to_string(&schedule).unwrap();
+    assert_eq!(Schedule::read(&text), Err(ScheduleError::TooLarge));
+    assert!(matches!(Schedule::read("{"), Err(ScheduleError::Malformed(_))));
 }
