--- a/crates/fleet-harness/src/check.rs
+++ b/crates/fleet-harness/src/check.rs
@@ -144,7 +144,7 @@
     }
     report.replica_bytes_a_second /= schedule.seconds.max(1) as f64 * schedule.proxies as f64;
     for proxy in 0..schedule.proxies {
-        for line in lines(directory, proxy, "given_up") {
+        for line in lines(directory, proxy, "request_unserved") {
             let of = |name: &str| line.get(name).and_then(Value::as_str).unwrap_or("-").to_string();
             let group = line.get("group").and_then(Value::as_u64).unwrap_or(0);
             let (class, why) = (of("class"), of("why"));
--- a/crates/proxy/src/log/gossip.rs
+++ b/crates/proxy/src/log/gossip.rs
@@ -46,7 +46,7 @@
         GossipLogEvent::MemberHealthChanged { name, verdict, score, observers } => {
             let (verdict, score) = (verdict.to_string(), format!("{:.2}", score.unwrap_or(0.0)));
             let (verdict, score) = (verdict.as_str(), score.as_str());
-            info!(name, verdict, score, voices = observers as u64, "member_health");
+            info!(name, verdict, score, observers = observers as u64, "member_health");
         }
         GossipLogEvent::SharedStateChanged(state) => {
             let (store, stats) = (state.store(), state.stats);
@@ -87,8 +87,8 @@
                 rejected = peers.rejected,
                 notes = notes.len() as u64,
                 stale_notes = notes.stale,
-                seen_dropped = observations_dropped,
-                told_dropped = updates_dropped,
+                observations_dropped,
+                updates_dropped,
                 "peers"
             );
         }
--- a/crates/proxy/src/log/process.rs
+++ b/crates/proxy/src/log/process.rs
@@ -27,8 +27,9 @@
 /// The staleness of the endpoint list has changed, or an answer of discovery is suspect; `missing_members` counts the
 /// members that the suspect answer would take out of service.
 pub fn endpoint_list_state(staleness: Option<&str>, suspect: Option<SuspectReason>, missing_members: usize) {
-    let doubt = suspect.map_or("-", SuspectReason::as_str);
-    warn!(age = staleness.unwrap_or("-"), doubt, lacks = missing_members as u64, "list");
+    let staleness = staleness.unwrap_or("-");
+    let suspect = suspect.map_or("-", SuspectReason::as_str);
+    warn!(staleness, suspect, missing_members = missing_members as u64, "endpoint_list");
 }
 
 /// The result of an operator's command on a member.
@@ -38,7 +39,7 @@
 
 /// The excluded members and the reasons, logged when operators read the metrics.
 pub fn excluded_members(members: &str) {
-    debug!(members = if members.is_empty() { "-" } else { members }, "avoided");
+    debug!(members = if members.is_empty() { "-" } else { members }, "excluded_members");
 }
 
 /// A step of the hand-over between two processes, and the number of cordoned members.
--- a/crates/proxy/src/log/requests.rs
+++ b/crates/proxy/src/log/requests.rs
@@ -43,7 +43,7 @@
 
 /// A request was rejected or has failed.
 pub fn request_unserved(request: &UnservedRequest<'_>) {
-    let endings = if request.outcomes.is_empty() { "-" } else { request.outcomes };
+    let outcomes = if request.outcomes.is_empty() { "-" } else { request.outcomes };
     debug!(
         id = request.id,
         class = request.class,
@@ -51,7 +51,7 @@
         what = request.disposition,
         why = request.reason,
         took_ms = request.took_ms,
-        endings,
-        "given_up"
+        outcomes,
+        "request_unserved"
     );
 }
--- a/crates/proxy/src/log/rollout.rs
+++ b/crates/proxy/src/log/rollout.rs
@@ -18,14 +18,21 @@
         RolloutLogEvent::FileFailed { path, error } => {
             warn!(path = %path.display(), what = %error, "release_file")
         }
-        RolloutLogEvent::Service(ServiceEvent::PermitServerOpen(open)) => info!(open, "release_bank"),
-        RolloutLogEvent::Service(ServiceEvent::Leader(drives)) => info!(drives, "release_drives"),
+        RolloutLogEvent::Service(ServiceEvent::PermitServerOpen(open)) => {
+            info!(open, "release_permit_server")
+        }
+        RolloutLogEvent::Service(ServiceEvent::Leader(is_leader)) => info!(is_leader, "release_leader"),
         RolloutLogEvent::Service(ServiceEvent::Command { text, result: Ok(rollout) }) => {
-            info!(word = text.as_str(), answer = "yes", release = rollout_name(*rollout), "release_word")
+            info!(
+                command = text.as_str(),
+                answer = "yes",
+                release = rollout_name(*rollout),
+                "release_command"
+            )
         }
         RolloutLogEvent::Service(ServiceEvent::Command { text, result: Err(failure) }) => {
             let what = failure.to_string();
-            warn!(word = text.as_str(), answer = "no", what = what.as_str(), "release_word")
+            warn!(command = text.as_str(), answer = "no", what = what.as_str(), "release_command")
         }
         RolloutLogEvent::Service(ServiceEvent::Action(rollout, action)) => {
             let release = rollout_name(*rollout);
--- a/crates/transport/src/member_pool/end_reason.rs
+++ b/crates/transport/src/member_pool/end_reason.rs
@@ -42,7 +42,7 @@
     /// The code in the log.
     pub(super) fn as_str(self) -> &'static str {
         match self {
-            EndReason::Abandoned => "given_up",
+            EndReason::Abandoned => "abandoned",
             EndReason::Shutdown => "shutdown",
             EndReason::ConnectFailed => "connect_failed",
             EndReason::ConnectTimeout => "connect_timeout",
@@ -56,7 +56,7 @@
             EndReason::Relocated => "moved",
             EndReason::Deactivated => "left",
             EndReason::Retired => "retired",
-            EndReason::Unsolicited => "unasked",
+            EndReason::Unsolicited => "unsolicited",
             EndReason::Stale => "stale",
             EndReason::Silent => "silent",
         }
