--- a/crates/discovery/tests/endpoint_list.rs
+++ b/crates/discovery/tests/endpoint_list.rs
@@ -14,28 +14,75 @@
 const START: i64 = 1_800_000_000 * SECOND;
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
+/// What happens to the tracker.
 #[derive(Clone, Debug)]
 enum Step {
-    /// An answer: how far its version is ahead of the newest, whether it is whole, and a health for each member;
-    /// 0 leaves it out.
-    Answer(i64, bool, Vec<u8>),
-    Fails,
-    Moves,
+    /// Discovery answers a poll.
+    Answer(Answer),
+    /// A poll fails.
+    Failure,
+    /// Discovery has a new address.
+    AddressChange,
     /// Time passes in one leap, so that the tracker expires its deadlines late.
     Leap(i64),
 }
 
+#[derive(Clone, Debug)]
+struct Answer {
+    /// How far its version is ahead of the newest.
+    versions_ahead: i64,
+    is_complete: bool,
+    /// The health of each endpoint; `None` leaves it out.
+    healths: Vec<Option<EndpointHealth>>,
+}
+
+fn health() -> impl Strategy<Value = Option<EndpointHealth>> {
+    prop_oneof![
+        1 => Just(None),
+        4 => Just(Some(EndpointHealth::Active)),
+        1 => Just(Some(EndpointHealth::Draining)),
+        1 => Just(Some(EndpointHealth::Removed)),
+    ]
+}
+
+fn answer() -> impl Strategy<Value = Answer> {
+    let healths = prop::collection::vec(health(), NAMES.len());
+    (-3_i64..4, any::<bool>(), healths).prop_map(|(versions_ahead, is_complete, healths)| Answer {
+        versions_ahead,
+        is_complete,
+        healths,
+    })
+}
+
 fn step() -> impl Strategy<Value = Step> {
-    let healths =
-        prop::collection::vec(prop_oneof![1 => Just(0), 4 => Just(1), 1 => Just(2), 1 => Just(3)], 6);
     prop_oneof![
-        6 => (-3_i64..4, any::<bool>(), healths).prop_map(|(ahead, whole, h)| Step::Answer(ahead, whole, h)),
-        2 => Just(Step::Fails),
-        1 => Just(Step::Moves),
+        6 => answer().prop_map(Step::Answer),
+        2 => Just(Step::Failure),
+        1 => Just(Step::AddressChange),
         3 => (0..3 * SECOND).prop_map(Step::Leap),
     ]
 }
 
+impl Answer {
+    /// The endpoints with their health.
+    fn endpoints(&self) -> impl Iterator<Item = (&'static str, Option<EndpointHealth>)> + '_ {
+        NAMES.into_iter().zip(self.healths.iter().copied())
+    }
+
+    /// Whether it takes an endpoint of this health out of use.
+    fn removes(&self, health: Option<EndpointHealth>) -> bool {
+        match health {
+            Some(health) => health != EndpointHealth::Active,
+            None => self.is_complete,
+        }
+    }
+
+    fn to_list(&self, version: u64) -> EndpointList {
+        let endpoints = self.endpoints().filter_map(|(name, health)| Some(endpoint(name, health?)));
+        EndpointList { version, complete: self.is_complete, endpoints: endpoints.collect() }
+    }
+}
+
 /// The broker's view of the events, and the removals that discovery announced, kept apart from the tracker.
 struct Model {
     tracker: EndpointTracker,
@@ -69,51 +116,47 @@
         if list.complete {
             self.active.clear();
         }
-        for host in list.endpoints {
-            self.until.remove(&host.name);
-            match host.health {
-                EndpointHealth::Active => self.active.insert(host.name),
-                _ => self.active.remove(&host.name),
+        for endpoint in list.endpoints {
+            self.until.remove(&endpoint.name);
+            match endpoint.health {
+                EndpointHealth::Active => self.active.insert(endpoint.name),
+                _ => self.active.remove(&endpoint.name),
             };
         }
     }
 
-    /// Whether a send to it could begin now.
+    /// Whether the endpoint may be sent a request now.
     fn permits(&self, name: &str) -> bool {
         self.active.contains(name) && self.until.get(name).is_none_or(|until| self.now < *until)
     }
 
-    fn answer(&mut self, ahead: i64, whole: bool, healths: &[u8]) {
-        let seq = self.newest.saturating_add_signed(ahead);
-        let healths: Vec<(&str, u8)> = NAMES.into_iter().zip(healths.iter().copied()).collect();
-        let hosts = healths.iter().filter(|(_, h)| *h > 0).map(|(name, h)| {
-            endpoint(
-                name,
-                [EndpointHealth::Active, EndpointHealth::Draining, EndpointHealth::Removed]
-                    [usize::from(*h) - 1],
-            )
-        });
-        let catalog = EndpointList { version: seq, complete: whole, endpoints: hosts.collect() };
-        let out = |h: u8| if whole { h != 1 } else { h > 1 };
-        let in_use = |name: &str| self.active.contains(name);
-        let all = self.active.iter().all(|n| healths.iter().any(|(name, h)| name == n && out(*h)));
-        self.empties = if whole && catalog.endpoints.is_empty() { self.empties + 1 } else { 0 };
+    fn answer(&mut self, answer: &Answer) {
+        let version = self.newest.saturating_add_signed(answer.versions_ahead);
+        let list = answer.to_list(version);
+        self.empties = if list.complete && list.endpoints.is_empty() { self.empties + 1 } else { 0 };
+        self.expect_removals(answer);
+        self.newest = self.newest.max(version);
+        let event = self.tracker.on_response(self.now, list);
+        self.take(event);
+    }
+
+    /// Notes the endpoints that must not be sent requests past the drain grace from now on.
+    fn expect_removals(&mut self, answer: &Answer) {
+        let removes_all = self
+            .active
+            .iter()
+            .all(|active| answer.endpoints().any(|(name, health)| name == active && answer.removes(health)));
         // A newer version takes effect from now on, unless it would leave no endpoint at all.
-        if ahead >= 0 && (!whole || !all) {
-            for (name, h) in &healths {
-                if out(*h) && in_use(name) {
-                    self.removed_at.entry(name.to_string()).or_insert(self.now);
-                } else if *h == 1 {
-                    self.removed_at.remove(*name);
-                }
+        let takes_effect = answer.versions_ahead >= 0 && (!answer.is_complete || !removes_all);
+        for (name, health) in answer.endpoints() {
+            if takes_effect && answer.removes(health) && self.active.contains(name) {
+                self.removed_at.entry(name.to_string()).or_insert(self.now);
+            } else if health == Some(EndpointHealth::Active) {
+                // Where the answer has no effect, the tracker need not act on it alone, and earlier removals of the
+                // endpoints that it lists as active are void.
+                self.removed_at.remove(name);
             }
-        } else {
-            // The tracker need not act on this answer alone: removals of endpoints that it lists as active are void.
-            self.removed_at.retain(|name, _| !healths.iter().any(|(n, h)| n == name && *h == 1));
         }
-        self.newest = self.newest.max(seq);
-        let event = self.tracker.on_response(self.now, catalog);
-        self.take(event);
     }
 
     fn poll(&mut self) {
@@ -132,22 +175,22 @@
 
     fn step(&mut self, step: &Step) {
         match step {
-            Step::Answer(ahead, whole, healths) => {
+            Step::Answer(answer) => {
                 self.poll();
-                self.answer(*ahead, *whole, healths);
+                self.answer(answer);
             }
-            Step::Fails => {
+            Step::Failure => {
                 self.poll();
                 self.tracker.on_failure(self.now);
             }
-            Step::Moves => {
+            Step::AddressChange => {
                 self.tracker.on_address_changed(self.now);
                 (self.newest, self.polls) = (0, vec![]);
                 self.removed_at.clear();
             }
             Step::Leap(span) => {
                 self.now += span;
-                // A send may be about to begin before the tracker expires its deadlines.
+                // A request may be about to be sent before the tracker expires its deadlines.
                 self.check();
                 if self.tracker.next_deadline().is_some_and(|due| self.now >= due) {
                     let event = self.tracker.expire_deadlines(self.now);
@@ -175,21 +218,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against a send past a drain's deadline, an empty list by one bad answer, and calls without end,
-    /// for any order of answers, silences, versions and leaps of the clock.
+    /// Guards against a request past a drain's deadline, an empty list by one bad answer, and polls in a busy loop, for
+    /// any order of answers, failures, versions and leaps of the clock.
     #[test]
     fn any_sequence_of_answers_keeps_deadlines_and_intervals(steps in prop::collection::vec(step(), 1..60)) {
         let mut model = Model::new();
         steps.iter().for_each(|step| model.step(step));
     }
 
-    /// Guards against times of calls that do not fit into what the rules leave, whatever their figures.
+    /// Guards against limits of polls that do not fit into the time that the drain grace leaves.
     #[test]
     fn a_silent_watch_is_replaced_in_time(drain_grace in 0..20 * SECOND) {
         let schedule = PollSchedule::new(drain_grace);
         prop_assert!(schedule.max_silent_watch() <= schedule.stale_after());
         prop_assert!(schedule.watch_wait > 0 && schedule.hedge_after < schedule.response_timeout);
-        // The clock is the same where lists are asked for.
+        // The same limits hold for a shared service.
         let shared = schedule.with_shared(SharedDiscovery { seed: 1, poll_interval: 10 * SECOND, proxies: 300 });
         prop_assert!(shared.max_silent_watch() <= shared.stale_after() && shared.hedge_after < shared.response_timeout);
     }
@@ -208,7 +251,7 @@
             if now >= back {
                 break;
             }
-            // The call and the one beside it hang: the agent may well have come back meanwhile.
+            // The poll and the hedged one hang: the agent may have recovered meanwhile.
             now += (poll.hedge.after + poll.connect_timeout + poll.response_timeout - poll.wait).max(poll.response_timeout);
             tracker.on_failure(now);
         }
@@ -216,7 +259,7 @@
     }
 }
 
-/// Guards against half a list that takes members out of use before a second answer has said the same.
+/// Guards against a list that lacks half of the endpoints and takes them out of use before a second answer confirms it.
 #[test]
 fn a_list_that_lacks_half_counts_once_it_is_confirmed() {
     let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
@@ -235,7 +278,7 @@
         Some(3)
     );
     assert_eq!(tracker.next_deadline(), None);
-    // One that nobody confirms counts by its deadline; one that would leave nobody never does alone.
+    // An unconfirmed one takes effect at its deadline; one that would leave no endpoint never does alone.
     assert_eq!(
         tracker.on_response(START + 40, full_list(7, &["a"])).suspect,
         Some(SuspectReason::MissingEndpoints)
@@ -262,8 +305,8 @@
     assert_eq!(tracker.expire_deadlines(due + 2 * SECOND), WatchEvent::default());
 }
 
-/// Guards against an older list that brings a drained member back, and against an agent that began anew and is
-/// never believed again.
+/// Guards against an older list that brings a drained endpoint back, and against a restarted agent whose answers are
+/// never accepted again.
 #[test]
 fn an_older_version_counts_once_it_is_confirmed() {
     let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
@@ -283,12 +326,12 @@
         Some(6)
     );
     assert_eq!(tracker.next_poll(START + 5).kind, PollKind::Watch { version: 4 });
-    // A patch of an older version says nothing and has the whole list asked for.
+    // A change of an older version is not accepted, and the full list is requested.
     assert_eq!(tracker.on_response(START + 6, change(2, &["z"])).suspect, Some(SuspectReason::OlderVersion));
     assert_eq!(tracker.next_poll(START + 7).kind, PollKind::FullList);
 }
 
-/// Guards against a start that comes undone, which would end a cold member's budget, or lies ahead of the clock.
+/// Guards against a start time that goes back, which would end the slow start of an endpoint, or lies ahead of the clock.
 #[test]
 fn the_start_of_an_endpoint_does_not_go_back() {
     let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &EndpointList::default(), START);
@@ -322,8 +365,8 @@
     assert_eq!(tracker.staleness(START + 9 * SECOND), Staleness::Unconfirmed);
 }
 
-/// Guards against an agent that answers every watch at once with nothing to say: it is asked ever more slowly, and
-/// still often enough for its watch to go on (200 ms).
+/// Guards against an agent that answers every watch at once with nothing new: it is polled with a backoff, and still
+/// often enough for its watch to be continued (200 ms).
 #[test]
 fn an_agent_with_empty_early_responses_is_polled_with_backoff() {
     let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
