--- a/crates/fleet-harness/src/releases/events.rs
+++ b/crates/fleet-harness/src/rollouts/events.rs
@@ -6,7 +6,7 @@
 /// Why a member stopped serving. The encoded names are those of the run's files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum StopCause {
-    /// A release ordered it.
+    /// A rollout ordered it.
     #[serde(rename = "Order")]
     Ordered,
     /// It crashed.
--- a/crates/fleet-harness/tests/release_rules.rs
+++ b/crates/fleet-harness/tests/rollout_rules.rs
@@ -1,7 +1,7 @@
-//! The checker of the rules of a release.
+//! The checker of the rules of a rollout.
 
-use wharfplank_fleet_harness::releases::events::{MemberEvent, MemberEventKind, StopCause};
-use wharfplank_fleet_harness::releases::rules::{check, DisruptionLimits, Site};
+use wharfplank_fleet_harness::rollouts::events::{MemberEvent, MemberEventKind, StopCause};
+use wharfplank_fleet_harness::rollouts::rules::{check, DisruptionLimits, Site};
 
 fn stopped(second: i64, member: usize, cause: StopCause, was_primary: bool) -> MemberEvent {
     let kind = MemberEventKind::Stopped { cause, incarnation: 0, was_primary, was_serving: true };
