--- a/crates/fleet-harness/src/releases/rules.rs
+++ b/crates/fleet-harness/src/rollouts/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of a release, and the checker that counts where what members did broke them.
+//! The rules of a rollout, and the checker that counts where what members did broke them.
 
 use super::events::{MemberEvent, MemberEventKind, StopCause};
 use serde::Serialize;
