--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -109,7 +109,7 @@
         Broker {
             clock,
             router: Router::new(config.settings.clone()),
-            parameters: config.terms.clone(),
+            parameters: config.parameters.clone(),
             attempt_policy: AttemptPolicy::new(&config.settings),
             pools,
             clients,
@@ -121,7 +121,7 @@
             attempts: AttemptTable::default(),
             streaming: StreamingAttempts::new(&config.settings),
             endpoints: EndpointTable::default(),
-            lifecycle: Lifecycle::new(now, config.settings.seed, config.terms.connect_timeout),
+            lifecycle: Lifecycle::new(now, config.settings.seed, config.parameters.connect_timeout),
             timers: MaintenanceTimers::new(now),
             budget_denials: BudgetDenials::default(),
             handover: None,
--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -10,14 +10,15 @@
 use limits::budget_limits;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::rc::Rc;
-use wharfplank_budget::{LeaseAllocator, LeaseHolder, LeaseTerms, TakeoverGuard};
+use wharfplank_budget::{BudgetLimits, LeaseAllocator, LeaseHolder, LeaseTerms, TakeoverGuard};
+use wharfplank_routing::Micros;
 use wharfplank_settings::BudgetSettings;
 use wharfplank_shared_state::hash_name;
 use wharfplank_transport::budgets::{
     self as lease_worker, BudgetLogEvent, Budgets, BudgetsConfig, LeaseWorker, OwnAllocator,
 };
 
-/// The share of a budget that is divided evenly where there are no allocators to lease the rest: all of it.
+/// The percentage of a budget that is handed out statically where there are no allocators to lease the rest: all of it.
 const ALL_PERCENT: u64 = 100;
 
 /// Binds the socket and starts the thread and the serving side.
@@ -36,19 +37,8 @@
     let allocators = settings.allocators();
     let static_percent = if allocators.is_empty() { ALL_PERCENT } else { settings.even_percent };
     let static_quotas = limits.static_quota(static_percent, settings.max_proxies);
-    let is_removed: Vec<bool> =
-        allocators.iter().map(|allocator| settings.removed_allocators().contains(allocator)).collect();
-    let own_index =
-        allocators.iter().position(|allocator| *allocator == me).filter(|index| !is_removed[*index]);
-    let own_allocator = own_index.map(|index| {
-        let live = |removed: &[bool]| removed.iter().filter(|is_removed| !**is_removed).count() as u64;
-        let live_before = live(&is_removed[..index]);
-        let part =
-            limits.allocator_part(&static_quotas, settings.max_proxies, live_before, live(&is_removed));
-        let allocator = LeaseAllocator::new(terms.clone(), part, now);
-        let guard = TakeoverGuard::new(settings.allocator_set_version, index, &is_removed);
-        OwnAllocator { index, allocator, guard }
-    });
+    let own_allocator = own_allocator(settings, me, &limits, &static_quotas, now);
+    let is_allocator = own_allocator.is_some();
 
     // The id of the process is unique: it is made of its address and of when it started.
     let process = hash_name(&format!("{me} {} {}", clock.now(), std::process::id()));
@@ -73,10 +63,35 @@
     };
     let budgets = lease_worker::start(worker, budgets_config, executor)
         .map_err(StartError::component_start(Component::Budgets))?;
-    log::budgets_started(bound, me, own_index.is_some());
+    log::budgets_started(bound, me, is_allocator);
     Ok(budgets)
 }
 
+/// The allocator that this proxy runs, where the settings name its address and do not list it as removed. The live
+/// allocators divide what is not handed out statically.
+fn own_allocator(
+    settings: &BudgetSettings,
+    me: SocketAddrV4,
+    limits: &BudgetLimits,
+    static_quotas: &BudgetLimits,
+    now: Micros,
+) -> Option<OwnAllocator> {
+    let allocators = settings.allocators();
+    let removed = settings.removed_allocators();
+    let is_removed: Vec<bool> = allocators.iter().map(|allocator| removed.contains(allocator)).collect();
+    let index = allocators.iter().position(|allocator| *allocator == me)?;
+    if is_removed[index] {
+        return None;
+    }
+    let live_count = |removed: &[bool]| removed.iter().filter(|is_removed| !**is_removed).count() as u64;
+    let live_before = live_count(&is_removed[..index]);
+    let part =
+        limits.allocator_part(static_quotas, settings.max_proxies, live_before, live_count(&is_removed));
+    let allocator = LeaseAllocator::new(LeaseTerms::default(), part, now);
+    let guard = TakeoverGuard::new(settings.allocator_set_version, index, &is_removed);
+    Some(OwnAllocator { index, allocator, guard })
+}
+
 fn bind(settings: &BudgetSettings) -> Result<(UdpSocket, SocketAddrV4), StartError> {
     let listen_error = StartError::component_listen(Component::Budgets, &settings.listen);
     let socket = UdpSocket::bind(settings.listen()).map_err(&listen_error)?;
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -30,7 +30,7 @@
     /// The settings of the routing policy.
     pub settings: Settings,
     /// The settings of everything around the routing policy.
-    pub terms: ProxyParameters,
+    pub parameters: ProxyParameters,
 }
 
 /// Addresses that take precedence over those of the file.
--- a/crates/proxy/src/config/parse.rs
+++ b/crates/proxy/src/config/parse.rs
@@ -24,7 +24,7 @@
     let listen = required_address(&json, "listen", overrides.listen)?;
     let discovery = required_address(&json, "discovery", overrides.discovery)?;
     let admin = optional_address(&json, "mgmt", overrides.admin)?;
-    let (settings, terms) = parse_settings(&json)?;
+    let (settings, parameters) = parse_settings(&json)?;
     let initial_endpoints = parse_known_endpoints(&json)?;
     let limits = non_null(&json, "limits");
     if limits.is_some_and(|limits| !limits.is_object()) {
@@ -40,7 +40,7 @@
         max_memory_bytes,
         initial_endpoints,
         settings,
-        terms,
+        parameters,
     })
 }
 
@@ -81,7 +81,7 @@
         let seed = parse_seed(seed).ok_or(ParseError::InvalidSeed)?;
         fields.put("RngSeed", seed.to_string());
     }
-    let (mut settings, terms) = translate(&fields).map_err(ParseError::InvalidSettings)?;
+    let (mut settings, parameters) = translate(&fields).map_err(ParseError::InvalidSettings)?;
     if settings.classes.is_empty() {
         return Err(ParseError::NoClasses);
     }
@@ -90,7 +90,7 @@
             *bound = (*bound - SEND_MARGIN).max(0);
         }
     }
-    Ok((settings, terms))
+    Ok((settings, parameters))
 }
 
 /// A whole number, or a string of hexadecimal digits.
--- a/crates/proxy/src/gossip/mod.rs
+++ b/crates/proxy/src/gossip/mod.rs
@@ -59,7 +59,7 @@
     let skew = peers.clock_skew_ms * 1000;
     let now = clock.now() + skew;
     // A restarted process has a newer generation: its views and notes replace those of the one before.
-    let me = Peer::new(advertise, &config.terms.zone, (now / 1000).max(1) as u64);
+    let me = Peer::new(advertise, &config.parameters.zone, (now / 1000).max(1) as u64);
     let seed = config.settings.seed;
     let swim = config::swim_config(peers);
     let failover = config::failover_terms(config);
--- a/crates/proxy/src/negative_cache_client/request_kind.rs
+++ b/crates/proxy/src/negative_cache_client/request_kind.rs
@@ -20,7 +20,7 @@
 
 impl RequestKinds {
     pub(super) fn new(settings: &NegativeCacheSettings, config: &Config) -> Self {
-        let classes = config.terms.class_names.iter().zip(&config.settings.classes);
+        let classes = config.parameters.class_names.iter().zip(&config.settings.classes);
         let kinds = classes.map(|(name, class)| match class.consistency {
             Consistency::Write => RequestKind::Write { is_keyed: lists(&settings.write_classes, name) },
             consistency if lists(&settings.read_classes, name) => RequestKind::Read(consistency),
--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -71,8 +71,8 @@
             config.settings.classes.iter().map(|class| class.latency_objective).collect();
         let recorder = settings.map(|settings| start_recorder(settings, clock)).transpose()?;
         let decisions = DecisionRecorder { recorder, latency_objectives, recorded_endpoints: HashMap::new() };
-        decisions.record(|| Record::Proxy { zone: config.terms.zone.clone() });
-        let classes = config.terms.class_names.iter().zip(&decisions.latency_objectives);
+        decisions.record(|| Record::Proxy { zone: config.parameters.zone.clone() });
+        let classes = config.parameters.class_names.iter().zip(&decisions.latency_objectives);
         for (class, (name, objective)) in classes.enumerate() {
             decisions.record(|| Record::Class {
                 class: class as u16,
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -134,8 +134,8 @@
         Rc::new(PoolContext {
             executor: Rc::clone(&self.executor),
             on_connection_end: Rc::clone(&self.on_connection_end),
-            connect_timeout: Duration::from_micros(config.terms.connect_timeout.max(1) as u64),
-            idle_timeout: Duration::from_micros(config.terms.keepalive.max(1) as u64 * 6 / 10),
+            connect_timeout: Duration::from_micros(config.parameters.connect_timeout.max(1) as u64),
+            idle_timeout: Duration::from_micros(config.parameters.keepalive.max(1) as u64 * 6 / 10),
             max_connections: Cell::new(limits.members),
             max_connections_per_member: (limits.members / 4).max(1),
             open_connections: Cell::new(0),
@@ -143,7 +143,7 @@
             allow_empty_result: self.settings.negative_cache.is_some(),
             liveness_check_after: Cell::new(member_pool::CHECK_AFTER),
             now: Rc::clone(&self.now),
-            metrics: Metrics::new(&config.terms.class_names),
+            metrics: Metrics::new(&config.parameters.class_names),
             budgets,
         })
     }
@@ -214,8 +214,8 @@
 
 /// How often discovery is polled: at a shared pace where the settings bound the polls of all proxies together.
 fn poll_schedule(config: &Config) -> PollSchedule {
-    let schedule = PollSchedule::new(config.terms.drain_within);
-    match config.terms.poll_interval {
+    let schedule = PollSchedule::new(config.parameters.drain_within);
+    match config.parameters.poll_interval {
         Some(poll_interval) if config.settings.must_subscribe => schedule.with_shared(SharedDiscovery {
             seed: config.settings.seed,
             poll_interval,
