--- a/crates/fleet-harness/src/sweep.rs
+++ b/crates/fleet-harness/src/sweep.rs
@@ -8,14 +8,14 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// The most runs of a sweep, and the most beside each other.
-pub const RUNS_MOST: usize = 10_000;
-/// See [`RUNS_MOST`].
-pub const BESIDE_MOST: usize = 64;
+/// The most runs of a sweep.
+pub const MAX_RUNS: usize = 10_000;
+/// The most runs of a sweep at a time.
+pub const MAX_PARALLEL_RUNS: usize = 64;
 
 /// A run with a broken rule in which the rig itself was later than this is played again, so often at most.
 pub const LATE_MS: u64 = 100;
-const AGAIN_MOST: usize = 2;
+const MAX_REPEATS: usize = 2;
 
 /// What one run of a sweep came to: its report, or why it could not be played.
 pub type Played = (Schedule, Result<Report, String>);
@@ -23,18 +23,18 @@
 /// Plays the schedules, `beside` at a time, each as a process of its own (`lab fleet --replay`) in a directory of its own below `directory`; those without a broken
 /// rule leave nothing behind. The reports come in the order of the schedules.
 pub fn play_all(schedules: Vec<Schedule>, program: &Path, directory: &Path, beside: usize) -> Vec<Played> {
-    let schedules: Vec<Schedule> = schedules.into_iter().take(RUNS_MOST).collect();
+    let schedules: Vec<Schedule> = schedules.into_iter().take(MAX_RUNS).collect();
     let next = AtomicUsize::new(0);
     let reports: Mutex<Vec<Option<Result<Report, String>>>> = Mutex::new(vec![None; schedules.len()]);
     std::thread::scope(|scope| {
-        for _ in 0..beside.clamp(1, BESIDE_MOST).min(schedules.len()) {
+        for _ in 0..beside.clamp(1, MAX_PARALLEL_RUNS).min(schedules.len()) {
             scope.spawn(|| loop {
                 let number = next.fetch_add(1, Ordering::Relaxed);
                 let Some(schedule) = schedules.get(number) else { return };
                 let place = of(directory, schedule);
                 let mut report = play_one(schedule, program, &place);
                 // A run for which the machine had no time shows nothing of the program: it is played again.
-                for _ in 0..AGAIN_MOST {
+                for _ in 0..MAX_REPEATS {
                     if !report.as_ref().is_ok_and(|r| r.broken > 0 && r.late_ms > LATE_MS) {
                         break;
                     }
