--- /dev/null
+++ b/src/cli/lab/demo.rs
@@ -0,0 +1,32 @@
+//! `lab demo`: a calm load.
+
+use super::super::error::CommandError;
+use super::play::{load_timeline, play_timeline, print_results};
+use std::path::Path;
+use wharfplank::lab::fleet::CLASSES;
+use wharfplank::lab::load::Seen;
+use wharfplank::lab::timeline;
+
+/// Plays a calm load and prints the results.
+pub fn demo(directory: &Path) -> Result<(), CommandError> {
+    let timeline = load_timeline(None, timeline::DEMO)?;
+    println!(
+        "{} stand-in members, {} proxies, {} requests/s for {} s, on loopback",
+        timeline.groups * timeline.members,
+        timeline.proxies,
+        timeline.rate,
+        timeline.seconds
+    );
+    let ran = play_timeline(&timeline, directory, |_| true)?;
+    print_results(&ran);
+    let served: usize = (0..CLASSES.len()).map(|i| ran.load.count(i, Seen::Served)).sum();
+    let all = ran.load.done.borrow().len();
+    println!(
+        "{served} of {all} requests served; logs, records and configurations are in {}",
+        directory.display()
+    );
+    match served * 10 >= all * 9 {
+        true => Ok(()),
+        false => Err(CommandError::failed("less than nine tenths of a calm while were served")),
+    }
+}
--- a/src/cli/talking.rs
+++ b/src/cli/lab/gossip_cost.rs
@@ -1,6 +1,7 @@
-//! `lab talking`: what the fleet's talk does to serving.
+//! `lab talking`: what gossip between proxies costs the serving thread.
 
-use super::{error::CommandError, lab};
+use super::super::error::CommandError;
+use super::play::{load_timeline, play_timeline_with};
 use std::path::Path;
 use wharfplank::lab::load::Seen;
 use wharfplank::lab::timeline;
@@ -8,14 +9,16 @@
 /// Seconds of load.
 const SECONDS: u64 = 30;
 
-/// Three proxies under the same load in one run: one that does not talk, one of the program `before` that talks with
-/// all, and one of this program that does. The others that talk get no load.
-pub fn talking(before: &Path, proxies: usize, rate: u64, directory: &Path) -> Result<(), CommandError> {
+/// Three proxies under the same load in one run: one without gossip, one of the program `before`
+/// that gossips with all, and one of this program that does. The other proxies get no load.
+pub fn gossip_cost(before: &Path, proxies: usize, rate: u64, directory: &Path) -> Result<(), CommandError> {
     let before =
         before.canonicalize().map_err(|e| CommandError::failed(format!("{}: {e}", before.display())))?;
-    let mut timeline = lab::timeline(None, timeline::DEMO)?;
-    (timeline.rate, timeline.seconds, timeline.proxies) = (rate, SECONDS, proxies.max(6) + 1);
-    let ran = lab::played_with(&timeline, directory, |_| false, Some(before))?;
+    let mut timeline = load_timeline(None, timeline::DEMO)?;
+    timeline.rate = rate;
+    timeline.seconds = SECONDS;
+    timeline.proxies = proxies.max(6) + 1;
+    let ran = play_timeline_with(&timeline, directory, |_| false, Some(before))?;
     let done = ran.load.done.borrow();
     println!(
         "{:<10} {:>8} {:>8} {:>8} {:>8} {:>10} {:>10}",
--- /dev/null
+++ b/src/cli/lab/play.rs
@@ -0,0 +1,80 @@
+//! Playing a timeline with a progress bar, and its results.
+
+use super::super::error::CommandError;
+use super::{create_directory, current_program};
+use indicatif::{ProgressBar, ProgressStyle};
+use std::path::{Path, PathBuf};
+use wharfplank::lab::fleet::CLASSES;
+use wharfplank::lab::load::Seen;
+use wharfplank::lab::run::{play, Place, Ran};
+use wharfplank::lab::timeline::{self, Timeline};
+
+/// Loads the timeline of a file, or parses the built-in one.
+pub(super) fn load_timeline(path: Option<&Path>, built_in: &str) -> Result<Timeline, CommandError> {
+    let text = match path {
+        Some(path) => std::fs::read_to_string(path)
+            .map_err(|e| CommandError::unusable_settings([format!("{}: {e}", path.display())]))?,
+        None => built_in.to_string(),
+    };
+    timeline::parse(&text).map_err(CommandError::unusable_settings)
+}
+
+/// Plays a timeline; `records` tells which proxies record.
+pub(super) fn play_timeline(
+    timeline: &Timeline,
+    directory: &Path,
+    records: fn(usize) -> bool,
+) -> Result<Ran, CommandError> {
+    play_timeline_with(timeline, directory, records, None)
+}
+
+/// Plays a timeline; proxy 1 runs the program `gossip_program` if there is one.
+pub(super) fn play_timeline_with(
+    timeline: &Timeline,
+    directory: &Path,
+    records: fn(usize) -> bool,
+    gossip_program: Option<PathBuf>,
+) -> Result<Ran, CommandError> {
+    let directory = create_directory(directory)?;
+    let program = current_program()?;
+    let bar = ProgressBar::new(1000);
+    let style =
+        ProgressStyle::with_template("{bar:40} {percent}% of {msg} s").map_err(CommandError::failed)?;
+    bar.set_style(style);
+    bar.set_message(timeline.seconds.to_string());
+    let ran = play(timeline, &Place { program, directory, records, talk: gossip_program }, |part| {
+        bar.set_position((part * 1000.0) as u64)
+    });
+    bar.finish_and_clear();
+    ran.map_err(CommandError::failed)
+}
+
+/// Prints the results by request class.
+pub(super) fn print_results(ran: &Ran) {
+    println!(
+        "{:<14} {:>7} {:>7} {:>7} {:>7} {:>8} {:>8} {:>8}",
+        "class", "served", "refused", "failed", "none", "p50 ms", "p99 ms", "max ms"
+    );
+    for (i, class) in CLASSES.iter().enumerate() {
+        let count = |seen| ran.load.count(i, seen);
+        let none = count(Seen::Unreachable) + count(Seen::Broken) + count(Seen::Nothing);
+        let times = ran.load.times(i);
+        let ms = |value: u64| value as f64 / 1000.0;
+        println!(
+            "{:<14} {:>7} {:>7} {:>7} {none:>7} {:>8.1} {:>8.1} {:>8.1}",
+            class.name,
+            count(Seen::Served),
+            count(Seen::Refused),
+            count(Seen::Failed),
+            ms(times.value_at_quantile(0.5)),
+            ms(times.value_at_quantile(0.99)),
+            ms(times.max())
+        );
+    }
+    if ran.load.held_back.get() > 0 {
+        println!(
+            "{} requests were held back: the load was more than could be kept open",
+            ran.load.held_back.get()
+        );
+    }
+}
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -11,9 +11,8 @@
 mod error;
 mod lab;
 mod records;
-mod talking;
 
-use arguments::{Arguments, Command, Lab};
+use arguments::{Arguments, Command};
 use clap::{CommandFactory, Parser};
 use error::CommandError;
 use std::path::PathBuf;
@@ -46,7 +45,7 @@
         Command::Report { paths, out, json, span } => {
             records::report(&paths, &span, out.as_deref(), json.as_deref())
         }
-        Command::Lab(command) => run_lab_command(command),
+        Command::Lab(command) => lab::run(command),
         Command::Completions { shell } => {
             let mut command = Arguments::command();
             clap_complete::generate(shell, &mut command, "wharfplank", &mut std::io::stdout());
@@ -55,33 +54,6 @@
     }
 }
 
-fn run_lab_command(command: Lab) -> Result<(), CommandError> {
-    match command {
-        Lab::Demo { out } => lab::demo(&lab::output_directory(out, "demo")),
-        Lab::Recording { out } => lab::recording(&lab::output_directory(out, "recording")),
-        Lab::Talking { before, proxies, rate, out } => {
-            talking::talking(&before, proxies, rate, &lab::output_directory(out, "talking"))
-        }
-        Lab::Day { out, seconds } => lab::day(&lab::output_directory(out, "day"), seconds),
-        Lab::Kills { out, times } => lab::kills(&lab::output_directory(out, "kills"), times),
-        Lab::RecordUntilKilled { directory } => {
-            wharfplank::lab::trials::record_until_killed(&directory).map_err(CommandError::failed)
-        }
-        Lab::Tally { paths, by_second } => lab::tally(&paths, &by_second),
-        Lab::Fleet { scenario, proxies, seed, alone, replay, out } => {
-            let directory = lab::output_directory(out, "fleet");
-            lab::fleet(&scenario, proxies, seed, !alone, replay.as_deref(), &directory)
-        }
-        Lab::Sweep { scenarios, runs, seed, proxies, beside, alone, out } => {
-            let directory = lab::output_directory(out, "sweep");
-            lab::sweep(&scenarios, seed..seed.saturating_add(runs), proxies, beside, !alone, &directory)
-        }
-        Lab::Incident { timeline, out } => {
-            lab::incident(timeline.as_deref(), &lab::output_directory(out, "incident"))
-        }
-    }
-}
-
 /// Serves until the process is asked to end.
 fn serve(settings: Option<PathBuf>) -> Result<(), CommandError> {
     let settings = match settings {
