--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -158,8 +158,8 @@
         lines.push(Line::from(format!(
             "          {} late, {} lost, {}",
             i.late,
-            i.refusals.values().sum::<u64>(),
-            i.strength.name()
+            i.rejections.values().sum::<u64>(),
+            i.confidence.name()
         )));
     }
     for proxy in &facts.proxies {
--- a/crates/incidents/src/evidence.rs
+++ b/crates/incidents/src/evidence.rs
@@ -1,140 +1,166 @@
-//! What the records say, by bins of time.
+//! The evidence: what the records of several proxies show, by bins of time.
 
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::AddAssign;
 use std::sync::Arc;
 use wharfplank_records::reader::Gap;
 pub use wharfplank_records::Micros;
 use wharfplank_records::Outcome;
 
-/// A member's state as one proxy saw it at one time.
+/// A member as one proxy observed it at one time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct State {
-    /// When.
+pub struct MemberObservation {
+    /// When the observation was recorded.
     pub at: Micros,
-    /// Its group.
+    /// The member's group.
     pub group: u64,
-    /// Whether the proxy took it for the primary.
+    /// Whether the proxy took the member for the primary.
     pub primary: bool,
-    /// Whether the list had it take work.
+    /// Whether the endpoint list had the member accept requests.
     pub active: bool,
-    /// The newest position known, and when it was heard; 0 where none was.
+    /// The newest known log position; 0 if none is known.
     pub position: Micros,
-    /// When it was heard.
-    pub heard: Micros,
-    /// Whether it was suspected.
+    /// When the position was seen; 0 if none is known.
+    pub position_seen_at: Micros,
+    /// Whether the proxy suspected the member of being down.
     pub suspected: bool,
-    /// The proxy's requests in flight there.
+    /// The proxy's requests in flight at the member.
     pub in_flight: u32,
 }
 
-/// Answers of one kind in one bin.
+/// The health that the endpoint list gave a member.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ListedHealth {
+    /// When the proxy received it.
+    pub at: Micros,
+    /// The health, as listed.
+    pub health: String,
+}
+
+/// Sums over answers of one kind in one bin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Count {
-    /// How many.
+pub struct AnswerSums {
+    /// The number of answers.
     pub count: u64,
-    /// Their attempts together.
+    /// The attempts of all answers.
     pub attempts: u64,
-    /// Their times together.
+    /// The latencies of all answers, in µs.
     pub took: Micros,
 }
 
-impl Count {
+impl AnswerSums {
     /// Adds one answer.
     pub fn add(&mut self, attempts: u64, took: Micros) {
-        self.count += 1;
-        self.attempts += attempts;
-        self.took += took;
+        *self += AnswerSums { count: 1, attempts, took };
+    }
+}
+
+impl AddAssign for AnswerSums {
+    fn add_assign(&mut self, other: AnswerSums) {
+        self.count += other.count;
+        self.attempts += other.attempts;
+        self.took += other.took;
     }
 }
 
-/// A read that was refused as too stale.
+/// A read that was rejected as too stale. The serialised field names belong to the JSON report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StaleRead {
-    /// When it was refused.
+    /// When the read was rejected.
     pub at: Micros,
     /// The proxy.
     pub proxy: String,
-    /// Its class.
+    /// The request's class.
     pub class: String,
-    /// Its group.
+    /// The group that was to be read.
     pub group: u64,
-    /// The position that it needed.
+    /// The log position that the read needed.
     pub needed: Micros,
-    /// The newest position of a replica that was known.
+    /// The newest known position of a replica.
     pub known: Micros,
 }
 
-/// What one proxy's records say.
+/// What one proxy's records show.
 #[derive(Clone, Debug, Default)]
-pub struct Proxy {
-    /// Its zone, where it is known.
+pub struct ProxyEvidence {
+    /// The proxy's zone, where it is known.
     pub zone: Option<String>,
-    /// Spans in which its process is known to have lived.
+    /// Spans, from and to, in which the proxy's process is known to have been alive.
     pub alive: Vec<(Micros, Micros)>,
-    /// Spans of which its records say nothing, or not all.
+    /// Spans whose records are missing or incomplete.
     pub gaps: Vec<Gap>,
     /// Answers by bin, class and outcome.
-    pub answers: BTreeMap<(Micros, String, Outcome), Count>,
-    /// Served answers by bin, member and class.
-    pub served: BTreeMap<(Micros, Arc<str>, Arc<str>), Count>,
-    /// Refusals, failures and late answers by bin, group and outcome.
-    pub troubled: BTreeMap<(Micros, u64, Outcome), u64>,
-    /// States of members, in time.
-    pub states: BTreeMap<String, Vec<State>>,
-    /// What the list told of members: when, and their health.
-    pub listed: BTreeMap<String, Vec<(Micros, String)>>,
+    pub answers: BTreeMap<(Micros, String, Outcome), AnswerSums>,
+    /// Answers that a member gave, by the bin of their request, member and class.
+    pub served: BTreeMap<(Micros, Arc<str>, Arc<str>), AnswerSums>,
+    /// Numbers of rejections, failures and late answers, by bin, group and outcome.
+    pub not_served: BTreeMap<(Micros, u64, Outcome), u64>,
+    /// Observations of each member, in time.
+    pub observations: BTreeMap<String, Vec<MemberObservation>>,
+    /// The health of each member in the endpoint list, in time.
+    pub listed_health: BTreeMap<String, Vec<ListedHealth>>,
 }
 
-/// What the records of several proxies say.
+/// What the records of several proxies show.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// The span that was asked for.
+    /// The start of the span that was requested, in µs of Unix time.
     pub from: Micros,
-    /// Its end.
+    /// The end of the span that was requested.
     pub to: Micros,
-    /// The length of a bin.
+    /// The length of a bin, in µs.
     pub bin: Micros,
-    /// By name.
-    pub proxies: BTreeMap<String, Proxy>,
-    /// The zones of members, by name.
+    /// The evidence of each proxy, by the proxy's name.
+    pub proxies: BTreeMap<String, ProxyEvidence>,
+    /// The zones of members, by the member's name.
     pub zones: BTreeMap<String, String>,
-    /// Reads refused as too stale; the first of them, see [`Evidence::STALE_MOST`].
-    pub stale: Vec<StaleRead>,
-    /// All of them.
-    pub stale_count: u64,
+    /// The first reads that were rejected as too stale, at most [`Evidence::MAX_STALE_READS`].
+    pub stale_reads: Vec<StaleRead>,
+    /// The number of all reads that were rejected as too stale.
+    pub stale_read_count: u64,
     /// What could not be read.
     pub problems: Vec<String>,
 }
 
 impl Evidence {
-    /// Reads refused as too stale that are kept one by one.
-    pub const STALE_MOST: usize = 10_000;
+    /// The bound on [`Evidence::stale_reads`].
+    pub const MAX_STALE_READS: usize = 10_000;
 
-    /// The bin of a time.
+    /// The start of the bin that contains a time.
     pub fn bin_of(&self, at: Micros) -> Micros {
         at - at.rem_euclid(self.bin)
     }
 
-    /// All bins of the span.
+    /// The starts of all bins of the span.
     pub fn bins(&self) -> impl Iterator<Item = Micros> {
-        let (bin, first, to) = (self.bin, self.bin_of(self.from), self.to);
+        let bin = self.bin;
+        let first = self.bin_of(self.from);
+        let to = self.to;
         (0..).map(move |i| first + i * bin).take_while(move |at| *at <= to)
     }
 
-    /// The names of all members.
+    /// The names of all members that any proxy observed.
     pub fn members(&self) -> BTreeSet<&str> {
-        self.proxies.values().flat_map(|p| p.states.keys()).map(String::as_str).collect()
+        let names = self.proxies.values().flat_map(|proxy| proxy.observations.keys());
+        names.map(String::as_str).collect()
+    }
+
+    /// All proxies' observations of a member, proxy by proxy.
+    pub fn observations_of<'a>(&'a self, member: &'a str) -> impl Iterator<Item = &'a MemberObservation> {
+        self.proxies.values().filter_map(move |proxy| proxy.observations.get(member)).flatten()
     }
 
-    /// Whether a proxy's records cover a span: it lived all through and nothing was lost.
-    pub fn covers(&self, proxy: &Proxy, from: Micros, to: Micros) -> bool {
-        proxy.alive.iter().any(|(a, b)| *a <= from + self.bin && to <= *b + self.bin)
-            && !proxy.gaps.iter().any(|gap| gap.from < to && from < gap.to)
+    /// Whether a proxy's records cover a span: its process was alive all the time and no records are missing.
+    pub fn covers(&self, proxy: &ProxyEvidence, from: Micros, to: Micros) -> bool {
+        let is_alive = |(start, end): &(Micros, Micros)| *start <= from + self.bin && to <= *end + self.bin;
+        let overlaps = |gap: &Gap| gap.from < to && from < gap.to;
+        proxy.alive.iter().any(is_alive) && !proxy.gaps.iter().any(overlaps)
     }
 
-    /// Proxies whose records cover a span, and all.
+    /// The number of proxies whose records cover a span, and the number of all proxies.
     pub fn coverage(&self, from: Micros, to: Micros) -> (usize, usize) {
-        (self.proxies.values().filter(|p| self.covers(p, from, to)).count(), self.proxies.len())
+        let covering = self.proxies.values().filter(|proxy| self.covers(proxy, from, to)).count();
+        (covering, self.proxies.len())
     }
 }
--- /dev/null
+++ b/crates/incidents/src/gather/error.rs
@@ -0,0 +1,15 @@
+//! Why a store's evidence could not be gathered.
+
+use thiserror::Error;
+use wharfplank_records::reader::ReadError;
+
+/// Why a store's evidence could not be gathered.
+#[derive(Debug, Error)]
+pub(super) enum GatherError {
+    /// The store cannot be opened or read.
+    #[error(transparent)]
+    Read(#[from] ReadError),
+    /// The thread that read the store panicked.
+    #[error("reading it failed")]
+    Panicked,
+}
--- a/crates/incidents/src/lib.rs
+++ b/crates/incidents/src/lib.rs
@@ -1,14 +1,14 @@
-//! Incidents, from the records alone.
+//! Finds incidents from the records alone.
 //!
-//! - [`evidence`]: what the records of several proxies say, by bins of time, with what is unknown left out.
-//! - [`find()`]: decides, without I/O, what happened: kind, start, end, who is touched, what was told and what is
-//!   inferred, and which refusals and late answers fall to it.
-//! - [`gather`]: reads evidence out of stores.
+//! - [`evidence`]: what the records of several proxies show, by bins of time; what is unknown is left out.
+//! - [`gather`]: reads the evidence from stores.
+//! - [`find()`]: decides, without I/O, what happened: the kind, start and end of each incident, the affected members
+//!   and groups, what was reported and what is inferred, and which rejections and late answers are attributed to it.
 
 pub mod evidence;
+mod explanation;
 mod find;
 pub mod gather;
-mod words;
 
 pub use evidence::{Evidence, Micros};
-pub use find::{find, Incident, Kind, Strength};
+pub use find::{find, Confidence, Incident, Kind};
--- a/crates/incidents/tests/timelines.rs
+++ b/crates/incidents/tests/timelines.rs
@@ -2,8 +2,8 @@
 //! what looks like it, and with records missing.
 
 use std::collections::BTreeMap;
-use wharfplank_incidents::evidence::{Count, Proxy, State};
-use wharfplank_incidents::{find, Evidence, Incident, Kind, Micros, Strength};
+use wharfplank_incidents::evidence::{AnswerSums, ListedHealth, MemberObservation, ProxyEvidence};
+use wharfplank_incidents::{find, Confidence, Evidence, Incident, Kind, Micros};
 use wharfplank_records::reader::{Gap, GapCause};
 use wharfplank_records::{FailureReason, Outcome};
 
@@ -54,8 +54,10 @@
     evidence.zones = members().map(|(name, _, zone, _)| (name, zone.to_string())).collect();
     let at = |second: i64| move |(_, from, to): &&(Trouble, i64, i64)| (*from..*to).contains(&second);
     let mut position: BTreeMap<String, f64> = members().map(|(name, ..)| (name, 0.0)).collect();
-    let mut proxies: BTreeMap<String, Proxy> = ["a", "b", "c"]
-        .map(|zone| (format!("p{zone}"), Proxy { zone: Some(zone.to_string()), ..Proxy::default() }))
+    let mut proxies: BTreeMap<String, ProxyEvidence> = ["a", "b", "c"]
+        .map(|zone| {
+            (format!("p{zone}"), ProxyEvidence { zone: Some(zone.to_string()), ..ProxyEvidence::default() })
+        })
         .into();
     let mut wave = 0_u64;
     for second in 0..LENGTH {
@@ -97,22 +99,22 @@
                 let apart = on.iter().any(|t| matches!(t, Cut(z) if (*z == zone) != (*z == home)));
                 let headless = on.iter().any(|t| matches!(t, Headless(g) if *g == group));
                 let drains = on.iter().any(|t| matches!(t, Drain(m) if *m == name));
-                let before = proxy.states.get(&name).and_then(|s| s.last()).copied();
+                let before = proxy.observations.get(&name).and_then(|s| s.last()).copied();
                 let known = before.filter(|_| apart);
-                let (position, heard) =
-                    known.map_or((T + (position[&name] * 1e6) as i64, now), |s| (s.position, s.heard));
+                let (position, heard) = known
+                    .map_or((T + (position[&name] * 1e6) as i64, now), |s| (s.position, s.position_seen_at));
                 let primary = primary && !headless;
-                let state = State {
+                let state = MemberObservation {
                     at: now,
                     group,
                     primary,
                     active: !drains,
                     position,
-                    heard,
+                    position_seen_at: heard,
                     suspected: apart,
                     in_flight: 0,
                 };
-                proxy.states.entry(name.clone()).or_default().push(state);
+                proxy.observations.entry(name.clone()).or_default().push(state);
                 let slow = on.iter().map(|t| match t {
                     Slow(m, by) if *m == name => *by,
                     Load(by) => *by,
@@ -140,17 +142,18 @@
                     _ => continue,
                 };
                 let outcome = Outcome::Rejected(reason);
-                *proxy.troubled.entry((bin, 0, outcome)).or_default() += count;
-                let sum = Count { count, attempts: 0, took: 0 };
+                *proxy.not_served.entry((bin, 0, outcome)).or_default() += count;
+                let sum = AnswerSums { count, attempts: 0, took: 0 };
                 let at = proxy.answers.entry((bin, "lookup".into(), outcome)).or_default();
-                *at = Count { count: at.count + sum.count, ..*at };
+                *at = AnswerSums { count: at.count + sum.count, ..*at };
             }
         }
         for (trouble, from, to) in script {
             for (edge, health) in [(from, "leaving"), (to, "active")] {
                 if let (Drain(name), true) = (trouble, *edge == second) {
-                    let told = |p: &mut Proxy| {
-                        p.listed.entry(name.to_string()).or_default().push((now, health.into()))
+                    let told = |p: &mut ProxyEvidence| {
+                        let health = ListedHealth { at: now, health: health.into() };
+                        p.listed_health.entry(name.to_string()).or_default().push(health)
                     };
                     proxies.values_mut().for_each(told);
                 }
@@ -265,17 +268,17 @@
 fn missing_records_weaken_the_words() {
     let script = |day: &str| DAYS.iter().find(|(name, ..)| *name == day).unwrap().1;
     let whole = find(&play(script("slow apply on most"))).remove(0);
-    assert_eq!((whole.strength, whole.unknown.len()), (Strength::Clear, 0));
+    assert_eq!((whole.confidence, whole.unknown.len()), (Confidence::Clear, 0));
     assert_eq!(whole.members, MOST.iter().map(|m| m.to_string()).collect::<Vec<_>>());
-    assert!((100..=130).contains(&whole.refusals["too stale"]), "{:?}", whole.refusals);
+    assert!((100..=130).contains(&whole.rejections["too stale"]), "{:?}", whole.rejections);
     let killed = find(&play(script("a proxy killed in the midst of slow apply"))).remove(0);
-    assert_eq!(killed.strength, Strength::Likely);
+    assert_eq!(killed.confidence, Confidence::Likely);
     assert!(killed.unknown[0].starts_with("pb: killed and started again of 5.0 s"), "{:?}", killed.unknown);
     let mut one = play(script("slow apply on most"));
     one.proxies.remove("pa");
     one.proxies.get_mut("pb").unwrap().alive.clear();
     one.proxies.get_mut("pc").unwrap().alive.clear();
     let weak = find(&one).remove(0);
-    assert_eq!(weak.strength, Strength::Weak);
+    assert_eq!(weak.confidence, Confidence::Weak);
     assert!(weak.unknown.iter().any(|u| u.contains("may have been otherwise")));
 }
--- a/crates/report/src/facts.rs
+++ b/crates/report/src/facts.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_incidents::evidence::StaleRead;
-use wharfplank_incidents::{find, Evidence, Incident, Kind, Micros, Strength};
+use wharfplank_incidents::{find, Confidence, Evidence, Incident, Kind, Micros};
 use wharfplank_records::Outcome;
 
 /// The version of the JSON form. It grows when a field changes its meaning or goes; new fields may come without that.
@@ -205,8 +205,8 @@
             members,
             classes,
             series: bins.into_values().collect(),
-            stale_count: evidence.stale_count,
-            stale: evidence.stale,
+            stale_count: evidence.stale_read_count,
+            stale: evidence.stale_reads,
             problems: evidence.problems,
         };
         facts.summary = facts.sentences();
@@ -232,11 +232,11 @@
             percent(lost)
         )];
         for incident in &self.incidents {
-            let lost: u64 = incident.refusals.values().sum();
-            let sure = match incident.strength {
-                Strength::Clear => "",
-                Strength::Likely => " Some records of it are missing.",
-                Strength::Weak => " Most records of it are missing: it may have been otherwise.",
+            let lost: u64 = incident.rejections.values().sum();
+            let sure = match incident.confidence {
+                Confidence::Clear => "",
+                Confidence::Likely => " Some records of it are missing.",
+                Confidence::Weak => " Most records of it are missing: it may have been otherwise.",
             };
             out.push(format!(
                 "{} from second {:.0} to {:.0}{}; {lost} refusals or failures and {} late answers fall to it.{sure}",
@@ -296,7 +296,7 @@
         let mut suspected = vec![0; bins.len()];
         let mut in_flight: Vec<Option<u32>> = vec![None; bins.len()];
         let mut group = 0;
-        for state in evidence.proxies.values().filter_map(|p| p.states.get(&name)).flatten() {
+        for state in evidence.proxies.values().filter_map(|p| p.observations.get(&name)).flatten() {
             group = state.group;
             let since = state.at - evidence.bin_of(evidence.from);
             let Some(i) = usize::try_from(since / evidence.bin).ok().filter(|i| *i < bins.len()) else {
@@ -305,10 +305,11 @@
             leads[i] = (leads[i].0 + 1, leads[i].1 + u32::from(state.primary));
             suspected[i] += u32::from(state.suspected);
             in_flight[i] = Some(in_flight[i].unwrap_or(0) + state.in_flight);
-            if state.heard > 0 && state.at - state.heard <= HEARD {
-                let newest = behind[i].is_none_or(|(heard, _)| state.heard > heard);
+            if state.position_seen_at > 0 && state.at - state.position_seen_at <= HEARD {
+                let newest = behind[i].is_none_or(|(heard, _)| state.position_seen_at > heard);
                 if newest {
-                    behind[i] = Some((state.heard, (state.heard - state.position) / 1000));
+                    behind[i] =
+                        Some((state.position_seen_at, (state.position_seen_at - state.position) / 1000));
                 }
             }
         }
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -27,11 +27,11 @@
         .map(|i| {
             let groups: Vec<String> = i.groups.iter().map(u64::to_string).collect();
             context! {
-                title => title(i), from => second(i.from), to => second(i.to), open => i.open, told => &i.told,
-                inferred => &i.inferred, unknown => &i.unknown, strength => i.strength.name(), late => i.late,
+                title => title(i), from => second(i.from), to => second(i.to), open => i.open, told => &i.reported,
+                inferred => &i.inferred, unknown => &i.unknown, strength => i.confidence.name(), late => i.late,
                 members => if i.members.is_empty() { "-".to_string() } else { i.members.join(", ") },
                 groups => if groups.is_empty() { "all".to_string() } else { groups.join(", ") },
-                refusals => i.refusals.iter().map(|(r, n)| (r.clone(), *n)).collect::<Vec<_>>(),
+                refusals => i.rejections.iter().map(|(r, n)| (r.clone(), *n)).collect::<Vec<_>>(),
             }
         })
         .collect();
