--- a/crates/fleet-harness/src/budgets/report.rs
+++ b/crates/fleet-harness/src/budgets/report.rs
@@ -5,7 +5,7 @@
 use super::{LOAD_SECONDS, STATIC_PERCENT};
 use serde::Serialize;
 use std::path::Path;
-use wharfplank_lab::fleet::Micros;
+use wharfplank_lab::member_model::Micros;
 
 /// The budget of the requests in all, which is the first kind.
 const MAIN_BUDGET: u32 = 1 << 27;
--- a/crates/fleet-harness/src/budgets/rig.rs
+++ b/crates/fleet-harness/src/budgets/rig.rs
@@ -10,8 +10,8 @@
 use async_executor::LocalExecutor;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
-use wharfplank_lab::fleet::Fleet;
 use wharfplank_lab::load::Load;
+use wharfplank_lab::member_model::MemberModel;
 use wharfplank_lab::stand::{now, Stand};
 use wharfplank_lab::timeline::Timeline;
 
@@ -86,7 +86,7 @@
 ) -> std::io::Result<Rc<Stand>> {
     let timeline =
         Timeline { seconds: 600, rate: 100, proxies, groups: 3, members: 4, seed, troubles: Vec::new() };
-    Stand::start(executor, Fleet::new(&timeline, now()))
+    Stand::start(executor, MemberModel::new(&timeline, now()))
 }
 
 fn make_lossy(mesh: &Mesh) {
--- a/crates/fleet-harness/src/check.rs
+++ b/crates/fleet-harness/src/check.rs
@@ -166,7 +166,7 @@
                 report.lost += 1;
                 if report.lost_named.len() < LOST_NAMED {
                     let ms = |at: i64| (at - start) / 1000;
-                    let class = wharfplank_lab::fleet::CLASSES[d.class].name;
+                    let class = wharfplank_lab::member_model::CLASSES[d.class].name;
                     let (due, at) = (ms(d.due), ms(d.at));
                     report.lost_named.push(format!("n{} {class} due {due} ended {at} {:?}", d.proxy, d.seen));
                 }
--- a/crates/fleet-harness/src/goodput.rs
+++ b/crates/fleet-harness/src/goodput.rs
@@ -5,8 +5,8 @@
 use crate::ground_truth::GroundTruth;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use wharfplank_lab::fleet::{Class, Micros, CLASSES};
 use wharfplank_lab::load::{Done, Seen};
+use wharfplank_lab::member_model::{Micros, RequestClass, CLASSES};
 
 /// The weighted goodput of one class's requests, or of all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -42,9 +42,9 @@
     fn of(request: &Done, truth: &GroundTruth, zone: &str) -> Goodput {
         let class = &CLASSES[request.class];
         let is_served = request.seen == Seen::Served;
-        let is_in_time = request.at - request.due <= class.aim;
+        let is_in_time = request.at - request.due <= class.latency_objective;
         Goodput {
-            offered: class.worth,
+            offered: class.weight,
             served: if is_served { weight(class, request.due, request.at) } else { 0.0 },
             upper_bound: truth
                 .earliest_answer(request, zone)
@@ -70,11 +70,11 @@
 }
 
 /// The weight of an answer to a request that was due at `due`.
-fn weight(class: &Class, due: Micros, answered_at: Micros) -> f64 {
-    if answered_at - due <= class.aim {
-        class.worth
+fn weight(class: &RequestClass, due: Micros, answered_at: Micros) -> f64 {
+    if answered_at - due <= class.latency_objective {
+        class.weight
     } else {
-        class.worth * class.late
+        class.weight * class.late_fraction
     }
 }
 
--- a/crates/fleet-harness/src/ground_truth.rs
+++ b/crates/fleet-harness/src/ground_truth.rs
@@ -7,8 +7,8 @@
 //! are busy.
 
 use crate::relay::Links;
-use wharfplank_lab::fleet::{Fleet, Micros, CLASSES};
 use wharfplank_lab::load::Done;
+use wharfplank_lab::member_model::{MemberModel, Micros, CLASSES};
 
 /// How often the members are sampled.
 pub const SAMPLE_INTERVAL: Micros = 20_000;
@@ -73,18 +73,18 @@
     }
 
     /// Samples the members, if the last sample is long enough ago.
-    pub fn sample(&mut self, now: Micros, fleet: &Fleet, links: &Links) {
+    pub fn sample(&mut self, now: Micros, model: &MemberModel, links: &Links) {
         let is_due = self.samples.last().is_none_or(|last| now - last.at >= SAMPLE_INTERVAL);
         if !is_due || self.samples.len() >= MAX_SAMPLES {
             return;
         }
-        let members = fleet.members.iter();
+        let members = model.members.iter();
         self.sites =
             members.clone().map(|member| MemberSite { group: member.group, zone: member.zone }).collect();
         let states = members.enumerate().map(|(index, member)| MemberState {
-            is_serving: !member.silent && !member.drains && !member.fallen,
-            is_primary: member.primary,
-            position: fleet.position_ms(index) * MICROS_PER_MS,
+            is_serving: !member.is_unresponsive && !member.is_draining && !member.has_collapsed,
+            is_primary: member.is_primary,
+            position: model.position_ms(index) * MICROS_PER_MS,
         });
         let cut_zone = links.cut.borrow().clone();
         self.samples.push(Sample { at: now, cut_zone, members: states.collect() });
@@ -92,7 +92,7 @@
 
     /// The first time at which some member could have answered a request of a proxy in `zone` while its client waited.
     pub fn earliest_answer(&self, request: &Done, zone: &str) -> Option<Micros> {
-        let deadline = request.due + CLASSES[request.class].wait;
+        let deadline = request.due + CLASSES[request.class].timeout;
         let first = self.samples.partition_point(|sample| sample.at + SAMPLE_INTERVAL < request.due);
         let mut while_waiting = self.samples[first..].iter().take_while(|sample| sample.at <= deadline);
         let answered = while_waiting.find(|sample| self.can_answer(sample, request, zone));
--- a/crates/fleet-harness/src/health.rs
+++ b/crates/fleet-harness/src/health.rs
@@ -7,8 +7,8 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::Path;
-use wharfplank_lab::fleet::CLASSES;
 use wharfplank_lab::load::{Done, Seen};
+use wharfplank_lab::member_model::CLASSES;
 
 /// Seconds after a member is slow at which the proxies that hold it degraded are counted.
 pub const AFTER: [u64; 4] = [1, 2, 3, 5];
@@ -75,7 +75,7 @@
         health.held_at_end += u64::from(members.iter().any(last));
     }
     for d in done {
-        let in_time = d.seen == Seen::Served && d.at - d.due <= CLASSES[d.class].aim;
+        let in_time = d.seen == Seen::Served && d.at - d.due <= CLASSES[d.class].latency_objective;
         if slow.iter().any(|(from, to, _)| (*from..*to).contains(&d.due)) && CLASSES[d.class].name != "write"
         {
             health.reads += 1;
--- a/crates/fleet-harness/src/proxies.rs
+++ b/crates/fleet-harness/src/proxies.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{channel, Receiver};
-use wharfplank_lab::fleet::CLASSES;
+use wharfplank_lab::member_model::CLASSES;
 use wharfplank_shared_state::{hash_name, MemberStatus, SharedState, SharedStateConfig};
 
 /// What a proxy's log said that the rig must know at once.
@@ -81,8 +81,8 @@
             .iter()
             .map(|c| {
                 let repeat = if c.name == "write" { "fragile" } else { "retryable" };
-                json!({"Name": c.name, "TargetUs": c.aim, "DeadlineUs": c.wait, "Repeat": repeat, "Worth": c.worth,
-                       "LateValue": c.late})
+                json!({"Name": c.name, "TargetUs": c.latency_objective, "DeadlineUs": c.timeout, "Repeat": repeat, "Worth": c.weight,
+                       "LateValue": c.late_fraction})
             })
             .collect();
         let config = json!({
@@ -94,9 +94,9 @@
                 "Allowed": {"ConnectTimeoutUs": 250_000, "KeepaliveUs": 15_000_000, "MaxAttempts": 8,
                             "MaxRetryAfterUs": 2_000_000, "MayCancel": true, "MayProbe": true, "RetryAfter": true},
                 "Classes": classes, "Report": {"Columns": ["x0", "x1", "inflight", "util"]},
-                "Rules": {"StopSendingWithinUs": 1_000_000, "ColdFrom": wharfplank_lab::fleet::COLD_FROM,
-                          "ColdUs": wharfplank_lab::fleet::COLD_SPAN, "FallMultiple": wharfplank_lab::fleet::FALL_MULTIPLE,
-                          "OverloadForUs": wharfplank_lab::fleet::FALL_SPAN},
+                "Rules": {"StopSendingWithinUs": 1_000_000, "ColdFrom": wharfplank_lab::member_model::WARM_UP_FLOOR,
+                          "ColdUs": wharfplank_lab::member_model::WARM_UP_TIME, "FallMultiple": wharfplank_lab::member_model::COLLAPSE_MULTIPLE,
+                          "OverloadForUs": wharfplank_lab::member_model::COLLAPSE_WINDOW},
                 "Specifics": {"Consistency": ["lag_bound", "causal", "eventual", "mutate"],
                               "MaxAgeUs": [200_000, 0, 0, 0], "SessionMarks": "brought", "WhenBehind": "none"}}});
         std::fs::write(self.file("json"), config.to_string())?;
--- a/crates/fleet-harness/src/relay/links.rs
+++ b/crates/fleet-harness/src/relay/links.rs
@@ -164,8 +164,8 @@
             let mut breaks = false;
             if asks {
                 for class in parse.feed(&buffer[..count]) {
-                    breaks |= wharfplank_lab::fleet::CLASSES[class].name == "write" && self.breaks();
-                    let primary = self.stand.fleet().members.get(member).is_some_and(|m| m.primary);
+                    breaks |= wharfplank_lab::member_model::CLASSES[class].name == "write" && self.breaks();
+                    let primary = self.stand.fleet().members.get(member).is_some_and(|m| m.is_primary);
                     let way = Way { class, near, troubled: self.troubled.get(), primary };
                     *self.ways.borrow_mut().entry(way).or_default() += 1;
                 }
@@ -213,7 +213,7 @@
             if tag == Some(b'Q') {
                 let text = String::from_utf8_lossy(&self.bytes[head..whole]);
                 let text = text.trim_end_matches('\0');
-                let names = wharfplank_lab::fleet::CLASSES.iter().map(|c| c.name);
+                let names = wharfplank_lab::member_model::CLASSES.iter().map(|c| c.name);
                 let class =
                     request_comment::parse(text).ok().and_then(|c| names.clone().position(|n| n == c.class));
                 classes.extend(class);
--- a/crates/fleet-harness/src/rollouts/events.rs
+++ b/crates/fleet-harness/src/rollouts/events.rs
@@ -1,7 +1,7 @@
 //! What members did in a run, as their agents recorded it.
 
 use serde::Serialize;
-use wharfplank_lab::fleet::Micros;
+use wharfplank_lab::member_model::Micros;
 
 /// Why a member stopped serving. The encoded names are those of the run's files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
--- a/crates/fleet-harness/src/rollouts/member_agents.rs
+++ b/crates/fleet-harness/src/rollouts/member_agents.rs
@@ -11,7 +11,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_lab::fleet::Hand;
+use wharfplank_lab::member_model::MemberBehavior;
 use wharfplank_lab::stand::{now, Stand};
 use wharfplank_rollout::{AgentCommand, AgentRequest, AgentStatus};
 
@@ -168,15 +168,18 @@
             return;
         }
         self.states.borrow_mut()[member] = MemberState { is_restarting: true, ready: false, ..state };
-        let was_primary = self.stand.fleet().members[member].primary;
+        let was_primary = self.stand.fleet().members[member].is_primary;
         let (incarnation, was_serving) = (state.incarnation, state.ready);
         self.log(member, MemberEventKind::Stopped { cause, incarnation, was_primary, was_serving });
         let drain_time = if cause == StopCause::Crashed { Duration::ZERO } else { DRAIN_TIME };
-        self.set_behavior(member, Hand { drains: true, ..Hand::default() });
+        self.set_behavior(member, MemberBehavior { is_draining: true, ..MemberBehavior::default() });
         let agents = Rc::clone(self);
         let restart = async move {
             Timer::after(drain_time).await;
-            agents.set_behavior(member, Hand { drains: true, away: true, ..Hand::default() });
+            agents.set_behavior(
+                member,
+                MemberBehavior { is_draining: true, is_down: true, ..MemberBehavior::default() },
+            );
             Timer::after(Duration::from_millis(agents.scenario.restart_ms)).await;
             agents.bring_back(member, version);
         };
@@ -187,10 +190,10 @@
         let started_at_ms = now() / MICROS_PER_MS;
         let incarnation = started_at_ms as u64;
         let behavior = self.behavior_of(version);
-        let ready = !behavior.away;
+        let ready = !behavior.is_down;
         self.stand.change(|fleet| {
-            fleet.members[member].hand = behavior;
-            fleet.members[member].born = started_at_ms * MICROS_PER_MS;
+            fleet.members[member].behavior = behavior;
+            fleet.members[member].started_at = started_at_ms * MICROS_PER_MS;
         });
         self.states.borrow_mut()[member] = MemberState { version, incarnation, ready, is_restarting: false };
         if ready {
@@ -199,29 +202,29 @@
     }
 
     /// How a member behaves with this version.
-    fn behavior_of(&self, version: u64) -> Hand {
-        let normal = Hand::default();
+    fn behavior_of(&self, version: u64) -> MemberBehavior {
+        let normal = MemberBehavior::default();
         if version != NEW_VERSION {
             return normal;
         }
         match self.scenario.case {
             // It stays on the list as it was, and answers nothing.
-            Case::NeverReady => Hand { drains: true, away: true, ..normal },
-            Case::Rejects => Hand { refuses: REJECTED_FRACTION, ..normal },
-            Case::Slow => Hand { pace: SLOWNESS, ..normal },
+            Case::NeverReady => MemberBehavior { is_draining: true, is_down: true, ..normal },
+            Case::Rejects => MemberBehavior { rejection_rate: REJECTED_FRACTION, ..normal },
+            Case::Slow => MemberBehavior { slowdown: SLOWNESS, ..normal },
             _ => normal,
         }
     }
 
-    fn set_behavior(&self, member: usize, behavior: Hand) {
-        self.stand.change(|fleet| fleet.members[member].hand = behavior);
+    fn set_behavior(&self, member: usize, behavior: MemberBehavior) {
+        self.stand.change(|fleet| fleet.members[member].behavior = behavior);
     }
 
     /// Makes the ready replica with the most of the log the primary.
     fn hand_over(&self, member: usize) {
         let states = self.states.borrow();
         self.stand.change(|fleet| {
-            if !fleet.members[member].primary {
+            if !fleet.members[member].is_primary {
                 return;
             }
             let group = fleet.members[member].group;
@@ -231,8 +234,8 @@
             let most_advanced =
                 (0..fleet.members.len()).filter(is_able).max_by_key(|other| fleet.position_ms(*other));
             if let Some(successor) = most_advanced {
-                fleet.members[member].primary = false;
-                fleet.members[successor].primary = true;
+                fleet.members[member].is_primary = false;
+                fleet.members[successor].is_primary = true;
             }
         });
     }
@@ -265,7 +268,7 @@
         if state.is_restarting {
             return;
         }
-        self.stand.change(|fleet| fleet.members[member].hand.drains = is_drained);
+        self.stand.change(|fleet| fleet.members[member].behavior.is_draining = is_drained);
         self.log(member, event(state));
     }
 
--- a/crates/fleet-harness/src/rollouts/report.rs
+++ b/crates/fleet-harness/src/rollouts/report.rs
@@ -3,8 +3,8 @@
 use super::rules::RuleViolations;
 use serde::Serialize;
 use std::path::Path;
-use wharfplank_lab::fleet::{Class, Micros, CLASSES};
 use wharfplank_lab::load::{Done, Seen};
+use wharfplank_lab::member_model::{Micros, RequestClass, CLASSES};
 
 /// What a run showed. The encoded names are those of `outcome.json`.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -58,7 +58,7 @@
         for request in requests.iter().filter(|request| (from..until).contains(&request.due)) {
             let class = &CLASSES[request.class];
             self.requests += 1;
-            self.offered_weight += class.worth;
+            self.offered_weight += class.weight;
             if request.seen == Seen::Served {
                 self.served += 1;
                 self.served_weight += weight(class, request.at - request.due);
@@ -90,11 +90,11 @@
 }
 
 /// The weight of an answer with this latency.
-fn weight(class: &Class, latency: Micros) -> f64 {
-    if latency <= class.aim {
-        class.worth
-    } else if latency <= class.wait {
-        class.worth * class.late
+fn weight(class: &RequestClass, latency: Micros) -> f64 {
+    if latency <= class.latency_objective {
+        class.weight
+    } else if latency <= class.timeout {
+        class.weight * class.late_fraction
     } else {
         0.0
     }
--- a/crates/fleet-harness/src/rollouts/rig.rs
+++ b/crates/fleet-harness/src/rollouts/rig.rs
@@ -14,8 +14,8 @@
 use async_executor::LocalExecutor;
 use std::cell::Cell;
 use std::rc::Rc;
-use wharfplank_lab::fleet::Fleet;
 use wharfplank_lab::load::Load;
+use wharfplank_lab::member_model::MemberModel;
 use wharfplank_lab::stand::{now, Stand};
 use wharfplank_lab::timeline::Timeline;
 
@@ -121,5 +121,5 @@
         seed: scenario.seed,
         troubles: Vec::new(),
     };
-    Stand::start(executor, Fleet::new(&timeline, now()))
+    Stand::start(executor, MemberModel::new(&timeline, now()))
 }
--- a/crates/fleet-harness/src/rollouts/rules.rs
+++ b/crates/fleet-harness/src/rollouts/rules.rs
@@ -3,7 +3,7 @@
 use super::events::{MemberEvent, MemberEventKind, StopCause};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
-use wharfplank_lab::fleet::Micros;
+use wharfplank_lab::member_model::Micros;
 
 /// A crash or a drain so shortly before an order may not have been known when the order was permitted: the permits are
 /// looked at each second, the agents are polled each half, and an order is repeated each second until it comes through.
--- a/crates/fleet-harness/src/rollouts/run.rs
+++ b/crates/fleet-harness/src/rollouts/run.rs
@@ -17,7 +17,7 @@
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_lab::fleet::Micros;
+use wharfplank_lab::member_model::Micros;
 use wharfplank_lab::stand::now;
 
 const START_TIMEOUT: Micros = 30_000_000;
--- a/crates/fleet-harness/src/run.rs
+++ b/crates/fleet-harness/src/run.rs
@@ -21,8 +21,8 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_lab::fleet::{Fleet, Micros};
 use wharfplank_lab::load::Load;
+use wharfplank_lab::member_model::{MemberModel, Micros};
 use wharfplank_lab::stand::{now, Stand};
 
 /// How long proxies may take to start, and the time before the load in which they find each other.
@@ -105,8 +105,8 @@
 ) -> Result<Report, String> {
     let fault = |e: std::io::Error| e.to_string();
     // The script waits for the load, the members' log does not: ahead of the clock no read could be stale.
-    let mut fleet = Fleet::new(&timeline(schedule), now());
-    fleet.begin(now() + 600_000_000);
+    let mut fleet = MemberModel::new(&timeline(schedule), now());
+    fleet.start_script(now() + 600_000_000);
     let stand = Stand::start(executor, fleet).map_err(fault)?;
     let proxy_zones = (0..schedule.proxies).map(Plan::zone).collect();
     let links = Links::start(executor, &stand, proxy_zones).map_err(fault)?;
--- a/crates/fleet-harness/src/run/counted.rs
+++ b/crates/fleet-harness/src/run/counted.rs
@@ -20,8 +20,12 @@
                 _ => None,
             })
             .collect();
-        let cold_peak =
-            fleet.members.iter().filter(|m| lost.contains(&m.zone)).map(|m| m.peak).fold(0.0, f64::max);
+        let cold_peak = fleet
+            .members
+            .iter()
+            .filter(|m| lost.contains(&m.zone))
+            .map(|m| m.peak_overload)
+            .fold(0.0, f64::max);
         let ways = self.links.ways.borrow();
         let calm = |near: bool| {
             ways.iter()
@@ -36,9 +40,9 @@
             .iter()
             .fold((0, 0), |(d, b), c| (d + c.get().datagrams, b + c.get().bytes));
         Counted {
-            stale: fleet.stale,
-            twice: fleet.twice,
-            fallen: fleet.members.iter().filter(|m| m.fallen).count() as u64,
+            stale: fleet.stale_reads,
+            twice: fleet.duplicate_writes,
+            fallen: fleet.members.iter().filter(|m| m.has_collapsed).count() as u64,
             cold_peak,
             datagrams,
             bytes,
--- a/crates/fleet-harness/tests/goodput.rs
+++ b/crates/fleet-harness/tests/goodput.rs
@@ -2,8 +2,8 @@
 
 use wharfplank_fleet_harness::goodput::{by_class, total};
 use wharfplank_fleet_harness::ground_truth::{GroundTruth, MemberSite, MemberState, Sample, SAMPLE_INTERVAL};
-use wharfplank_lab::fleet::{Micros, CLASSES};
 use wharfplank_lab::load::{Done, Seen};
+use wharfplank_lab::member_model::{Micros, CLASSES};
 
 const BOUNDED_READ: usize = 0;
 const SESSION_READ: usize = 1;
@@ -53,9 +53,9 @@
     ];
     let sum = total(&by_class(&truth, &all, |_| "a"));
     let (read, write) = (&CLASSES[BOUNDED_READ], &CLASSES[WRITE]);
-    assert_eq!(sum.offered, read.worth + 2.0 * write.worth);
-    assert!((sum.served - write.worth * (1.0 + write.late)).abs() < 1e-9, "{sum:?}");
-    assert_eq!(sum.upper_bound, 2.0 * write.worth, "the second was possible in time, the read never");
+    assert_eq!(sum.offered, read.weight + 2.0 * write.weight);
+    assert!((sum.served - write.weight * (1.0 + write.late_fraction)).abs() < 1e-9, "{sum:?}");
+    assert_eq!(sum.upper_bound, 2.0 * write.weight, "the second was possible in time, the read never");
     assert_eq!((sum.in_time, sum.late, sum.rejected), (1, 1, 1));
 }
 
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -6,7 +6,7 @@
 
 pub use seen::{Done, Seen};
 
-use crate::fleet::{Micros, CLASSES};
+use crate::member_model::{Micros, CLASSES};
 use crate::stand::now;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -76,7 +76,7 @@
             Timer::after(Duration::from_micros((due - now()).max(0) as u64)).await;
             let mut draw = rng.random::<f64>();
             let class = CLASSES.iter().position(|class| {
-                draw -= class.part;
+                draw -= class.fraction;
                 draw < 0.0
             });
             let class = class.unwrap_or(0);
@@ -89,7 +89,7 @@
                 self.open.set(self.open.get() + 1);
                 let load = Rc::clone(self);
                 let task = async move {
-                    let wait = CLASSES[class].wait;
+                    let wait = CLASSES[class].timeout;
                     let until = due + wait + load.grace.get();
                     let limit = Timer::after(Duration::from_micros((until - now()).max(1000) as u64));
                     let late = async {
--- a/crates/lab/src/load/seen.rs
+++ b/crates/lab/src/load/seen.rs
@@ -1,6 +1,6 @@
 //! What clients saw of their requests.
 
-use crate::fleet::Micros;
+use crate::member_model::Micros;
 
 /// What a client saw of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/lab/src/load/wire.rs
+++ b/crates/lab/src/load/wire.rs
@@ -1,6 +1,6 @@
 //! A client's connection, and the words of its requests.
 
-use crate::fleet::CLASSES;
+use crate::member_model::CLASSES;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use std::net::TcpStream;
@@ -32,7 +32,7 @@
 pub(super) fn statement(number: u64, class: usize, group: usize, wrote: Option<i64>) -> String {
     let class = &CLASSES[class];
     let after = wrote.map_or(String::new(), |ms| format!(",after={ms}"));
-    let (name, wait, key) = (class.name, class.wait / 1000, number % 997);
+    let (name, wait, key) = (class.name, class.timeout / 1000, number % 997);
     let head = format!("/* id={number:x},c={name},d={wait},cluster={group}{after} */");
     match name {
         "write" => {
--- /dev/null
+++ b/crates/lab/src/member_model/request_class.rs
@@ -0,0 +1,74 @@
+//! The classes of requests in the load.
+
+use super::Micros;
+
+/// A class of requests.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestClass {
+    /// The name, as in the routing configuration.
+    pub name: &'static str,
+    /// The fraction of all requests that are of this class.
+    pub fraction: f64,
+    /// The mean work of a request on one core of a warm member, in µs.
+    pub mean_work: f64,
+    /// The latency objective, in µs.
+    pub latency_objective: Micros,
+    /// The client gives up on a request after this time, in µs.
+    pub timeout: Micros,
+    /// The priority weight of an answer within the latency objective.
+    pub weight: f64,
+    /// The fraction of the weight that a late answer still has.
+    pub late_fraction: f64,
+}
+
+impl RequestClass {
+    /// Whether its requests are writes, which only a primary takes.
+    pub fn is_write(&self) -> bool {
+        self.name == "write"
+    }
+
+    /// Whether its requests are long-running reads, which block the log apply thread of a replica.
+    pub fn is_long_read(&self) -> bool {
+        self.name == "report"
+    }
+}
+
+/// All classes, in the order of the configuration.
+pub const CLASSES: [RequestClass; 4] = [
+    RequestClass {
+        name: "bounded-read",
+        fraction: 0.455,
+        mean_work: 20_000.0,
+        latency_objective: 300_000,
+        timeout: 1_000_000,
+        weight: 1.0,
+        late_fraction: 0.2,
+    },
+    RequestClass {
+        name: "session-read",
+        fraction: 0.41,
+        mean_work: 20_000.0,
+        latency_objective: 300_000,
+        timeout: 750_000,
+        weight: 3.0,
+        late_fraction: 0.0,
+    },
+    RequestClass {
+        name: "report",
+        fraction: 0.005,
+        mean_work: 300_000.0,
+        latency_objective: 7_500_000,
+        timeout: 15_000_000,
+        weight: 4.0,
+        late_fraction: 0.2,
+    },
+    RequestClass {
+        name: "write",
+        fraction: 0.13,
+        mean_work: 20_000.0,
+        latency_objective: 1_000_000,
+        timeout: 2_000_000,
+        weight: 3.0,
+        late_fraction: 0.3,
+    },
+];
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -5,8 +5,8 @@
 
 pub use process::Used;
 
-use crate::fleet::{Fleet, Micros};
 use crate::load::{Done, Load};
+use crate::member_model::{MemberModel, Micros};
 use crate::stand::{now, Stand};
 use crate::timeline::{Kind, Timeline};
 use async_executor::LocalExecutor;
@@ -74,7 +74,7 @@
     let fault = |e: std::io::Error| e.to_string();
     // The fleet's clock starts with the load, so that the script's seconds are the load's.
     let begin = now() + 3_000_000;
-    let stand = Stand::start(executor, Fleet::new(timeline, begin)).map_err(fault)?;
+    let stand = Stand::start(executor, MemberModel::new(timeline, begin)).map_err(fault)?;
     let loaded = place.talk.as_ref().map_or(timeline.proxies, |_| timeline.proxies.min(3));
     let load = Load::new(executor, loaded);
     let addresses = free(timeline.proxies).map_err(fault)?;
--- a/crates/lab/src/run/configure.rs
+++ b/crates/lab/src/run/configure.rs
@@ -1,7 +1,7 @@
 //! What proxies are started with.
 
 use super::Place;
-use crate::fleet::CLASSES;
+use crate::member_model::CLASSES;
 use serde_json::json;
 use std::net::{SocketAddr, UdpSocket};
 
@@ -18,7 +18,7 @@
         .iter()
         .map(|c| {
             let repeat = if c.name == "write" { "fragile" } else { "retryable" };
-            json!({"Name": c.name, "TargetUs": c.aim, "DeadlineUs": c.wait, "Repeat": repeat, "Worth": 1.0, "LateValue": 0.2})
+            json!({"Name": c.name, "TargetUs": c.latency_objective, "DeadlineUs": c.timeout, "Repeat": repeat, "Worth": 1.0, "LateValue": 0.2})
         })
         .collect();
     let zone = ["a", "b", "c"][number % 3];
--- a/crates/lab/src/run/process.rs
+++ b/crates/lab/src/run/process.rs
@@ -1,7 +1,7 @@
 //! One proxy's process.
 
 use super::Place;
-use crate::fleet::Micros;
+use crate::member_model::Micros;
 use crate::stand::now;
 use async_io::Timer;
 use std::io::{BufRead, BufReader, Write};
--- a/crates/lab/src/stand.rs
+++ b/crates/lab/src/stand.rs
@@ -1,6 +1,6 @@
 //! The model behind real sockets: members that speak PostgreSQL, and discovery.
 
-use crate::fleet::{Fleet, Micros, Verdict, CLASSES};
+use crate::member_model::{Admission, IncomingRequest, ListChange, MemberModel, Micros, CLASSES};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -16,7 +16,7 @@
 /// The stand-ins of one run.
 pub struct Stand {
     executor: Rc<LocalExecutor<'static>>,
-    fleet: RefCell<Fleet>,
+    fleet: RefCell<MemberModel>,
     addresses: RefCell<Vec<SocketAddr>>,
     /// The version of the list.
     seq: Cell<u64>,
@@ -70,7 +70,7 @@
 
 impl Stand {
     /// Starts the members on ports of their own, and the clock of their model.
-    pub fn start(executor: &Rc<LocalExecutor<'static>>, fleet: Fleet) -> std::io::Result<Rc<Stand>> {
+    pub fn start(executor: &Rc<LocalExecutor<'static>>, fleet: MemberModel) -> std::io::Result<Rc<Stand>> {
         let count = fleet.members.len();
         let (fleet, addresses) = (RefCell::new(fleet), RefCell::default());
         let stand = Rc::new(Stand { executor: Rc::clone(executor), fleet, addresses, seq: Cell::new(1) });
@@ -85,7 +85,7 @@
             .spawn(async move {
                 loop {
                     Timer::after(Duration::from_millis(5)).await;
-                    if at.fleet.borrow_mut().tick(now()) {
+                    if at.fleet.borrow_mut().advance(now()) == ListChange::Changed {
                         at.seq.set(at.seq.get() + 1);
                     }
                 }
@@ -107,14 +107,14 @@
 
     /// Waits while the member is cut off or dead; false where its process is gone, and its connections with it.
     async fn speaks(&self, member: usize) -> bool {
-        while !self.away(member) && self.fleet.borrow().members[member].silent {
+        while !self.away(member) && self.fleet.borrow().members[member].is_unresponsive {
             Timer::after(Duration::from_millis(10)).await;
         }
         !self.away(member)
     }
 
     fn away(&self, member: usize) -> bool {
-        self.fleet.borrow().members[member].hand.away
+        self.fleet.borrow().members[member].behavior.is_down
     }
 
     async fn talk(&self, member: usize, mut stream: Async<TcpStream>) -> std::io::Result<()> {
@@ -152,32 +152,34 @@
             if self.away(member) {
                 return Ok(());
             }
-            let role = |fleet: &Fleet| if fleet.members[member].primary { "primary" } else { "replica" };
+            let role =
+                |fleet: &MemberModel| if fleet.members[member].is_primary { "primary" } else { "replica" };
             match ask {
                 None => {}
                 Some(Ask::Empty) => server.write_empty_query_response(),
                 Some(Ask::Report) => {
                     let fleet = self.fleet.borrow();
-                    let report = fleet.report(member);
+                    let report = fleet.load_report(member);
                     row(&mut server.output, report.as_bytes(), role(&fleet), fleet.position_ms(member));
                 }
                 Some(Ask::Class(class, wait, id, after)) => {
-                    let verdict = self.fleet.borrow_mut().asked(member, class, Some(&id), after);
-                    if let Verdict::At(at) = verdict {
+                    let request = IncomingRequest { class, id: Some(&id), min_position_ms: after };
+                    let admission = self.fleet.borrow_mut().admit(member, request);
+                    if let Admission::Admitted(at) = admission {
                         // Work that was begun goes on when its client leaves.
                         let pause = Timer::after(Duration::from_micros((at - now()).max(0) as u64));
                         pause.await;
-                        self.fleet.borrow_mut().done(member, class);
+                        self.fleet.borrow_mut().finish_request(member, class);
                         if now() - at > wait * 1000 {
                             return Ok(());
                         }
                     }
                     let fleet = self.fleet.borrow();
                     let (role, position) = (role(&fleet), fleet.position_ms(member));
-                    match verdict {
-                        Verdict::At(_) => row(&mut server.output, b"value", role, position),
-                        Verdict::Miss => error(&mut server.output, "25006", role, position),
-                        Verdict::Full => error(&mut server.output, "53300", role, position),
+                    match admission {
+                        Admission::Admitted(_) => row(&mut server.output, b"value", role, position),
+                        Admission::NotPrimary => error(&mut server.output, "25006", role, position),
+                        Admission::Overloaded => error(&mut server.output, "53300", role, position),
                     }
                 }
             }
@@ -193,27 +195,27 @@
             .zip(addresses.iter())
             .map(|(m, dial)| {
                 json!({"host": m.name, "dial": dial.to_string(), "site": m.zone, "class": "m4",
-                       "block": m.group, "health": if m.drains { "leaving" } else { "active" }, "share": 1.0,
-                       "born_ms": m.born / 1000, "role": if m.primary { "primary" } else { "replica" }})
+                       "block": m.group, "health": if m.is_draining { "leaving" } else { "active" }, "share": 1.0,
+                       "born_ms": m.started_at / 1000, "role": if m.is_primary { "primary" } else { "replica" }})
             })
             .collect();
         json!({"seq": self.seq.get(), "whole": true, "hosts": hosts})
     }
 
     /// The members' model, to read what it counted.
-    pub fn fleet(&self) -> std::cell::Ref<'_, Fleet> {
+    pub fn fleet(&self) -> std::cell::Ref<'_, MemberModel> {
         self.fleet.borrow()
     }
 
     /// Changes the members' model, as an agent on a member's machine does; discovery tells it.
-    pub fn change<T>(&self, change: impl FnOnce(&mut Fleet) -> T) -> T {
+    pub fn change<T>(&self, change: impl FnOnce(&mut MemberModel) -> T) -> T {
         self.seq.set(self.seq.get() + 1);
         change(&mut self.fleet.borrow_mut())
     }
 
     /// The script's seconds count from then on.
     pub fn begin(&self, start: Micros) {
-        self.fleet.borrow_mut().begin(start);
+        self.fleet.borrow_mut().start_script(start);
     }
 
     /// Writes that members have run.
--- a/crates/lab/tests/member_model.rs
+++ b/crates/lab/tests/member_model.rs
@@ -1,6 +1,6 @@
 //! The model of the stand-in members, in virtual time.
 
-use wharfplank_lab::fleet::{Fleet, Verdict};
+use wharfplank_lab::member_model::{Admission, IncomingRequest, MemberModel};
 use wharfplank_lab::timeline::{Kind, Timeline, Trouble};
 
 /// Guards against a script that begins later than the members' clock and takes their log with it: positions ahead
@@ -17,17 +17,18 @@
         troubles: vec![Trouble { kind: Kind::Lose, at: 2, lasts: 5, on: "a".to_string(), percent: 100 }],
     };
     let begin = 1_000_000_000;
-    let mut fleet = Fleet::new(&timeline, begin);
-    fleet.begin(begin + 60_000_000);
+    let mut model = MemberModel::new(&timeline, begin);
+    model.start_script(begin + 60_000_000);
     let mut now = begin;
     for ms in 0..60_000 + 4_000 {
         now = begin + ms * 1000;
-        fleet.tick(now);
-        assert!((0..3).all(|m| fleet.position_ms(m) <= now / 1000));
+        model.advance(now);
+        assert!((0..3).all(|m| model.position_ms(m) <= now / 1000));
     }
-    assert!(fleet.members[0].silent, "the primary's zone is lost 2 s after the script began");
-    let lag = now / 1000 - fleet.position_ms(1);
+    assert!(model.members[0].is_unresponsive, "the primary's zone is lost 2 s after the script began");
+    let lag = now / 1000 - model.position_ms(1);
     assert!((1_900..2_100).contains(&lag), "a replica without a primary stands still: {lag} ms");
-    assert_eq!(fleet.asked(1, 0, None, None), Verdict::At(fleet.members[1].free[0]));
-    assert_eq!(fleet.stale, 1, "a bounded read of it is stale");
+    let admission = model.admit(1, IncomingRequest { class: 0, id: None, min_position_ms: None });
+    assert_eq!(admission, Admission::Admitted(model.members[1].core_free_at[0]));
+    assert_eq!(model.stale_reads, 1, "a bounded read of it is stale");
 }
--- a/src/cli/lab/demo.rs
+++ b/src/cli/lab/demo.rs
@@ -3,8 +3,8 @@
 use super::super::error::CommandError;
 use super::play::{load_timeline, play_timeline, print_results};
 use std::path::Path;
-use wharfplank::lab::fleet::CLASSES;
 use wharfplank::lab::load::Seen;
+use wharfplank::lab::member_model::CLASSES;
 use wharfplank::lab::timeline;
 
 /// Plays a calm load and prints the results.
--- a/src/cli/lab/play.rs
+++ b/src/cli/lab/play.rs
@@ -4,8 +4,8 @@
 use super::{create_directory, current_program};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::{Path, PathBuf};
-use wharfplank::lab::fleet::CLASSES;
 use wharfplank::lab::load::Seen;
+use wharfplank::lab::member_model::CLASSES;
 use wharfplank::lab::run::{play, Place, Ran};
 use wharfplank::lab::timeline::{self, Timeline};
 
