--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -7,9 +7,10 @@
 //!
 //! Requests:
 //! - [`requests`]: from arrival to final answer: sent, queued, sent again, given up.
+//! - [`request_queue`]: requests that wait for a member.
 //! - [`attempts`]: what is learned from the end of an attempt, and what becomes of its request.
 //! - [`admission`]: which requests are shed under load.
-//! - [`read_routing`]: the member that serves a read.
+//! - [`read_routing`], [`read_candidates`]: the member that serves a read.
 //! - [`primary_discovery`]: the member that serves a write, and the search for the primary.
 //!
 //! Members and groups:
@@ -34,7 +35,9 @@
 mod primary_discovery;
 mod probes;
 mod random;
+mod read_candidates;
 mod read_routing;
+mod request_queue;
 mod requests;
 mod sessions;
 mod slow_start;
--- a/crates/routing/src/policy/requests.rs
+++ b/crates/routing/src/policy/requests.rs
@@ -4,7 +4,6 @@
     Action, AttemptInFlight, AttemptNo, Consistency, EndpointStatus, GroupId, HostId, Idempotency, Micros,
     RejectReason, Request, RequestId, Role, Router, QUEUE_CHECK_INTERVAL,
 };
-use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
 /// The part of its client's patience that a request may be queued for without having reached a member.
@@ -52,21 +51,6 @@
     }
 }
 
-/// A queued request's place in the order in which they are sent.
-struct QueueRank {
-    value_density: f64,
-    arrived_at: Micros,
-    id: RequestId,
-}
-
-impl QueueRank {
-    /// Most value for the work first, then the newest, which has most time left.
-    fn compare(&self, other: &Self) -> Ordering {
-        let by_value = other.value_density.total_cmp(&self.value_density);
-        by_value.then(other.arrived_at.cmp(&self.arrived_at)).then(self.id.cmp(&other.id))
-    }
-}
-
 impl Router {
     /// A client sent a request.
     pub(super) fn on_request(&mut self, request: Request) {
@@ -163,15 +147,6 @@
         }
     }
 
-    fn enqueue(&mut self, id: RequestId, group: GroupId) {
-        match self.groups.get_mut(&group) {
-            Some(group) => {
-                group.queued.insert(id);
-            }
-            None => self.give_up(id, RejectReason::NoMember),
-        }
-    }
-
     fn send(&mut self, id: RequestId, host: HostId) {
         let now = self.now;
         let send_budget = self.send_budget(&self.members[&host]);
@@ -261,35 +236,4 @@
             self.give_up(id, RejectReason::ShuttingDown);
         }
     }
-
-    /// Tries to send the group's queued requests; what still cannot be sent is queued again.
-    pub(super) fn dispatch_queued(&mut self, group: GroupId) {
-        let Some(group) = self.groups.get_mut(&group) else { return };
-        let queued = std::mem::take(&mut group.queued);
-        let mut ranks: Vec<QueueRank> = queued.iter().filter_map(|id| self.queue_rank(*id)).collect();
-        ranks.sort_unstable_by(QueueRank::compare);
-        for rank in ranks {
-            self.dispatch(rank.id);
-        }
-    }
-
-    /// Tries to send the queued requests of all groups.
-    pub(super) fn dispatch_all_queued(&mut self) {
-        let groups: Vec<GroupId> = self.groups.keys().copied().collect();
-        for group in groups {
-            self.dispatch_queued(group);
-        }
-    }
-
-    fn queue_rank(&self, id: RequestId) -> Option<QueueRank> {
-        let pending = self.pending.get(&id)?;
-        let class = &self.settings.classes[pending.request.class.0];
-        let is_in_time = self.now - pending.arrived_at < class.latency_objective;
-        let value_part = if is_in_time { 1.0 } else { class.late_weight };
-        Some(QueueRank {
-            value_density: class.priority_weight * value_part / self.usual_latency[pending.request.class.0],
-            arrived_at: pending.arrived_at,
-            id,
-        })
-    }
 }
