--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -55,8 +55,8 @@
 
 /// The timer's interval while requests are queued.
 const QUEUE_CHECK_INTERVAL: Micros = 10_000;
-/// The timer's interval while requests are in flight and none is queued. It is not shortened when a request is
-/// queued meanwhile, so that one may be given up this much after its deadline.
+/// The timer's interval while requests are in flight and none is queued. It is not shortened when a request
+/// is queued meanwhile, so that one may be given up this much after its deadline.
 const IN_FLIGHT_CHECK_INTERVAL: Micros = 30_000;
 /// The router stood still if its timer expires this much too late.
 const STALL_THRESHOLD: Micros = 100_000;
