--- a/crates/records/src/reader/mod.rs
+++ b/crates/records/src/reader/mod.rs
@@ -4,11 +4,15 @@
 
 mod error;
 mod gap;
+mod names;
+mod run;
 mod store_reader;
 
 pub use error::{ReadError, StoreProblem};
 pub use gap::{Gap, GapCause};
-pub use store_reader::{BlockFilter, Name, NameKind, Run, RunState, StoreReader, WindowSummary, MAX_SILENCE};
+pub use names::{Name, NameKind};
+pub use run::{Run, RunState, MAX_SILENCE};
+pub use store_reader::{BlockFilter, StoreReader, WindowSummary};
 
 use crate::record::Micros;
 use std::path::{Path, PathBuf};
--- a/crates/records/src/reader/store_reader.rs
+++ b/crates/records/src/reader/store_reader.rs
@@ -1,5 +1,7 @@
 //! The store of one proxy, open to be read.
 
+use super::names::{read_names, Name, NameKey, NameKind};
+use super::run::{read_runs, Run};
 use super::{Gap, GapCause, ReadError};
 use crate::record::{Micros, Record, TimedRecord};
 use crate::store::{FORMAT, SUMMARY_WINDOW};
@@ -14,85 +16,6 @@
 /// The size of SQLite's page cache; a negative number counts KiB.
 const CACHE_SIZE: i64 = -8192;
 
-/// A run is recorded as alive with each flush. One that was not for this long, and has no end, was killed.
-pub const MAX_SILENCE: Micros = 5_000_000;
-
-/// The state of a run.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunState {
-    /// It shut down in order.
-    Ended,
-    /// It was killed: it fell silent without an end.
-    Killed,
-    /// It goes on.
-    Running,
-}
-
-/// One process of a proxy, as its records describe it.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Run {
-    /// The proxy.
-    pub proxy: String,
-    /// The number of the run in the store.
-    pub id: i64,
-    /// When it started.
-    pub started_at: Micros,
-    /// The last time at which it is known to have been alive.
-    pub last_alive_at: Micros,
-    /// When it shut down in order, if it did.
-    pub ended_at: Option<Micros>,
-}
-
-impl Run {
-    /// The state of the run at a time.
-    pub fn state(&self, now: Micros) -> RunState {
-        match self.ended_at {
-            Some(_) => RunState::Ended,
-            None if now - self.last_alive_at > MAX_SILENCE => RunState::Killed,
-            None => RunState::Running,
-        }
-    }
-}
-
-/// What a number in the records of a run stands for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum NameKind {
-    /// A class of requests.
-    Class,
-    /// A member.
-    Member,
-    /// The proxy itself, with number 0.
-    Proxy,
-}
-
-impl NameKind {
-    /// The kind of a name in the store; `None` for one that this version does not know.
-    fn from_stored(kind: &str) -> Option<NameKind> {
-        match kind {
-            "class" => Some(NameKind::Class),
-            "member" => Some(NameKind::Member),
-            "proxy" => Some(NameKind::Proxy),
-            _ => None,
-        }
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct NameKey {
-    run: i64,
-    kind: NameKind,
-    number: i64,
-}
-
-/// The name of a class, a member or a proxy.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Name {
-    /// The name; empty for the proxy itself.
-    pub name: String,
-    /// The latency objective of a class in microseconds; the zone of a member or proxy.
-    pub detail: String,
-}
-
 /// The answers of one window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowSummary {
@@ -301,35 +224,6 @@
     matches!(error.sqlite_error_code(), Some(ErrorCode::CannotOpen | ErrorCode::ReadOnly))
 }
 
-fn read_runs(connection: &Connection) -> Result<Vec<Run>, rusqlite::Error> {
-    let mut statement =
-        connection.prepare("SELECT proxy, run, started, alive, ended FROM runs ORDER BY run")?;
-    let run = |row: &Row<'_>| {
-        Ok(Run {
-            proxy: row.get(0)?,
-            id: row.get(1)?,
-            started_at: row.get(2)?,
-            last_alive_at: row.get(3)?,
-            ended_at: row.get(4)?,
-        })
-    };
-    let rows = statement.query_map([], run)?;
-    rows.collect()
-}
-
-fn read_names(connection: &Connection) -> Result<BTreeMap<NameKey, Name>, rusqlite::Error> {
-    let mut statement = connection.prepare("SELECT run, kind, number, name, more FROM names")?;
-    let mut rows = statement.query([])?;
-    let mut names = BTreeMap::new();
-    while let Some(row) = rows.next()? {
-        let stored_kind: String = row.get(1)?;
-        let Some(kind) = NameKind::from_stored(&stored_kind) else { continue };
-        let key = NameKey { run: row.get(0)?, kind, number: row.get(2)? };
-        names.insert(key, Name { name: row.get(3)?, detail: row.get(4)? });
-    }
-    Ok(names)
-}
-
 /// Decodes a block; `None` if it is damaged.
 fn decode_block(row: &Row<'_>) -> Result<Option<Vec<TimedRecord>>, rusqlite::Error> {
     let checksum: u32 = row.get(4)?;
