--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -7,9 +7,10 @@
 //!
 //! Requests:
 //! - [`requests`]: from arrival to final answer: sent, queued, sent again, given up.
+//! - [`request_queue`]: requests that wait for a member.
 //! - [`attempts`]: what is learned from the end of an attempt, and what becomes of its request.
 //! - [`admission`]: which requests are shed under load.
-//! - [`read_routing`]: the member that serves a read.
+//! - [`read_routing`], [`read_candidates`]: the member that serves a read.
 //! - [`primary_discovery`]: the member that serves a write, and the search for the primary.
 //!
 //! Members and groups:
@@ -34,7 +35,9 @@
 mod primary_discovery;
 mod probes;
 mod random;
+mod read_candidates;
 mod read_routing;
+mod request_queue;
 mod requests;
 mod sessions;
 mod slow_start;
@@ -52,7 +55,8 @@
 
 /// The timer's interval while requests are queued.
 const QUEUE_CHECK_INTERVAL: Micros = 10_000;
-/// The timer's interval while requests are in flight and none is queued.
+/// The timer's interval while requests are in flight and none is queued. It is not shortened when a request
+/// is queued meanwhile, so that one may be given up this much after its deadline.
 const IN_FLIGHT_CHECK_INTERVAL: Micros = 30_000;
 /// The router stood still if its timer expires this much too late.
 const STALL_THRESHOLD: Micros = 100_000;
