--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -90,5 +90,5 @@
 
 fn show(reader: &StoreSet, state: &State) -> Facts {
     let (from, to) = state.span();
-    Facts::of(gather(reader, from, to))
+    Facts::from_evidence(gather(reader, from, to))
 }
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -6,7 +6,7 @@
 use ratatui::text::Line;
 use ratatui::widgets::{Block, Borders, Paragraph, Row, Table, Wrap};
 use ratatui::Frame;
-use wharfplank_report::facts::{title, Answers, MemberFacts};
+use wharfplank_report::facts::{incident_title, AnswerTotals, BinFacts, MemberFacts, OutcomeCounts};
 use wharfplank_report::html::utc;
 use wharfplank_report::Facts;
 
@@ -76,14 +76,14 @@
     let of = |m: &&MemberFacts| state.group.is_none_or(|g| m.group == g);
     let all: Vec<&MemberFacts> = facts.members.iter().filter(of).collect();
     let width = usize::from(area.width).saturating_sub(55).clamp(8, 120);
-    let top = all.iter().flat_map(|m| m.behind_ms.iter().flatten()).max().copied().unwrap_or(0).max(1000);
+    let top = all.iter().flat_map(|m| m.lag_ms.iter().flatten()).max().copied().unwrap_or(0).max(1000);
     let rows = all.iter().skip(state.scroll).map(|m| {
         let role = match last(&m.primary) {
             Some((true, _)) => "primary",
             Some((false, _)) => "replica",
             None => "not known",
         };
-        let behind = match last(&m.behind_ms) {
+        let behind = match last(&m.lag_ms) {
             Some((ms, 0..=2)) => format!("{:.2} s", ms as f64 / 1000.0),
             Some((_, ago)) => format!("heard -{ago}"),
             None => "not known".to_string(),
@@ -92,15 +92,7 @@
         let doubt = if suspected > 0 { format!("by {suspected}") } else { "-".to_string() };
         let zone = m.zone.clone().unwrap_or_else(|| "?".to_string());
         let load = last(&m.in_flight).map_or("?".to_string(), |(n, _)| n.to_string());
-        Row::new([
-            m.name.clone(),
-            zone,
-            role.to_string(),
-            behind,
-            doubt,
-            load,
-            chart(&m.behind_ms, width, top),
-        ])
+        Row::new([m.name.clone(), zone, role.to_string(), behind, doubt, load, chart(&m.lag_ms, width, top)])
     });
     let columns = [
         Constraint::Length(10),
@@ -121,27 +113,29 @@
 fn draw_answers(frame: &mut Frame<'_>, area: Rect, state: &State, facts: &Facts) {
     let width = usize::from(area.width).saturating_sub(12);
     let all = facts.proxies.len();
-    let known = |of: &dyn Fn(&wharfplank_report::facts::BinFacts) -> u64| -> Vec<Option<i64>> {
-        facts.series.iter().map(|b| (b.proxies == all && all > 0).then(|| of(b) as i64)).collect()
-    };
     let class = state.class.as_deref();
-    let served = known(&|b| b.of(class).0);
-    let late = known(&|b| b.of(class).1);
-    let lost = known(&|b| b.of(class).2);
+    let known = |count: fn(OutcomeCounts) -> u64| -> Vec<Option<i64>> {
+        let is_covered = |bin: &BinFacts| bin.covering_proxies == all && all > 0;
+        facts.series.iter().map(|bin| is_covered(bin).then(|| count(bin.outcomes(class)) as i64)).collect()
+    };
+    let served = known(|counts| counts.served);
+    let late = known(|counts| counts.late);
+    let unsuccessful = known(|counts| counts.unsuccessful);
     let top = |values: &[Option<i64>]| values.iter().flatten().max().copied().unwrap_or(1).max(1);
-    let mut lines: Vec<Line<'_>> = [("in time", &served), ("late", &late), ("lost", &lost)]
+    let mut lines: Vec<Line<'_>> = [("in time", &served), ("late", &late), ("lost", &unsuccessful)]
         .iter()
         .map(|(name, values)| Line::from(format!("{name:<8}{}", chart(values, width, top(values)))))
         .collect();
     lines.push(Line::from(format!("{:<13}{:>8}{:>5}{:>5}{:>5}", "class", "in time", "late", "ref.", "fail")));
-    let of = |(name, _): &(&String, &Answers)| state.class.as_ref().is_none_or(|c| c == *name);
+    let of = |(name, _): &(&String, &AnswerTotals)| state.class.as_ref().is_none_or(|c| c == *name);
     let chosen: Vec<_> = facts.classes.iter().filter(of).collect();
     for (name, a) in &chosen {
-        let (refused, failed) = (a.refused.values().sum::<u64>(), a.failed.values().sum::<u64>());
-        lines.push(Line::from(format!("{name:<13}{:>8}{:>5}{refused:>5}{failed:>5}", a.served, a.late)));
+        let rejected: u64 = a.rejected.values().sum();
+        let failed: u64 = a.failed.values().sum();
+        lines.push(Line::from(format!("{name:<13}{:>8}{:>5}{rejected:>5}{failed:>5}", a.served, a.late)));
     }
     for (name, a) in &chosen {
-        for (reason, count) in a.refused.iter().chain(&a.failed) {
+        for (reason, count) in a.rejected.iter().chain(&a.failed) {
             lines.push(Line::from(format!("  {name}: {reason} {count}")));
         }
     }
@@ -152,9 +146,10 @@
 fn draw_incidents(frame: &mut Frame<'_>, area: Rect, facts: &Facts) {
     let mut lines: Vec<Line<'_>> = Vec::new();
     for i in &facts.incidents {
-        let span = format!("{:>4.0}-{:<4.0}", facts.second(i.from), facts.second(i.to));
+        let span =
+            format!("{:>4.0}-{:<4.0}", facts.seconds_since_start(i.from), facts.seconds_since_start(i.to));
         let open = if i.open { " …" } else { "" };
-        lines.push(Line::from(format!("{span} {}{open}", title(i))));
+        lines.push(Line::from(format!("{span} {}{open}", incident_title(i))));
         lines.push(Line::from(format!(
             "          {} late, {} lost, {}",
             i.late,
@@ -164,7 +159,11 @@
     }
     for proxy in &facts.proxies {
         for gap in &proxy.gaps {
-            let span = format!("{:>4.0}-{:<4.0}", facts.second(gap.from), facts.second(gap.to));
+            let span = format!(
+                "{:>4.0}-{:<4.0}",
+                facts.seconds_since_start(gap.from),
+                facts.seconds_since_start(gap.to)
+            );
             lines.push(Line::from(format!("{span} {}: no records", proxy.name)));
         }
     }
--- a/crates/console/tests/screens.rs
+++ b/crates/console/tests/screens.rs
@@ -75,7 +75,7 @@
 
 fn facts(directory: &std::path::Path, state: &State) -> Facts {
     let (from, to) = state.span();
-    Facts::of(gather(&StoreSet::open(&[directory.to_path_buf()]), from, to))
+    Facts::from_evidence(gather(&StoreSet::open(&[directory.to_path_buf()]), from, to))
 }
 
 fn shown(state: &State, facts: &Facts, (width, height): (u16, u16)) -> String {
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,6 +1,6 @@
 //! The report as one HTML file.
 
-use crate::facts::{title, Facts, MemberFacts};
+use crate::facts::{incident_title, Facts, MemberFacts};
 use crate::plot;
 use minijinja::{context, Environment};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,14 +20,14 @@
 
 /// The file's text.
 pub fn render(facts: &Facts) -> Result<String, Box<dyn std::error::Error>> {
-    let second = |at: i64| format!("{:.1}", facts.second(at));
+    let second = |at: i64| format!("{:.1}", facts.seconds_since_start(at));
     let incidents: Vec<_> = facts
         .incidents
         .iter()
         .map(|i| {
             let groups: Vec<String> = i.groups.iter().map(u64::to_string).collect();
             context! {
-                title => title(i), from => second(i.from), to => second(i.to), open => i.open, told => &i.reported,
+                title => incident_title(i), from => second(i.from), to => second(i.to), open => i.open, told => &i.reported,
                 inferred => &i.inferred, unknown => &i.unknown, strength => i.confidence.name(), late => i.late,
                 members => if i.members.is_empty() { "-".to_string() } else { i.members.join(", ") },
                 groups => if groups.is_empty() { "all".to_string() } else { groups.join(", ") },
@@ -39,10 +39,15 @@
         .classes
         .iter()
         .map(|(name, a)| {
-            let each =
-                |n: f64| if a.all() == 0 { "-".to_string() } else { format!("{:.2}", n / a.all() as f64) };
+            let each = |n: f64| {
+                if a.total() == 0 {
+                    "-".to_string()
+                } else {
+                    format!("{:.2}", n / a.total() as f64)
+                }
+            };
             context! {
-                name, served => a.served, late => a.late, refused => a.refused.values().sum::<u64>(),
+                name, served => a.served, late => a.late, refused => a.rejected.values().sum::<u64>(),
                 failed => a.failed.values().sum::<u64>(), attempts => each(a.attempts as f64),
                 mean => each(a.took as f64 / 1000.0),
             }
@@ -54,11 +59,11 @@
     }
     let mut reasons = Vec::new();
     for (class, answers) in &facts.classes {
-        let names: BTreeSet<&String> = answers.refused.keys().chain(answers.failed.keys()).collect();
+        let names: BTreeSet<&String> = answers.rejected.keys().chain(answers.failed.keys()).collect();
         for reason in names {
-            let (refused, failed) =
-                (answers.refused.get(reason).unwrap_or(&0), answers.failed.get(reason).unwrap_or(&0));
-            reasons.push(context! { class, reason, refused, failed });
+            let (rejected, failed) =
+                (answers.rejected.get(reason).unwrap_or(&0), answers.failed.get(reason).unwrap_or(&0));
+            reasons.push(context! { class, reason, refused => rejected, failed });
         }
     }
     let mut by_group: BTreeMap<u64, Vec<&MemberFacts>> = BTreeMap::new();
@@ -68,7 +73,7 @@
         groups.push(context! { group, plot => plot::staleness(facts, &members)? });
     }
     let stale: Vec<_> = facts
-        .stale
+        .stale_reads
         .iter()
         .take(STALE_MOST)
         .map(|s| {
@@ -92,7 +97,7 @@
     let mut environment = Environment::new();
     environment.add_template("report.html", include_str!("report.html"))?;
     let page = environment.get_template("report.html")?.render(context! {
-        facts => context! { summary => &facts.summary, problems => &facts.problems, stale_count => facts.stale_count },
+        facts => context! { summary => &facts.summary, problems => &facts.problems, stale_count => facts.stale_read_count },
         start => utc(facts.from), end => utc(facts.to), bin => facts.bin / 1_000_000,
         timeline => plot::timeline(facts)?, answers => plot::answers(facts, None)?,
         incidents, classes, by_class, reasons, groups, stale, gaps,
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -1,6 +1,6 @@
 //! The pictures, as SVG.
 
-use crate::facts::{title, Facts, MemberFacts};
+use crate::facts::{incident_title, Facts, MemberFacts, OutcomeCounts};
 use plotters::prelude::*;
 
 const SIZE: (u32, u32) = (960, 230);
@@ -52,7 +52,7 @@
 
 fn chart(facts: &Facts, unit: &str, lines: &[Line], gaps: &[(f64, f64)]) -> Result<String, Fault> {
     let mut svg = String::new();
-    let end = facts.second(facts.to).max(1.0);
+    let end = facts.seconds_since_start(facts.to).max(1.0);
     let top = lines.iter().flat_map(|l| l.points.iter().flatten()).map(|(_, y)| *y).fold(1.0, f64::max) * 1.1;
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -113,7 +113,7 @@
 
 fn gaps(facts: &Facts) -> Vec<(f64, f64)> {
     let gaps = facts.proxies.iter().flat_map(|p| &p.gaps);
-    gaps.map(|g| (facts.second(g.from), facts.second(g.to))).collect()
+    gaps.map(|g| (facts.seconds_since_start(g.from), facts.seconds_since_start(g.to))).collect()
 }
 
 /// Answers by second, of one class or of all: in time, late, refused or failed. A bin that not all proxies cover is a
@@ -121,17 +121,17 @@
 pub fn answers(facts: &Facts, class: Option<&str>) -> Result<String, Fault> {
     let all = facts.proxies.len();
     let per = 1e6 / facts.bin as f64;
-    let line = |name: &str, of: &dyn Fn(&crate::facts::BinFacts) -> u64| Line {
+    let line = |name: &str, count: fn(OutcomeCounts) -> u64| Line {
         name: name.to_string(),
         points: pieces(facts.series.iter().map(|b| {
-            let at = facts.second(b.at + facts.bin / 2);
-            (at, (b.proxies == all).then(|| of(b) as f64 * per))
+            let at = facts.seconds_since_start(b.at + facts.bin / 2);
+            (at, (b.covering_proxies == all).then(|| count(b.outcomes(class)) as f64 * per))
         })),
     };
     let lines = [
-        line("in time", &|b| b.of(class).0),
-        line("late", &|b| b.of(class).1),
-        line("refused, failed", &|b| b.of(class).2),
+        line("in time", |counts| counts.served),
+        line("late", |counts| counts.late),
+        line("refused, failed", |counts| counts.unsuccessful),
     ];
     chart(facts, "answers/s", &lines, &gaps(facts))
 }
@@ -142,8 +142,9 @@
         .iter()
         .map(|m| Line {
             name: format!("{} ({})", m.name, m.zone.as_deref().unwrap_or("?")),
-            points: pieces(m.behind_ms.iter().enumerate().map(|(i, ms)| {
-                let at = facts.second(facts.series.get(i).map_or(facts.from, |b| b.at) + facts.bin / 2);
+            points: pieces(m.lag_ms.iter().enumerate().map(|(i, ms)| {
+                let at = facts
+                    .seconds_since_start(facts.series.get(i).map_or(facts.from, |b| b.at) + facts.bin / 2);
                 (at, ms.map(|ms| ms as f64 / 1000.0))
             })),
         })
@@ -153,21 +154,26 @@
 
 /// Incidents and gaps as bars over time, each with its name.
 pub fn timeline(facts: &Facts) -> Result<String, Fault> {
-    let mut rows: Vec<(String, f64, f64, bool)> =
-        facts.incidents.iter().map(|i| (title(i), facts.second(i.from), facts.second(i.to), false)).collect();
+    let mut rows: Vec<(String, f64, f64, bool)> = facts
+        .incidents
+        .iter()
+        .map(|i| {
+            (incident_title(i), facts.seconds_since_start(i.from), facts.seconds_since_start(i.to), false)
+        })
+        .collect();
     for proxy in &facts.proxies {
         let gap = |g: &crate::facts::GapFacts| {
             (
                 format!("{}: no records ({})", proxy.name, g.cause),
-                facts.second(g.from),
-                facts.second(g.to),
+                facts.seconds_since_start(g.from),
+                facts.seconds_since_start(g.to),
                 true,
             )
         };
         rows.extend(proxy.gaps.iter().map(gap));
     }
     let mut svg = String::new();
-    let end = facts.second(facts.to).max(1.0);
+    let end = facts.seconds_since_start(facts.to).max(1.0);
     let height = 50 + 26 * rows.len().max(1) as u32;
     {
         let area = SVGBackend::with_string(&mut svg, (SIZE.0, height)).into_drawing_area();
--- a/src/cli/lab/incident.rs
+++ b/src/cli/lab/incident.rs
@@ -89,8 +89,8 @@
             "invented {:?} {} from {:.0} to {:.0}",
             i.kind,
             i.subject,
-            facts.second(i.from),
-            facts.second(i.to)
+            facts.seconds_since_start(i.from),
+            facts.seconds_since_start(i.to)
         ));
     }
     for (number, at, back) in &ran.kills {
@@ -102,8 +102,8 @@
         match gap {
             Some(gap) => println!(
                 "gap      n{number}: {:.1} to {:.1} ({})",
-                facts.second(gap.from),
-                facts.second(gap.to),
+                facts.seconds_since_start(gap.from),
+                facts.seconds_since_start(gap.to),
                 gap.cause
             ),
             None => faults.push(format!("the kill of n{number} is no gap")),
@@ -130,7 +130,7 @@
             let ever = (0, Micros::MAX);
             let kinds = [
                 (Seen::Served, recorded.served + recorded.late),
-                (Seen::Refused, recorded.refused.values().sum()),
+                (Seen::Refused, recorded.rejected.values().sum()),
                 (Seen::Failed, recorded.failed.values().sum()),
             ];
             for (seen, recorded) in kinds {
--- a/src/cli/records.rs
+++ b/src/cli/records.rs
@@ -64,7 +64,7 @@
 pub fn facts(paths: &[PathBuf], span: &Span) -> Result<Facts, CommandError> {
     let stores = StoreSet::open(paths);
     let (from, to) = span.of(&stores)?;
-    Ok(Facts::of(gather(&stores, from, to)))
+    Ok(Facts::from_evidence(gather(&stores, from, to)))
 }
 
 /// Writes a report.
