--- /dev/null
+++ b/crates/report/src/error.rs
@@ -0,0 +1,17 @@
+//! Why a report cannot be rendered.
+
+use plotters::drawing::DrawingAreaErrorKind;
+
+/// Why a plot cannot be drawn.
+pub type PlotError = DrawingAreaErrorKind<std::io::Error>;
+
+/// Why a report cannot be rendered.
+#[derive(Debug, thiserror::Error)]
+pub enum RenderError {
+    /// The template is invalid or cannot be rendered.
+    #[error(transparent)]
+    Template(#[from] minijinja::Error),
+    /// A plot cannot be drawn.
+    #[error(transparent)]
+    Plot(#[from] PlotError),
+}
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,106 +1,175 @@
 //! The report as one HTML file.
 
-use crate::facts::{incident_title, Facts, MemberFacts};
+use crate::error::RenderError;
+use crate::facts::{incident_title, AnswerTotals, Facts, MemberFacts};
 use crate::plot;
-use minijinja::{context, Environment};
+use minijinja::{context, Environment, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use time::OffsetDateTime;
+use wharfplank_incidents::evidence::StaleRead;
+use wharfplank_incidents::Incident;
 
-/// Stale reads that the file lists; the JSON form has more.
-const STALE_MOST: usize = 200;
+/// The number of stale reads that the file lists; the JSON form has more.
+const MAX_STALE_READS: usize = 200;
+const TEMPLATE_NAME: &str = "report.html";
+const TEMPLATE: &str = include_str!("report.html");
 
-/// Unix time in µs as a date and a time of day in UTC.
+/// Formats Unix time in µs as a date and a time of day in UTC.
 pub fn utc(at: i64) -> String {
     let Ok(at) = OffsetDateTime::from_unix_timestamp_nanos(i128::from(at) * 1000) else {
         return format!("{at} us of Unix time");
     };
-    let (day, ms) = (at.date(), at.millisecond());
-    format!("{day} {:02}:{:02}:{:02}.{ms:03}", at.hour(), at.minute(), at.second())
+    let date = at.date();
+    let millisecond = at.millisecond();
+    format!("{date} {:02}:{:02}:{:02}.{millisecond:03}", at.hour(), at.minute(), at.second())
 }
 
-/// The file's text.
-pub fn render(facts: &Facts) -> Result<String, Box<dyn std::error::Error>> {
-    let second = |at: i64| format!("{:.1}", facts.seconds_since_start(at));
-    let incidents: Vec<_> = facts
-        .incidents
-        .iter()
-        .map(|i| {
-            let groups: Vec<String> = i.groups.iter().map(u64::to_string).collect();
-            context! {
-                title => incident_title(i), from => second(i.from), to => second(i.to), open => i.open, told => &i.reported,
-                inferred => &i.inferred, unknown => &i.unknown, strength => i.confidence.name(), late => i.late,
-                members => if i.members.is_empty() { "-".to_string() } else { i.members.join(", ") },
-                groups => if groups.is_empty() { "all".to_string() } else { groups.join(", ") },
-                refusals => i.rejections.iter().map(|(r, n)| (r.clone(), *n)).collect::<Vec<_>>(),
-            }
-        })
-        .collect();
-    let classes: Vec<_> = facts
-        .classes
-        .iter()
-        .map(|(name, a)| {
-            let each = |n: f64| {
-                if a.total() == 0 {
-                    "-".to_string()
-                } else {
-                    format!("{:.2}", n / a.total() as f64)
-                }
-            };
-            context! {
-                name, served => a.served, late => a.late, refused => a.rejected.values().sum::<u64>(),
-                failed => a.failed.values().sum::<u64>(), attempts => each(a.attempts as f64),
-                mean => each(a.took as f64 / 1000.0),
-            }
-        })
-        .collect();
-    let mut by_class = Vec::new();
+/// Renders the file.
+///
+/// # Errors
+///
+/// Returns an error if a plot cannot be drawn or the template cannot be rendered.
+pub fn render(facts: &Facts) -> Result<String, RenderError> {
+    let summary = context! {
+        summary => &facts.summary,
+        problems => &facts.problems,
+        stale_count => facts.stale_read_count,
+    };
+    let page = context! {
+        facts => summary,
+        start => utc(facts.from),
+        end => utc(facts.to),
+        bin => facts.bin / 1_000_000,
+        timeline => plot::timeline(facts)?,
+        answers => plot::answers(facts, None)?,
+        incidents => facts.incidents.iter().map(|incident| incident_row(facts, incident)).collect::<Vec<_>>(),
+        classes => facts.classes.iter().map(|(name, totals)| class_row(name, totals)).collect::<Vec<_>>(),
+        by_class => class_plots(facts)?,
+        reasons => reason_rows(facts),
+        groups => group_plots(facts)?,
+        stale => facts.stale_reads.iter().take(MAX_STALE_READS).map(|read| stale_row(facts, read)).collect::<Vec<_>>(),
+        gaps => describe_gaps(facts),
+    };
+    let mut environment = Environment::new();
+    environment.add_template(TEMPLATE_NAME, TEMPLATE)?;
+    let html = environment.get_template(TEMPLATE_NAME)?.render(page)?;
+    Ok(html)
+}
+
+/// Formats a time as seconds since the start of the span.
+fn format_second(facts: &Facts, at: i64) -> String {
+    format!("{:.1}", facts.seconds_since_start(at))
+}
+
+/// Joins names, or shows `placeholder` if there are none.
+fn join_or(names: &[String], placeholder: &str) -> String {
+    if names.is_empty() {
+        placeholder.to_string()
+    } else {
+        names.join(", ")
+    }
+}
+
+fn incident_row(facts: &Facts, incident: &Incident) -> Value {
+    let groups: Vec<String> = incident.groups.iter().map(u64::to_string).collect();
+    let rejections: Vec<(String, u64)> =
+        incident.rejections.iter().map(|(reason, count)| (reason.clone(), *count)).collect();
+    context! {
+        title => incident_title(incident),
+        from => format_second(facts, incident.from),
+        to => format_second(facts, incident.to),
+        open => incident.open,
+        told => &incident.reported,
+        inferred => &incident.inferred,
+        unknown => &incident.unknown,
+        strength => incident.confidence.name(),
+        late => incident.late,
+        members => join_or(&incident.members, "-"),
+        groups => join_or(&groups, "all"),
+        refusals => rejections,
+    }
+}
+
+fn class_row(name: &str, totals: &AnswerTotals) -> Value {
+    let answers = totals.total();
+    let per_answer = |sum: f64| {
+        if answers == 0 {
+            "-".to_string()
+        } else {
+            format!("{:.2}", sum / answers as f64)
+        }
+    };
+    context! {
+        name,
+        served => totals.served,
+        late => totals.late,
+        refused => totals.rejected.values().sum::<u64>(),
+        failed => totals.failed.values().sum::<u64>(),
+        attempts => per_answer(totals.attempts as f64),
+        mean => per_answer(totals.took as f64 / 1000.0),
+    }
+}
+
+fn class_plots(facts: &Facts) -> Result<Vec<Value>, RenderError> {
+    let mut plots = Vec::new();
     for class in facts.classes.keys() {
-        by_class.push(context! { class, plot => plot::answers(facts, Some(class))? });
+        plots.push(context! { class, plot => plot::answers(facts, Some(class))? });
     }
-    let mut reasons = Vec::new();
-    for (class, answers) in &facts.classes {
-        let names: BTreeSet<&String> = answers.rejected.keys().chain(answers.failed.keys()).collect();
-        for reason in names {
-            let (rejected, failed) =
-                (answers.rejected.get(reason).unwrap_or(&0), answers.failed.get(reason).unwrap_or(&0));
-            reasons.push(context! { class, reason, refused => rejected, failed });
+    Ok(plots)
+}
+
+/// A row for each class and reason of rejections or failures.
+fn reason_rows(facts: &Facts) -> Vec<Value> {
+    let mut rows = Vec::new();
+    for (class, totals) in &facts.classes {
+        let reasons: BTreeSet<&String> = totals.rejected.keys().chain(totals.failed.keys()).collect();
+        for reason in reasons {
+            let rejected = totals.rejected.get(reason).unwrap_or(&0);
+            let failed = totals.failed.get(reason).unwrap_or(&0);
+            rows.push(context! { class, reason, refused => rejected, failed });
         }
     }
+    rows
+}
+
+fn group_plots(facts: &Facts) -> Result<Vec<Value>, RenderError> {
     let mut by_group: BTreeMap<u64, Vec<&MemberFacts>> = BTreeMap::new();
-    facts.members.iter().for_each(|m| by_group.entry(m.group).or_default().push(m));
-    let mut groups = Vec::new();
+    for member in &facts.members {
+        by_group.entry(member.group).or_default().push(member);
+    }
+    let mut plots = Vec::new();
     for (group, members) in by_group {
-        groups.push(context! { group, plot => plot::staleness(facts, &members)? });
+        plots.push(context! { group, plot => plot::replication_lag(facts, &members)? });
     }
-    let stale: Vec<_> = facts
-        .stale_reads
-        .iter()
-        .take(STALE_MOST)
-        .map(|s| {
-            context! {
-                at => second(s.at), proxy => &s.proxy, class => &s.class, group => s.group, needed => second(s.needed),
-                known => if s.known > 0 { second(s.known) } else { "never heard".to_string() },
-                short => (s.needed - s.known).min(s.needed) / 1000,
-            }
-        })
-        .collect();
-    let gaps: Vec<String> = facts
-        .proxies
-        .iter()
-        .flat_map(|p| p.gaps.iter().map(move |g| (p, g)))
-        .map(|(p, g)| {
-            let count =
-                g.count.map_or("an unknown number of answers".to_string(), |n| format!("{n} records"));
-            format!("{}: {} from {} to {} s; {count} missing.", p.name, g.cause, second(g.from), second(g.to))
-        })
-        .collect();
-    let mut environment = Environment::new();
-    environment.add_template("report.html", include_str!("report.html"))?;
-    let page = environment.get_template("report.html")?.render(context! {
-        facts => context! { summary => &facts.summary, problems => &facts.problems, stale_count => facts.stale_read_count },
-        start => utc(facts.from), end => utc(facts.to), bin => facts.bin / 1_000_000,
-        timeline => plot::timeline(facts)?, answers => plot::answers(facts, None)?,
-        incidents, classes, by_class, reasons, groups, stale, gaps,
-    })?;
-    Ok(page)
+    Ok(plots)
+}
+
+fn stale_row(facts: &Facts, read: &StaleRead) -> Value {
+    let is_known = read.known > 0;
+    let known = if is_known { format_second(facts, read.known) } else { "never heard".to_string() };
+    context! {
+        at => format_second(facts, read.at),
+        proxy => &read.proxy,
+        class => &read.class,
+        group => read.group,
+        needed => format_second(facts, read.needed),
+        known,
+        short => (read.needed - read.known).min(read.needed) / 1000,
+    }
+}
+
+fn describe_gaps(facts: &Facts) -> Vec<String> {
+    let mut gaps = Vec::new();
+    for proxy in &facts.proxies {
+        for gap in &proxy.gaps {
+            let missing = match gap.count {
+                Some(count) => format!("{count} records"),
+                None => "an unknown number of answers".to_string(),
+            };
+            let from = format_second(facts, gap.from);
+            let to = format_second(facts, gap.to);
+            gaps.push(format!("{}: {} from {from} to {to} s; {missing} missing.", proxy.name, gap.cause));
+        }
+    }
+    gaps
 }
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -1,5 +1,6 @@
 //! The pictures, as SVG.
 
+use crate::error::PlotError;
 use crate::facts::{incident_title, Facts, MemberFacts, OutcomeCounts};
 use plotters::prelude::*;
 
@@ -15,8 +16,6 @@
 ];
 const EVERY: usize = 5;
 
-type Fault = Box<dyn std::error::Error>;
-
 /// A line: its name and its values by second; a break where nothing is known.
 struct Line {
     name: String,
@@ -50,7 +49,7 @@
     }
 }
 
-fn chart(facts: &Facts, unit: &str, lines: &[Line], gaps: &[(f64, f64)]) -> Result<String, Fault> {
+fn chart(facts: &Facts, unit: &str, lines: &[Line], gaps: &[(f64, f64)]) -> Result<String, PlotError> {
     let mut svg = String::new();
     let end = facts.seconds_since_start(facts.to).max(1.0);
     let top = lines.iter().flat_map(|l| l.points.iter().flatten()).map(|(_, y)| *y).fold(1.0, f64::max) * 1.1;
@@ -118,7 +117,7 @@
 
 /// Answers by second, of one class or of all: in time, late, refused or failed. A bin that not all proxies cover is a
 /// break.
-pub fn answers(facts: &Facts, class: Option<&str>) -> Result<String, Fault> {
+pub fn answers(facts: &Facts, class: Option<&str>) -> Result<String, PlotError> {
     let all = facts.proxies.len();
     let per = 1e6 / facts.bin as f64;
     let line = |name: &str, count: fn(OutcomeCounts) -> u64| Line {
@@ -136,8 +135,8 @@
     chart(facts, "answers/s", &lines, &gaps(facts))
 }
 
-/// How far each member of a group was behind.
-pub fn staleness(facts: &Facts, members: &[&MemberFacts]) -> Result<String, Fault> {
+/// Plots the replication lag of each member of a group.
+pub fn replication_lag(facts: &Facts, members: &[&MemberFacts]) -> Result<String, PlotError> {
     let lines: Vec<Line> = members
         .iter()
         .map(|m| Line {
@@ -153,7 +152,7 @@
 }
 
 /// Incidents and gaps as bars over time, each with its name.
-pub fn timeline(facts: &Facts) -> Result<String, Fault> {
+pub fn timeline(facts: &Facts) -> Result<String, PlotError> {
     let mut rows: Vec<(String, f64, f64, bool)> = facts
         .incidents
         .iter()
