--- a/crates/fleet-harness/src/agent.rs
+++ b/crates/fleet-harness/src/agent.rs
@@ -9,7 +9,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_lab::stand::{now, Stand};
+use wharfplank_lab::clock::now;
+use wharfplank_lab::stand_ins::StandIns;
 
 /// The longest head of a call that is read; a longer one ends the connection.
 const HEAD_MOST: usize = 8192;
@@ -17,18 +18,18 @@
 /// Starts the agent of proxy `proxy`; its address.
 pub fn start(
     executor: &Rc<LocalExecutor<'static>>,
-    stand: &Rc<Stand>,
+    stand_ins: &Rc<StandIns>,
     links: &Rc<Links>,
     proxy: usize,
 ) -> std::io::Result<SocketAddr> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
     let address = listener.get_ref().local_addr()?;
-    let (ex, stand, links) = (Rc::clone(executor), Rc::clone(stand), Rc::clone(links));
+    let (ex, stand_ins, links) = (Rc::clone(executor), Rc::clone(stand_ins), Rc::clone(links));
     executor
         .spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (stand, links) = (Rc::clone(&stand), Rc::clone(&links));
-                ex.spawn(async move { drop(tell(stream, &stand, &links, proxy).await) }).detach();
+                let (stand_ins, links) = (Rc::clone(&stand_ins), Rc::clone(&links));
+                ex.spawn(async move { drop(tell(stream, &stand_ins, &links, proxy).await) }).detach();
             }
         })
         .detach();
@@ -36,8 +37,8 @@
 }
 
 /// The list as this proxy is to see it.
-pub fn list(stand: &Stand, links: &Links, proxy: usize) -> Value {
-    let mut list = stand.list();
+pub fn list(stand_ins: &StandIns, links: &Links, proxy: usize) -> Value {
+    let mut list = stand_ins.endpoint_list();
     if let Some(hosts) = list.get_mut("hosts").and_then(Value::as_array_mut) {
         for (member, host) in hosts.iter_mut().enumerate() {
             if let Some(dial) = links.dials[proxy].get(member) {
@@ -50,7 +51,7 @@
 
 async fn tell(
     mut stream: Async<TcpStream>,
-    stand: &Stand,
+    stand_ins: &StandIns,
     links: &Links,
     proxy: usize,
 ) -> std::io::Result<()> {
@@ -71,12 +72,12 @@
             value.chars().take_while(char::is_ascii_digit).collect::<String>().parse::<u64>().ok()
         };
         let seq = |list: &Value| list.get("seq").and_then(Value::as_u64).unwrap_or(0);
-        let mut list = list(stand, links, proxy);
+        let mut list = list(stand_ins, links, proxy);
         if let Some(index) = number("index") {
             let end = now() + (number("wait").unwrap_or(0).min(60_000) * 1000) as i64;
             while seq(&list) <= index && now() < end {
                 Timer::after(Duration::from_millis(20)).await;
-                list = self::list(stand, links, proxy);
+                list = self::list(stand_ins, links, proxy);
             }
             if seq(&list) <= index {
                 list = json!({"seq": seq(&list), "whole": false, "hosts": []});
--- a/crates/fleet-harness/src/budgets/mod.rs
+++ b/crates/fleet-harness/src/budgets/mod.rs
@@ -24,8 +24,8 @@
 use rig::Rig;
 use std::rc::Rc;
 use std::time::Duration;
+use wharfplank_lab::clock::now;
 use wharfplank_lab::member_model::Micros;
-use wharfplank_lab::stand::now;
 
 /// Per cent of each limit that is divided into static quotas.
 const STATIC_PERCENT: u64 = 10;
--- a/crates/fleet-harness/src/budgets/rig.rs
+++ b/crates/fleet-harness/src/budgets/rig.rs
@@ -10,9 +10,10 @@
 use async_executor::LocalExecutor;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
+use wharfplank_lab::clock::now;
 use wharfplank_lab::load::Load;
 use wharfplank_lab::member_model::MemberModel;
-use wharfplank_lab::stand::{now, Stand};
+use wharfplank_lab::stand_ins::StandIns;
 use wharfplank_lab::timeline::Timeline;
 
 /// What the clocks of the proxies are ahead in [`Case::Skew`], by turn, in milliseconds.
@@ -39,8 +40,8 @@
         place: &Place,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> std::io::Result<Rc<Rig>> {
-        let stand = start_stand_ins(proxies, seed, executor)?;
-        let links = Links::start(executor, &stand, (0..proxies).map(Plan::zone).collect())?;
+        let stand_ins = start_stand_ins(proxies, seed, executor)?;
+        let links = Links::start(executor, &stand_ins, (0..proxies).map(Plan::zone).collect())?;
         let mesh = Mesh::start(executor, proxies, seed)?;
         if case == Case::Lossy {
             make_lossy(&mesh);
@@ -52,8 +53,8 @@
                 program: place.program.clone(),
                 directory: place.directory.clone(),
                 number,
-                discovery: agent::start(executor, &stand, &links, number)?,
-                known: agent::list(&stand, &links, number),
+                discovery: agent::start(executor, &stand_ins, &links, number)?,
+                known: agent::list(&stand_ins, &links, number),
                 peers: None,
                 proxies,
                 replica_bytes: 0,
@@ -83,10 +84,10 @@
     proxies: usize,
     seed: u64,
     executor: &Rc<LocalExecutor<'static>>,
-) -> std::io::Result<Rc<Stand>> {
+) -> std::io::Result<Rc<StandIns>> {
     let timeline =
         Timeline { seconds: 600, rate: 100, proxies, groups: 3, members: 4, seed, troubles: Vec::new() };
-    Stand::start(executor, MemberModel::new(&timeline, now()))
+    StandIns::start(executor, MemberModel::new(&timeline, now()))
 }
 
 fn make_lossy(mesh: &Mesh) {
--- a/crates/fleet-harness/src/relay/links.rs
+++ b/crates/fleet-harness/src/relay/links.rs
@@ -10,7 +10,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_lab::stand::Stand;
+use wharfplank_lab::stand_ins::StandIns;
 use wharfplank_protocol::request_comment;
 
 /// Bytes between a proxy and a member of another zone take this much longer each way, as between data centres.
@@ -34,7 +34,7 @@
 /// The connections between proxies and members: each proxy is told its own address for each member, which leads
 /// here; a zone that is cut off holds all bytes, and new connections never come up.
 pub struct Links {
-    stand: Rc<Stand>,
+    stand_ins: Rc<StandIns>,
     /// The zone of each proxy and of each member.
     proxy_zones: Vec<&'static str>,
     member_zones: Vec<&'static str>,
@@ -53,8 +53,8 @@
 }
 
 /// The address and the zone of each member.
-fn member_addresses(stand: &Stand) -> Vec<(SocketAddr, &'static str)> {
-    let list = stand.list();
+fn member_addresses(stand_ins: &StandIns) -> Vec<(SocketAddr, &'static str)> {
+    let list = stand_ins.endpoint_list();
     let hosts = list.get("hosts").and_then(Value::as_array).cloned().unwrap_or_default();
     let zone_of = |site: &str| ZONES.into_iter().find(|zone| *zone == site).unwrap_or(ZONES[0]);
     let address = |host: &Value| {
@@ -65,13 +65,13 @@
 }
 
 impl Links {
-    /// Listeners for each proxy and member, leading to the members of the stand.
+    /// Listeners for each proxy and member, leading to the stand-in members.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
-        stand: &Rc<Stand>,
+        stand_ins: &Rc<StandIns>,
         proxy_zones: Vec<&'static str>,
     ) -> std::io::Result<Rc<Links>> {
-        let members = member_addresses(stand);
+        let members = member_addresses(stand_ins);
         let mut dials = Vec::new();
         let mut listeners = Vec::new();
         for _ in &proxy_zones {
@@ -85,7 +85,7 @@
         }
         let member_zones = members.iter().map(|(_, zone)| *zone).collect();
         let links = Rc::new(Links {
-            stand: Rc::clone(stand),
+            stand_ins: Rc::clone(stand_ins),
             proxy_zones,
             member_zones,
             dials,
@@ -165,7 +165,7 @@
             if asks {
                 for class in parse.feed(&buffer[..count]) {
                     breaks |= wharfplank_lab::member_model::CLASSES[class].name == "write" && self.breaks();
-                    let primary = self.stand.fleet().members.get(member).is_some_and(|m| m.is_primary);
+                    let primary = self.stand_ins.model().members.get(member).is_some_and(|m| m.is_primary);
                     let way = Way { class, near, troubled: self.troubled.get(), primary };
                     *self.ways.borrow_mut().entry(way).or_default() += 1;
                 }
--- a/crates/fleet-harness/src/relay/mesh.rs
+++ b/crates/fleet-harness/src/relay/mesh.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_lab::stand::now;
+use wharfplank_lab::clock::now;
 
 /// Datagrams kept of each proxy to be sent again by a liar; older ones go.
 const KEPT_MOST: usize = 2048;
--- a/crates/fleet-harness/src/rollouts/member_agents.rs
+++ b/crates/fleet-harness/src/rollouts/member_agents.rs
@@ -11,8 +11,9 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 use std::time::Duration;
+use wharfplank_lab::clock::now;
 use wharfplank_lab::member_model::MemberBehavior;
-use wharfplank_lab::stand::{now, Stand};
+use wharfplank_lab::stand_ins::StandIns;
 use wharfplank_rollout::{AgentCommand, AgentRequest, AgentStatus};
 
 /// A member takes no new requests for so long before its process ends, so that proxies learn of the drain.
@@ -52,7 +53,7 @@
 
 /// The agents of all members.
 pub struct MemberAgents {
-    stand: Rc<Stand>,
+    stand_ins: Rc<StandIns>,
     executor: Rc<LocalExecutor<'static>>,
     scenario: Scenario,
     /// The address of each member's agent.
@@ -67,17 +68,17 @@
 }
 
 impl MemberAgents {
-    /// Starts the agents of all members of the stand.
+    /// Starts the agents of all stand-in members.
     ///
     /// # Errors
     ///
     /// If a socket can't be bound.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
-        stand: &Rc<Stand>,
+        stand_ins: &Rc<StandIns>,
         scenario: &Scenario,
     ) -> std::io::Result<Rc<MemberAgents>> {
-        let count = stand.fleet().members.len();
+        let count = stand_ins.model().members.len();
         let mut sockets = Vec::new();
         for _ in 0..count {
             sockets.push(Async::<UdpSocket>::bind(([127, 0, 0, 1], 0))?);
@@ -86,7 +87,7 @@
             sockets.iter().map(|socket| socket.get_ref().local_addr()).collect::<Result<_, _>>()?;
         let initial = MemberState { version: OLD_VERSION, incarnation: 0, ready: true, is_restarting: false };
         let agents = Rc::new(MemberAgents {
-            stand: Rc::clone(stand),
+            stand_ins: Rc::clone(stand_ins),
             executor: Rc::clone(executor),
             scenario: scenario.clone(),
             addresses,
@@ -168,7 +169,7 @@
             return;
         }
         self.states.borrow_mut()[member] = MemberState { is_restarting: true, ready: false, ..state };
-        let was_primary = self.stand.fleet().members[member].is_primary;
+        let was_primary = self.stand_ins.model().members[member].is_primary;
         let (incarnation, was_serving) = (state.incarnation, state.ready);
         self.log(member, MemberEventKind::Stopped { cause, incarnation, was_primary, was_serving });
         let drain_time = if cause == StopCause::Crashed { Duration::ZERO } else { DRAIN_TIME };
@@ -191,9 +192,9 @@
         let incarnation = started_at_ms as u64;
         let behavior = self.behavior_of(version);
         let ready = !behavior.is_down;
-        self.stand.change(|fleet| {
-            fleet.members[member].behavior = behavior;
-            fleet.members[member].started_at = started_at_ms * MICROS_PER_MS;
+        self.stand_ins.update_model(|model| {
+            model.members[member].behavior = behavior;
+            model.members[member].started_at = started_at_ms * MICROS_PER_MS;
         });
         self.states.borrow_mut()[member] = MemberState { version, incarnation, ready, is_restarting: false };
         if ready {
@@ -217,25 +218,25 @@
     }
 
     fn set_behavior(&self, member: usize, behavior: MemberBehavior) {
-        self.stand.change(|fleet| fleet.members[member].behavior = behavior);
+        self.stand_ins.update_model(|model| model.members[member].behavior = behavior);
     }
 
     /// Makes the ready replica with the most of the log the primary.
     fn hand_over(&self, member: usize) {
         let states = self.states.borrow();
-        self.stand.change(|fleet| {
-            if !fleet.members[member].is_primary {
+        self.stand_ins.update_model(|model| {
+            if !model.members[member].is_primary {
                 return;
             }
-            let group = fleet.members[member].group;
+            let group = model.members[member].group;
             let is_able = |other: &usize| {
-                *other != member && fleet.members[*other].group == group && states[*other].ready
+                *other != member && model.members[*other].group == group && states[*other].ready
             };
             let most_advanced =
-                (0..fleet.members.len()).filter(is_able).max_by_key(|other| fleet.position_ms(*other));
+                (0..model.members.len()).filter(is_able).max_by_key(|other| model.position_ms(*other));
             if let Some(successor) = most_advanced {
-                fleet.members[member].is_primary = false;
-                fleet.members[successor].is_primary = true;
+                model.members[member].is_primary = false;
+                model.members[successor].is_primary = true;
             }
         });
     }
@@ -268,7 +269,7 @@
         if state.is_restarting {
             return;
         }
-        self.stand.change(|fleet| fleet.members[member].behavior.is_draining = is_drained);
+        self.stand_ins.update_model(|model| model.members[member].behavior.is_draining = is_drained);
         self.log(member, event(state));
     }
 
--- a/crates/fleet-harness/src/rollouts/rig.rs
+++ b/crates/fleet-harness/src/rollouts/rig.rs
@@ -14,9 +14,10 @@
 use async_executor::LocalExecutor;
 use std::cell::Cell;
 use std::rc::Rc;
+use wharfplank_lab::clock::now;
 use wharfplank_lab::load::Load;
 use wharfplank_lab::member_model::MemberModel;
-use wharfplank_lab::stand::{now, Stand};
+use wharfplank_lab::stand_ins::StandIns;
 use wharfplank_lab::timeline::Timeline;
 
 /// The proxies of a run, the members' agents and the load.
@@ -28,7 +29,7 @@
     pub(super) load: Rc<Load>,
     /// Whether the fault was injected.
     pub(super) had_fault: Cell<bool>,
-    stand: Rc<Stand>,
+    stand_ins: Rc<StandIns>,
 }
 
 impl Rig {
@@ -39,10 +40,10 @@
         load_seconds: u64,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> std::io::Result<Rc<Rig>> {
-        let stand = start_stand_ins(scenario, load_seconds, executor)?;
-        let agents = MemberAgents::start(executor, &stand, scenario)?;
+        let stand_ins = start_stand_ins(scenario, load_seconds, executor)?;
+        let agents = MemberAgents::start(executor, &stand_ins, scenario)?;
         let zones = (0..scenario.proxies).map(Plan::zone).collect();
-        let links = Links::start(executor, &stand, zones)?;
+        let links = Links::start(executor, &stand_ins, zones)?;
         let mesh = Mesh::start(executor, scenario.proxies, scenario.seed)?;
         let mut plans = Vec::new();
         for number in 0..scenario.proxies {
@@ -50,8 +51,8 @@
                 program: place.program.clone(),
                 directory: place.directory.clone(),
                 number,
-                discovery: agent::start(executor, &stand, &links, number)?,
-                known: agent::list(&stand, &links, number),
+                discovery: agent::start(executor, &stand_ins, &links, number)?,
+                known: agent::list(&stand_ins, &links, number),
                 peers: None,
                 proxies: scenario.proxies,
                 replica_bytes: 0,
@@ -59,7 +60,7 @@
                 more: String::new(),
             };
             if scenario.case != Case::WithoutRollout {
-                plan.more = release_element(scenario, &stand, &agents, &mesh, &plan);
+                plan.more = release_element(scenario, &stand_ins, &agents, &mesh, &plan);
             }
             plans.push(plan);
         }
@@ -70,7 +71,7 @@
             cluster: Cluster::new(plans, mesh),
             load: Load::new(executor, scenario.proxies),
             had_fault: Cell::new(false),
-            stand,
+            stand_ins,
         }))
     }
 
@@ -103,7 +104,7 @@
 
     /// The site of each member.
     pub(super) fn sites(&self) -> Vec<Site> {
-        sites(&self.stand)
+        sites(&self.stand_ins)
     }
 }
 
@@ -111,7 +112,7 @@
     scenario: &Scenario,
     load_seconds: u64,
     executor: &Rc<LocalExecutor<'static>>,
-) -> std::io::Result<Rc<Stand>> {
+) -> std::io::Result<Rc<StandIns>> {
     let timeline = Timeline {
         seconds: load_seconds,
         rate: scenario.request_rate,
@@ -121,5 +122,5 @@
         seed: scenario.seed,
         troubles: Vec::new(),
     };
-    Stand::start(executor, MemberModel::new(&timeline, now()))
+    StandIns::start(executor, MemberModel::new(&timeline, now()))
 }
--- a/crates/fleet-harness/src/rollouts/run.rs
+++ b/crates/fleet-harness/src/rollouts/run.rs
@@ -17,8 +17,8 @@
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
+use wharfplank_lab::clock::now;
 use wharfplank_lab::member_model::Micros;
-use wharfplank_lab::stand::now;
 
 const START_TIMEOUT: Micros = 30_000_000;
 const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/fleet-harness/src/rollouts/settings.rs
+++ b/crates/fleet-harness/src/rollouts/settings.rs
@@ -7,7 +7,7 @@
 use crate::relay::Mesh;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
-use wharfplank_lab::stand::Stand;
+use wharfplank_lab::stand_ins::StandIns;
 
 /// One of each group, and one of each zone and one of the fleet for each permit server.
 pub(super) const LIMITS: DisruptionLimits = DisruptionLimits { group: 1, zone: 3, fleet: 3 };
@@ -38,15 +38,15 @@
 }
 
 /// The site of each member.
-pub(super) fn sites(stand: &Stand) -> Vec<Site> {
-    let members = &stand.fleet().members;
+pub(super) fn sites(stand_ins: &StandIns) -> Vec<Site> {
+    let members = &stand_ins.model().members;
     members.iter().map(|member| Site { group: member.group, zone: member.zone }).collect()
 }
 
 /// The `<release>` element of one proxy's settings.
 pub(super) fn release_element(
     scenario: &Scenario,
-    stand: &Stand,
+    stand_ins: &StandIns,
     agents: &MemberAgents,
     mesh: &Mesh,
     plan: &Plan,
@@ -70,7 +70,7 @@
     for inbox in &mesh.inbox {
         let _ = writeln!(text, "    <proxy address=\"{inbox}\"/>");
     }
-    for (member, agent) in stand.fleet().members.iter().zip(&agents.addresses) {
+    for (member, agent) in stand_ins.model().members.iter().zip(&agents.addresses) {
         let (name, group, zone) = (&member.name, member.group, member.zone);
         let _ = writeln!(
             text,
--- a/crates/fleet-harness/src/run.rs
+++ b/crates/fleet-harness/src/run.rs
@@ -21,9 +21,10 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
+use wharfplank_lab::clock::now;
 use wharfplank_lab::load::Load;
 use wharfplank_lab::member_model::{MemberModel, Micros};
-use wharfplank_lab::stand::{now, Stand};
+use wharfplank_lab::stand_ins::StandIns;
 
 /// How long proxies may take to start, and the time before the load in which they find each other.
 const START_MOST: Duration = Duration::from_secs(30);
@@ -107,22 +108,22 @@
     // The script waits for the load, the members' log does not: ahead of the clock no read could be stale.
     let mut fleet = MemberModel::new(&timeline(schedule), now());
     fleet.start_script(now() + 600_000_000);
-    let stand = Stand::start(executor, fleet).map_err(fault)?;
+    let stand_ins = StandIns::start(executor, fleet).map_err(fault)?;
     let proxy_zones = (0..schedule.proxies).map(Plan::zone).collect();
-    let links = Links::start(executor, &stand, proxy_zones).map_err(fault)?;
+    let links = Links::start(executor, &stand_ins, proxy_zones).map_err(fault)?;
     let mesh = Mesh::start(executor, schedule.proxies, schedule.seed).map_err(fault)?;
     let load = Load::new(executor, schedule.proxies);
     load.grace.set(GRACE);
     *load.again.borrow_mut() = (AGAIN_AFTER, vec![(0..schedule.proxies).collect(); schedule.proxies]);
     let mut plans = Vec::new();
     for number in 0..schedule.proxies {
-        let discovery = agent::start(executor, &stand, &links, number).map_err(fault)?;
+        let discovery = agent::start(executor, &stand_ins, &links, number).map_err(fault)?;
         let seeds: Vec<SocketAddrV4> =
             (0..schedule.proxies.min(4)).filter(|s| *s != number).map(|s| mesh.inbox[s]).collect();
         let peers = schedule.peers.then(|| (mesh.inbox[number], seeds));
         let program = place.program.clone();
         let (directory, known, proxies) =
-            (place.directory.clone(), agent::list(&stand, &links, number), schedule.proxies);
+            (place.directory.clone(), agent::list(&stand_ins, &links, number), schedule.proxies);
         let skew_ms = schedule.skew_ms.get(number).copied().unwrap_or(0);
         let more = if schedule.peers { schedule.scenario.more() } else { String::new() };
         plans.push(Plan {
@@ -167,14 +168,14 @@
     }
     // The members' clock starts with the load; the proxies get a moment to find each other first.
     let begin = now() + SETTLE;
-    stand.begin(begin);
+    stand_ins.start_script(begin);
     Timer::after(Duration::from_micros(SETTLE as u64)).await;
     let watcher: Task<Result<(), String>> = {
-        let (rig, stand) = (Rc::clone(&rig), Rc::clone(&stand));
+        let (rig, stand_ins) = (Rc::clone(&rig), Rc::clone(&stand_ins));
         executor.spawn(async move {
             loop {
                 rig.register_addresses();
-                rig.truth.borrow_mut().sample(now(), &stand.fleet(), &rig.links);
+                rig.truth.borrow_mut().sample(now(), &stand_ins.model(), &rig.links);
                 rig.restart_crashed()?;
                 let due = now() + 5_000;
                 Timer::after(Duration::from_millis(5)).await;
@@ -199,7 +200,7 @@
     if let Some(Err(what)) = watcher.cancel().await {
         return Err(what);
     }
-    let counted = rig.counted(schedule, &stand, diverged, converged_ms);
+    let counted = rig.counted(schedule, &stand_ins, diverged, converged_ms);
     let ends: Vec<_> = rig.cluster.take_all().into_iter().map(|proxy| proxy.end(END_MOST)).collect();
     let done = load.done.borrow().clone();
     let again = load.seen_again.borrow().clone();
--- a/crates/fleet-harness/src/run/counted.rs
+++ b/crates/fleet-harness/src/run/counted.rs
@@ -7,11 +7,11 @@
     pub(super) fn counted(
         &self,
         schedule: &Schedule,
-        stand: &Rc<Stand>,
+        stand_ins: &Rc<StandIns>,
         diverged: u64,
         converged_ms: Micros,
     ) -> Counted {
-        let fleet = stand.fleet();
+        let model = stand_ins.model();
         let lost: Vec<&str> = schedule
             .faults
             .iter()
@@ -20,7 +20,7 @@
                 _ => None,
             })
             .collect();
-        let cold_peak = fleet
+        let cold_peak = model
             .members
             .iter()
             .filter(|m| lost.contains(&m.zone))
@@ -40,9 +40,9 @@
             .iter()
             .fold((0, 0), |(d, b), c| (d + c.get().datagrams, b + c.get().bytes));
         Counted {
-            stale: fleet.stale_reads,
-            twice: fleet.duplicate_writes,
-            fallen: fleet.members.iter().filter(|m| m.has_collapsed).count() as u64,
+            stale: model.stale_reads,
+            twice: model.duplicate_writes,
+            fallen: model.members.iter().filter(|m| m.has_collapsed).count() as u64,
             cold_peak,
             datagrams,
             bytes,
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -6,8 +6,8 @@
 
 pub use seen::{Done, Seen};
 
+use crate::clock::now;
 use crate::member_model::{Micros, CLASSES};
-use crate::stand::now;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncWriteExt};
--- a/crates/lab/src/member_model/member.rs
+++ b/crates/lab/src/member_model/member.rs
@@ -72,6 +72,15 @@
             peak_overload: 0.0,
         }
     }
+
+    /// The role as service discovery and the member itself name it.
+    pub fn role(&self) -> &'static str {
+        if self.is_primary {
+            "primary"
+        } else {
+            "replica"
+        }
+    }
 }
 
 /// How a member behaves apart from the scripted faults: the agent on its machine sets this for a restart, a drain or
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -5,9 +5,10 @@
 
 pub use process::Used;
 
+use crate::clock::now;
 use crate::load::{Done, Load};
 use crate::member_model::{MemberModel, Micros};
-use crate::stand::{now, Stand};
+use crate::stand_ins::StandIns;
 use crate::timeline::{Kind, Timeline};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -74,14 +75,14 @@
     let fault = |e: std::io::Error| e.to_string();
     // The fleet's clock starts with the load, so that the script's seconds are the load's.
     let begin = now() + 3_000_000;
-    let stand = Stand::start(executor, MemberModel::new(timeline, begin)).map_err(fault)?;
+    let stand_ins = StandIns::start(executor, MemberModel::new(timeline, begin)).map_err(fault)?;
     let loaded = place.talk.as_ref().map_or(timeline.proxies, |_| timeline.proxies.min(3));
     let load = Load::new(executor, loaded);
     let addresses = free(timeline.proxies).map_err(fault)?;
     let mut proxies = Vec::new();
     for number in 0..timeline.proxies {
-        let discovery = stand.discovery().map_err(fault)?;
-        configure(place, number, discovery, &stand.list(), &addresses).map_err(fault)?;
+        let discovery = stand_ins.start_discovery().map_err(fault)?;
+        configure(place, number, discovery, &stand_ins.endpoint_list(), &addresses).map_err(fault)?;
         proxies.push(Proxy::start(place, number)?);
     }
     for (number, proxy) in proxies.iter_mut().enumerate().take(loaded) {
@@ -126,7 +127,7 @@
         proxy.end().await?;
     }
     let kills = kills.borrow().clone();
-    Ok(Ran { start: begin, load, kills, writes: stand.writes(), used })
+    Ok(Ran { start: begin, load, kills, writes: stand_ins.writes(), used })
 }
 
 /// The requests of a proxy whose end was seen within a span.
--- a/crates/lab/src/run/process.rs
+++ b/crates/lab/src/run/process.rs
@@ -1,8 +1,8 @@
 //! One proxy's process.
 
 use super::Place;
+use crate::clock::now;
 use crate::member_model::Micros;
-use crate::stand::now;
 use async_io::Timer;
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
--- a/crates/lab/src/trials.rs
+++ b/crates/lab/src/trials.rs
@@ -89,7 +89,7 @@
 }
 
 fn now() -> Micros {
-    crate::stand::now()
+    crate::clock::now()
 }
 
 /// Records without end as one run, and says on standard output how many are flushed. It is there to be killed, and
