--- a/crates/fleet-harness/src/rollouts/case.rs
+++ b/crates/fleet-harness/src/rollouts/case.rs
@@ -11,7 +11,7 @@
 pub const OTHER_VERSION: u64 = 8;
 
 /// Tells the random numbers of the scenario from others of the same seed.
-const SCENARIO_SEED: u64 = 0x2e1ea5e;
+const SCENARIO_SEED: u64 = 0x02e1_ea5e;
 /// Requests a second for each group.
 const REQUEST_RATE_PER_GROUP: u64 = 30;
 
--- a/crates/fleet-harness/src/run/counted.rs
+++ b/crates/fleet-harness/src/run/counted.rs
@@ -1,6 +1,6 @@
 //! What the stand-ins and relays counted in a run.
 
-use super::*;
+use super::{Fault, Micros, Rc, Rig, Schedule, Stand};
 use crate::check::Counted;
 
 impl Rig {
--- a/crates/fleet-harness/src/run/faults.rs
+++ b/crates/fleet-harness/src/run/faults.rs
@@ -1,6 +1,6 @@
 //! The faults of a run, carried out at their times.
 
-use super::*;
+use super::{now, Duration, Fault, Micros, Plan, Rc, Rig, Timer};
 use wharfplank_health::{HealthObservation, MemberSummary};
 use wharfplank_shared_state::anti_entropy::Message;
 use wharfplank_shared_state::{hash_name, Entry, Frame, Key, Value};
@@ -132,7 +132,7 @@
         let Ok(bytes) = postcard::to_allocvec(&lies) else { return };
         let others = (0..self.cluster.len()).filter(|other| *other != proxy);
         others.for_each(|other| {
-            self.cluster.mesh.pass(proxy, other, Frame { membership: &[], shared_state: &bytes }.encode())
+            self.cluster.mesh.pass(proxy, other, Frame { membership: &[], shared_state: &bytes }.encode());
         });
     }
 }
--- a/crates/health/tests/faults.rs
+++ b/crates/health/tests/faults.rs
@@ -123,7 +123,7 @@
         fleet.slowness[4] = if n % 2 == 0 { 3.0 } else { 1.0 };
         fleet.run(4 * SECOND, |f| {
             if f.now % 250_000 == 0 {
-                at.push(f.naming(4) == 12)
+                at.push(f.naming(4) == 12);
             }
         });
     }
@@ -144,7 +144,7 @@
     fleet.slowness[4] = 1.0;
     let mut using = Vec::new();
     fleet.run(25 * SECOND, |f| {
-        using.push(f.proxies.iter().filter(|proxy| proxy.latency_factors().is_empty()).count())
+        using.push(f.proxies.iter().filter(|proxy| proxy.latency_factors().is_empty()).count());
     });
     using.dedup();
     let near = |a: usize, b: usize| a.abs_diff(b) <= 1;
--- a/crates/incidents/tests/timelines.rs
+++ b/crates/incidents/tests/timelines.rs
@@ -153,7 +153,7 @@
                 if let (Drain(name), true) = (trouble, *edge == second) {
                     let told = |p: &mut ProxyEvidence| {
                         let health = ListedHealth { at: now, health: health.into() };
-                        p.listed_health.entry(name.to_string()).or_default().push(health)
+                        p.listed_health.entry(name.to_string()).or_default().push(health);
                     };
                     proxies.values_mut().for_each(told);
                 }
@@ -232,7 +232,7 @@
     for (name, script, wanted) in DAYS {
         let mut found = find(&play(script));
         let mut missed = Vec::new();
-        for (kind, subject, from, to) in wanted.iter() {
+        for (kind, subject, from, to) in *wanted {
             let same = |i: &Incident| {
                 i.kind == *kind && i.subject == *subject && near(i.from, *from) && near(i.to, *to)
             };
--- a/crates/negative-cache/src/node/mod.rs
+++ b/crates/negative-cache/src/node/mod.rs
@@ -144,7 +144,7 @@
         match Message::decode(bytes) {
             Ok(Message::LeaseRequest(request)) => self.on_lease_request(now, from, &request),
             Ok(Message::LeaseGrant(id, grant)) if server == Some(id as usize) => {
-                self.write_leases.on_grant(id as usize, &grant)
+                self.write_leases.on_grant(id as usize, &grant);
             }
             Ok(Message::SealedSlots(seals)) if are_all_from(&seals, server) => {
                 for seal in &seals {
@@ -152,10 +152,10 @@
                 }
             }
             Ok(Message::Announce(announcements)) if self.is_local_holder(from) => {
-                self.send_to_holders(&Message::Announced(announcements))
+                self.send_to_holders(&Message::Announced(announcements));
             }
             Ok(Message::Announced(announcements)) if server.is_some() => {
-                self.on_announced(now, &announcements)
+                self.on_announced(now, &announcements);
             }
             _ => self.rejected_messages += 1,
         }
--- a/crates/negative-cache/tests/simulation/run.rs
+++ b/crates/negative-cache/tests/simulation/run.rs
@@ -166,7 +166,7 @@
         let at = now + p.off;
         match event {
             Event::Answer(lookup, Some(position)) if lookup.primary == self.history.primary => {
-                p.cache.record_missing(at, &lookup, position, ((position - 1_000 * SECOND) / 1_000) as u32)
+                p.cache.record_missing(at, &lookup, position, ((position - 1_000 * SECOND) / 1_000) as u32);
             }
             Event::Answer(lookup, ..) => p.cache.record_present(&lookup),
             Event::Done(write, key, commit) => {
@@ -179,7 +179,7 @@
             Event::ClosedTimestamps(copy) => p.cache.merge_closed_timestamps(at, &copy),
             Event::Sealed(seal) if p.cache.on_sealed_slot(at, &seal) => self.spread(&Event::Sealed(seal)),
             Event::Announced(announcement) if p.cache.on_announcement(at, &announcement) => {
-                self.spread(&Event::Announced(announcement))
+                self.spread(&Event::Announced(announcement));
             }
             _ => {}
         }
--- a/crates/proxy/src/broker/handover/mod.rs
+++ b/crates/proxy/src/broker/handover/mod.rs
@@ -170,7 +170,7 @@
         };
         match handover.state.register_command(at) {
             Some(number) if handover.send(HandoverMessage::Cordon { number, id, is_cordoned, at }) => {
-                handover.pending_calls.push(PendingCall { number, call, answer })
+                handover.pending_calls.push(PendingCall { number, call, answer });
             }
             _ => call.answer(answer),
         }
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -208,10 +208,10 @@
             ProxyEvent::ClientDisconnected(number) => self.on_client_disconnected(number),
             ProxyEvent::RequestCancelled(number) => self.on_request_cancelled(number),
             ProxyEvent::AttemptFinished { id, attempt, report } => {
-                self.on_attempt_report(AttemptKey::new(id, attempt), report)
+                self.on_attempt_report(AttemptKey::new(id, attempt), report);
             }
             ProxyEvent::StreamFinished { id, attempt, report } => {
-                self.on_stream_finished(AttemptKey::new(id, attempt), report)
+                self.on_stream_finished(AttemptKey::new(id, attempt), report);
             }
             ProxyEvent::ProbeFinished { host, report } => self.on_health_check_result(host, report),
             ProxyEvent::StateUpdates(updates) => {
--- a/crates/proxy/src/broker/request_log.rs
+++ b/crates/proxy/src/broker/request_log.rs
@@ -76,7 +76,7 @@
         let role = if primary == Some(true) { "primary" } else { "replica" };
         self.count_request(id, Disposition::Served, role);
         self.record_request(id, |recorder, request| {
-            recorder.record_served(RequestSummary { member: Some(host), ..request })
+            recorder.record_served(RequestSummary { member: Some(host), ..request });
         });
     }
 
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -168,7 +168,7 @@
             match self.attempts.stage(key) {
                 Some(AttemptStage::Queued) => self.end_attempt(key, AttemptOutcome::NotSent),
                 Some(AttemptStage::Writing | AttemptStage::Written) if begun == BegunAttempts::Cancel => {
-                    self.end_attempt(key, AttemptOutcome::Cancelled)
+                    self.end_attempt(key, AttemptOutcome::Cancelled);
                 }
                 _ => {}
             }
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -57,12 +57,12 @@
     fn perform_action(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { id, host, timeout, holds_until } => {
-                self.send_attempt(now, id, host, timeout, holds_until)
+                self.send_attempt(now, id, host, timeout, holds_until);
             }
             Action::Reject { id, retry_after, reason } => self.reject(id, retry_after, reason),
             Action::Fail { id, reason } => self.fail(id, reason),
             Action::Cancel { id, attempt } => {
-                self.end_attempt(AttemptKey::new(id, attempt.0), AttemptOutcome::Cancelled)
+                self.end_attempt(AttemptKey::new(id, attempt.0), AttemptOutcome::Cancelled);
             }
             Action::Probe { host, purpose } => {
                 self.counts.increment("probe", activity_counts::probe_purpose_name(purpose), "");
--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -97,6 +97,6 @@
     let socket = UdpSocket::bind(settings.listen()).map_err(&listen_error)?;
     match socket.local_addr().map_err(&listen_error)? {
         SocketAddr::V4(bound) => Ok((socket, bound)),
-        SocketAddr::V6(_) => Err(StartError::BudgetsNotIpv4(settings.listen.to_string())),
+        SocketAddr::V6(_) => Err(StartError::BudgetsNotIpv4(settings.listen.clone())),
     }
 }
--- a/crates/proxy/src/log/format.rs
+++ b/crates/proxy/src/log/format.rs
@@ -95,7 +95,7 @@
         match value {
             serde_json::Value::String(text) if *name == EVENT_FIELD => write!(out, "{separator}{text}")?,
             serde_json::Value::String(text) if !text.contains([' ', '"']) => {
-                write!(out, "{separator}{name}={text}")?
+                write!(out, "{separator}{name}={text}")?;
             }
             value => write!(out, "{separator}{name}={value}")?,
         }
--- a/crates/proxy/src/log/gossip.rs
+++ b/crates/proxy/src/log/gossip.rs
@@ -16,7 +16,7 @@
 pub fn gossip_event(event: GossipLogEvent<'_>) {
     match event {
         GossipLogEvent::Started(me) => {
-            info!(addr = %me.addr, zone = me.zone.as_str(), generation = me.generation, "peer_me")
+            info!(addr = %me.addr, zone = me.zone.as_str(), generation = me.generation, "peer_me");
         }
         GossipLogEvent::PeerChanged(change) => {
             let (how, peer) = match change {
@@ -74,7 +74,7 @@
             );
         }
         GossipLogEvent::WorkerFailed => {
-            error!(what = "the fleet's thread failed; this proxy goes on alone", "peers_failed")
+            error!(what = "the fleet's thread failed; this proxy goes on alone", "peers_failed");
         }
         GossipLogEvent::Traffic { membership: peers, observations_dropped, updates_dropped } => {
             let notes = peers.notes();
--- a/crates/proxy/src/log/rollout.rs
+++ b/crates/proxy/src/log/rollout.rs
@@ -16,10 +16,10 @@
 pub fn rollout_event(names: &BTreeMap<NodeId, String>, event: &RolloutLogEvent<'_>) {
     match event {
         RolloutLogEvent::FileFailed { path, error } => {
-            warn!(path = %path.display(), what = %error, "release_file")
+            warn!(path = %path.display(), what = %error, "release_file");
         }
         RolloutLogEvent::Service(ServiceEvent::PermitServerOpen(open)) => {
-            info!(open, "release_permit_server")
+            info!(open, "release_permit_server");
         }
         RolloutLogEvent::Service(ServiceEvent::Leader(is_leader)) => info!(is_leader, "release_leader"),
         RolloutLogEvent::Service(ServiceEvent::Command { text, result: Ok(rollout) }) => {
@@ -28,18 +28,18 @@
                 answer = "yes",
                 release = rollout_name(*rollout),
                 "release_command"
-            )
+            );
         }
         RolloutLogEvent::Service(ServiceEvent::Command { text, result: Err(failure) }) => {
             let what = failure.to_string();
-            warn!(command = text.as_str(), answer = "no", what = what.as_str(), "release_command")
+            warn!(command = text.as_str(), answer = "no", what = what.as_str(), "release_command");
         }
         RolloutLogEvent::Service(ServiceEvent::Action(rollout, action)) => {
             let release = rollout_name(*rollout);
             let (what, member, detail) = describe_action(names, action);
             match action {
                 ControllerAction::PhaseChanged(Phase::Halted(_) | Phase::RollingBack(_)) => {
-                    warn!(release, what, member, detail, "release")
+                    warn!(release, what, member, detail, "release");
                 }
                 _ => info!(release, what, member, detail, "release"),
             }
--- a/crates/proxy/src/negative_cache_client/mod.rs
+++ b/crates/proxy/src/negative_cache_client/mod.rs
@@ -165,7 +165,7 @@
         let writes = &mut cache.node.borrow_mut().writes;
         match outcome {
             AttemptOutcome::Ok | AttemptOutcome::Overloaded | AttemptOutcome::Misrouted => {
-                writes.on_answered(now, write)
+                writes.on_answered(now, write);
             }
             AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => writes.on_not_executed(write),
             // An error may be an answer that could not be read, from a member that still works on it.
@@ -188,7 +188,7 @@
         let (Some(cache), RequestKind::Read(_)) = (&self.cache, self.request_kind(class)) else { return };
         match (response.kind, position) {
             (ResponseKind::NoRow, Some(position)) if self.members.is_primary(lookup.primary) => {
-                cache.node.borrow_mut().record_missing(now, lookup, position, &response.messages)
+                cache.node.borrow_mut().record_missing(now, lookup, position, &response.messages);
             }
             (ResponseKind::Row, _) => cache.node.borrow_mut().record_present(lookup),
             _ => {}
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`record`]: the records; [`outcome`]: how requests are answered.
 //! - [`recorder`]: the bounded queue of the serving thread, which never waits, and the thread behind it.
-//! - [`store`]: one SQLite file for each proxy, written in complete flushes, with retention.
+//! - [`store`]: one `SQLite` file for each proxy, written in complete flushes, with retention.
 //! - [`reader`]: stores of several proxies, read while they are written; what is not known is reported as a gap.
 
 pub mod outcome;
--- a/crates/records/src/reader/error.rs
+++ b/crates/records/src/reader/error.rs
@@ -6,7 +6,7 @@
 /// Why a store cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// SQLite failed.
+    /// `SQLite` failed.
     #[error(transparent)]
     Database(#[from] rusqlite::Error),
     /// The directory cannot be read.
--- a/crates/records/src/reader/store_reader.rs
+++ b/crates/records/src/reader/store_reader.rs
@@ -13,7 +13,7 @@
 
 /// How long a statement waits for the writer's lock.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
-/// The size of SQLite's page cache; a negative number counts KiB.
+/// The size of `SQLite`'s page cache; a negative number counts KiB.
 const CACHE_SIZE: i64 = -8192;
 
 /// The answers of one window.
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of SQLite; some records may have been passed on before.
+    /// Returns the error of `SQLite`; some records may have been passed on before.
     pub fn records(
         &self,
         span: RangeInclusive<Micros>,
@@ -174,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of SQLite.
+    /// Returns the error of `SQLite`.
     pub fn summaries(&self, from: Micros, to: Micros) -> Result<Vec<WindowSummary>, ReadError> {
         let mut statement = self.connection.prepare_cached(
             "SELECT run, window, class, outcome, count, attempts, took, most FROM sums
@@ -200,7 +200,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of SQLite.
+    /// Returns the error of `SQLite`.
     pub fn records_from(&self) -> Result<Option<Micros>, ReadError> {
         Ok(self.connection.query_row("SELECT min(since) FROM blocks", [], |row| row.get(0))?)
     }
@@ -209,7 +209,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of SQLite.
+    /// Returns the error of `SQLite`.
     pub fn used_bytes(&self) -> Result<u64, ReadError> {
         let used_pages = self.pragma("page_count")? - self.pragma("freelist_count")?;
         Ok((used_pages * self.pragma("page_size")?).max(0) as u64)
--- a/crates/records/src/store/error.rs
+++ b/crates/records/src/store/error.rs
@@ -6,7 +6,7 @@
 /// Why a store cannot be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// SQLite failed.
+    /// `SQLite` failed.
     #[error(transparent)]
     Database(#[from] rusqlite::Error),
     /// Records could not be encoded.
--- a/crates/records/src/store/mod.rs
+++ b/crates/records/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The store of one proxy: an SQLite file in write-ahead mode, so that others read it while it is written.
+//! The store of one proxy: an `SQLite` file in write-ahead mode, so that others read it while it is written.
 //!
 //! Records are written in flushes. One row holds a flush as a block with a checksum, and the same transaction adds the
 //! flush's answers to the summaries by window and class, so a flush is stored completely or not at all.
--- a/crates/records/src/store/retention.rs
+++ b/crates/records/src/store/retention.rs
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of SQLite; a part of the step may have been done.
+    /// Returns the error of `SQLite`; a part of the step may have been done.
     pub fn apply_retention(&mut self, now: Micros) -> Result<bool, StoreError> {
         let is_over_size = self.used_bytes()? > self.limits.max_bytes;
         let removed = self.remove_blocks(now, is_over_size)?;
--- a/crates/records/src/store/schema.rs
+++ b/crates/records/src/store/schema.rs
@@ -10,7 +10,7 @@
 
 /// How long a statement waits for a reader's lock.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(200);
-/// The size of SQLite's page cache; a negative number counts KiB.
+/// The size of `SQLite`'s page cache; a negative number counts KiB.
 const CACHE_SIZE: i64 = -1024;
 /// The size to which the write-ahead log is truncated, in bytes.
 const LOG_SIZE_LIMIT: i64 = 4 << 20;
--- a/crates/records/tests/store.rs
+++ b/crates/records/tests/store.rs
@@ -68,7 +68,7 @@
     let mut refused = 0;
     source
         .records(0..=Micros::MAX, BlockFilter::WithFailures, |_, _, r| {
-            refused += u32::from(matches!(r, Record::Answer { .. }))
+            refused += u32::from(matches!(r, Record::Answer { .. }));
         })
         .unwrap();
     assert_eq!(refused, 2, "only the block with a refusal");
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -42,7 +42,11 @@
 mod sessions;
 mod slow_start;
 
-use super::api::*;
+use super::api::{
+    Action, AttemptNo, AttemptOutcome, AttemptResult, Class, ClassId, Consistency, Endpoint, EndpointStatus,
+    Event, GroupId, HostId, Idempotency, LearnedTraits, MemberView, Micros, PeerObservation, ProbePurpose,
+    ProbeResult, RejectReason, Request, RequestId, Role, SessionKey, Settings, StaleReadPolicy,
+};
 use admission::ValueDensity;
 use answer_rate::AnswerRate;
 use attempts::LEAST_USUAL_LATENCY;
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -83,7 +83,7 @@
             due.push(Reverse((at, what.len() as u64 - 1, router)));
         };
     let mut actions = Vec::new();
-    for router in routers.iter_mut() {
+    for router in &mut routers {
         router.handle(0, Event::EndpointList((1..=3).map(|h| endpoint(h, None)).collect()), &mut actions);
         actions.clear();
     }
--- a/crates/settings/tests/settings_file.rs
+++ b/crates/settings/tests/settings_file.rs
@@ -27,7 +27,7 @@
         let (least, most) = (kind.min.expect("a bound"), kind.max.expect("a bound"));
         good.extend([least, most].map(|n| n.to_string()));
         bad.extend([least - 1, most + 1].map(|n| n.to_string()));
-        bad.extend(["".to_string(), "1.5".to_string(), "ten".to_string()]);
+        bad.extend([String::new(), "1.5".to_string(), "ten".to_string()]);
     } else {
         let longest = kind.max_length.expect("a bound");
         good.extend([text(kind.min_length), text(longest)]);
--- a/crates/transport/src/budgets/lease_worker.rs
+++ b/crates/transport/src/budgets/lease_worker.rs
@@ -120,7 +120,7 @@
             match wait_for_work(wait, &socket, &mut buffer, &mut requests).await {
                 Wakeup::Request(request) => self.on_own_request(request, &mut updates),
                 Wakeup::Datagram { length, from } => {
-                    self.on_datagram(from, &buffer[..length], &mut status, &mut updates)
+                    self.on_datagram(from, &buffer[..length], &mut status, &mut updates);
                 }
                 Wakeup::TimerExpired => {}
                 Wakeup::BudgetsDropped => return,
@@ -175,7 +175,7 @@
                 updates.send(LeaseUpdate::Granted { allocator, grant });
             }
             (Message::Announcement(announcement), Some(allocator)) => {
-                self.on_announcement(allocator, announcement)
+                self.on_announcement(allocator, announcement);
             }
             (Message::Grant(_) | Message::Announcement(_), None) => {}
         }
--- a/crates/transport/src/gossip/observation.rs
+++ b/crates/transport/src/gossip/observation.rs
@@ -69,31 +69,31 @@
         let worker = &mut self.worker;
         match (observation, &mut worker.shared_state, &mut worker.health) {
             (Observation::Contact(contact), ..) if contact.answered => {
-                worker.failover.record(now, &contact.zone, contact.member, MemberOutcome::Answered)
+                worker.failover.record(now, &contact.zone, contact.member, MemberOutcome::Answered);
             }
             (Observation::Contact(contact), ..) => {
                 let sent_at = contact.sent_at + offset;
-                worker.failover.record_timeout(now, sent_at, &contact.zone, contact.member)
+                worker.failover.record_timeout(now, sent_at, &contact.zone, contact.member);
             }
             (Observation::Position { at, member, epoch, position }, Some(state), _) => {
-                state.record_position(at + offset, member, epoch, position)
+                state.record_position(at + offset, member, epoch, position);
             }
             (Observation::MemberStatus { at, member, status }, Some(state), _) => {
-                state.record_member_status(at + offset, member, status)
+                state.record_member_status(at + offset, member, status);
             }
             (Observation::Counter { at, counter }, Some(state), _) => {
-                state.add_to_counter(at + offset, counter, 1)
+                state.add_to_counter(at + offset, counter, 1);
             }
             (Observation::WriteOutcome { at, write, outcome }, Some(state), _) => {
-                state.record_write_outcome(at + offset, write, outcome)
+                state.record_write_outcome(at + offset, write, outcome);
             }
             (Observation::EndpointListed(endpoint), _, Some(health)) => health.on_endpoint_listed(&endpoint),
             (Observation::MembersRetained(listed), _, Some(health)) => health.retain_members(&listed),
             (Observation::RequestOutcome { at, member, outcome }, _, Some(health)) => {
-                health.record_request_outcome(at + offset, member, outcome)
+                health.record_request_outcome(at + offset, member, outcome);
             }
             (Observation::Lag { at, member, lag }, _, Some(health)) => {
-                health.record_lag(at + offset, member, lag)
+                health.record_lag(at + offset, member, lag);
             }
             // The part that it is for is not in use.
             _ => {}
--- a/crates/transport/src/rollout.rs
+++ b/crates/transport/src/rollout.rs
@@ -103,7 +103,7 @@
             let now = (self.now)();
             match wakeup {
                 Wakeup::Datagram { length, from: SocketAddr::V4(from) } => {
-                    self.service.on_datagram(now, from, &buffer[..length])
+                    self.service.on_datagram(now, from, &buffer[..length]);
                 }
                 Wakeup::Datagram { from: SocketAddr::V6(_), .. } | Wakeup::TimerExpired => {}
                 Wakeup::View(view) => self.service.on_view(view),
--- a/crates/transport/tests/support/mod.rs
+++ b/crates/transport/tests/support/mod.rs
@@ -34,5 +34,5 @@
             async_io::Timer::after(Duration::from_millis(1)).await;
         }
     };
-    expect_soon(work).await
+    expect_soon(work).await;
 }
--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -19,7 +19,7 @@
 
 #[derive(Subcommand)]
 pub(super) enum Command {
-    /// Serve until SIGTERM. BALANCER_CONFIG names the configuration.
+    /// Serve until SIGTERM. `BALANCER_CONFIG` names the configuration.
     #[command(
         after_help = "Example: BALANCER_CONFIG=config.json wharfplank serve --settings deploy/settings.example.xml"
     )]
--- a/src/cli/lab/play.rs
+++ b/src/cli/lab/play.rs
@@ -43,7 +43,7 @@
     bar.set_style(style);
     bar.set_message(timeline.seconds.to_string());
     let ran = play(timeline, &Place { program, directory, records, talk: gossip_program }, |part| {
-        bar.set_position((part * 1000.0) as u64)
+        bar.set_position((part * 1000.0) as u64);
     });
     bar.finish_and_clear();
     ran.map_err(CommandError::failed)
--- a/tests/budgetrig.rs
+++ b/tests/budgetrig.rs
@@ -65,8 +65,8 @@
     assert_limits_hold(&play_all(&runs, runs.len(), directory.path()));
 }
 
-/// `make budgets`: every case or the one named by BUDGET_CASE, by BUDGET_RUNS seeds from BUDGET_SEED on, with
-/// BUDGET_PROXIES proxies and BUDGET_BESIDE runs beside each other.
+/// `make budgets`: every case or the one named by `BUDGET_CASE`, by `BUDGET_RUNS` seeds from `BUDGET_SEED` on, with
+/// `BUDGET_PROXIES` proxies and `BUDGET_BESIDE` runs beside each other.
 #[test]
 #[ignore = "takes minutes"]
 fn budgets_hold_in_every_hard_case() {
--- a/tests/common/ledger.rs
+++ b/tests/common/ledger.rs
@@ -105,7 +105,7 @@
                     Idempotency::Idempotent => {}
                     Idempotency::NotIdempotent => assert!(first.is_none(), "it may run twice: {asked:?}"),
                     Idempotency::Keyed { window, .. } => {
-                        assert!(first.is_none_or(|sent| now <= sent + window), "past its window: {asked:?}")
+                        assert!(first.is_none_or(|sent| now <= sent + window), "past its window: {asked:?}");
                     }
                 }
                 asked.attempts.push(Attempt { host, sent: now, until: now + timeout, ran: Ran::Out });
--- a/tests/common/play.rs
+++ b/tests/common/play.rs
@@ -184,12 +184,12 @@
                         assert!(accepted <= most, "{line}: {accepted} connections");
                     }
                     "closes" => {
-                        party.last.take().expect("it was asked").shutdown(Shutdown::Both).expect("open")
+                        party.last.take().expect("it was asked").shutdown(Shutdown::Both).expect("open");
                     }
                     // A reset, whoever else holds the connection.
                     "resets" => {
                         let last = party.last.take().expect("it was asked");
-                        rustix::net::connect_unspec(last).expect("open")
+                        rustix::net::connect_unspec(last).expect("open");
                     }
                     _ => panic!("{line}: unknown verb"),
                 }
--- a/tests/common/stand.rs
+++ b/tests/common/stand.rs
@@ -95,7 +95,7 @@
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_millis());
                 let position = message(b'S', format!("applied_ms\0{now}\0").as_bytes());
                 let none = [parts[0].clone(), message(b'C', b"SELECT 0\0"), position].concat();
-                stream.write_all(&[none, ready.clone()].concat()).ok()?
+                stream.write_all(&[none, ready.clone()].concat()).ok()?;
             }
             // Until the proxy gives it up.
             "silence" => return stream.read_exact(&mut [0]).ok(),
@@ -228,7 +228,7 @@
     }
 
     pub fn terminate(&self) {
-        self.signal("-TERM")
+        self.signal("-TERM");
     }
 
     pub fn signal(&self, name: &str) {
