--- a/crates/fleet-harness/src/run/counted.rs
+++ b/crates/fleet-harness/src/run/counted.rs
@@ -1,6 +1,6 @@
 //! What the stand-ins and relays counted in a run.
 
-use super::{Fault, Micros, Rc, Rig, Schedule, Stand};
+use super::{Fault, Micros, Rc, Rig, Schedule, StandIns};
 use crate::check::Counted;
 
 impl Rig {
