--- a/crates/incidents/src/evidence.rs
+++ b/crates/incidents/src/evidence.rs
@@ -102,6 +102,15 @@
     pub listed_health: BTreeMap<String, Vec<ListedHealth>>,
 }
 
+/// How many proxies' records cover a span.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Coverage {
+    /// The number of proxies whose records cover the span.
+    pub covering: usize,
+    /// The number of all proxies.
+    pub proxies: usize,
+}
+
 /// What the records of several proxies show.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
@@ -158,9 +167,9 @@
         proxy.alive.iter().any(is_alive) && !proxy.gaps.iter().any(overlaps)
     }
 
-    /// The number of proxies whose records cover a span, and the number of all proxies.
-    pub fn coverage(&self, from: Micros, to: Micros) -> (usize, usize) {
+    /// How many proxies' records cover a span.
+    pub fn coverage(&self, from: Micros, to: Micros) -> Coverage {
         let covering = self.proxies.values().filter(|proxy| self.covers(proxy, from, to)).count();
-        (covering, self.proxies.len())
+        Coverage { covering, proxies: self.proxies.len() }
     }
 }
--- a/crates/incidents/src/find/incident.rs
+++ b/crates/incidents/src/find/incident.rs
@@ -2,7 +2,7 @@
 
 use super::attribution::attribute;
 use super::runs::Run;
-use crate::evidence::Evidence;
+use crate::evidence::{Coverage, Evidence};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_records::Micros;
@@ -51,7 +51,7 @@
 
     /// The confidence in a statement about the span of a run.
     fn in_run(evidence: &Evidence, run: Run) -> Confidence {
-        let (covering, proxies) = evidence.coverage(run.from, run.to);
+        let Coverage { covering, proxies } = evidence.coverage(run.from, run.to);
         if covering == proxies && proxies > 1 {
             Confidence::Clear
         } else if covering * 2 >= proxies && covering > 0 {
--- a/crates/incidents/src/find/slow_member.rs
+++ b/crates/incidents/src/find/slow_member.rs
@@ -6,7 +6,7 @@
 use super::incident::{Incident, Kind};
 use super::runs::{find_runs, Series};
 use super::SECOND;
-use crate::evidence::Evidence;
+use crate::evidence::{Coverage, Evidence};
 use std::collections::BTreeMap;
 use wharfplank_records::Micros;
 
@@ -108,7 +108,7 @@
     usual_latencies: &BTreeMap<&str, f64>,
 ) -> Profiles<'a> {
     let mut profiles = Profiles::new();
-    let mut coverage: BTreeMap<Micros, (usize, usize)> = BTreeMap::new();
+    let mut coverage: BTreeMap<Micros, Coverage> = BTreeMap::new();
     for ((member, class), bins) in latencies {
         let Some(usual) = usual_latencies.get(class) else { continue };
         for (bin, sum) in bins {
@@ -117,7 +117,7 @@
             ratios.answers += sum.answers;
             ratios.ratios += sum.took as f64 / usual;
             // The work that proxies without records gave is unknown: taken to be as much as that of the others.
-            let (covering, proxies) =
+            let Coverage { covering, proxies } =
                 *coverage.entry(*bin).or_insert_with(|| evidence.coverage(*bin, bin + evidence.bin));
             let work = profile.work.entry(*bin).or_default();
             *work += sum.answers as f64 * usual * proxies as f64 / covering.max(1) as f64;
--- a/crates/incidents/tests/timelines.rs
+++ b/crates/incidents/tests/timelines.rs
@@ -151,11 +151,11 @@
         for (trouble, from, to) in script {
             for (edge, health) in [(from, "leaving"), (to, "active")] {
                 if let (Drain(name), true) = (trouble, *edge == second) {
-                    let told = |p: &mut ProxyEvidence| {
+                    let add_listing = |p: &mut ProxyEvidence| {
                         let health = ListedHealth { at: now, health: health.into() };
                         p.listed_health.entry(name.to_string()).or_default().push(health);
                     };
-                    proxies.values_mut().for_each(told);
+                    proxies.values_mut().for_each(add_listing);
                 }
             }
         }
@@ -262,10 +262,10 @@
     assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
 
-/// Guards against a statement that is as sure with records missing as without, and against counts that miss what
-/// falls to an incident.
+/// Guards against a statement that is as confident with records missing as without, and against counts that miss what
+/// is attributed to an incident.
 #[test]
-fn missing_records_weaken_the_words() {
+fn missing_records_lower_the_confidence() {
     let script = |day: &str| DAYS.iter().find(|(name, ..)| *name == day).unwrap().1;
     let whole = find(&play(script("slow apply on most"))).remove(0);
     assert_eq!((whole.confidence, whole.unknown.len()), (Confidence::Clear, 0));
--- a/crates/report/src/facts/series.rs
+++ b/crates/report/src/facts/series.rs
@@ -56,7 +56,7 @@
 pub(super) fn bin_series(evidence: &Evidence) -> Vec<BinFacts> {
     let mut bins: BTreeMap<Micros, BinFacts> = BTreeMap::new();
     for at in evidence.bins() {
-        let (covering_proxies, _) = evidence.coverage(at, at + evidence.bin);
+        let covering_proxies = evidence.coverage(at, at + evidence.bin).covering;
         bins.insert(at, BinFacts { at, covering_proxies, ..BinFacts::default() });
     }
     for ((bin, class, outcome), sums) in evidence.proxies.values().flat_map(|proxy| &proxy.answers) {
