--- a/Makefile
+++ b/Makefile
@@ -55,9 +55,9 @@
 releases:
 	cargo test --locked --release -p wharfplank-rollout --test rollout -- --ignored --nocapture
 
-# 20 seeded runs by processes of each hard case of a release; takes an hour. See tests/release_rig.rs for its variables.
+# 20 seeded runs by processes of each hard case of a release; takes an hour. See tests/rollout_faults.rs for its variables.
 rig-releases:
-	cargo test --locked --release --test release_rig -- --ignored --nocapture
+	cargo test --locked --release --test rollout_faults -- --ignored --nocapture
 
 # Known-missing keys in virtual time: 200 seeded runs of each hard case, and what the facts are worth and cost.
 missing:
@@ -70,4 +70,4 @@
 # Processes that share budgets, eight hard cases by three seeds: what was in force, spent and held, from all logs. BUDGET_CASE,
 # BUDGET_RUNS, BUDGET_SEED, BUDGET_PROXIES and BUDGET_BESIDE choose others.
 budgets:
-	cargo test --locked --release --test budgetrig -- --ignored --nocapture
+	cargo test --locked --release --test budget_faults -- --ignored --nocapture
