--- a/crates/fleet-harness/src/budgets/mod.rs
+++ b/crates/fleet-harness/src/budgets/mod.rs
@@ -25,6 +25,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_lab::clock::now;
+use wharfplank_lab::load::LoadProfile;
 use wharfplank_lab::member_model::Micros;
 
 /// Per cent of each limit that is divided into static quotas.
@@ -91,7 +92,7 @@
 async fn wait_until_ready(rig: &Rig, proxies: usize, place: &Place) -> Result<(), String> {
     let deadline = now() + START_TIMEOUT;
     for (proxy, load) in rig.loads.iter().enumerate().take(proxies) {
-        while !(load.proxies[0].get().is_some() && load.ready(0).await) {
+        while !(load.proxy_addresses[0].get().is_some() && load.is_ready(0).await) {
             if now() > deadline {
                 return Err(format!("proxy n{proxy} does not start; see {}", place.directory.display()));
             }
@@ -112,9 +113,19 @@
             let load = Rc::clone(load);
             let number = proxy as u64;
             executor.spawn(async move {
-                load.run(case::demand(proxy), half, GROUPS, seed + number, |_| {}).await;
-                let later_seed = seed + SECOND_HALF_SEED_FACTOR * number;
-                load.run(case.demand_later(proxy), half, GROUPS, later_seed, |_| {}).await;
+                let first_half = LoadProfile {
+                    requests_per_second: case::demand(proxy),
+                    seconds: half,
+                    groups: GROUPS,
+                    seed: seed + number,
+                };
+                load.run(first_half, |_| {}).await;
+                let second_half = LoadProfile {
+                    requests_per_second: case.demand_later(proxy),
+                    seed: seed + SECOND_HALF_SEED_FACTOR * number,
+                    ..first_half
+                };
+                load.run(second_half, |_| {}).await;
             })
         })
         .collect();
--- a/crates/fleet-harness/src/budgets/rig.rs
+++ b/crates/fleet-harness/src/budgets/rig.rs
@@ -70,12 +70,12 @@
 
     /// Takes over the addresses that proxies have logged since the last call.
     pub(super) fn register_addresses(&self) {
-        self.cluster.register_addresses(|index, addr| self.loads[index].proxies[0].set(Some(addr)));
+        self.cluster.register_addresses(|index, addr| self.loads[index].proxy_addresses[0].set(Some(addr)));
     }
 
     /// Kills a proxy, and tells its load.
     pub(super) fn kill(&self, index: usize) {
-        self.loads[index].down(0);
+        self.loads[index].remove_proxy(0);
         self.cluster.kill(index);
     }
 }
--- a/crates/fleet-harness/src/check.rs
+++ b/crates/fleet-harness/src/check.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::Path;
-use wharfplank_lab::load::{Done, Seen};
+use wharfplank_lab::load::{ClientOutcome, RequestRecord};
 
 /// Seconds after a zone is lost or returns at which agreement is counted.
 pub const AFTER: [u64; 3] = [1, 2, 5];
@@ -111,8 +111,8 @@
 pub fn check(
     schedule: &Schedule,
     start: i64,
-    done: &[Done],
-    again: &[Seen],
+    requests: &[RequestRecord],
+    retry_outcomes: &[ClientOutcome],
     counted: &Counted,
     directory: &Path,
 ) -> Report {
@@ -131,8 +131,8 @@
         late_ms: counted.late_ms,
         ..Report::default()
     };
-    for seen in again {
-        *report.again.entry(format!("{seen:?}")).or_default() += 1;
+    for outcome in retry_outcomes {
+        *report.again.entry(outcome.to_string()).or_default() += 1;
     }
     for proxy in 0..schedule.proxies {
         let told = lines(directory, proxy, "replica");
@@ -156,19 +156,26 @@
     let away = away(schedule, start);
     // A request was at a proxy that was away if that proxy was dead or paused at any time between its due time and
     // a second after it ended: a client keeps sending to a dead proxy for a while.
-    let at_away = |d: &Done| away[d.proxy].iter().any(|(from, to)| d.due <= *to && d.at + 1_000_000 >= *from);
-    for d in done {
-        *report.requests.entry(format!("{:?}", d.seen)).or_default() += 1;
-        if matches!(d.seen, Seen::Nothing | Seen::Broken | Seen::Unreachable) {
+    let at_away = |d: &RequestRecord| {
+        away[d.proxy].iter().any(|(from, to)| d.due_at <= *to && d.finished_at + 1_000_000 >= *from)
+    };
+    for d in requests {
+        *report.requests.entry(d.outcome.to_string()).or_default() += 1;
+        if matches!(
+            d.outcome,
+            ClientOutcome::TimedOut | ClientOutcome::ConnectionLost | ClientOutcome::Unreachable
+        ) {
             if at_away(d) {
                 report.unanswered_at_a_dead_proxy += 1;
-            } else if d.seen != Seen::Unreachable {
+            } else if d.outcome != ClientOutcome::Unreachable {
                 report.lost += 1;
                 if report.lost_named.len() < LOST_NAMED {
                     let ms = |at: i64| (at - start) / 1000;
                     let class = wharfplank_lab::member_model::CLASSES[d.class].name;
-                    let (due, at) = (ms(d.due), ms(d.at));
-                    report.lost_named.push(format!("n{} {class} due {due} ended {at} {:?}", d.proxy, d.seen));
+                    let (due, at) = (ms(d.due_at), ms(d.finished_at));
+                    report
+                        .lost_named
+                        .push(format!("n{} {class} due {due} ended {at} {}", d.proxy, d.outcome));
                 }
             }
         }
@@ -193,7 +200,7 @@
     let seconds = schedule.seconds.max(1) as f64 * schedule.proxies.max(1) as f64;
     report.udp_bytes_a_second = counted.bytes as f64 / seconds;
     report.udp_datagrams_a_second = counted.datagrams as f64 / seconds;
-    report.health = health::check(schedule, start, done, directory);
+    report.health = health::check(schedule, start, requests, directory);
     report.broken =
         report.lost + report.stale + report.twice + report.fallen + report.crashed + report.diverged;
     report.broken += report.health.wrongly;
--- a/crates/fleet-harness/src/goodput.rs
+++ b/crates/fleet-harness/src/goodput.rs
@@ -5,7 +5,7 @@
 use crate::ground_truth::GroundTruth;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use wharfplank_lab::load::{Done, Seen};
+use wharfplank_lab::load::{ClientOutcome, RequestRecord};
 use wharfplank_lab::member_model::{Micros, RequestClass, CLASSES};
 
 /// The weighted goodput of one class's requests, or of all.
@@ -39,19 +39,19 @@
     }
 
     /// The goodput of one request.
-    fn of(request: &Done, truth: &GroundTruth, zone: &str) -> Goodput {
+    fn of(request: &RequestRecord, truth: &GroundTruth, zone: &str) -> Goodput {
         let class = &CLASSES[request.class];
-        let is_served = request.seen == Seen::Served;
-        let is_in_time = request.at - request.due <= class.latency_objective;
+        let is_served = request.outcome == ClientOutcome::Served;
+        let is_in_time = request.finished_at - request.due_at <= class.latency_objective;
         Goodput {
             offered: class.weight,
-            served: if is_served { weight(class, request.due, request.at) } else { 0.0 },
+            served: if is_served { weight(class, request.due_at, request.finished_at) } else { 0.0 },
             upper_bound: truth
                 .earliest_answer(request, zone)
-                .map_or(0.0, |answered_at| weight(class, request.due, answered_at)),
+                .map_or(0.0, |answered_at| weight(class, request.due_at, answered_at)),
             in_time: u64::from(is_served && is_in_time),
             late: u64::from(is_served && !is_in_time),
-            rejected: u64::from(request.seen == Seen::Refused),
+            rejected: u64::from(request.outcome == ClientOutcome::Rejected),
         }
     }
 
@@ -81,7 +81,7 @@
 /// The goodput by class; `zone_of` tells in which zone a proxy is.
 pub fn by_class(
     truth: &GroundTruth,
-    requests: &[Done],
+    requests: &[RequestRecord],
     zone_of: impl Fn(usize) -> &'static str,
 ) -> BTreeMap<String, Goodput> {
     let mut by_class: BTreeMap<String, Goodput> = BTreeMap::new();
--- a/crates/fleet-harness/src/ground_truth.rs
+++ b/crates/fleet-harness/src/ground_truth.rs
@@ -7,7 +7,7 @@
 //! are busy.
 
 use crate::relay::Links;
-use wharfplank_lab::load::Done;
+use wharfplank_lab::load::RequestRecord;
 use wharfplank_lab::member_model::{MemberModel, Micros, CLASSES};
 
 /// How often the members are sampled.
@@ -91,15 +91,15 @@
     }
 
     /// The first time at which some member could have answered a request of a proxy in `zone` while its client waited.
-    pub fn earliest_answer(&self, request: &Done, zone: &str) -> Option<Micros> {
-        let deadline = request.due + CLASSES[request.class].timeout;
-        let first = self.samples.partition_point(|sample| sample.at + SAMPLE_INTERVAL < request.due);
+    pub fn earliest_answer(&self, request: &RequestRecord, zone: &str) -> Option<Micros> {
+        let deadline = request.due_at + CLASSES[request.class].timeout;
+        let first = self.samples.partition_point(|sample| sample.at + SAMPLE_INTERVAL < request.due_at);
         let mut while_waiting = self.samples[first..].iter().take_while(|sample| sample.at <= deadline);
         let answered = while_waiting.find(|sample| self.can_answer(sample, request, zone));
-        answered.map(|sample| sample.at.max(request.due))
+        answered.map(|sample| sample.at.max(request.due_at))
     }
 
-    fn can_answer(&self, sample: &Sample, request: &Done, zone: &str) -> bool {
+    fn can_answer(&self, sample: &Sample, request: &RequestRecord, zone: &str) -> bool {
         let mut members = self.sites.iter().zip(&sample.members);
         members.any(|(site, member)| {
             site.group == request.group
@@ -111,8 +111,8 @@
 }
 
 /// Whether a member's data is recent enough for a request.
-fn meets_consistency(member: &MemberState, now: Micros, request: &Done) -> bool {
-    match (CLASSES[request.class].name, request.after_ms) {
+fn meets_consistency(member: &MemberState, now: Micros, request: &RequestRecord) -> bool {
+    match (CLASSES[request.class].name, request.min_position_ms) {
         ("write", _) => member.is_primary,
         ("bounded-read", _) => member.is_primary || member.position >= now - MAX_READ_AGE,
         (_, Some(after_ms)) => member.is_primary || member.position >= after_ms * MICROS_PER_MS,
--- a/crates/fleet-harness/src/health.rs
+++ b/crates/fleet-harness/src/health.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::Path;
-use wharfplank_lab::load::{Done, Seen};
+use wharfplank_lab::load::{ClientOutcome, RequestRecord};
 use wharfplank_lab::member_model::CLASSES;
 
 /// Seconds after a member is slow at which the proxies that hold it degraded are counted.
@@ -40,7 +40,7 @@
 }
 
 /// Counts it.
-pub fn check(schedule: &Schedule, start: i64, done: &[Done], directory: &Path) -> Health {
+pub fn check(schedule: &Schedule, start: i64, done: &[RequestRecord], directory: &Path) -> Health {
     let mut health = Health::default();
     let slow: Vec<(i64, i64, &str)> = schedule
         .faults
@@ -75,8 +75,10 @@
         health.held_at_end += u64::from(members.iter().any(last));
     }
     for d in done {
-        let in_time = d.seen == Seen::Served && d.at - d.due <= CLASSES[d.class].latency_objective;
-        if slow.iter().any(|(from, to, _)| (*from..*to).contains(&d.due)) && CLASSES[d.class].name != "write"
+        let in_time = d.outcome == ClientOutcome::Served
+            && d.finished_at - d.due_at <= CLASSES[d.class].latency_objective;
+        if slow.iter().any(|(from, to, _)| (*from..*to).contains(&d.due_at))
+            && CLASSES[d.class].name != "write"
         {
             health.reads += 1;
             health.late += u64::from(!in_time);
--- a/crates/fleet-harness/src/rollouts/report.rs
+++ b/crates/fleet-harness/src/rollouts/report.rs
@@ -3,7 +3,7 @@
 use super::rules::RuleViolations;
 use serde::Serialize;
 use std::path::Path;
-use wharfplank_lab::load::{Done, Seen};
+use wharfplank_lab::load::{ClientOutcome, RequestRecord};
 use wharfplank_lab::member_model::{Micros, RequestClass, CLASSES};
 
 /// What a run showed. The encoded names are those of `outcome.json`.
@@ -54,14 +54,14 @@
 
 impl Report {
     /// Adds up what clients saw of the requests that were due in a span of time.
-    pub(super) fn add_requests(&mut self, requests: &[Done], from: Micros, until: Micros) {
-        for request in requests.iter().filter(|request| (from..until).contains(&request.due)) {
+    pub(super) fn add_requests(&mut self, requests: &[RequestRecord], from: Micros, until: Micros) {
+        for request in requests.iter().filter(|request| (from..until).contains(&request.due_at)) {
             let class = &CLASSES[request.class];
             self.requests += 1;
             self.offered_weight += class.weight;
-            if request.seen == Seen::Served {
+            if request.outcome == ClientOutcome::Served {
                 self.served += 1;
-                self.served_weight += weight(class, request.at - request.due);
+                self.served_weight += weight(class, request.finished_at - request.due_at);
             }
         }
     }
--- a/crates/fleet-harness/src/rollouts/rig.rs
+++ b/crates/fleet-harness/src/rollouts/rig.rs
@@ -77,13 +77,13 @@
 
     /// Kills a proxy, and tells the load.
     pub(super) fn kill(&self, proxy: usize) {
-        self.load.down(proxy);
+        self.load.remove_proxy(proxy);
         self.cluster.kill(proxy);
     }
 
     /// Takes over the addresses that proxies have logged since the last call.
     pub(super) fn register_addresses(&self) {
-        self.cluster.register_addresses(|proxy, addr| self.load.proxies[proxy].set(Some(addr)));
+        self.cluster.register_addresses(|proxy, addr| self.load.proxy_addresses[proxy].set(Some(addr)));
     }
 
     /// Whether all rollouts have finished at all proxies, and all members serve.
--- a/crates/fleet-harness/src/rollouts/run.rs
+++ b/crates/fleet-harness/src/rollouts/run.rs
@@ -18,6 +18,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_lab::clock::now;
+use wharfplank_lab::load::LoadProfile;
 use wharfplank_lab::member_model::Micros;
 
 const START_TIMEOUT: Micros = 30_000_000;
@@ -100,7 +101,7 @@
 async fn wait_until_ready(rig: &Rig) -> Result<(), String> {
     let deadline = now() + START_TIMEOUT;
     for proxy in 0..rig.scenario.proxies {
-        while rig.load.proxies[proxy].get().is_none() || !rig.load.ready(proxy).await {
+        while rig.load.proxy_addresses[proxy].get().is_none() || !rig.load.is_ready(proxy).await {
             if now() > deadline {
                 let log = Plan::log(&rig.place.directory, proxy);
                 return Err(format!("proxy n{proxy} does not start; see {}", log.display()));
@@ -122,8 +123,9 @@
     let Scenario { request_rate, groups, seed, load_seconds, .. } = rig.scenario;
     let seconds = if load_seconds > 0 { load_seconds } else { MAX_LOAD_SECONDS };
     let seconds = seconds + SETTLE.as_secs();
+    let profile = LoadProfile { requests_per_second: request_rate, seconds, groups, seed };
     executor.spawn(async move {
-        load.run(request_rate, seconds, groups, seed, |_| {}).await;
+        load.run(profile, |_| {}).await;
     })
 }
 
@@ -155,7 +157,7 @@
     let load_seconds = rig.scenario.load_seconds as Micros;
     let until =
         if load_seconds > 0 { span.began_at + load_seconds * MICROS_PER_SECOND } else { span.finished_at };
-    report.add_requests(&rig.load.done.borrow(), span.began_at, until);
+    report.add_requests(&rig.load.finished.borrow(), span.began_at, until);
     report
 }
 
--- a/crates/fleet-harness/src/run.rs
+++ b/crates/fleet-harness/src/run.rs
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_lab::clock::now;
-use wharfplank_lab::load::Load;
+use wharfplank_lab::load::{Load, LoadProfile, WriteRetries};
 use wharfplank_lab::member_model::{MemberModel, Micros};
 use wharfplank_lab::stand_ins::StandIns;
 
@@ -79,12 +79,12 @@
 impl Rig {
     /// Takes over the addresses that proxies have logged since the last call.
     fn register_addresses(&self) {
-        self.cluster.register_addresses(|n, addr| self.load.proxies[n].set(Some(addr)));
+        self.cluster.register_addresses(|n, addr| self.load.proxy_addresses[n].set(Some(addr)));
     }
 
     /// Kills a proxy, and tells the load.
     fn kill(&self, n: usize) {
-        self.load.down(n);
+        self.load.remove_proxy(n);
         self.cluster.kill(n);
     }
 
@@ -114,7 +114,10 @@
     let mesh = Mesh::start(executor, schedule.proxies, schedule.seed).map_err(fault)?;
     let load = Load::new(executor, schedule.proxies);
     load.grace.set(GRACE);
-    *load.again.borrow_mut() = (AGAIN_AFTER, vec![(0..schedule.proxies).collect(); schedule.proxies]);
+    *load.write_retries.borrow_mut() = WriteRetries {
+        delay: AGAIN_AFTER,
+        reachable_proxies: vec![(0..schedule.proxies).collect(); schedule.proxies],
+    };
     let mut plans = Vec::new();
     for number in 0..schedule.proxies {
         let discovery = agent::start(executor, &stand_ins, &links, number).map_err(fault)?;
@@ -154,7 +157,7 @@
     for n in 0..schedule.proxies {
         loop {
             rig.register_addresses();
-            if load.proxies[n].get().is_some() && load.ready(n).await {
+            if load.proxy_addresses[n].get().is_some() && load.is_ready(n).await {
                 break;
             }
             if now() > deadline {
@@ -185,7 +188,13 @@
     };
     let tasks: Vec<Task<Result<(), String>>> =
         schedule.faults.iter().map(|f| executor.spawn(Rc::clone(&rig).carry(f.clone(), begin))).collect();
-    load.run(schedule.rate, schedule.seconds, schedule.groups, schedule.seed, |_| {}).await;
+    let profile = LoadProfile {
+        requests_per_second: schedule.rate,
+        seconds: schedule.seconds,
+        groups: schedule.groups,
+        seed: schedule.seed,
+    };
+    load.run(profile, |_| {}).await;
     for task in tasks {
         task.await?;
     }
@@ -202,10 +211,10 @@
     }
     let counted = rig.counted(schedule, &stand_ins, diverged, converged_ms);
     let ends: Vec<_> = rig.cluster.take_all().into_iter().map(|proxy| proxy.end(END_MOST)).collect();
-    let done = load.done.borrow().clone();
-    let again = load.seen_again.borrow().clone();
-    let mut report = check(schedule, begin, &done, &again, &counted, &rig.place.directory);
-    report.goodput = goodput::by_class(&rig.truth.borrow(), &done, Plan::zone);
+    let requests = load.finished.borrow().clone();
+    let retry_outcomes = load.retry_outcomes.borrow().clone();
+    let mut report = check(schedule, begin, &requests, &retry_outcomes, &counted, &rig.place.directory);
+    report.goodput = goodput::by_class(&rig.truth.borrow(), &requests, Plan::zone);
     let bad_ends = ends.iter().filter(|e| e.is_err()).count() as u64;
     report.crashed += bad_ends;
     report.broken += bad_ends;
--- a/crates/fleet-harness/src/run/faults.rs
+++ b/crates/fleet-harness/src/run/faults.rs
@@ -16,14 +16,14 @@
         let all = 0..self.cluster.len();
         let reached_from =
             |from: usize| all.clone().filter(|to| is_on_side(to) == is_on_side(&from)).collect();
-        self.load.again.borrow_mut().1 = all.clone().map(reached_from).collect();
+        self.load.write_retries.borrow_mut().reachable_proxies = all.clone().map(reached_from).collect();
         self.cluster.cut_off(side);
     }
 
     /// Undoes [`Rig::cut_off`].
     fn reconnect(&self, side: &[usize]) {
         let all: Vec<usize> = (0..self.cluster.len()).collect();
-        self.load.again.borrow_mut().1 = vec![all; self.cluster.len()];
+        self.load.write_retries.borrow_mut().reachable_proxies = vec![all; self.cluster.len()];
         self.cluster.reconnect(side);
     }
 
--- a/crates/fleet-harness/tests/goodput.rs
+++ b/crates/fleet-harness/tests/goodput.rs
@@ -2,7 +2,7 @@
 
 use wharfplank_fleet_harness::goodput::{by_class, total};
 use wharfplank_fleet_harness::ground_truth::{GroundTruth, MemberSite, MemberState, Sample, SAMPLE_INTERVAL};
-use wharfplank_lab::load::{Done, Seen};
+use wharfplank_lab::load::{ClientOutcome, RequestRecord};
 use wharfplank_lab::member_model::{Micros, CLASSES};
 
 const BOUNDED_READ: usize = 0;
@@ -17,8 +17,16 @@
     MemberState { is_serving, is_primary, position }
 }
 
-fn done(class: usize, due: Micros, after_ms: Option<i64>, seen: Seen) -> Done {
-    Done { proxy: 0, class, group: 0, after_ms, due, at: due + 10_000, seen }
+fn done(class: usize, due_at: Micros, min_position_ms: Option<i64>, outcome: ClientOutcome) -> RequestRecord {
+    RequestRecord {
+        proxy: 0,
+        class,
+        group: 0,
+        min_position_ms,
+        due_at,
+        finished_at: due_at + 10_000,
+        outcome,
+    }
 }
 
 /// Guards against a bound that calls served what nobody could have served, and the other way round.
@@ -34,22 +42,30 @@
         Sample { at, cut_zone: None, members }
     });
     let truth = GroundTruth::new(sites, samples.collect());
-    let first = |request: Done| truth.earliest_answer(&request, "a");
-    assert_eq!(first(done(WRITE, 500_000, None, Seen::Served)), Some(500_000));
-    assert_eq!(first(done(WRITE, 1_500_000, None, Seen::Served)), Some(3_000_000), "once it is back");
-    assert_eq!(first(done(WRITE, 900_000, None, Seen::Served)), Some(900_000));
-    assert_eq!(first(done(BOUNDED_READ, 1_100_000, None, Seen::Served)), Some(1_100_000), "not yet too old");
+    let first = |request: RequestRecord| truth.earliest_answer(&request, "a");
+    assert_eq!(first(done(WRITE, 500_000, None, ClientOutcome::Served)), Some(500_000));
     assert_eq!(
-        first(done(BOUNDED_READ, 1_500_000, None, Seen::Served)),
+        first(done(WRITE, 1_500_000, None, ClientOutcome::Served)),
+        Some(3_000_000),
+        "once it is back"
+    );
+    assert_eq!(first(done(WRITE, 900_000, None, ClientOutcome::Served)), Some(900_000));
+    assert_eq!(
+        first(done(BOUNDED_READ, 1_100_000, None, ClientOutcome::Served)),
+        Some(1_100_000),
+        "not yet too old"
+    );
+    assert_eq!(
+        first(done(BOUNDED_READ, 1_500_000, None, ClientOutcome::Served)),
         None,
         "too old, and given up by 2.5 s"
     );
-    assert_eq!(first(done(SESSION_READ, 1_500_000, Some(900), Seen::Served)), Some(1_500_000));
-    assert_eq!(first(done(SESSION_READ, 1_500_000, Some(1_400), Seen::Served)), None);
+    assert_eq!(first(done(SESSION_READ, 1_500_000, Some(900), ClientOutcome::Served)), Some(1_500_000));
+    assert_eq!(first(done(SESSION_READ, 1_500_000, Some(1_400), ClientOutcome::Served)), None);
     let all = [
-        done(BOUNDED_READ, 1_500_000, None, Seen::Refused),
-        done(WRITE, 500_000, None, Seen::Served),
-        Done { at: 4_000_000, ..done(WRITE, 2_500_000, None, Seen::Served) },
+        done(BOUNDED_READ, 1_500_000, None, ClientOutcome::Rejected),
+        done(WRITE, 500_000, None, ClientOutcome::Served),
+        RequestRecord { finished_at: 4_000_000, ..done(WRITE, 2_500_000, None, ClientOutcome::Served) },
     ];
     let sum = total(&by_class(&truth, &all, |_| "a"));
     let (read, write) = (&CLASSES[BOUNDED_READ], &CLASSES[WRITE]);
@@ -68,8 +84,8 @@
         Sample { at, cut_zone: Some("b".to_string()), members }
     });
     let truth = GroundTruth::new(vec![site(0, "a"), site(0, "b")], samples.collect());
-    let write = done(WRITE, 0, None, Seen::Served);
+    let write = done(WRITE, 0, None, ClientOutcome::Served);
     assert_eq!(truth.earliest_answer(&write, "a"), Some(0));
     assert_eq!(truth.earliest_answer(&write, "b"), None, "the primary is on the other side");
-    assert_eq!(truth.earliest_answer(&done(BOUNDED_READ, 0, None, Seen::Served), "b"), Some(0));
+    assert_eq!(truth.earliest_answer(&done(BOUNDED_READ, 0, None, ClientOutcome::Served), "b"), Some(0));
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,222 +1,196 @@
-//! An open-loop load: requests are due at times that no answer moves, and their times count from then, so that a
-//! late sender hides nothing.
+//! An open-loop load: requests are due at times that no answer moves, and their latencies count from then, so that a
+//! late sender hides nothing (no coordinated omission).
+//!
+//! - [`Load`]: draws the requests and records how they end.
+//! - `client`: how a client sends a request and retries a write.
+//! - `connection`: a client's connection and the text of its requests.
+//! - `record`: what clients saw.
 
-mod seen;
-mod wire;
+mod client;
+mod connection;
+mod record;
 
-pub use seen::{Done, Seen};
+pub use client::WriteRetries;
+pub use record::{ClientOutcome, RequestRecord};
 
-use crate::clock::now;
+use crate::clock::{now, time_until};
 use crate::member_model::{Micros, CLASSES};
 use async_executor::LocalExecutor;
-use async_io::{Async, Timer};
-use futures_lite::{future, AsyncWriteExt};
+use async_io::Timer;
+use connection::{statement, Connection};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
-use std::net::{SocketAddr, TcpStream};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use wharfplank_protocol::member_request;
-use wharfplank_protocol::member_response::{ResponseKind, ResponseReader};
-use wire::{statement, Connection};
 
-/// Connections to one proxy that are kept for the next request.
-const KEPT: usize = 64;
-/// Requests that may be open at a time; past that the load is held back, and says so.
-const OPEN: usize = 2000;
+/// The most requests in flight; further ones that are due are dropped and counted.
+const MAX_IN_FLIGHT: usize = 2000;
+/// A client waits at least so long, in µs, also when its request was sent late.
+const MIN_TIMEOUT: Micros = 1000;
+/// The fraction of session reads that follow a write of their session.
+const READ_YOUR_WRITES_FRACTION: f64 = 0.6;
+/// How long before such a read its session's write was, in milliseconds.
+const SESSION_WRITE_AGE_MS: i64 = 400;
+/// Progress is reported after every so many requests.
+const PROGRESS_INTERVAL: u64 = 16;
+/// Tells the random numbers of the load from others of the same seed.
+const LOAD_SEED: u64 = 0x10ad;
+/// How often the end of the requests in flight is checked.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// The longest latency that a histogram holds, in µs.
+const MAX_LATENCY: u64 = 60_000_000;
+
+/// How much load is sent, and where.
+#[derive(Clone, Copy, Debug)]
+pub struct LoadProfile {
+    /// Requests a second, to all proxies together.
+    pub requests_per_second: u64,
+    /// How long requests are sent.
+    pub seconds: u64,
+    /// The number of groups that requests address, from 0 on.
+    pub groups: usize,
+    /// The seed of the random numbers.
+    pub seed: u64,
+}
 
 /// The load of one run.
 pub struct Load {
     executor: Rc<LocalExecutor<'static>>,
-    /// Where each proxy listens now; none while it is down.
-    pub proxies: Vec<Cell<Option<SocketAddr>>>,
-    kept: Vec<RefCell<Vec<Connection>>>,
-    /// All requests that ended.
-    pub done: RefCell<Vec<Done>>,
-    open: Cell<usize>,
-    /// How long past its time a client still waits for the answer, which then earns nothing but is no loss.
+    /// The address of each proxy; none while it is down.
+    pub proxy_addresses: Vec<Cell<Option<SocketAddr>>>,
+    idle_connections: Vec<RefCell<Vec<Connection>>>,
+    /// All finished requests.
+    pub finished: RefCell<Vec<RequestRecord>>,
+    in_flight: Cell<usize>,
+    /// How long past its timeout a client still waits for the answer, which then earns nothing but is not lost.
     pub grace: Cell<Micros>,
-    /// Clients whose write was answered as failed send the very same again, at another proxy: after how long, and which
-    /// others the clients of each proxy reach. Off while empty. A client that heard nothing does not: nobody can tell
-    /// it what a proxy that is gone had sent.
-    pub again: RefCell<(Duration, Vec<Vec<usize>>)>,
-    /// What they saw then.
-    pub seen_again: RefCell<Vec<Seen>>,
-    /// Requests that were due while too many were open.
-    pub held_back: Cell<u64>,
+    /// How clients retry failed writes.
+    pub write_retries: RefCell<WriteRetries>,
+    /// How the retries ended.
+    pub retry_outcomes: RefCell<Vec<ClientOutcome>>,
+    /// The number of requests that were due while too many were in flight.
+    pub dropped_requests: Cell<u64>,
+}
+
+/// A request that is due.
+struct DueRequest {
+    number: u64,
+    proxy: usize,
+    class: usize,
+    group: usize,
+    min_position_ms: Option<i64>,
+    due_at: Micros,
 }
 
 impl Load {
-    /// A load for so many proxies.
+    /// Creates a load for so many proxies, whose addresses are not known yet.
     pub fn new(executor: &Rc<LocalExecutor<'static>>, proxies: usize) -> Rc<Load> {
         Rc::new(Load {
             executor: Rc::clone(executor),
-            proxies: (0..proxies).map(|_| Cell::new(None)).collect(),
-            kept: (0..proxies).map(|_| RefCell::default()).collect(),
-            done: RefCell::default(),
-            open: Cell::new(0),
+            proxy_addresses: (0..proxies).map(|_| Cell::new(None)).collect(),
+            idle_connections: (0..proxies).map(|_| RefCell::default()).collect(),
+            finished: RefCell::default(),
+            in_flight: Cell::new(0),
             grace: Cell::new(0),
-            again: RefCell::default(),
-            seen_again: RefCell::default(),
-            held_back: Cell::new(0),
+            write_retries: RefCell::default(),
+            retry_outcomes: RefCell::default(),
+            dropped_requests: Cell::new(0),
         })
     }
 
-    /// Sends requests at a rate for so many seconds, to groups from 0 on, and waits for their ends. `each` hears the
-    /// share that has been sent.
-    pub async fn run(self: &Rc<Self>, rate: u64, seconds: u64, groups: usize, seed: u64, each: impl Fn(f64)) {
-        let mut rng = SmallRng::seed_from_u64(seed ^ 0x10ad);
-        let (start, total) = (now(), rate * seconds);
-        let mut due = start;
+    /// Sends the requests of a profile and waits for their ends. `on_progress` receives the fraction that has been
+    /// sent.
+    pub async fn run(self: &Rc<Self>, profile: LoadProfile, on_progress: impl Fn(f64)) {
+        let mut rng = SmallRng::seed_from_u64(profile.seed ^ LOAD_SEED);
+        let total = profile.requests_per_second * profile.seconds;
+        let mut due_at = now();
         for number in 0..total {
             // Poisson arrivals: bursts are part of the load.
-            due += (-(1.0 - rng.random::<f64>()).ln() * 1e6 / rate as f64) as Micros;
-            Timer::after(Duration::from_micros((due - now()).max(0) as u64)).await;
-            let mut draw = rng.random::<f64>();
-            let class = CLASSES.iter().position(|class| {
-                draw -= class.fraction;
-                draw < 0.0
-            });
-            let class = class.unwrap_or(0);
-            let (proxy, group) = (rng.random_range(0..self.proxies.len()), rng.random_range(0..groups));
-            let wrote = (CLASSES[class].name == "session-read" && rng.random::<f64>() < 0.6)
-                .then(|| due / 1000 - 400);
-            if self.open.get() >= OPEN {
-                self.held_back.set(self.held_back.get() + 1);
-            } else {
-                self.open.set(self.open.get() + 1);
-                let load = Rc::clone(self);
-                let task = async move {
-                    let wait = CLASSES[class].timeout;
-                    let until = due + wait + load.grace.get();
-                    let limit = Timer::after(Duration::from_micros((until - now()).max(1000) as u64));
-                    let late = async {
-                        limit.await;
-                        Seen::Nothing
-                    };
-                    let text = statement(number, class, group, wrote);
-                    let seen = future::or(async { load.ask(proxy, &text).await }, late).await;
-                    load.done.borrow_mut().push(Done {
-                        proxy,
-                        class,
-                        group,
-                        after_ms: wrote,
-                        due,
-                        at: now(),
-                        seen,
-                    });
-                    if CLASSES[class].name == "write" && seen == Seen::Failed {
-                        load.ask_again(proxy, number, &text).await;
-                    }
-                    load.open.set(load.open.get() - 1);
-                };
-                self.executor.spawn(task).detach();
-            }
-            if number % 16 == 0 {
-                each(number as f64 / total as f64);
+            due_at +=
+                (-(1.0 - rng.random::<f64>()).ln() * 1e6 / profile.requests_per_second as f64) as Micros;
+            Timer::after(time_until(due_at)).await;
+            let request = self.draw_request(&mut rng, number, due_at, profile.groups);
+            self.start_request(request);
+            if number % PROGRESS_INTERVAL == 0 {
+                on_progress(number as f64 / total as f64);
             }
         }
-        while self.open.get() > 0 {
-            Timer::after(Duration::from_millis(10)).await;
+        while self.in_flight.get() > 0 {
+            Timer::after(DRAIN_CHECK_INTERVAL).await;
         }
-        each(1.0);
+        on_progress(1.0);
     }
 
-    /// The client of a write that failed sends it again at another proxy that it reaches, once.
-    async fn ask_again(&self, proxy: usize, number: u64, text: &str) {
-        let after = self.again.borrow().0;
-        Timer::after(after).await;
-        let other = {
-            let again = self.again.borrow();
-            let others: Vec<usize> =
-                again.1.get(proxy).into_iter().flatten().copied().filter(|o| *o != proxy).collect();
-            others.get(number as usize % others.len().max(1)).copied()
-        };
-        let Some(other) = other else { return };
-        let late = async {
-            Timer::after(Duration::from_secs(3)).await;
-            Seen::Nothing
-        };
-        let seen = future::or(self.ask(other, text), late).await;
-        self.seen_again.borrow_mut().push(seen);
+    fn draw_request(&self, rng: &mut SmallRng, number: u64, due_at: Micros, groups: usize) -> DueRequest {
+        let class = draw_class(rng);
+        let proxy = rng.random_range(0..self.proxy_addresses.len());
+        let group = rng.random_range(0..groups);
+        let follows_write =
+            CLASSES[class].name == "session-read" && rng.random::<f64>() < READ_YOUR_WRITES_FRACTION;
+        let min_position_ms = follows_write.then(|| due_at / 1000 - SESSION_WRITE_AGE_MS);
+        DueRequest { number, proxy, class, group, min_position_ms, due_at }
     }
 
-    async fn ask(&self, proxy: usize, text: &str) -> Seen {
-        let kept = self.kept[proxy].borrow_mut().pop();
-        let mut again = kept.is_some();
-        let mut connection = match kept {
-            Some(connection) => connection,
-            None => match self.connect(proxy).await {
-                Some(connection) => connection,
-                None => return Seen::Unreachable,
-            },
-        };
-        loop {
-            let message = member_request::query_message(|out| out.extend_from_slice(text.as_bytes()));
-            let written = connection.stream.write_all(&message).await;
-            let answer = match written {
-                Ok(()) => connection.answer().await,
-                Err(_) => None,
-            };
-            match answer {
-                Some(verdict) => {
-                    if self.kept[proxy].borrow().len() < KEPT {
-                        self.kept[proxy].borrow_mut().push(connection);
-                    }
-                    return match verdict {
-                        ResponseKind::Row => Seen::Served,
-                        ResponseKind::Overloaded | ResponseKind::NotReady => Seen::Refused,
-                        _ => Seen::Failed,
-                    };
-                }
-                // A proxy may close between requests: one that crossed the close is sent once more.
-                None if again => {
-                    again = false;
-                    self.kept[proxy].borrow_mut().clear();
-                    match self.connect(proxy).await {
-                        Some(new) => connection = new,
-                        None => return Seen::Unreachable,
-                    }
-                }
-                None => return Seen::Broken,
-            }
+    fn start_request(self: &Rc<Self>, request: DueRequest) {
+        if self.in_flight.get() >= MAX_IN_FLIGHT {
+            self.dropped_requests.set(self.dropped_requests.get() + 1);
+            return;
         }
+        self.in_flight.set(self.in_flight.get() + 1);
+        let load = Rc::clone(self);
+        let task = async move {
+            load.run_request(request).await;
+            load.in_flight.set(load.in_flight.get() - 1);
+        };
+        self.executor.spawn(task).detach();
     }
 
-    async fn connect(&self, proxy: usize) -> Option<Connection> {
-        let stream = Async::<TcpStream>::connect(self.proxies[proxy].get()?).await.ok()?;
-        stream.get_ref().set_nodelay(true).ok()?;
-        let mut connection = Connection { stream, client: ResponseReader::default() };
-        connection.stream.write_all(&member_request::startup_message("web", "orders")).await.ok()?;
-        connection.answer().await.map(|_| connection)
-    }
-
-    /// Whether a proxy answers an empty query, which it does once it can serve.
-    pub async fn ready(&self, proxy: usize) -> bool {
-        let Some(mut connection) = self.connect(proxy).await else { return false };
-        let asked = connection.stream.write_all(&member_request::query_message(|_| {})).await;
-        asked.is_ok() && connection.answer().await == Some(ResponseKind::Done)
-    }
-
-    /// Forgets connections to a proxy that has ended.
-    pub fn down(&self, proxy: usize) {
-        self.proxies[proxy].set(None);
-        self.kept[proxy].borrow_mut().clear();
+    async fn run_request(&self, request: DueRequest) {
+        let DueRequest { number, proxy, class, group, min_position_ms, due_at } = request;
+        let deadline = due_at + CLASSES[class].timeout + self.grace.get();
+        let timeout = Duration::from_micros((deadline - now()).max(MIN_TIMEOUT) as u64);
+        let text = statement(number, class, group, min_position_ms);
+        let outcome = self.send_until(proxy, &text, Timer::after(timeout)).await;
+        self.finished.borrow_mut().push(RequestRecord {
+            proxy,
+            class,
+            group,
+            min_position_ms,
+            due_at,
+            finished_at: now(),
+            outcome,
+        });
+        if CLASSES[class].is_write() && outcome == ClientOutcome::Failed {
+            self.retry_write(proxy, number, &text).await;
+        }
     }
 
-    /// The times of served requests of a class, from when they were due, in µs.
-    pub fn times(&self, class: usize) -> Histogram<u64> {
-        let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are fixed and good");
-        for done in self.done.borrow().iter().filter(|d| d.class == class && d.seen == Seen::Served) {
-            times.saturating_record((done.at - done.due).max(1) as u64);
+    /// The latencies of the served requests of a class, from when they were due, in µs.
+    pub fn latencies(&self, class: usize) -> Histogram<u64> {
+        let mut latencies =
+            Histogram::new_with_bounds(1, MAX_LATENCY, 3).expect("the bounds are valid constants");
+        let finished = self.finished.borrow();
+        for record in finished.iter().filter(|record| record.is(class, ClientOutcome::Served)) {
+            latencies.saturating_record((record.finished_at - record.due_at).max(1) as u64);
         }
-        times
+        latencies
     }
 
-    /// How many requests of a class ended so.
-    pub fn count(&self, class: usize, seen: Seen) -> usize {
-        self.done.borrow().iter().filter(|d| d.class == class && d.seen == seen).count()
+    /// The number of requests of a class with this outcome.
+    pub fn count(&self, class: usize, outcome: ClientOutcome) -> usize {
+        self.finished.borrow().iter().filter(|record| record.is(class, outcome)).count()
     }
 }
+
+/// Draws the class of a request by the classes' fractions of the load.
+fn draw_class(rng: &mut SmallRng) -> usize {
+    let mut draw = rng.random::<f64>();
+    let drawn = CLASSES.iter().position(|class| {
+        draw -= class.fraction;
+        draw < 0.0
+    });
+    drawn.unwrap_or(0)
+}
--- /dev/null
+++ b/crates/lab/src/load/record.rs
@@ -0,0 +1,61 @@
+//! What clients saw of their requests.
+
+use crate::member_model::Micros;
+use std::fmt;
+
+/// How a request ended for its client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClientOutcome {
+    /// The client received a value.
+    Served,
+    /// The request was rejected: SQLSTATE 53300 or 57P03.
+    Rejected,
+    /// The client received any other error.
+    Failed,
+    /// No connection to the proxy could be opened.
+    Unreachable,
+    /// The connection ended without an answer.
+    ConnectionLost,
+    /// No answer came before the client's timeout.
+    TimedOut,
+}
+
+impl fmt::Display for ClientOutcome {
+    /// Writes the name that stored results and printed reports have.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            ClientOutcome::Served => "Served",
+            ClientOutcome::Rejected => "Refused",
+            ClientOutcome::Failed => "Failed",
+            ClientOutcome::Unreachable => "Unreachable",
+            ClientOutcome::ConnectionLost => "Broken",
+            ClientOutcome::TimedOut => "Nothing",
+        })
+    }
+}
+
+/// One finished request, as its client saw it.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestRecord {
+    /// The index of the proxy.
+    pub proxy: usize,
+    /// The index of the class in [`CLASSES`](crate::member_model::CLASSES).
+    pub class: usize,
+    /// The group.
+    pub group: usize,
+    /// The position that its data had to include, in Unix milliseconds.
+    pub min_position_ms: Option<i64>,
+    /// When the request was due, in µs of Unix time.
+    pub due_at: Micros,
+    /// When its client saw its end, in µs of Unix time.
+    pub finished_at: Micros,
+    /// How it ended.
+    pub outcome: ClientOutcome,
+}
+
+impl RequestRecord {
+    /// Whether the request is of a class and ended like this.
+    pub(super) fn is(&self, class: usize, outcome: ClientOutcome) -> bool {
+        self.class == class && self.outcome == outcome
+    }
+}
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -6,7 +6,7 @@
 pub use process::Used;
 
 use crate::clock::now;
-use crate::load::{Done, Load};
+use crate::load::{Load, LoadProfile, RequestRecord};
 use crate::member_model::{MemberModel, Micros};
 use crate::stand_ins::StandIns;
 use crate::timeline::{Kind, Timeline};
@@ -86,8 +86,8 @@
         proxies.push(Proxy::start(place, number)?);
     }
     for (number, proxy) in proxies.iter_mut().enumerate().take(loaded) {
-        load.proxies[number].set(Some(proxy.listens().await?));
-        while !load.ready(number).await {
+        load.proxy_addresses[number].set(Some(proxy.listens().await?));
+        while !load.is_ready(number).await {
             Timer::after(Duration::from_millis(10)).await;
         }
     }
@@ -107,16 +107,22 @@
             // SIGKILL: nothing is flushed, nothing is said.
             let killed: Option<Proxy> = proxies.borrow_mut().get_mut(number).and_then(Option::take);
             drop(killed);
-            load.down(number);
+            load.remove_proxy(number);
             Timer::after(Duration::from_micros((at + back - now()).max(0) as u64)).await;
             let mut proxy = Proxy::start(&place, number)?;
-            load.proxies[number].set(Some(proxy.listens().await?));
+            load.proxy_addresses[number].set(Some(proxy.listens().await?));
             kills.borrow_mut().push((number, at, now()));
             proxies.borrow_mut()[number] = Some(proxy);
             Ok::<(), String>(())
         }));
     }
-    load.run(timeline.rate, timeline.seconds, timeline.groups, timeline.seed, each).await;
+    let profile = LoadProfile {
+        requests_per_second: timeline.rate,
+        seconds: timeline.seconds,
+        groups: timeline.groups,
+        seed: timeline.seed,
+    };
+    load.run(profile, each).await;
     for task in tasks {
         task.await?;
     }
@@ -131,8 +137,12 @@
 }
 
 /// The requests of a proxy whose end was seen within a span.
-pub fn within(done: &[Done], proxy: usize, span: (Micros, Micros)) -> impl Iterator<Item = &Done> {
-    done.iter().filter(move |d| d.proxy == proxy && (span.0..span.1).contains(&d.at))
+pub fn within(
+    done: &[RequestRecord],
+    proxy: usize,
+    span: (Micros, Micros),
+) -> impl Iterator<Item = &RequestRecord> {
+    done.iter().filter(move |d| d.proxy == proxy && (span.0..span.1).contains(&d.finished_at))
 }
 
 /// The directory of a run's records.
--- a/src/cli/lab/demo.rs
+++ b/src/cli/lab/demo.rs
@@ -3,7 +3,7 @@
 use super::super::error::CommandError;
 use super::play::{load_timeline, play_timeline, print_results};
 use std::path::Path;
-use wharfplank::lab::load::Seen;
+use wharfplank::lab::load::ClientOutcome;
 use wharfplank::lab::member_model::CLASSES;
 use wharfplank::lab::timeline;
 
@@ -19,8 +19,8 @@
     );
     let ran = play_timeline(&timeline, directory, |_| true)?;
     print_results(&ran);
-    let served: usize = (0..CLASSES.len()).map(|i| ran.load.count(i, Seen::Served)).sum();
-    let all = ran.load.done.borrow().len();
+    let served: usize = (0..CLASSES.len()).map(|i| ran.load.count(i, ClientOutcome::Served)).sum();
+    let all = ran.load.finished.borrow().len();
     println!(
         "{served} of {all} requests served; logs, records and configurations are in {}",
         directory.display()
--- a/src/cli/lab/gossip_cost.rs
+++ b/src/cli/lab/gossip_cost.rs
@@ -3,7 +3,7 @@
 use super::super::error::CommandError;
 use super::play::{load_timeline, play_timeline_with};
 use std::path::Path;
-use wharfplank::lab::load::Seen;
+use wharfplank::lab::load::ClientOutcome;
 use wharfplank::lab::timeline;
 
 /// Seconds of load.
@@ -19,15 +19,15 @@
     timeline.seconds = SECONDS;
     timeline.proxies = proxies.max(6) + 1;
     let ran = play_timeline_with(&timeline, directory, |_| false, Some(before))?;
-    let done = ran.load.done.borrow();
+    let done = ran.load.finished.borrow();
     println!(
         "{:<10} {:>8} {:>8} {:>8} {:>8} {:>10} {:>10}",
         "talk", "served", "p50 ms", "p99 ms", "p99.9", "serving us", "all us"
     );
     for (number, name) in ["off", "before", "now"].iter().enumerate() {
         let own: Vec<_> = done.iter().filter(|d| d.proxy == number).collect();
-        let served = own.iter().filter(|d| d.seen == Seen::Served);
-        let mut times: Vec<i64> = served.map(|d| d.at - d.due).collect();
+        let served = own.iter().filter(|d| d.outcome == ClientOutcome::Served);
+        let mut times: Vec<i64> = served.map(|d| d.finished_at - d.due_at).collect();
         times.sort_unstable();
         let part =
             |per_mille: usize| times.get(times.len() * per_mille / 1000).map_or(0.0, |t| *t as f64 / 1000.0);
--- a/src/cli/lab/incident.rs
+++ b/src/cli/lab/incident.rs
@@ -5,7 +5,7 @@
 use super::play::{load_timeline, play_timeline, print_results};
 use std::path::Path;
 use wharfplank::incidents::{Incident, Kind};
-use wharfplank::lab::load::Seen;
+use wharfplank::lab::load::ClientOutcome;
 use wharfplank::lab::member_model::CLASSES;
 use wharfplank::lab::run::{within, Ran};
 use wharfplank::lab::timeline::{self, Timeline};
@@ -115,8 +115,8 @@
 /// Answers by proxy and class must be what the load counted, but for those in a gap, which are unknown.
 fn compare_answers(ran: &Ran, facts: &Facts) -> Vec<String> {
     let mut faults = Vec::new();
-    let done = ran.load.done.borrow();
-    for (number, _) in ran.load.proxies.iter().enumerate() {
+    let done = ran.load.finished.borrow();
+    for (number, _) in ran.load.proxy_addresses.iter().enumerate() {
         let name = format!("n{number}");
         let Some(proxy) = facts.proxies.iter().find(|p| p.name == name) else {
             faults.push(format!("no records of {name}"));
@@ -124,28 +124,31 @@
         };
         for (i, class) in CLASSES.iter().enumerate() {
             let recorded = proxy.classes.get(class.name).cloned().unwrap_or_default();
-            let count = |span: (Micros, Micros), seen: Seen| {
-                within(&done, number, span).filter(|d| d.class == i && d.seen == seen).count() as u64
+            let count = |span: (Micros, Micros), outcome: ClientOutcome| {
+                within(&done, number, span).filter(|d| d.class == i && d.outcome == outcome).count() as u64
             };
             let ever = (0, Micros::MAX);
             let kinds = [
-                (Seen::Served, recorded.served + recorded.late),
-                (Seen::Refused, recorded.rejected.values().sum()),
-                (Seen::Failed, recorded.failed.values().sum()),
+                (ClientOutcome::Served, recorded.served + recorded.late),
+                (ClientOutcome::Rejected, recorded.rejected.values().sum()),
+                (ClientOutcome::Failed, recorded.failed.values().sum()),
             ];
-            for (seen, recorded) in kinds {
-                let counted = count(ever, seen);
+            for (outcome, recorded) in kinds {
+                let counted = count(ever, outcome);
                 // An answer may be on its way to its client, or back, at a gap's edge.
-                let unknown: u64 =
-                    proxy.gaps.iter().map(|g| count((g.from - SECOND / 20, g.to + SECOND / 20), seen)).sum();
+                let unknown: u64 = proxy
+                    .gaps
+                    .iter()
+                    .map(|g| count((g.from - SECOND / 20, g.to + SECOND / 20), outcome))
+                    .sum();
                 let edge = proxy.gaps.len() as u64;
                 // What a client gave up on may have been answered all the same.
-                let late = count(ever, Seen::Nothing) + count(ever, Seen::Broken);
+                let late = count(ever, ClientOutcome::TimedOut) + count(ever, ClientOutcome::ConnectionLost);
                 if counted > recorded + unknown || recorded > counted + late + edge {
-                    faults.push(format!("{name} {} {seen:?}: the load counted {counted}, recorded are {recorded}, unknown {unknown}", class.name));
+                    faults.push(format!("{name} {} {outcome}: the load counted {counted}, recorded are {recorded}, unknown {unknown}", class.name));
                 }
                 if unknown > 0 {
-                    println!("answers  {name} {} {seen:?}: {counted} counted, {recorded} recorded, {unknown} in a gap", class.name);
+                    println!("answers  {name} {} {outcome}: {counted} counted, {recorded} recorded, {unknown} in a gap", class.name);
                 }
             }
         }
--- a/src/cli/lab/play.rs
+++ b/src/cli/lab/play.rs
@@ -4,7 +4,7 @@
 use super::{create_directory, current_program};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::{Path, PathBuf};
-use wharfplank::lab::load::Seen;
+use wharfplank::lab::load::ClientOutcome;
 use wharfplank::lab::member_model::CLASSES;
 use wharfplank::lab::run::{play, Place, Ran};
 use wharfplank::lab::timeline::{self, Timeline};
@@ -57,24 +57,26 @@
     );
     for (i, class) in CLASSES.iter().enumerate() {
         let count = |seen| ran.load.count(i, seen);
-        let none = count(Seen::Unreachable) + count(Seen::Broken) + count(Seen::Nothing);
-        let times = ran.load.times(i);
+        let none = count(ClientOutcome::Unreachable)
+            + count(ClientOutcome::ConnectionLost)
+            + count(ClientOutcome::TimedOut);
+        let times = ran.load.latencies(i);
         let ms = |value: u64| value as f64 / 1000.0;
         println!(
             "{:<14} {:>7} {:>7} {:>7} {none:>7} {:>8.1} {:>8.1} {:>8.1}",
             class.name,
-            count(Seen::Served),
-            count(Seen::Refused),
-            count(Seen::Failed),
+            count(ClientOutcome::Served),
+            count(ClientOutcome::Rejected),
+            count(ClientOutcome::Failed),
             ms(times.value_at_quantile(0.5)),
             ms(times.value_at_quantile(0.99)),
             ms(times.max())
         );
     }
-    if ran.load.held_back.get() > 0 {
+    if ran.load.dropped_requests.get() > 0 {
         println!(
             "{} requests were held back: the load was more than could be kept open",
-            ran.load.held_back.get()
+            ran.load.dropped_requests.get()
         );
     }
 }
--- a/src/cli/lab/trials.rs
+++ b/src/cli/lab/trials.rs
@@ -5,7 +5,7 @@
 use super::current_program;
 use super::play::{load_timeline, play_timeline};
 use std::path::Path;
-use wharfplank::lab::load::Seen;
+use wharfplank::lab::load::ClientOutcome;
 use wharfplank::lab::timeline;
 use wharfplank::lab::trials;
 
@@ -15,11 +15,11 @@
     timeline.rate = 1200;
     timeline.seconds = 20;
     let ran = play_timeline(&timeline, directory, |number| number == 0)?;
-    let done = ran.load.done.borrow();
+    let done = ran.load.finished.borrow();
     let mut each = Vec::new();
     for (number, name) in ["recording", "not recording"].iter().enumerate() {
         let own: Vec<_> = done.iter().filter(|d| d.proxy == number).collect();
-        let served = own.iter().filter(|d| d.seen == Seen::Served).count();
+        let served = own.iter().filter(|d| d.outcome == ClientOutcome::Served).count();
         let used =
             ran.used.get(number).ok_or_else(|| CommandError::failed("the system tells no CPU time"))?;
         let (memory, micros) = (used.memory, used.cpu * 1e6 / own.len().max(1) as f64);
