--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -1,9 +1,20 @@
 //! The life of an attempt: sending it, ending it from this side, and handling the driver's report.
 
+use super::attempt_table::{AttemptKey, FinishedAttempt, InFlightAttempt};
 use super::health_checks::role;
-use super::*;
+use super::{Broker, MAX_POSITION_AHEAD};
+use crate::activity_counts;
+use crate::config::SEND_MARGIN;
 use std::cell::Cell;
-use wharfplank_transport::member_pool::{AttemptCompletion, AttemptLimits, MemberPool};
+use std::rc::Rc;
+use wharfplank_protocol::pipeline::FinalResponse;
+use wharfplank_routing::{
+    self as routing, AttemptNo, AttemptOutcome, AttemptResult, HostId, Micros, RequestId,
+};
+use wharfplank_transport::member_pool::{
+    AttemptCompletion, AttemptLimits, AttemptReport, AttemptStage, MemberPool,
+};
+use wharfplank_transport::ProxyEvent;
 
 /// How long before the end of [`SEND_MARGIN`] the last byte of a request must be written.
 const WRITE_MARGIN: Micros = 500;
@@ -26,7 +37,8 @@
             return self.report_not_sent(now, key, host);
         };
         let Some(request) = self.requests.get(id) else { return };
-        let write = self.negative_cache.begin(now, key.into(), request.class, request.touched_key.as_ref());
+        let write =
+            self.negative_cache.begin_attempt(now, key.into(), request.class, request.touched_key.as_ref());
         let Ok(write_until) = write else {
             return self.report_not_sent(now, key, host);
         };
@@ -49,7 +61,7 @@
             is_retry && self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.try_spend_retry());
         let may_send = key.number < self.attempt_policy.max_attempts
             && !is_denied
-            && request.responses.is_awaited(request.ticket);
+            && request.responses.is_awaited(request.number);
         self.endpoints.members.get(&host).filter(|_| may_send).cloned()
     }
 
@@ -74,8 +86,8 @@
         let Some(request) = self.requests.get(key.request) else { return };
         let stage: Rc<Cell<AttemptStage>> = Rc::default();
         let responses = Rc::clone(&request.responses);
-        let ticket = request.ticket;
-        let is_awaited = move || responses.is_awaited_now(ticket);
+        let number = request.number;
+        let is_awaited = move || responses.is_awaited_now(number);
         let work =
             Rc::clone(member).attempt(Rc::clone(&request.statement), Rc::clone(&stage), limits, is_awaited);
         let events = self.events.clone();
@@ -117,7 +129,7 @@
     /// Tells gossip and the negative cache how an attempt ended: a write may now be settled, or in doubt.
     pub(super) fn note_attempt_ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         self.gossip.on_attempt_finished(self.clock.now(), key.request, outcome);
-        self.negative_cache.ended(self.clock.now(), key.into(), outcome);
+        self.negative_cache.on_attempt_finished(self.clock.now(), key.into(), outcome);
     }
 
     /// Handles the driver's report of an attempt: the complete answer, its first bytes, or the failure.
@@ -143,7 +155,7 @@
         self.gossip.report_reachability(attempt.host, attempt.sent_at, outcome);
         let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
         self.gossip.report_position(self.clock.now(), attempt.host, result.position);
-        self.negative_cache.learned(attempt.host, result.position);
+        self.negative_cache.on_position(attempt.host, result.position);
         self.notify_router(routing::Event::AttemptFinished(result));
     }
 
--- a/crates/proxy/src/broker/handover/mod.rs
+++ b/crates/proxy/src/broker/handover/mod.rs
@@ -4,14 +4,18 @@
 mod peer;
 mod state;
 
-use super::*;
+use crate::broker::Broker;
+use crate::log;
 use async_executor::Task;
 use async_io::Async;
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
+use std::rc::Rc;
 use wharfplank_admin::{
     Command, CommandId, ConnectionCounts, Cordons, Handover, HandoverMessage, MemberKnowledge,
 };
+use wharfplank_routing::Micros;
+use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::handover::{HandoverLink, Inherited, RendezvousSocket};
 
 /// How often the new process is told how many connections the old one holds.
@@ -117,7 +121,7 @@
     /// Continues with the state of the process that this one replaces.
     fn take_over(&mut self, handover: &mut HandoverController, inherited: Inherited) {
         let state = inherited.state.clone();
-        log::replacement("replaces another", state.cordoned.len());
+        log::handover_step("replaces another", state.cordoned.len());
         self.endpoints.cordons = Cordons::restore(state.cordoned, state.uncordoned_at);
         handover.inherited_observations = state.members;
         handover.state = Handover::successor_of(state.connections);
@@ -129,7 +133,7 @@
         match RendezvousSocket::bind(path) {
             Ok(socket) => Some(self.pools.executor.spawn(socket.accept_requests(self.events.clone()))),
             Err(error) => {
-                log::replacement(&format!("cannot be replaced: {}: {error}", path.display()), 0);
+                log::handover_step(&format!("cannot be replaced: {}: {error}", path.display()), 0);
                 None
             }
         }
--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -1,8 +1,11 @@
 //! Health checks of members: starting them, and reading their load reports.
 
-use super::*;
+use super::{Broker, MAX_POSITION_AHEAD};
+use std::rc::Rc;
+use std::time::Duration;
 use wharfplank_protocol::load_report::{self, ReportValue};
-use wharfplank_routing::ProbeResult;
+use wharfplank_routing::{self as routing, AttemptOutcome, HostId, Micros, ProbeResult, Role};
+use wharfplank_transport::ProxyEvent;
 
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
@@ -33,7 +36,7 @@
         self.recorder.record_health_check(host, result.answered);
         let position = result.position.filter(|_| result.answered);
         self.gossip.report_position(self.clock.now(), host, position);
-        self.negative_cache.learned(host, position);
+        self.negative_cache.on_position(host, position);
         let sent_at = self.clock.now() - HEALTH_CHECK_TIMEOUT.as_micros() as Micros;
         self.gossip.report_reachability(
             host,
