--- a/crates/negative-cache/src/cache.rs
+++ b/crates/negative-cache/src/cache.rs
@@ -1,4 +1,4 @@
-//! The negative cache of one proxy: its entries, and the closed timestamps by which they advance.
+//! The negative cache of one proxy: its entries and the closed timestamps that advance them.
 
 use crate::{
     Announcement, ClosedTimestamps, EntryTable, Freshness, Lookup, LookupResult, Micros, MissReason,
@@ -6,20 +6,21 @@
 };
 use std::collections::VecDeque;
 
-/// The bound on announcements that wait to be sent; past it the oldest is dropped.
-const MAX_WAITING_ANNOUNCEMENTS: usize = 1_024;
+/// Maximum number of announcements queued for sending. When the queue is full, the oldest is dropped.
+const MAX_QUEUED_ANNOUNCEMENTS: usize = 1_024;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Counters of what a negative cache did.
+/// Counters of a negative cache's operations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Reads answered from the cache.
     pub hits: u64,
-    /// Reads for which a member had to be asked.
+    /// Reads that had to be sent to a member.
     pub misses: u64,
-    /// Entries rejected: expired, too old to be of use, or of a position ahead of this clock.
+    /// Entries rejected because they were expired, too old to be useful, or had a position ahead of the local
+    /// clock.
     pub rejected: u64,
-    /// Entries not announced to other proxies because there were too many.
+    /// Entries not announced to other proxies because the rate limit or the queue limit was reached.
     pub unannounced: u64,
 }
 
@@ -29,16 +30,16 @@
     entries: EntryTable,
     closed_timestamps: ClosedTimestamps,
     announcements: VecDeque<Announcement>,
-    /// The second in which announcements are counted, and their number.
+    /// The second that `announced_in_second` refers to.
     announcement_second: Micros,
     announced_in_second: u32,
-    /// What was done.
+    /// Counters of the cache's operations.
     pub stats: Stats,
 }
 
 impl NegativeCache {
-    /// Creates an empty cache of a fleet with so many lease servers. Without any, an entry answers reads for as long as
-    /// its own position allows.
+    /// Creates an empty cache for a fleet with `servers` lease servers. Without lease servers entries never
+    /// advance, so an entry answers reads only as long as its original position allows.
     pub fn new(config: NegativeCacheConfig, servers: usize, now: Micros) -> NegativeCache {
         let entries = EntryTable::new(config.max_frequent_entries, config.max_recent_entries);
         let closed_timestamps = ClosedTimestamps::new(config.clone(), servers, now);
@@ -53,10 +54,10 @@
         }
     }
 
-    /// Looks up whether the key of a read is known to be missing in a state that is new enough.
+    /// Looks up whether the key of a read is known to be missing in a state that is fresh enough.
     pub fn lookup(&mut self, now: Micros, lookup: &Lookup, freshness: Freshness) -> LookupResult {
         let result = match self.needed_position(now, freshness) {
-            Ok(needed) => self.lookup_from(now, lookup, needed),
+            Ok(needed) => self.lookup_at_least(now, lookup, needed),
             Err(reason) => LookupResult::Miss(reason),
         };
         match result {
@@ -66,18 +67,18 @@
         result
     }
 
-    /// The least position of a state that is new enough, if there is one for which no member need be asked.
+    /// Returns the lowest position that is fresh enough, or why the read must go to a member.
     fn needed_position(&self, now: Micros, freshness: Freshness) -> Result<Micros, MissReason> {
         match freshness {
             Freshness::Any => Ok(Micros::MIN),
-            // The clock that stamps commits may be ahead of this one.
+            // The clock that stamps commits may be ahead of the local clock.
             Freshness::MaxStaleness(age) => Ok(now + self.config.max_clock_skew - age),
             Freshness::Session(position) => position.ok_or(MissReason::SessionPositionUnknown),
             Freshness::Latest => Err(MissReason::LatestRequired),
         }
     }
 
-    fn lookup_from(&mut self, now: Micros, lookup: &Lookup, needed: Micros) -> LookupResult {
+    fn lookup_at_least(&mut self, now: Micros, lookup: &Lookup, needed: Micros) -> LookupResult {
         let closed_timestamps = &self.closed_timestamps;
         let result = self.entries.access(lookup.statement, |entry| {
             if now >= entry.expires_at {
@@ -103,8 +104,9 @@
 
     /// Records that a member answered "no row".
     ///
-    /// `position` is one that the member had applied when it read, rounded down. `lookup` is as of when the statement was
-    /// sent: if the group has another primary since, the answer is useless, and the caller drops it.
+    /// `position` is a position that the member had applied when it executed the read, rounded down. `lookup`
+    /// is the lookup made when the statement was sent. If the group's primary has changed since, the answer
+    /// is unusable and the caller must drop it.
     pub fn record_missing(&mut self, now: Micros, lookup: &Lookup, position: Micros, response: u32) {
         let entry = NegativeEntry {
             position,
@@ -114,7 +116,7 @@
             response,
         };
         let known_primary = self.entries.access(lookup.statement, |known| known.primary);
-        // An entry of another primary makes room whatever its position.
+        // An entry recorded under another primary is replaced regardless of its position.
         if known_primary.is_some_and(|primary| primary != lookup.primary) {
             self.entries.remove(lookup.statement);
         }
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Queues an announcement. Those of statements that were looked up once, which may be an attacker's, are limited to
-    /// so many a second.
+    /// Queues an announcement. Announcements of statements that were looked up only once are rate-limited,
+    /// because an attacker can cause any number of them.
     fn announce(&mut self, now: Micros, announcement: Announcement, is_first_lookup: bool) {
         let second = now.div_euclid(MICROS_PER_SECOND);
         if second != self.announcement_second {
@@ -139,7 +141,7 @@
                 return;
             }
         }
-        if self.announcements.len() >= MAX_WAITING_ANNOUNCEMENTS {
+        if self.announcements.len() >= MAX_QUEUED_ANNOUNCEMENTS {
             self.stats.unannounced += 1;
             self.announcements.pop_front();
         }
@@ -151,7 +153,7 @@
         self.entries.remove(lookup.statement);
     }
 
-    /// Handles an announcement of another proxy. Returns whether it is new, and so worth to be passed on.
+    /// Handles an announcement from another proxy. Returns whether it was new and should be forwarded.
     pub fn on_announcement(&mut self, now: Micros, announcement: &Announcement) -> bool {
         let expires_at = announcement.entry.expires_at.min(now + self.config.entry_ttl);
         let entry = NegativeEntry { expires_at, ..announcement.entry };
@@ -169,29 +171,29 @@
         self.entries.insert(statement, entry)
     }
 
-    /// Takes at most `max` announcements for the other proxies, oldest first.
+    /// Removes and returns up to `max` queued announcements for the other proxies, oldest first.
     pub fn take_announcements(&mut self, max: usize) -> Vec<Announcement> {
         let count = max.min(self.announcements.len());
         self.announcements.drain(..count).collect()
     }
 
-    /// Handles a server's seal. Returns whether it is new, and so worth to be passed on.
+    /// Handles a slot sealed by a server. Returns whether the seal was new and should be forwarded.
     pub fn on_sealed_slot(&mut self, now: Micros, seal: &SealedSlot) -> bool {
         self.closed_timestamps.apply(now, seal)
     }
 
-    /// Merges all that another proxy knows of the servers' seals.
+    /// Merges another proxy's closed timestamps into those of this proxy.
     pub fn merge_closed_timestamps(&mut self, now: Micros, other: &ClosedTimestamps) {
         self.closed_timestamps.advance(now);
         self.closed_timestamps.merge(other);
     }
 
-    /// What is known of the servers' seals.
+    /// Returns the closed timestamps known to this proxy.
     pub fn closed_timestamps(&self) -> &ClosedTimestamps {
         &self.closed_timestamps
     }
 
-    /// The entries.
+    /// Returns the table of entries.
     pub fn entries(&mut self) -> &mut EntryTable {
         &mut self.entries
     }
--- a/crates/negative-cache/src/closed_timestamps.rs
+++ b/crates/negative-cache/src/closed_timestamps.rs
@@ -1,13 +1,14 @@
-//! The closed timestamps of the fleet: which slots all lease servers have sealed, and which keys were written in them.
+//! The closed timestamps of the fleet: the slots that all lease servers have sealed and the keys written in
+//! them.
 
 use crate::{KeyHash, Micros, NegativeCacheConfig, SealedSlot, Slot, SlotWindow, WINDOW_SLOTS};
 use hashbrown::HashMap;
 
-/// The bound on keys. Past it, every key counts as written in the slot of a new one; from half of it on, the older half
-/// of the slots is forgotten first.
+/// Maximum number of tracked keys. When it is reached, a new key makes every key count as written in that
+/// key's slot. Above half of it, each purge discards the keys of the older half of the slots.
 pub const MAX_TRACKED_KEYS: usize = 1 << 18;
 
-/// How many slots pass between two purges of keys.
+/// Number of slots between two purges of tracked keys.
 const PURGE_INTERVAL_SLOTS: i64 = WINDOW_SLOTS / 8;
 
 /// The slots that one server has sealed.
@@ -17,29 +18,30 @@
     sealed: SlotWindow,
 }
 
-/// What one proxy knows of the slots that all servers have sealed.
+/// One proxy's view of the slots that all servers have sealed.
 ///
-/// Every part merges by a maximum, so seals may arrive in any order, and more than once.
+/// Every part is merged by taking a maximum, so seals may arrive in any order and more than once.
 #[derive(Clone, Debug)]
 pub struct ClosedTimestamps {
     config: NegativeCacheConfig,
     servers: Vec<ServerSeals>,
     /// The slots that all servers have sealed.
     sealed_by_all: SlotWindow,
-    /// All slots from this one up to the window were sealed by all servers, and the keys written in them are still known.
+    /// All slots from this one up to the start of the window were sealed by all servers, and the keys written
+    /// in them are still tracked.
     contiguous_from: Slot,
-    /// The newest slot in which a key was written.
+    /// The newest slot in which each key was written.
     last_written: HashMap<KeyHash, Slot, foldhash::fast::FixedState>,
     /// The newest slot in which every key counts as written.
     all_keys_written: Slot,
-    /// The first slot of the window when keys were last purged.
-    purged_at: Slot,
-    /// How many seals were rejected: from an unknown server, or of a slot ahead of this clock.
+    /// The first slot of the window at the time of the last purge.
+    last_purge_slot: Slot,
+    /// Number of seals rejected because the server is unknown or the slot is ahead of the local clock.
     pub rejected: u64,
 }
 
 impl PartialEq for ClosedTimestamps {
-    /// Compares what is replicated.
+    /// Compares only the replicated state.
     fn eq(&self, other: &ClosedTimestamps) -> bool {
         self.servers == other.servers
             && self.sealed_by_all == other.sealed_by_all
@@ -49,7 +51,7 @@
 }
 
 impl ClosedTimestamps {
-    /// Creates the state of a proxy that has heard of no seal. Without servers no slot is ever closed.
+    /// Creates the state of a proxy that has received no seals. With zero servers, no slot is ever closed.
     pub fn new(config: NegativeCacheConfig, servers: usize, now: Micros) -> ClosedTimestamps {
         let first = first_window_slot(&config, now);
         let unsealed = ServerSeals { incarnation: Micros::MIN, sealed: SlotWindow::new(first) };
@@ -60,19 +62,20 @@
             contiguous_from: first,
             last_written: HashMap::default(),
             all_keys_written: Slot::MIN,
-            purged_at: first,
+            last_purge_slot: first,
             rejected: 0,
         }
     }
 
-    /// Moves the window forward, and forgets what is too old to be used.
+    /// Moves the window forward and discards state that is too old to be used.
     pub fn advance(&mut self, now: Micros) {
         let old_first = self.sealed_by_all.first();
         let first = first_window_slot(&self.config, now);
         if first <= old_first {
             return;
         }
-        // A slot that leaves the window unsealed is a gap for good: no entry from before it advances any more.
+        // A slot that leaves the window unsealed is a permanent gap: entries from before it can no longer
+        // advance.
         if first - old_first > WINDOW_SLOTS {
             self.contiguous_from = first;
         } else if let Some(gap) = self.newest_gap(old_first, first) {
@@ -82,19 +85,19 @@
             server.sealed.advance_to(first);
         }
         self.sealed_by_all.advance_to(first);
-        if first - self.purged_at >= PURGE_INTERVAL_SLOTS {
+        if first - self.last_purge_slot >= PURGE_INTERVAL_SLOTS {
             self.purge(first);
         }
     }
 
-    /// The newest slot of a range that not all servers have sealed.
+    /// Returns the newest slot in `from..to` that not all servers have sealed.
     fn newest_gap(&self, from: Slot, to: Slot) -> Option<Slot> {
         (from..to).rev().find(|slot| !self.sealed_by_all.contains(*slot))
     }
 
-    /// Forgets the keys written in slots that no entry can cross any more.
+    /// Discards the keys written in slots that no entry can cross any more.
     fn purge(&mut self, first: Slot) {
-        self.purged_at = first;
+        self.last_purge_slot = first;
         let entry_ttl_slots = self.config.entry_ttl / self.config.slot_length;
         let mut oldest = self.contiguous_from.max(first - entry_ttl_slots);
         if self.last_written.len() > MAX_TRACKED_KEYS / 2 {
@@ -105,7 +108,7 @@
         self.last_written.retain(|_, slot| *slot >= oldest);
     }
 
-    /// Applies a server's seal. Returns whether it is new.
+    /// Applies a slot sealed by a server. Returns whether the seal was new.
     pub fn apply(&mut self, now: Micros, seal: &SealedSlot) -> bool {
         self.advance(now);
         let is_ahead = self.config.slot_end(seal.slot) > now.saturating_add(self.config.max_clock_skew);
@@ -115,13 +118,13 @@
             return false;
         }
         let server = &mut self.servers[index];
-        // A newer incarnation replaces the older one, whose seals do not count any more.
+        // A newer incarnation of a server invalidates the seals of the older one.
         if seal.incarnation > server.incarnation {
             let first = server.sealed.first();
             *server = ServerSeals { incarnation: seal.incarnation, sealed: SlotWindow::new(first) };
         }
         let is_unsealed = seal.incarnation == server.incarnation && !server.sealed.contains(seal.slot);
-        // The keys are recorded before the seal: no entry may cross a slot whose keys are not all known.
+        // Record the keys before the seal: no entry may cross a slot before all keys written in it are known.
         self.record_keys(seal);
         let is_new = is_unsealed && self.servers[index].sealed.insert(seal.slot);
         if is_new {
@@ -130,7 +133,7 @@
         is_new
     }
 
-    /// Merges all that another proxy knows.
+    /// Merges the closed timestamps of another proxy into this one.
     pub fn merge(&mut self, other: &ClosedTimestamps) {
         for (server, other_server) in self.servers.iter_mut().zip(&other.servers) {
             let first = server.sealed.first().max(other_server.sealed.first());
@@ -174,8 +177,9 @@
         }
     }
 
-    /// How far an entry may advance from its position: over all slots from its own on that every server has sealed
-    /// without a gap, if neither its key nor its whole group was written since. Takes a constant number of steps.
+    /// Returns the position up to which an entry may advance. It crosses the contiguous run of slots,
+    /// starting with its own, that every server has sealed, provided that neither its key nor its whole group
+    /// was written in that slot or later. Runs in constant time.
     pub fn advance_position(&self, position: Micros, key: KeyHash, whole_group: KeyHash) -> Micros {
         let slot = self.config.slot_after(position);
         let first = self.sealed_by_all.first();
@@ -195,18 +199,18 @@
         self.last_written.get(&key).is_some_and(|last| *last >= slot)
     }
 
-    /// The newest position to which an entry can advance.
+    /// Returns the newest position to which an entry can advance.
     pub fn horizon(&self) -> Option<Micros> {
         self.sealed_by_all.last().map(|slot| self.config.slot_end(slot))
     }
 
-    /// The number of keys whose last write is known.
+    /// Returns the number of keys whose last write is tracked.
     pub fn tracked_keys(&self) -> usize {
         self.last_written.len()
     }
 }
 
-/// The first slot of the window: the newest slot that may be sealed now is its last.
+/// Returns the first slot of the window whose last slot is the newest one that may be sealed now.
 fn first_window_slot(config: &NegativeCacheConfig, now: Micros) -> Slot {
     config.slot_of_commit(now) - WINDOW_SLOTS + 2
 }
--- a/crates/negative-cache/src/config.rs
+++ b/crates/negative-cache/src/config.rs
@@ -1,29 +1,29 @@
-//! The configuration that all proxies and lease servers of a fleet share, and the arithmetic of slots that follows
-//! from it.
+//! The configuration shared by all proxies and lease servers of a fleet, and the slot arithmetic based on it.
 
 use crate::{Micros, Slot};
 
-/// The configuration of the whole fleet: it must be equal on all proxies and lease servers.
+/// The configuration of the whole fleet. It must be identical on all proxies and lease servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NegativeCacheConfig {
     /// The length of a slot.
     pub slot_length: Micros,
-    /// The greatest difference between any two clocks, including those of members, which stamp commits.
+    /// The maximum difference between any two clocks, including those of members, which stamp commits.
     pub max_clock_skew: Micros,
-    /// How long a write lease lasts, by the server's clock, from when the request arrived.
+    /// The duration of a write lease, measured by the server's clock from the arrival of the request.
     pub lease_duration: Micros,
-    /// How often a holder sends a request to each lease server.
+    /// The interval at which a holder sends a request to each lease server.
     pub renewal_interval: Micros,
-    /// A write commits no later than this after its first byte was sent, whether or not its answer arrives: the members'
-    /// time-out of statements and the connections' time-out of unacknowledged bytes together, or more.
+    /// The maximum time from sending the first byte of a write to its commit, whether or not a response
+    /// arrives. It must be at least the members' statement timeout plus the connections' timeout for
+    /// unacknowledged data.
     pub max_commit_delay: Micros,
-    /// How long an entry lives after a member's answer.
+    /// The lifetime of an entry, measured from the member's response.
     pub entry_ttl: Micros,
-    /// The bound on entries that were looked up more than once.
+    /// The maximum number of entries that were looked up more than once.
     pub max_frequent_entries: usize,
-    /// The bound on entries that were looked up once, for each of their two generations.
+    /// The maximum number of entries that were looked up once, in each of their two generations.
     pub max_recent_entries: usize,
-    /// The bound on announcements a second to other proxies of entries that were looked up once.
+    /// The maximum number of entries looked up once that are announced to other proxies per second.
     pub max_announcements_per_second: u32,
 }
 
@@ -44,33 +44,36 @@
 }
 
 impl NegativeCacheConfig {
-    /// The slot of a commit at this position.
+    /// Returns the slot of a commit at this position.
     pub fn slot_of_commit(&self, commit: Micros) -> Slot {
         (commit - 1).div_euclid(self.slot_length)
     }
 
-    /// The first slot that an entry at this position has to cross: that of the first commit after it.
+    /// Returns the first slot that an entry at this position has to cross, which is that of the next possible
+    /// commit.
     pub fn slot_after(&self, position: Micros) -> Slot {
         position.div_euclid(self.slot_length)
     }
 
-    /// The last position of a slot.
+    /// Returns the last position of a slot.
     pub fn slot_end(&self, slot: Slot) -> Micros {
         (slot + 1) * self.slot_length
     }
 
-    /// Whether no write that begins from now on, by this clock, can commit in the slot or before it.
+    /// Returns whether no write that begins at or after `now`, by the local clock, can commit in the slot or
+    /// an earlier one.
     pub fn is_past(&self, now: Micros, slot: Slot) -> bool {
         now - self.max_clock_skew > self.slot_end(slot)
     }
 
-    /// How long a holder may rely on a lease from when it sent the request. The clocks of holder and server may each be
-    /// off by `max_clock_skew` in the worse direction at either end.
+    /// Returns how long a holder may rely on a lease, measured from sending the request. The skew counts
+    /// twice because the clocks of holder and server may differ by `max_clock_skew` in the unfavorable
+    /// direction both when the lease starts and when it ends.
     pub fn safe_lease_duration(&self) -> Micros {
         self.lease_duration - 2 * self.max_clock_skew
     }
 
-    /// The last slot in which a write may commit that began, by this clock, no later than now.
+    /// Returns the last slot in which a write may commit that began no later than `now` by the local clock.
     pub fn last_commit_slot(&self, now: Micros) -> Slot {
         self.slot_of_commit(now + self.max_clock_skew + self.max_commit_delay)
     }
--- a/crates/negative-cache/src/entries.rs
+++ b/crates/negative-cache/src/entries.rs
@@ -7,33 +7,35 @@
 use quick_cache::{OptionsBuilder, UnitWeighter};
 use serde::{Deserialize, Serialize};
 
-/// A negative cache entry: a member answered "no row" from a state that holds every commit up to `position`.
+/// A negative cache entry: a member answered "no row" from a state that contains every commit up to
+/// `position`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NegativeEntry {
-    /// The position up to which it is known that there was no row.
+    /// The position up to which the key is known to have had no row.
     pub position: Micros,
-    /// When the entry expires, however far it has advanced.
+    /// When the entry expires, no matter how far its position has advanced.
     #[serde(rename = "ends")]
     pub expires_at: Micros,
-    /// The key that the statement asks for, as writes name it.
+    /// The key that the statement queries, hashed as in writes.
     #[serde(rename = "mark")]
     pub key: KeyHash,
-    /// The primary that the group had, by the caller's number: positions of two primaries are not comparable.
+    /// The primary of the group when the entry was recorded, as numbered by the caller. Positions of
+    /// different primaries are not comparable.
     pub primary: u32,
-    /// The hash of the member's response, which is the same on all proxies.
+    /// The hash of the member's response, which is identical on all proxies.
     #[serde(rename = "answer")]
     pub response: u32,
 }
 
 impl NegativeEntry {
-    /// Whether the entry replaces another of the same statement: the newer position wins, and among equal positions any
-    /// rule will do that is the same on all proxies.
+    /// Returns whether the entry replaces another entry of the same statement. The newer position wins. Ties
+    /// are broken by an arbitrary order that is the same on all proxies.
     fn replaces(&self, other: &NegativeEntry) -> bool {
         (self.position, self.primary, self.response) > (other.position, other.primary, other.response)
     }
 }
 
-/// An entry as proxies announce it to each other.
+/// An entry in the form in which proxies announce it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The statement.
@@ -44,7 +46,7 @@
     pub entry: NegativeEntry,
 }
 
-/// The number of entries in a table.
+/// The numbers of entries in a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryCounts {
     /// Entries that were looked up more than once.
@@ -55,41 +57,43 @@
 
 type Generation = HashMap<StatementHash, NegativeEntry, FixedState>;
 
-/// The table of entries by their statement.
+/// A bounded table of entries, keyed by statement.
 ///
-/// A new entry goes into the younger of two generations of bounded size; when the younger is full, the older one is
-/// dropped. Only an entry that is looked up moves to the large table, from which entries are evicted by CLOCK-Pro as the
-/// `quick_cache` crate implements it: one that was not looked up again goes before one that was.
+/// A new entry is inserted into the younger of two generations of bounded size. When the younger generation
+/// is full, the older one is dropped. An entry moves to the large table of frequent entries only when it is
+/// looked up. That table evicts by CLOCK-Pro as implemented by the `quick_cache` crate: entries that were not
+/// looked up again are evicted before those that were.
 pub struct EntryTable {
     frequent: Cache<StatementHash, NegativeEntry, UnitWeighter, FixedState>,
     young: Generation,
     old: Generation,
-    max_generation: usize,
+    max_generation_len: usize,
 }
 
 impl EntryTable {
-    /// Creates an empty table of at most `max_frequent` entries that were looked up more than once, and of `max_recent`
-    /// in each generation of the others.
+    /// Creates an empty table with room for `max_frequent` entries that were looked up more than once, and
+    /// for `max_recent` other entries in each generation.
     pub fn new(max_frequent: usize, max_recent: usize) -> EntryTable {
-        // Half of the table is for entries that were looked up again since they came in, which a flood of random keys
-        // cannot take. As many evicted entries as the table holds are remembered by hash: one that comes back is hot.
+        // Half of the table is reserved for entries that were looked up again after insertion, so that a
+        // flood of random keys cannot take it over. The hashes of as many evicted entries as the table holds
+        // are remembered, and an entry that returns is treated as hot.
         let options = OptionsBuilder::new()
             .estimated_items_capacity(max_frequent)
             .weight_capacity(max_frequent as u64)
             .hot_allocation(0.5)
             .ghost_allocation(1.0)
             .build()
-            .expect("both capacities are given");
+            .expect("both capacities are set");
         let frequent = Cache::with_options(options, UnitWeighter, FixedState::default(), Default::default());
         EntryTable {
             frequent,
             young: Generation::default(),
             old: Generation::default(),
-            max_generation: max_recent.max(1),
+            max_generation_len: max_recent.max(1),
         }
     }
 
-    /// Looks an entry up, to be read and advanced by `access`. The call counts as a use of the entry.
+    /// Looks up an entry and passes it to `access`, which may advance it. Counts as a use of the entry.
     pub fn access<T>(
         &mut self,
         statement: StatementHash,
@@ -104,8 +108,8 @@
         Some(result)
     }
 
-    /// Inserts an entry unless the table has one of the same statement that is as good, in whatever order they come.
-    /// Returns whether the table changed.
+    /// Inserts an entry unless the table already has one of the same statement that takes precedence. The
+    /// outcome does not depend on the order of insertion. Returns whether the table changed.
     pub fn insert(&mut self, statement: StatementHash, entry: NegativeEntry) -> bool {
         if let Some(mut known) = self.frequent.peek_mut(&statement) {
             let is_replaced = entry.replaces(&known);
@@ -118,7 +122,7 @@
         if recent.is_some_and(|known| !entry.replaces(known)) {
             return false;
         }
-        if self.young.len() >= self.max_generation {
+        if self.young.len() >= self.max_generation_len {
             self.old = std::mem::take(&mut self.young);
         }
         self.old.remove(&statement);
@@ -126,7 +130,7 @@
         true
     }
 
-    /// Removes an entry: its key was found, or it has expired.
+    /// Removes an entry because its key was found, it has expired or the primary has changed.
     pub fn remove(&mut self, statement: StatementHash) {
         let is_removed =
             self.frequent.remove(&statement).is_some() || self.young.remove(&statement).is_some();
@@ -135,14 +139,15 @@
         }
     }
 
-    /// Removes all entries that have expired. Takes time in proportion to the table: not for the thread that serves.
+    /// Removes all expired entries. Takes time linear in the size of the table and must not be called on the
+    /// thread that serves requests.
     pub fn remove_expired(&mut self, now: Micros) {
         self.frequent.retain(|_, entry| entry.expires_at > now);
         self.young.retain(|_, entry| entry.expires_at > now);
         self.old.retain(|_, entry| entry.expires_at > now);
     }
 
-    /// The number of entries.
+    /// Returns the numbers of entries.
     pub fn counts(&self) -> EntryCounts {
         EntryCounts { frequent: self.frequent.len(), recent: self.young.len() + self.old.len() }
     }
--- a/crates/negative-cache/src/lib.rs
+++ b/crates/negative-cache/src/lib.rs
@@ -1,32 +1,41 @@
-//! A negative cache: keys that are known to be missing, shared by all proxies, and used for reads by position as every
-//! other state is. An entry is (group, key, position): the key had no row in a state that holds every commit up to there.
+//! A negative cache: keys that are known to be missing, shared by all proxies of a fleet.
 //!
-//! The crate does no I/O: members' answers, datagrams and the time go in; results of look-ups and datagrams come out.
+//! An entry is a triple of group, key and position. It states that the key had no row in a database state
+//! that contains every commit up to the position. Whether an entry is new enough for a read is decided by its
+//! position, as for any other state.
 //!
-//! By itself, an entry answers a read with a bound on staleness for no longer than that bound. It lasts longer if it is
-//! proved that its key was not written since. To that end time is cut into slots of equal length:
+//! The crate performs no I/O. The caller passes in members' responses, received datagrams and the current
+//! time, and gets back lookup results and datagrams to send.
 //!
-//! 1. Each proxy records, for each slot, the keys of all its writes that may commit in the slot, and *closes* the slot
-//!    once no further write of its can.
-//! 2. A proxy may write only while it holds a lease of a lease server. The server *seals* a slot once all holders of its
-//!    leases have closed it, and no holder that gets a lease from now on can write in it.
-//! 3. Where all servers have sealed a slot, all entries advance over it whose keys were not written in it.
+//! On its own, an entry can answer reads with a staleness bound only until it is older than that bound. It
+//! stays usable for longer if its key is proven not to have been written since. For this, time is divided
+//! into slots of equal length:
 //!
-//! The parts:
+//! 1. For each slot, every proxy records the keys of all its writes that may commit in the slot. It *closes*
+//!    the slot once none of its later writes can commit in it.
+//! 2. A proxy may write only while it holds a lease from a lease server. The server *seals* a slot once every
+//!    holder of its leases has closed the slot and no holder that gets a lease later can write in it.
+//! 3. Entries advance past a slot that all servers have sealed, unless their key was written in it.
 //!
-//! - [`Node`]: all parts of one process, and its messages; the entry point of the crate.
-//! - [`NegativeCache`]: the cache of one proxy; [`Lookup`], [`Freshness`], [`LookupResult`]: its interface for reads.
+//! The main types:
+//!
+//! - [`Node`]: everything that one process needs, including its messages; the entry point of the crate.
+//! - [`NegativeCache`]: the cache of one proxy, queried with [`Lookup`] and [`Freshness`], which returns a
+//!   [`LookupResult`].
 //! - [`EntryTable`], [`NegativeEntry`]: the bounded table of entries.
-//! - [`PendingWrites`]: the writes of one proxy, and the slots that it has closed.
+//! - [`PendingWrites`]: the writes of one proxy and the slots that it has closed.
 //! - [`WriteLeases`], [`WriteLeaseServer`]: the two sides of a write lease.
-//! - [`ClosedTimestamps`]: which slots all servers have sealed, and what was written in them.
+//! - [`ClosedTimestamps`]: the slots that all servers have sealed and the keys written in them.
 //! - [`KeyHasher`]: keyed hashes of statements and keys.
 //!
-//! Positions are rounded down, and positions that reads need are rounded up. Clocks, including those of members, which
-//! stamp commits, may differ by [`NegativeCacheConfig::max_clock_skew`] at any time. See `docs/design/negative-cache.md`.
+//! Positions that are known are rounded down, and positions that reads need are rounded up. Clocks, including
+//! those of members, which stamp commits, may differ by up to [`NegativeCacheConfig::max_clock_skew`] at any
+//! time. See `docs/design/negative-cache.md`.
 //!
 //! ```
-//! use wharfplank_negative_cache::{Freshness, KeyHasher, Lookup, LookupResult, NegativeCache, NegativeCacheConfig};
+//! use wharfplank_negative_cache::{
+//!     Freshness, KeyHasher, Lookup, LookupResult, NegativeCache, NegativeCacheConfig,
+//! };
 //!
 //! let hasher = KeyHasher::new([7; 16]);
 //! let mut cache = NegativeCache::new(NegativeCacheConfig::default(), 1, 0);
@@ -67,9 +76,10 @@
     ClosedSlot, PendingWrites, WriteId, MAX_CLOSED_SLOTS_PER_REQUEST, MAX_KEYS_PER_CLOSED_SLOT, MAX_WRITES,
 };
 
-/// A time, a span of time or a log position, in microseconds; times and positions since the Unix epoch.
+/// A point in time, a duration or a log position, in microseconds. Points in time and positions count from
+/// the Unix epoch.
 pub type Micros = i64;
 
-/// A slot of positions: those after `slot * slot_length`, up to and with `(slot + 1) * slot_length`, see
-/// [`NegativeCacheConfig::slot_length`].
+/// The number of a slot. A slot covers the positions greater than `slot * slot_length`, up to and including
+/// `(slot + 1) * slot_length`, see [`NegativeCacheConfig::slot_length`].
 pub type Slot = i64;
--- a/crates/negative-cache/src/lookup.rs
+++ b/crates/negative-cache/src/lookup.rs
@@ -1,36 +1,38 @@
-//! What a read looks up, how new the answer must be, and the result.
+//! The input and the result of a lookup: the statement, the required freshness and the outcome.
 
 use crate::{KeyHash, KeyHasher, Micros, StatementHash};
 
-/// How new the state must be that answers a read.
+/// The freshness that a read requires of the state that answers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Any state will do.
+    /// Any state.
     Any,
-    /// A state at most this old.
+    /// A state that is at most this old.
     MaxStaleness(Micros),
-    /// A state with every commit up to the newest one that the read's session has made or seen; `None`: not known.
+    /// A state that contains every commit up to the newest one that the read's session has made or seen;
+    /// `None` if that position is unknown.
     Session(Option<Micros>),
-    /// A state with every write made before the read arrived.
+    /// A state that contains every write made before the read arrived.
     Latest,
 }
 
-/// A statement, and the one key that it asks for or writes.
+/// A statement and the single key that it reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lookup {
     /// The statement.
     pub statement: StatementHash,
-    /// The key, as writes name it.
+    /// The key, hashed as in writes.
     pub key: KeyHash,
-    /// All keys of the group.
+    /// The hash that stands for all keys of the group.
     pub whole_group: KeyHash,
-    /// The primary that the group has now, by a number on which all proxies agree: a hash of the member and its launch.
-    /// Entries of another primary are not used.
+    /// The current primary of the group, as a number on which all proxies agree: a hash of the member and its
+    /// start time. Entries recorded under another primary are not used.
     pub primary: u32,
 }
 
 impl Lookup {
-    /// Creates the look-up of a statement, without its leading comment, that names one key.
+    /// Creates the lookup of a statement that names a single key. `statement` is given without its leading
+    /// comment.
     pub fn new(hasher: &KeyHasher, group: u64, statement: &[u8], key: &[u8], primary: u32) -> Lookup {
         Lookup {
             statement: hasher.statement(group, statement),
@@ -41,30 +43,30 @@
     }
 }
 
-/// The result of a look-up.
+/// The result of a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupResult {
     /// The key is known to be missing.
     KnownMissing {
-        /// The state that this is known of holds every commit up to this position.
+        /// The key is missing in a state that contains every commit up to this position.
         position: Micros,
         /// The hash of the member's response.
         response: u32,
     },
-    /// A member must be asked.
+    /// The read must be sent to a member.
     Miss(MissReason),
 }
 
-/// Why a look-up found no usable entry.
+/// The reason why a lookup found no usable entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MissReason {
-    /// Only a member can answer a read that needs the latest state.
+    /// The read needs the latest state, which only a member has.
     LatestRequired,
-    /// The session's position is not known.
+    /// The position of the session is unknown.
     SessionPositionUnknown,
     /// There is no entry for the statement.
     NotCached,
-    /// The group has another primary than when the entry was made.
+    /// The primary of the group has changed since the entry was recorded.
     PrimaryChanged,
     /// The entry has expired.
     Expired,
--- a/crates/negative-cache/src/node/mod.rs
+++ b/crates/negative-cache/src/node/mod.rs
@@ -1,6 +1,7 @@
-//! One process of the fleet: its cache, its writes and leases, the lease server that it may be, and its messages.
-//! Holders send to the servers alone; servers pass seals and announcements on to all holders, so that what a process
-//! receives does not grow with the fleet.
+//! One process of the fleet: its cache, writes and leases, its lease server if it is one, and its messages.
+//!
+//! Holders send only to servers. Servers forward seals and announcements to all holders, so that the traffic
+//! received by a process does not grow with the size of the fleet.
 
 mod message;
 mod responses;
@@ -19,9 +20,9 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// The bound on announcements in one message.
+/// Maximum number of announcements in one message.
 const MAX_ANNOUNCEMENTS_PER_MESSAGE: usize = 32;
-/// The bound on datagrams that wait to be sent; past it new ones are dropped.
+/// Maximum number of datagrams queued for sending. When the queue is full, new datagrams are dropped.
 const MAX_OUTGOING: usize = 4_096;
 
 /// One process of the fleet.
@@ -33,19 +34,19 @@
     responses: ResponseTable,
     /// The writes of this process.
     pub writes: PendingWrites,
-    /// The leases by which this process may write.
+    /// The leases that allow this process to write.
     pub write_leases: WriteLeases,
     outgoing: VecDeque<(SocketAddrV4, Vec<u8>)>,
     next_due: Micros,
-    /// How many messages could not be decoded, or came from where they cannot come from.
+    /// Number of messages that could not be decoded or came from an unexpected sender.
     pub rejected_messages: u64,
-    /// How many messages were dropped because too many waited, or were too large.
+    /// Number of messages dropped because the queue was full or they were too large.
     pub dropped_messages: u64,
 }
 
 impl Node {
-    /// Creates a process that has just started. It is a lease server if `address` is among the addresses of `servers`.
-    /// `holder` is a number that no other process has or had.
+    /// Creates the state of a process that has just started. The process is a lease server if `address` is
+    /// among `servers`. `holder` must be unique among all processes, past and present.
     pub fn new(
         config: NegativeCacheConfig,
         hasher: KeyHasher,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Looks up a read. Returns a member's response if the read's key is known to be missing.
+    /// Looks up a read. Returns the response of a member if the key of the read is known to be missing.
     pub fn lookup(&mut self, now: Micros, lookup: &Lookup, freshness: Freshness) -> Option<Rc<[u8]>> {
         match self.cache.lookup(now, lookup, freshness) {
             LookupResult::KnownMissing { response, .. } => self.responses.get(response).cloned(),
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Records that a member answered "no row" with these bytes, see [`NegativeCache::record_missing`].
+    /// Records that a member answered "no row" with the response `bytes`, see
+    /// [`NegativeCache::record_missing`].
     pub fn record_missing(&mut self, now: Micros, lookup: &Lookup, position: Micros, bytes: &[u8]) {
         if let Some(response) = self.responses.insert(bytes) {
             self.cache.record_missing(now, lookup, position, response);
@@ -90,12 +92,12 @@
         self.cache.record_present(lookup);
     }
 
-    /// When [`Node::tick`] is next due.
+    /// Returns when [`Node::tick`] is next due.
     pub fn next_due(&self) -> Micros {
         self.next_due
     }
 
-    /// Does what is due: renews leases, seals slots, and announces entries.
+    /// Performs the periodic work if it is due: renews leases, seals slots and announces entries.
     pub fn tick(&mut self, now: Micros) {
         if now < self.next_due {
             return;
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Sends entries to be announced, each to one server, which passes them on. If that one is away, the others do not
-    /// learn of the entry, which costs them a look-up.
+    /// Sends each entry to be announced to one server, which forwards it. If that server is unavailable, the
+    /// other proxies do not receive the entry, which only costs them a read at a member.
     fn announce_entries(&mut self) {
         let announcements = self.cache.take_announcements(MAX_ANNOUNCEMENTS_PER_MESSAGE);
         if self.servers.is_empty() {
@@ -138,7 +140,8 @@
         }
     }
 
-    /// Handles a datagram. One that cannot be decoded, or comes from where it cannot come from, is counted and ignored.
+    /// Handles a datagram. A datagram that cannot be decoded or comes from an unexpected sender is counted
+    /// and ignored.
     pub fn on_datagram(&mut self, now: Micros, from: SocketAddrV4, bytes: &[u8]) {
         let server = self.servers.iter().position(|server| *server == from);
         match Message::decode(bytes) {
@@ -146,7 +149,7 @@
             Ok(Message::LeaseGrant(id, grant)) if server == Some(id as usize) => {
                 self.write_leases.on_grant(id as usize, &grant);
             }
-            Ok(Message::SealedSlots(seals)) if are_all_from(&seals, server) => {
+            Ok(Message::SealedSlots(seals)) if are_all_from_server(&seals, server) => {
                 for seal in &seals {
                     self.cache.on_sealed_slot(now, seal);
                 }
@@ -177,12 +180,12 @@
         }
     }
 
-    /// Whether this process is a lease server, and the address that of one of its holders.
+    /// Returns whether this process is a lease server and `address` belongs to one of its holders.
     fn is_local_holder(&self, address: SocketAddrV4) -> bool {
         self.local_server.as_ref().is_some_and(|server| server.is_holder(address))
     }
 
-    /// Takes the datagrams to send, each with its receiver.
+    /// Removes and returns the datagrams to send, each with its destination.
     pub fn take_datagrams(&mut self) -> VecDeque<(SocketAddrV4, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
@@ -201,17 +204,17 @@
         }
     }
 
-    /// What the cache did.
+    /// Returns the counters of the cache.
     pub fn stats(&self) -> Stats {
         self.cache.stats
     }
 
-    /// The newest position to which an entry can advance.
+    /// Returns the newest position to which an entry can advance.
     pub fn horizon(&self) -> Option<Micros> {
         self.cache.closed_timestamps().horizon()
     }
 }
 
-fn are_all_from(seals: &[SealedSlot], server: Option<usize>) -> bool {
+fn are_all_from_server(seals: &[SealedSlot], server: Option<usize>) -> bool {
     seals.iter().all(|seal| server == Some(seal.server as usize))
 }
--- a/crates/negative-cache/src/node/responses.rs
+++ b/crates/negative-cache/src/node/responses.rs
@@ -1,15 +1,16 @@
-//! The responses of members to reads of missing keys. Most of them are alike, so each is kept once.
+//! The responses of members to reads of missing keys. Most responses are identical, so each distinct one is
+//! stored once.
 
 use crate::KeyHasher;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The bound on responses; entries with another response are not cached.
+/// Maximum number of distinct responses. When it is reached, entries with a new response are not cached.
 pub const MAX_RESPONSES: usize = 1_024;
-/// The bound on one response, in bytes; an entry with a longer one is not cached.
+/// Maximum size of a response in bytes. Entries with a longer response are not cached.
 pub const MAX_RESPONSE_BYTES: usize = 512;
 
-/// The responses by their hash.
+/// The responses, keyed by their hash.
 pub(super) struct ResponseTable {
     hasher: KeyHasher,
     responses: HashMap<u32, Rc<[u8]>>,
@@ -20,12 +21,13 @@
         ResponseTable { hasher, responses: HashMap::new() }
     }
 
-    /// The response of a hash.
+    /// Returns the response with a hash.
     pub(super) fn get(&self, hash: u32) -> Option<&Rc<[u8]>> {
         self.responses.get(&hash)
     }
 
-    /// Keeps a response. Returns its hash; `None` if there is no room for it, or another response has its hash.
+    /// Stores a response and returns its hash. Returns `None` if the table is full, the response is too long,
+    /// or a different response has the same hash.
     pub(super) fn insert(&mut self, bytes: &[u8]) -> Option<u32> {
         let hash = self.hasher.response(bytes);
         if let Some(known) = self.responses.get(&hash) {
--- a/crates/negative-cache/src/node/server.rs
+++ b/crates/negative-cache/src/node/server.rs
@@ -1,4 +1,4 @@
-//! The part of a process that is a lease server: the server, the addresses of its holders, and the seals it sends them.
+//! The lease server of a process, with the addresses of its holders and the seals to send to them.
 
 use super::message::Message;
 use crate::{
@@ -8,11 +8,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How often each seal is sent: a lost one is a gap that no entry crosses.
+/// How many times each seal is sent. A seal that is lost every time leaves a gap that no entry can cross.
 const SEAL_TRANSMISSIONS: u32 = 4;
-/// The bound on seals in one message.
+/// Maximum number of seals in one message.
 const MAX_SEALS_PER_MESSAGE: usize = 32;
-/// After so many lease durations without a request, a holder is sent nothing any more.
+/// Number of lease durations without a request after which messages to a holder stop.
 const HOLDER_TIMEOUT_LEASES: i64 = 4;
 
 struct OutgoingSeal {
@@ -20,11 +20,11 @@
     transmissions_left: u32,
 }
 
-/// A lease server with its holders' addresses.
+/// A lease server with the addresses of its holders.
 pub(super) struct LocalServer {
     server: WriteLeaseServer,
     holder_timeout: Micros,
-    /// When each holder last sent a request.
+    /// The time of each holder's last request.
     holders: BTreeMap<SocketAddrV4, Micros>,
     outgoing_seals: Vec<OutgoingSeal>,
 }
@@ -51,7 +51,7 @@
         self.holders.contains_key(&address)
     }
 
-    /// Handles a holder's request, and remembers the holder's address.
+    /// Handles a request from a holder and records the holder's address.
     pub(super) fn on_request(
         &mut self,
         now: Micros,
@@ -65,7 +65,8 @@
         grant
     }
 
-    /// Seals slots, and returns the messages for all holders: those with the new seals, and with older ones again.
+    /// Seals slots and returns the messages for all holders, which contain the new seals and retransmissions
+    /// of older ones.
     pub(super) fn seal(&mut self, now: Micros) -> Vec<Message> {
         let timeout = self.holder_timeout;
         self.holders.retain(|_, requested_at| now - *requested_at <= timeout);
@@ -82,15 +83,15 @@
     }
 
     fn seal_messages(&self) -> Vec<Message> {
-        let messages = self.seal_messages_of(MAX_SEALS_PER_MESSAGE);
+        let messages = self.seal_messages_in_chunks(MAX_SEALS_PER_MESSAGE);
         if messages.iter().all(|message| message.encode().is_some()) {
             return messages;
         }
-        // They are too large to share a message.
-        self.seal_messages_of(1)
+        // Some message is too large with several seals; send one seal per message.
+        self.seal_messages_in_chunks(1)
     }
 
-    fn seal_messages_of(&self, seals_per_message: usize) -> Vec<Message> {
+    fn seal_messages_in_chunks(&self, seals_per_message: usize) -> Vec<Message> {
         self.outgoing_seals
             .chunks(seals_per_message)
             .map(|chunk| Message::SealedSlots(chunk.iter().map(|outgoing| outgoing.seal.clone()).collect()))
--- a/crates/negative-cache/src/write_lease.rs
+++ b/crates/negative-cache/src/write_lease.rs
@@ -1,12 +1,13 @@
-//! The write leases of one proxy. It may write while a lease of any server is in force.
+//! The write leases of one proxy. The proxy may write while it holds an active lease from any server.
 
 use crate::{Micros, NegativeCacheConfig, PendingWrites, Slot, WriteLeaseGrant, WriteLeaseRequest};
 use std::collections::BTreeMap;
 
-/// The bound on unanswered requests to one server; the grant of an older one is ignored.
+/// Maximum number of unanswered requests tracked per server. A grant for an older request does not extend the
+/// lease.
 const MAX_OPEN_REQUESTS: usize = 16;
 
-/// What a holder knows of one lease server.
+/// A holder's state regarding one lease server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ServerState {
     last_sequence: u64,
@@ -14,13 +15,13 @@
     /// When each unanswered request was sent, by its sequence number.
     open_requests: BTreeMap<u64, Micros>,
     expires_at: Micros,
-    /// The server has all closed slots up to this one.
+    /// The server has received all closed slots up to this one.
     acknowledged: Slot,
 }
 
 impl Default for ServerState {
     fn default() -> Self {
-        // Halves of the least values, so that differences do not overflow.
+        // Half of the minimum values, so that differences do not overflow.
         ServerState {
             last_sequence: 0,
             requested_at: Micros::MIN / 2,
@@ -41,20 +42,20 @@
 }
 
 impl WriteLeases {
-    /// Creates the state of a holder without a lease. `holder` is a number that no other process has or had; `servers`
-    /// is the number of lease servers.
+    /// Creates the state of a holder without a lease. `holder` must be unique among all processes, past and
+    /// present; `servers` is the number of lease servers.
     pub fn new(holder: u64, config: NegativeCacheConfig, servers: usize) -> WriteLeases {
         WriteLeases { holder, config, servers: vec![ServerState::default(); servers], is_shut_down: false }
     }
 
-    /// Whether the first byte of a write may be sent now. To be checked just before it is, after
-    /// [`PendingWrites::begin`].
+    /// Returns whether the first byte of a write may be sent now. Must be checked after
+    /// [`PendingWrites::begin`] and immediately before sending.
     pub fn can_write(&self, now: Micros) -> bool {
         !self.is_shut_down && self.active_count(now) > 0
     }
 
-    /// When the last lease expires, by this proxy's clock: the last byte of a write must be sent by then. `None` after
-    /// shutdown, and without servers.
+    /// Returns when the last lease expires by the local clock. The last byte of a write must be sent by then.
+    /// Returns `None` after shutdown and if there are no servers.
     pub fn expires_at(&self) -> Option<Micros> {
         if self.is_shut_down {
             return None;
@@ -62,7 +63,7 @@
         self.servers.iter().map(|server| server.expires_at).max()
     }
 
-    /// Takes the requests that are due, each with the index of its server.
+    /// Creates the requests that are due, each with the index of its server.
     pub fn take_due_requests(
         &mut self,
         now: Micros,
@@ -91,7 +92,7 @@
         requests
     }
 
-    /// Handles a server's grant.
+    /// Handles a grant from a server.
     pub fn on_grant(&mut self, server: usize, grant: &WriteLeaseGrant) {
         if grant.holder != self.holder {
             return;
@@ -103,12 +104,13 @@
         server.expires_at = server.expires_at.max(expires_at);
     }
 
-    /// Begins a graceful shutdown: no write begins any more, and the servers are told not to wait for this process.
+    /// Begins a graceful shutdown. No further write may begin, and the next requests tell the servers after
+    /// which slot they need not wait for this process.
     pub fn shut_down(&mut self) {
         self.is_shut_down = true;
     }
 
-    /// How many servers' leases are in force.
+    /// Returns the number of servers whose lease is active.
     pub fn active_count(&self, now: Micros) -> usize {
         self.servers.iter().filter(|server| now < server.expires_at).count()
     }
--- a/crates/negative-cache/src/writes.rs
+++ b/crates/negative-cache/src/writes.rs
@@ -1,39 +1,41 @@
-//! The writes of one proxy: which keys they may touch, and in which slots they may commit.
+//! The writes of one proxy: the keys that they may touch and the slots in which they may commit.
 
 use crate::{KeyHash, Micros, NegativeCacheConfig, Slot, WINDOW_SLOTS};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The bound on writes: pending ones, and those that ended in slots that are not closed yet.
+/// Maximum number of writes in the table: pending writes, and finished writes that may commit in slots that
+/// are not closed yet.
 pub const MAX_WRITES: usize = 65_536;
-/// The bound on keys of one closed slot; past it, every key counts as written.
+/// Maximum number of keys in one closed slot. If there are more, every key counts as written.
 pub const MAX_KEYS_PER_CLOSED_SLOT: usize = 4_096;
-/// The bound on closed slots in one message.
+/// Maximum number of closed slots in one message.
 pub const MAX_CLOSED_SLOTS_PER_REQUEST: usize = 32;
 
-/// A slot that a proxy has closed: its writes that may commit in the slot touch no other keys.
+/// A slot that a proxy has closed. None of the proxy's writes that may commit in the slot touches keys other
+/// than those listed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClosedSlot {
     /// The slot.
     pub slot: Slot,
-    /// There were too many keys to list: every key of every group may have been written.
+    /// Whether there were too many keys to list, so that every key of every group may have been written.
     #[serde(rename = "every")]
     pub all_keys: bool,
-    /// The keys in rising order.
+    /// The keys in ascending order.
     #[serde(rename = "marks")]
     pub keys: Vec<KeyHash>,
 }
 
-/// Identifies a write of one proxy.
+/// The identifier of a write, unique within one proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WriteId(u64);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Write {
     keys: Vec<KeyHash>,
-    /// The first slot in which it may commit.
+    /// The first slot in which the write may commit.
     first_slot: Slot,
-    /// The last slot in which it may commit; `None` while it is pending.
+    /// The last slot in which the write may commit; `None` while it is pending.
     last_slot: Option<Slot>,
 }
 
@@ -47,7 +49,7 @@
     }
 }
 
-/// The writes of one proxy, and the slots that it has closed.
+/// The writes of one proxy and the slots that it has closed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PendingWrites {
     config: NegativeCacheConfig,
@@ -59,9 +61,10 @@
 }
 
 impl PendingWrites {
-    /// Creates the table of a process that has begun no write yet.
+    /// Creates the table of a process that has not begun any write.
     pub fn new(config: NegativeCacheConfig, now: Micros) -> PendingWrites {
-        // Back to the slot that a lease server whose clock is behind may take for that of its first grant.
+        // Start early enough to cover the slot that a lease server whose clock is behind may take as that of
+        // its first grant.
         let last_closed = config.slot_of_commit(now - 3 * config.max_clock_skew) - 1;
         PendingWrites {
             config,
@@ -73,8 +76,9 @@
         }
     }
 
-    /// Records a write before its first byte is sent. `keys` are all keys that it can make present: the hash of the whole
-    /// group if they are not known. Returns `None` if the table is full; the write must not be sent then.
+    /// Records a write before its first byte is sent. `keys` are all keys for which the write can create a
+    /// row, or the hash of the whole group if they are unknown. Returns `None` if the table is full, in which
+    /// case the write must not be sent.
     pub fn begin(&mut self, now: Micros, keys: Vec<KeyHash>) -> Option<WriteId> {
         self.advance(now);
         if self.writes.len() >= MAX_WRITES {
@@ -87,21 +91,22 @@
         Some(id)
     }
 
-    /// A write was answered in any way: it has committed, or it never will.
+    /// Handles the response to a write, of any kind. The write has either committed or never will.
     pub fn on_answered(&mut self, now: Micros, id: WriteId) {
         self.advance(now);
         let last_slot = self.config.slot_of_commit(self.now + self.config.max_clock_skew);
         self.finish(id, last_slot);
     }
 
-    /// A write will not be answered (time-out, reset, cancellation): it may commit for as long as the statement can run.
+    /// Marks a write as in doubt because no response will arrive (timeout, reset, cancellation). It may
+    /// commit for as long as the statement can run.
     pub fn on_in_doubt(&mut self, now: Micros, id: WriteId) {
         self.advance(now);
         let last_slot = self.config.last_commit_slot(self.now);
         self.finish(id, last_slot);
     }
 
-    /// A write failed before its last byte was sent: it was never executed.
+    /// Removes a write that failed before its last byte was sent and therefore was never executed.
     pub fn on_not_executed(&mut self, id: WriteId) {
         self.writes.remove(&id);
     }
@@ -114,10 +119,11 @@
 
     /// Closes the slots in which no write that begins from now on can commit.
     pub fn advance(&mut self, now: Micros) {
-        // A clock that is set back starts nothing earlier: the clocks that stamp commits did not go back.
+        // If the local clock is set back, keep the later time: the clocks that stamp commits were not set
+        // back.
         self.now = self.now.max(now);
         let newest = self.config.slot_of_commit(self.now - self.config.max_clock_skew) - 1;
-        // After a long pause, slots that are in no window any more need not be closed.
+        // After a long pause, slots that have left every window need not be closed.
         self.last_closed = self.last_closed.max(newest - WINDOW_SLOTS);
         while self.config.is_past(self.now, self.last_closed + 1) {
             self.last_closed += 1;
@@ -145,12 +151,12 @@
         self.writes.retain(|_, write| write.may_commit_after(slot));
     }
 
-    /// The newest slot that is closed.
+    /// Returns the newest closed slot.
     pub fn last_closed(&self) -> Slot {
         self.last_closed
     }
 
-    /// The closed slots after this one, oldest first, as many as fit into one message.
+    /// Returns the closed slots after `slot`, oldest first, as many as fit into one message.
     pub fn closed_slots_after(&self, slot: Slot) -> Vec<ClosedSlot> {
         let mut free_keys = 2 * MAX_KEYS_PER_CLOSED_SLOT;
         let fits = |closed: &&ClosedSlot| {
@@ -167,19 +173,19 @@
             .collect()
     }
 
-    /// The last slot in which a write of this process may commit if it begins none from now on; `None` while one is
-    /// pending, since that is not known then.
+    /// Returns the last slot in which a write of this process may commit if no further write begins. Returns
+    /// `None` while a write is pending, because the slot is unknown then.
     pub fn last_commit_slot(&self) -> Option<Slot> {
         let newest = self.config.slot_of_commit(self.now + self.config.max_clock_skew);
         self.writes.values().try_fold(newest, |last, write| Some(last.max(write.last_slot?)))
     }
 
-    /// The number of writes in the table.
+    /// Returns the number of writes in the table.
     pub fn len(&self) -> usize {
         self.writes.len()
     }
 
-    /// Whether the table has no writes.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty()
     }
