--- a/crates/negative-cache/tests/encoding.rs
+++ b/crates/negative-cache/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! The bytes of messages, which processes of other versions read.
+//! Tests that the encoding of messages does not change, because processes of other versions decode them.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher as _;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn parts_of_messages_keep_their_bytes() {
+fn encoding_of_message_parts_is_stable() {
     let closed_slot = ClosedSlot { slot: 300, all_keys: true, keys: vec![KeyHash(5), KeyHash(70_000)] };
     let request =
         WriteLeaseRequest { holder: 400, sequence: 3, closed_slots: vec![closed_slot], final_slot: Some(-2) };
@@ -35,9 +35,10 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7_000 + n as u16)
 }
 
-/// Four processes, two of them lease servers, exchange messages of all kinds; a digest over all bytes in their order.
+/// Four processes, two of which are lease servers, exchange messages of all kinds. The digest covers all
+/// bytes sent, in order.
 #[test]
-fn a_run_of_four_processes_sends_the_same_bytes() {
+fn bytes_sent_by_four_processes_are_stable() {
     let hasher = KeyHasher::from_passphrase("a secret");
     let servers: Vec<SocketAddrV4> = (0..2).map(address).collect();
     let mut now = 1_000 * SECOND;
@@ -46,7 +47,7 @@
         |n: usize| Node::new(config.clone(), hasher.clone(), address(n), servers.clone(), n as u64 + 1, now);
     let mut nodes: Vec<Node> = (0..4).map(node).collect();
     let mut digest = SipHasher13::new();
-    let (mut kinds, mut known, mut written) = ([0; 5], 0, 0);
+    let (mut kinds, mut hits, mut written) = ([0; 5], 0, 0);
     for step in 0..1_000_u32 {
         now += 20_000;
         for n in 0..nodes.len() {
@@ -54,7 +55,7 @@
             let lookup = Lookup::new(&hasher, 1, &key, &key, 1);
             if step % 10 == n as u32 {
                 match nodes[n].lookup(now, &lookup, Freshness::MaxStaleness(2 * SECOND)) {
-                    Some(_) => known += 1,
+                    Some(_) => hits += 1,
                     None => nodes[n].record_missing(now, &lookup, now - 5_000, b"none"),
                 }
             }
@@ -74,6 +75,6 @@
             }
         }
     }
-    assert_eq!((kinds, known, written), ([616, 444, 392, 84, 333], 308, 70));
+    assert_eq!((kinds, hits, written), ([616, 444, 392, 84, 333], 308, 70));
     assert_eq!(digest.finish(), 0xf8e5_0b8a_0689_599a);
 }
--- a/crates/negative-cache/tests/fault_scenarios.rs
+++ b/crates/negative-cache/tests/fault_scenarios.rs
@@ -1,101 +1,106 @@
-//! Faults, each over seeded runs: no answer of "missing" may contradict the history of the database, and entries must
-//! advance again once the fault is over.
+//! Seeded simulations with one kind of fault each. No "missing" answer from the cache may contradict the
+//! history of the database, and entries must advance again once the fault is over.
 
 mod simulation;
 
 use rand::Rng;
-use simulation::{Plan, Simulation, SECOND};
+use simulation::{Params, Simulation, SECOND};
 use wharfplank_negative_cache::{Micros, NegativeCacheConfig};
 
-type Scenario = (&'static str, fn(Plan) -> Plan, fn(&mut Simulation));
+type Scenario = (&'static str, fn(Params) -> Params, fn(&mut Simulation));
 
-/// Until the lease servers grant leases and seal slots.
+/// The time until the lease servers grant leases and seal slots.
 const START: Micros = 15 * SECOND;
 
 const SCENARIOS: [Scenario; 11] = [
-    ("calm", |plan| plan, |_| {}),
+    ("calm", |params| params, |_| {}),
     (
         "partitioned",
-        |plan| plan,
-        |w| {
-            // Two go on with their clients and members, cut off from all other proxies and lease servers.
-            w.partitioned.extend([0, 1]);
-            w.run(20 * SECOND);
-            w.partitioned.clear();
+        |params| params,
+        |sim| {
+            // Two proxies still reach their clients and members, but no other proxies and no lease servers.
+            sim.partitioned.extend([0, 1]);
+            sim.run(20 * SECOND);
+            sim.partitioned.clear();
         },
     ),
     (
         "joined",
-        |plan| plan,
-        |w| {
+        |params| params,
+        |sim| {
             for _ in 0..10 {
-                w.join();
-                w.run(SECOND);
+                sim.join();
+                sim.run(SECOND);
             }
         },
     ),
     (
         "paused",
-        |plan| plan,
-        |w| {
+        |params| params,
+        |sim| {
             for _ in 0..4 {
-                let (n, span) = (w.rng.random_range(0..w.proxies.len()), w.rng.random_range(0..20 * SECOND));
-                w.proxies[n].paused_until = w.now + span;
-                w.run(4 * SECOND);
+                let (n, pause) =
+                    (sim.rng.random_range(0..sim.proxies.len()), sim.rng.random_range(0..20 * SECOND));
+                sim.proxies[n].paused_until = sim.now + pause;
+                sim.run(4 * SECOND);
             }
         },
     ),
     (
-        "lost, late, doubled, reordered",
-        |plan| Plan { loss: 0.2, duplication: 0.2, max_delay: 500_000, ..plan },
-        |w| w.run(10 * SECOND),
+        "lost, late, duplicated, reordered",
+        |params| Params { loss: 0.2, duplication: 0.2, max_delay: 500_000, ..params },
+        |sim| sim.run(10 * SECOND),
     ),
-    ("lagging", |plan| Plan { max_lag: 8 * SECOND, ..plan }, |w| w.run(10 * SECOND)),
+    ("lagging", |params| Params { max_lag: 8 * SECOND, ..params }, |sim| sim.run(10 * SECOND)),
     (
         "flooded",
-        |plan| plan,
-        |w| {
-            (0..2).for_each(|n| w.proxies[n].flood = 3);
-            w.run(10 * SECOND);
-            w.proxies.iter_mut().for_each(|p| p.flood = 0);
+        |params| params,
+        |sim| {
+            (0..2).for_each(|n| sim.proxies[n].flood = 3);
+            sim.run(10 * SECOND);
+            sim.proxies.iter_mut().for_each(|p| p.flood = 0);
         },
     ),
     (
         "killed",
-        |plan| Plan { proxies: 10, ..plan },
-        |w| {
-            (0..7).for_each(|n| w.proxies[n].alive = false);
-            w.run(12 * SECOND);
-            (0..7).for_each(|n| w.restart(n, n % 2 == 0));
+        |params| Params { proxies: 10, ..params },
+        |sim| {
+            (0..7).for_each(|n| sim.proxies[n].alive = false);
+            sim.run(12 * SECOND);
+            (0..7).for_each(|n| sim.restart(n, n % 2 == 0));
         },
     ),
     (
-        "clocks apart",
-        |plan| Plan { config: NegativeCacheConfig { max_clock_skew: 500_000, ..plan.config }, ..plan },
-        |w| w.run(10 * SECOND),
+        "clock skew",
+        |params| Params {
+            config: NegativeCacheConfig { max_clock_skew: 500_000, ..params.config },
+            ..params
+        },
+        |sim| sim.run(10 * SECOND),
     ),
     (
         "new primary",
-        |plan| plan,
-        |w| {
+        |params| params,
+        |sim| {
             for _ in 0..3 {
-                w.run(3 * SECOND);
-                let now = w.now;
-                w.history.fail_over(now, 1_500_000);
+                sim.run(3 * SECOND);
+                let now = sim.now;
+                sim.history.fail_over(now, 1_500_000);
             }
         },
     ),
     (
         "lease server lost",
-        |plan| plan,
-        |w| {
-            // Some have a lease of one server alone, some of another: what they report reaches no other.
-            w.unreachable.extend([(0, 1), (0, 2), (1, 1), (1, 2), (2, 0), (2, 2), (3, 0), (3, 1)]);
-            w.run(12 * SECOND);
-            w.replace_server(0, 3 * SECOND);
-            w.run(5 * SECOND);
-            w.replace_server(1, 0);
-            w.run(10 * SECOND);
+        |params| params,
+        |sim| {
+            // Some proxies reach only one server, others only another. Their closed slots reach no other
+            // server.
+            sim.unreachable.extend([(0, 1), (0, 2), (1, 1), (1, 2), (2, 0), (2, 2), (3, 0), (3, 1)]);
+            sim.run(12 * SECOND);
+            sim.replace_server(0, 3 * SECOND);
+            sim.run(5 * SECOND);
+            sim.replace_server(1, 0);
+            sim.run(10 * SECOND);
         },
     ),
 ];
@@ -108,36 +113,39 @@
     });
 }
 
-fn run_scenario((name, plan, fault): &Scenario, runs: u64) {
-    let (mut wrong, mut advanced, mut answered, mut reads, mut after) = (vec![], 0, 0, 0, 0);
+fn run_scenario((name, params, fault): &Scenario, runs: u64) {
+    let (mut wrong_answers, mut advanced, mut answered, mut reads, mut advanced_after_fault) =
+        (vec![], 0, 0, 0, 0);
     for seed in 0..runs {
-        let mut simulation = Simulation::new(plan(Plan::default()), seed);
+        let mut simulation = Simulation::new(params(Params::default()), seed);
         simulation.run(START);
         fault(&mut simulation);
         simulation.run(14 * SECOND);
-        let before = simulation.tally.advanced;
+        let before = simulation.results.advanced;
         simulation.run(3 * SECOND);
-        let tally = simulation.tally;
-        answered += tally.answered;
-        reads += tally.reads;
-        advanced += tally.advanced;
-        after += tally.advanced - before;
-        wrong.extend(tally.wrong.into_iter().map(|w| format!("seed {seed}: {w}")));
+        let results = simulation.results;
+        answered += results.answered;
+        reads += results.reads;
+        advanced += results.advanced;
+        advanced_after_fault += results.advanced - before;
+        wrong_answers
+            .extend(results.wrong_answers.into_iter().map(|answer| format!("seed {seed}: {answer}")));
     }
-    let n = wrong.len();
+    let n = wrong_answers.len();
     println!(
-        "{name}: {runs} runs, {reads} reads of missing keys, {answered} answered, {advanced} advanced, {n} wrong"
+        "{name}: {runs} runs, {reads} reads of missing keys, {answered} answered from the cache, \
+         {advanced} by advanced entries, {n} wrong"
     );
-    assert!(wrong.is_empty(), "{name}: {:#?}", &wrong[..n.min(5)]);
-    assert!(after > 0, "{name}: no entry advanced any more after it");
+    assert!(wrong_answers.is_empty(), "{name}: {:#?}", &wrong_answers[..n.min(5)]);
+    assert!(advanced_after_fault > 0, "{name}: no entry advanced after the fault");
 }
 
 #[test]
-fn no_answer_contradicts_the_history() {
+fn answers_match_the_history_under_faults() {
     run_all(2);
 }
 
-/// 200 runs of each. `make missing`.
+/// 200 runs of each scenario. Run with `make missing`.
 #[test]
 #[ignore = "takes minutes"]
 fn no_answer_contradicts_the_history_in_many_runs() {
--- a/crates/negative-cache/tests/hash.rs
+++ b/crates/negative-cache/tests/hash.rs
@@ -1,9 +1,9 @@
-//! Hashes of different kinds, groups and secrets are independent.
+//! Hashes with different domains, groups or secrets are independent.
 
 use wharfplank_negative_cache::KeyHasher;
 
 #[test]
-fn kinds_groups_and_secrets_are_kept_apart() {
+fn hash_depends_on_domain_group_and_secret() {
     let (one, two) = (KeyHasher::new([1; 16]), KeyHasher::new([2; 16]));
     assert_eq!(one.statement(1, b"x"), one.statement(1, b"x"));
     assert_ne!(one.statement(1, b"x"), one.statement(2, b"x"));
--- a/crates/negative-cache/tests/merge_laws.rs
+++ b/crates/negative-cache/tests/merge_laws.rs
@@ -1,5 +1,5 @@
-//! The merge laws of closed timestamps, and that entries advance as far in whatever order seals arrive; lost or duplicate
-//! seals cost look-ups only.
+//! Property tests of merging: closed timestamps and tables of entries end in the same state in whatever order
+//! seals and announcements arrive. Lost or duplicate seals only cost reads at members.
 
 use proptest::prelude::*;
 use wharfplank_negative_cache::{
@@ -46,7 +46,7 @@
     }
 
     #[test]
-    fn seals_have_the_same_effect_in_any_order_twice_or_by_way_of_others(
+    fn seals_are_order_independent_idempotent_and_mergeable(
         all in seals(), order in Just((0..60).collect::<Vec<usize>>()).prop_shuffle(), cut in 0usize..60,
     ) {
         let shuffled: Vec<&SealedSlot> = order.iter().filter_map(|n| all.get(*n)).collect();
@@ -55,35 +55,49 @@
         prop_assert_eq!(&applied(&all), &merged(&applied(one), &applied(two)));
     }
 
-    /// Announcements end: each of them changes a table once at most, and all proxies come to hold the same entry.
+    /// Forwarding of announcements terminates, because each of them changes a table at most once, and all
+    /// proxies end up with the same entry.
     #[test]
-    fn of_entries_announced_in_any_order_the_same_remains(
-        announced in prop::collection::vec((0i64..4, 0u32..3, 0u32..2), 1..8), other in Just((0..8).collect::<Vec<usize>>()).prop_shuffle(),
+    fn announced_entries_converge_in_any_order(
+        announced in prop::collection::vec((0i64..4, 0u32..3, 0u32..2), 1..8),
+        permutation in Just((0..8).collect::<Vec<usize>>()).prop_shuffle(),
     ) {
-        let entry = |(position, primary, response): (i64, u32, u32)| NegativeEntry { position, expires_at: NOW, key: KeyHash(1), primary, response };
+        let entry = |(position, primary, response): (i64, u32, u32)|
+            NegativeEntry { position, expires_at: NOW, key: KeyHash(1), primary, response };
         let mut tables = [EntryTable::new(10, 10), EntryTable::new(10, 10)];
         announced.iter().for_each(|t| { tables[0].insert(StatementHash(1), entry(*t)); });
-        other.iter().filter_map(|n| announced.get(*n)).for_each(|t| { tables[1].insert(StatementHash(1), entry(*t)); });
+        permutation.iter().filter_map(|n| announced.get(*n)).for_each(|t| {
+            tables[1].insert(StatementHash(1), entry(*t));
+        });
         prop_assert!(announced.iter().all(|t| !tables[0].insert(StatementHash(1), entry(*t))));
         let [one, two] = tables.map(|mut table| table.access(StatementHash(1), |entry| *entry));
         prop_assert_eq!(one, two);
     }
 
-    /// With lost seals an entry advances less far, never further; and it crosses no slot that some server has not sealed,
-    /// nor one in which its key was written.
+    /// An entry never crosses a slot that some server has not sealed, or in which its key was written, with
+    /// all seals as well as with some of them lost.
     #[test]
-    fn an_entry_crosses_only_slots_that_all_servers_sealed_without_its_key(all in seals(), kept in prop::collection::vec(any::<bool>(), 60), at in 60i64..76) {
+    fn entry_crosses_only_slots_sealed_without_its_key(
+        all in seals(), kept in prop::collection::vec(any::<bool>(), 60), first_slot in 60i64..76
+    ) {
         let config = NegativeCacheConfig::default();
-        let incarnations: Vec<Micros> = (0..SERVERS).map(|b| all.iter().filter(|s| s.server == b).map(|s| s.incarnation).max().unwrap_or(0)).collect();
-        let position = at * config.slot_length + 7;
-        let some: Vec<&SealedSlot> = all.iter().zip(kept).filter(|(_, kept)| *kept).map(|(seal, _)| seal).collect();
-        for seals in [all.iter().collect::<Vec<_>>(), some] {
+        let incarnations: Vec<Micros> = (0..SERVERS)
+            .map(|index| all.iter().filter(|s| s.server == index).map(|s| s.incarnation).max().unwrap_or(0))
+            .collect();
+        let position = first_slot * config.slot_length + 7;
+        let kept_seals: Vec<&SealedSlot> =
+            all.iter().zip(kept).filter(|(_, kept)| *kept).map(|(seal, _)| seal).collect();
+        for seals in [all.iter().collect::<Vec<_>>(), kept_seals] {
             let to = applied(seals.iter().copied()).advance_position(position, KeyHash(1), KeyHash(5));
             prop_assert!(to >= position);
-            for slot in (at..).take_while(|slot| config.slot_end(*slot) <= to) {
-                let within: Vec<_> = seals.iter().filter(|s| s.slot == slot).collect();
-                prop_assert!(!within.iter().any(|s| s.all_keys || s.keys.contains(&KeyHash(1)) || s.keys.contains(&KeyHash(5))));
-                prop_assert!((0..SERVERS).all(|b| within.iter().any(|s| s.server == b && s.incarnation <= incarnations[b as usize])));
+            for slot in (first_slot..).take_while(|slot| config.slot_end(*slot) <= to) {
+                let slot_seals: Vec<_> = seals.iter().filter(|s| s.slot == slot).collect();
+                prop_assert!(!slot_seals
+                    .iter()
+                    .any(|s| s.all_keys || s.keys.contains(&KeyHash(1)) || s.keys.contains(&KeyHash(5))));
+                prop_assert!((0..SERVERS).all(|index| slot_seals
+                    .iter()
+                    .any(|s| s.server == index && s.incarnation <= incarnations[index as usize])));
             }
         }
     }
--- a/crates/negative-cache/tests/model.rs
+++ b/crates/negative-cache/tests/model.rs
@@ -1,6 +1,7 @@
-//! Closed timestamps, checked by a model checker over every order of messages, writes and time, with loss, late and
-//! duplicate messages, kills, a lease server that restarts, and clocks that differ: proxies that run the real table of
-//! writes and leases, the real lease servers, one key, and a primary that stamps commits by its own clock.
+//! Model checking of closed timestamps over every order of messages, writes and steps of time, with lost,
+//! late and duplicate messages, killed proxies, restarted lease servers and differing clocks. The model
+//! consists of proxies with the real table of writes and the real leases, the real lease servers, one key,
+//! and a primary that stamps commits by its own clock.
 
 #[path = "model/state.rs"]
 mod state;
@@ -15,24 +16,24 @@
 
     fn init_states(&self) -> Vec<State> {
         let mut servers: Vec<WriteLeaseServer> =
-            (0..self.servers).map(|b| WriteLeaseServer::new(b as u32, config(), 0)).collect();
+            (0..self.servers).map(|index| WriteLeaseServer::new(index as u32, config(), 0)).collect();
         let mut now = 0;
-        // Until the servers grant leases and have sealed a slot.
+        // Advance time until the servers grant leases and have sealed a slot.
         while servers.iter_mut().any(|server| server.seal(now).is_empty()) {
             now += STEP;
         }
-        let start = |off: Micros| {
+        let start = |clock_offset: Micros| {
             let proxy = |n: usize| {
-                let off = if n == 0 { off } else { -off };
+                let clock_offset = if n == 0 { clock_offset } else { -clock_offset };
                 let (writes, leases) = (
-                    PendingWrites::new(config(), now + off),
+                    PendingWrites::new(config(), now + clock_offset),
                     WriteLeases::new(n as u64 + 1, config(), self.servers),
                 );
-                Proxy { off, alive: true, writes, leases }
+                Proxy { clock_offset, alive: true, writes, leases }
             };
             State {
                 now,
-                primary_off: -off,
+                primary_clock_offset: -clock_offset,
                 servers: servers.clone(),
                 proxies: (0..self.proxies).map(proxy).collect(),
                 in_flight: vec![],
@@ -57,7 +58,7 @@
             actions.extend(
                 (0..self.proxies)
                     .filter(alive)
-                    .flat_map(|p| (0..self.servers).map(move |b| Action::SendRequest(p, b))),
+                    .flat_map(|p| (0..self.servers).map(move |index| Action::SendRequest(p, index))),
             );
         }
         if s.writes < self.writes {
@@ -79,7 +80,7 @@
             Action::Step => {
                 (s.steps, s.now) = (s.steps + 1, s.now + STEP);
                 let now = s.now;
-                // A write that is older cannot run any more.
+                // An older write can no longer commit.
                 s.in_flight.retain(
                     |f| !matches!(f, InFlight::Write(_, _, sent) if now - sent > config().max_commit_delay),
                 );
@@ -90,22 +91,22 @@
             Action::SendRequest(proxy, server) => {
                 s.requests += 1;
                 let p = &mut s.proxies[proxy];
-                p.writes.advance(s.now + p.off);
-                let requests = p.leases.take_due_requests(s.now + p.off, &p.writes);
+                p.writes.advance(s.now + p.clock_offset);
+                let requests = p.leases.take_due_requests(s.now + p.clock_offset, &p.writes);
                 s.in_flight.extend(
                     requests
                         .into_iter()
-                        .filter(|(b, _)| *b == server)
-                        .map(|(b, a)| InFlight::LeaseRequest(proxy, b, a)),
+                        .filter(|(index, _)| *index == server)
+                        .map(|(index, request)| InFlight::LeaseRequest(proxy, index, request)),
                 );
             }
             Action::Write(proxy) => {
                 let p = &mut s.proxies[proxy];
-                if !p.leases.can_write(s.now + p.off) {
+                if !p.leases.can_write(s.now + p.clock_offset) {
                     return None;
                 }
                 s.writes += 1;
-                let write = p.writes.begin(s.now + p.off, vec![KEY])?;
+                let write = p.writes.begin(s.now + p.clock_offset, vec![KEY])?;
                 s.in_flight.push(InFlight::Write(proxy, write, s.now));
             }
             Action::Deliver(n) => {
@@ -114,15 +115,16 @@
             }
             Action::Lose(n) => {
                 s.faults += 1;
-                if let InFlight::Write(proxy, write, _) | InFlight::Done(proxy, write) = s.in_flight.remove(n)
+                if let InFlight::Write(proxy, write, _) | InFlight::WriteAck(proxy, write) =
+                    s.in_flight.remove(n)
                 {
                     let p = &mut s.proxies[proxy];
-                    p.writes.on_in_doubt(s.now + p.off, write);
+                    p.writes.on_in_doubt(s.now + p.clock_offset, write);
                 }
             }
             Action::Duplicate(n) => {
                 s.faults += 1;
-                // A write does not run twice.
+                // A write is not executed twice.
                 let in_flight = s.in_flight[n].clone();
                 if matches!(in_flight, InFlight::Write(..)) {
                     return None;
@@ -133,7 +135,7 @@
                 s.kills += 1;
                 s.proxies[proxy].alive = false;
                 s.in_flight.retain(
-                    |f| !matches!(f, InFlight::LeaseGrant(p, ..) | InFlight::Done(p, ..) if *p == proxy),
+                    |f| !matches!(f, InFlight::LeaseGrant(p, ..) | InFlight::WriteAck(p, ..) if *p == proxy),
                 );
             }
             Action::RestartServer(server) => {
@@ -146,36 +148,36 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no entry crosses a commit of its key", |_, s: &State| s.is_consistent()),
-            Property::sometimes("an entry crosses a slot of writers", |_, s: &State| s.can_advance()),
-            Property::sometimes("a commit comes", |_, s: &State| !s.commits.is_empty()),
+            Property::always("no entry crosses a commit of its key", |_, s: &State| s.crosses_no_commit()),
+            Property::sometimes("an entry crosses a leased slot", |_, s: &State| s.can_advance()),
+            Property::sometimes("a write commits", |_, s: &State| !s.commits.is_empty()),
         ]
     }
 }
 
-fn checked(bounds: Bounds) -> usize {
+fn check(bounds: Bounds) -> usize {
     let checker = bounds.checker().threads(4).spawn_bfs().join();
-    println!("{} states, {} of them distinct", checker.state_count(), checker.unique_state_count());
+    println!("{} states, {} distinct", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
     checker.unique_state_count()
 }
 
 #[test]
-fn no_order_of_messages_writes_and_time_hides_a_write() {
+fn no_entry_crosses_an_unseen_write() {
     let smallest = Bounds { proxies: 1, servers: 1, steps: 6, requests: 2, writes: 1, faults: 0, kills: 0 };
-    assert!(checked(smallest.clone()) > 10_000);
-    assert!(checked(Bounds { faults: 1, ..smallest.clone() }) > 10_000);
-    assert!(checked(Bounds { kills: 1, ..smallest }) > 10_000);
+    assert!(check(smallest.clone()) > 10_000);
+    assert!(check(Bounds { faults: 1, ..smallest.clone() }) > 10_000);
+    assert!(check(Bounds { kills: 1, ..smallest }) > 10_000);
 }
 
-/// As above with more requests, two writers, two servers, and time until every lease has expired: millions of states.
-/// `make model`.
+/// Like the test above, with more requests, two proxies, two servers, and enough steps for all leases to
+/// expire: millions of states. Run with `make model`.
 #[test]
 #[ignore = "takes minutes"]
 fn no_longer_order_of_messages_writes_and_time_hides_a_write() {
     let larger = Bounds { proxies: 1, servers: 1, steps: 7, requests: 3, writes: 1, faults: 0, kills: 0 };
-    assert!(checked(larger.clone()) > 1_000_000);
-    assert!(checked(Bounds { requests: 2, faults: 1, ..larger.clone() }) > 100_000);
-    assert!(checked(Bounds { requests: 2, kills: 1, proxies: 2, steps: 8, ..larger.clone() }) > 1_000_000);
-    assert!(checked(Bounds { requests: 2, kills: 1, servers: 2, steps: 8, ..larger }) > 1_000_000);
+    assert!(check(larger.clone()) > 1_000_000);
+    assert!(check(Bounds { requests: 2, faults: 1, ..larger.clone() }) > 100_000);
+    assert!(check(Bounds { requests: 2, kills: 1, proxies: 2, steps: 8, ..larger.clone() }) > 1_000_000);
+    assert!(check(Bounds { requests: 2, kills: 1, servers: 2, steps: 8, ..larger }) > 1_000_000);
 }
--- a/crates/negative-cache/tests/model/state.rs
+++ b/crates/negative-cache/tests/model/state.rs
@@ -1,4 +1,4 @@
-//! What the model checker's states hold.
+//! The states and actions of the model.
 
 use wharfplank_negative_cache::{
     ClosedTimestamps, KeyHash, Micros, NegativeCacheConfig, PendingWrites, SealedSlot, WriteId,
@@ -6,7 +6,7 @@
 };
 
 pub const KEY: KeyHash = KeyHash(1);
-/// Time goes in steps of half a slot.
+/// The step of time, which is half a slot.
 pub const STEP: Micros = 4;
 
 pub fn config() -> NegativeCacheConfig {
@@ -24,16 +24,16 @@
 pub enum InFlight {
     LeaseRequest(usize, usize, WriteLeaseRequest),
     LeaseGrant(usize, usize, WriteLeaseGrant),
-    /// A write under way: by whom, and when its first byte went out.
+    /// A write on its way to the primary: its proxy, its id, and when its first byte was sent.
     Write(usize, WriteId, Micros),
-    /// The answer to a write.
-    Done(usize, WriteId),
+    /// The response to a write.
+    WriteAck(usize, WriteId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proxy {
-    /// How far its clock is off.
-    pub off: Micros,
+    /// The offset of the proxy's clock from the true time.
+    pub clock_offset: Micros,
     pub alive: bool,
     pub writes: PendingWrites,
     pub leases: WriteLeases,
@@ -42,8 +42,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub now: Micros,
-    /// The clock of the primary is as far off the other way as that of the first proxy.
-    pub primary_off: Micros,
+    /// The offset of the primary's clock, which is the opposite of the first proxy's.
+    pub primary_clock_offset: Micros,
     pub servers: Vec<WriteLeaseServer>,
     pub proxies: Vec<Proxy>,
     pub in_flight: Vec<InFlight>,
@@ -88,18 +88,18 @@
             }
             InFlight::LeaseGrant(proxy, server, grant) => self.proxies[proxy].leases.on_grant(server, &grant),
             InFlight::Write(proxy, write, _) => {
-                self.commits.push(self.now + self.primary_off);
-                self.in_flight.push(InFlight::Done(proxy, write));
+                self.commits.push(self.now + self.primary_clock_offset);
+                self.in_flight.push(InFlight::WriteAck(proxy, write));
             }
-            InFlight::Done(proxy, write) => {
+            InFlight::WriteAck(proxy, write) => {
                 let p = &mut self.proxies[proxy];
-                p.writes.on_answered(self.now + p.off, write);
+                p.writes.on_answered(self.now + p.clock_offset, write);
             }
         }
     }
 
-    /// Whether every commit, also one that came after, is recorded wherever an entry may cross it.
-    pub fn is_consistent(&self) -> bool {
+    /// Returns whether no entry can cross a commit of its key, including commits after a slot was sealed.
+    pub fn crosses_no_commit(&self) -> bool {
         let config = config();
         let mut closed = ClosedTimestamps::new(config.clone(), self.servers.len(), self.now);
         self.seals.iter().for_each(|seal| {
@@ -112,13 +112,13 @@
         })
     }
 
-    /// Whether an entry crosses a slot in which somebody had a lease.
+    /// Returns whether an entry can cross a slot in which a holder had a lease.
     pub fn can_advance(&self) -> bool {
         let last = self.seals.iter().map(|s| s.slot).max();
         last.is_some_and(|slot| {
             self.servers.iter().any(|server| server.holder_count() > 0)
                 && (0..self.servers.len())
-                    .all(|b| self.seals.iter().any(|s| s.server == b as u32 && s.slot == slot))
+                    .all(|index| self.seals.iter().any(|s| s.server == index as u32 && s.slot == slot))
         })
     }
 }
--- a/crates/negative-cache/tests/node.rs
+++ b/crates/negative-cache/tests/node.rs
@@ -1,5 +1,5 @@
-//! Processes that exchange datagrams with lease servers as the program's do, with loss: what one learns all know, and
-//! what a proxy sends and receives does not grow with the fleet.
+//! Tests of processes that exchange datagrams with lease servers over a lossy network. All processes receive
+//! the entries of each one, and the traffic of a proxy does not grow with the size of the fleet.
 
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::VecDeque;
@@ -15,8 +15,9 @@
     loss: f64,
     nodes: Vec<Node>,
     in_flight: VecDeque<(Micros, usize, usize, Vec<u8>)>,
-    /// Bytes that the last process, which is no lease server, sent and received.
+    /// Bytes sent by the last process, which is not a lease server.
     sent: usize,
+    /// Bytes received by the last process.
     received: usize,
 }
 
@@ -44,8 +45,8 @@
         }
     }
 
-    fn run(&mut self, span: Micros, mut each: impl FnMut(&mut Node, &mut SmallRng, Micros)) {
-        let (end, last) = (self.now + span, self.nodes.len() - 1);
+    fn run(&mut self, duration: Micros, mut on_step: impl FnMut(&mut Node, &mut SmallRng, Micros)) {
+        let (end, last) = (self.now + duration, self.nodes.len() - 1);
         while self.now < end {
             self.now += STEP;
             while self.in_flight.front().is_some_and(|(at, ..)| *at <= self.now) {
@@ -54,7 +55,7 @@
                 self.nodes[to].on_datagram(self.now, address(from), &bytes);
             }
             for n in 0..self.nodes.len() {
-                each(&mut self.nodes[n], &mut self.rng, self.now);
+                on_step(&mut self.nodes[n], &mut self.rng, self.now);
                 self.nodes[n].tick(self.now);
                 for (to, bytes) in self.nodes[n].take_datagrams() {
                     self.sent += if n == last { bytes.len() } else { 0 };
@@ -78,13 +79,13 @@
 }
 
 #[test]
-fn an_entry_of_one_process_serves_all_for_longer_than_the_bound_on_staleness() {
+fn entry_is_shared_and_outlives_the_staleness_bound() {
     let mut fleet = Fleet::new(7, 0.1);
     fleet.run(10 * SECOND, |_, _, _| {});
     assert!(fleet.nodes.iter().all(|node| node.write_leases.can_write(fleet.now)), "no write lease");
     let now = fleet.now;
     (0..50).for_each(|key| fleet.nodes[6].record_missing(now, &lookup_of(key), now - STEP, b"none"));
-    let write = fleet.nodes[5].writes.begin(now + SECOND, vec![lookup_of(7).key]).expect("room");
+    let write = fleet.nodes[5].writes.begin(now + SECOND, vec![lookup_of(7).key]).expect("room in the table");
     fleet.run(5 * SECOND, |_, _, _| {});
     fleet.nodes[5].writes.on_answered(fleet.now, write);
     let (now, freshness) = (fleet.now, Freshness::MaxStaleness(2 * SECOND));
@@ -93,32 +94,36 @@
     };
     for n in 0..7 {
         let count = (0..50).filter(|key| known(&mut fleet.nodes[n], *key)).count();
-        assert!(count >= 15 && !known(&mut fleet.nodes[n], 7), "{count} known at {n}");
+        assert!(
+            count >= 15 && !known(&mut fleet.nodes[n], 7),
+            "process {n} knows {count} missing keys, or knows one that may have been written"
+        );
     }
 }
 
 #[test]
-fn bytes_sent_and_received_by_a_proxy_do_not_grow_with_the_fleet() {
+fn traffic_of_a_proxy_does_not_grow_with_the_fleet() {
     let bytes = [4, 30, 100].map(|proxies| {
         let mut fleet = Fleet::new(proxies, 0.0);
         fleet.run(10 * SECOND, |_, _, _| {});
         (fleet.sent, fleet.received) = (0, 0);
-        // As many look-ups and writes in all, whatever the number of proxies.
-        let each = 1.0 / proxies as f64;
+        // The total number of reads and writes does not depend on the number of proxies.
+        let probability = 1.0 / proxies as f64;
         fleet.run(10 * SECOND, |node, rng, now| {
             let key = rng.random_range(0..5_000);
-            if rng.random_bool(each)
+            if rng.random_bool(probability)
                 && node.lookup(now, &lookup_of(key), Freshness::MaxStaleness(2 * SECOND)).is_none()
             {
                 node.record_missing(now, &lookup_of(key), now, b"what a member answers, of 40 bytes......");
             }
-            if rng.random_bool(each) && node.write_leases.can_write(now) {
-                let write = node.writes.begin(now, vec![lookup_of(rng.random()).key]).expect("room");
+            if rng.random_bool(probability) && node.write_leases.can_write(now) {
+                let write =
+                    node.writes.begin(now, vec![lookup_of(rng.random()).key]).expect("room in the table");
                 node.writes.on_answered(now, write);
             }
         });
         println!(
-            "{proxies} proxies: {} bytes a second sent by one, {} received",
+            "{proxies} proxies: one proxy sends {} and receives {} bytes per second",
             fleet.sent / 10,
             fleet.received / 10
         );
--- a/crates/negative-cache/tests/simulation/mod.rs
+++ b/crates/negative-cache/tests/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet in virtual time: proxies and lease servers that run the real crate, each by its own clock, a primary whose
-//! complete history is recorded, replicas that lag, and a network that loses, duplicates and delays. Every answer of
-//! "missing" is checked against the history.
+//! A simulation of a fleet in virtual time. Proxies and lease servers run the real crate, each with its own
+//! clock. The complete history of the primary is recorded, replicas lag, and the network loses, duplicates
+//! and delays messages. Every "missing" answer from the cache is checked against the history.
 
-// Each test uses a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 pub mod history;
@@ -23,43 +23,45 @@
     Sealed(SealedSlot),
     Announced(Announcement),
     ClosedTimestamps(Box<ClosedTimestamps>),
-    /// A read reaches a member that lags so much, and its answer comes.
-    Read(Lookup, u64, Micros),
-    Answer(Lookup, Option<Micros>),
-    /// A write reaches the primary, and its answer, if any, comes.
-    Write(WriteId, u64, bool),
-    Done(WriteId, u64, Micros),
+    /// A read reaches a member with the given replication lag.
+    MemberRead(Lookup, u64, Micros),
+    /// The response to a read arrives, with the position of the member if there was no row.
+    ReadResponse(Lookup, Option<Micros>),
+    /// A write reaches the primary; the flag tells whether a response will arrive.
+    MemberWrite(WriteId, u64, bool),
+    WriteResponse(WriteId, u64, Micros),
     InDoubt(WriteId),
 }
 
 pub struct Proxy {
-    off: Micros,
+    clock_offset: Micros,
     pub alive: bool,
     pub paused_until: Micros,
     pub cache: NegativeCache,
     writes: PendingWrites,
     leases: WriteLeases,
-    /// Look-ups of random keys in each step, as by an attacker.
+    /// Number of random keys that are read in each step, as by an attacker.
     pub flood: u32,
 }
 
 struct ServerNode {
-    off: Micros,
+    clock_offset: Micros,
     down_until: Micros,
     server: WriteLeaseServer,
 }
 
-/// The load and the faults of a run.
+/// The parameters of a simulation: its size, load and faults.
 #[derive(Clone)]
-pub struct Plan {
+pub struct Params {
     pub config: NegativeCacheConfig,
     pub proxies: usize,
     pub servers: usize,
-    /// Whether proxies share what they learn.
+    /// Whether proxies exchange messages with each other and with lease servers.
     pub shared: bool,
     pub keys: usize,
-    /// Reads of missing keys at each proxy, and writes, a second.
+    /// Reads at each proxy per second.
     pub reads: f64,
+    /// Writes at each proxy per second.
     pub writes: f64,
     pub loss: f64,
     pub duplication: f64,
@@ -67,8 +69,8 @@
     pub max_lag: Micros,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
+impl Default for Params {
+    fn default() -> Params {
         let config = NegativeCacheConfig {
             max_clock_skew: 20_000,
             max_commit_delay: 3 * SECOND,
@@ -76,7 +78,7 @@
             max_recent_entries: 4_096,
             ..NegativeCacheConfig::default()
         };
-        Plan {
+        Params {
             config,
             proxies: 7,
             servers: 3,
@@ -92,63 +94,65 @@
     }
 }
 
-/// The results of a run.
+/// The results of a simulation.
 #[derive(Default, Debug, Clone)]
-pub struct Tally {
-    pub wrong: Vec<String>,
+pub struct Results {
+    pub wrong_answers: Vec<String>,
+    /// Reads of missing keys that are not part of the flood. The next four counters count only such reads.
     pub reads: u64,
-    pub repeats: u64,
-    pub repeats_members_asked: u64,
-    pub members_asked: u64,
+    pub repeat_reads: u64,
+    pub repeat_member_reads: u64,
+    pub member_reads: u64,
+    /// Reads answered from the cache.
     pub answered: u64,
-    /// Answers of "missing" from an entry that had advanced past what any member reported.
+    /// "Missing" answers from entries that had advanced past the position reported by the member.
     pub advanced: u64,
     pub writes: u64,
-    pub no_lease: u64,
-    pub flooded: u64,
+    pub writes_without_lease: u64,
+    pub flood_reads: u64,
 }
 
 pub struct Simulation {
     pub now: Micros,
-    pub plan: Plan,
+    pub params: Params,
     pub rng: SmallRng,
     hasher: KeyHasher,
     zipf: Zipf,
     pub history: History,
     servers: Vec<ServerNode>,
     pub proxies: Vec<Proxy>,
-    /// Proxies that reach nothing but members.
+    /// Proxies that can reach only members.
     pub partitioned: BTreeSet<usize>,
-    /// Proxies and servers that do not reach each other.
+    /// Pairs of a proxy and a server that cannot reach each other.
     pub unreachable: BTreeSet<(usize, usize)>,
     events: BTreeMap<(Micros, u64), (usize, Event)>,
-    number: u64,
-    seen: BTreeSet<u64>,
+    last_id: u64,
+    read_keys: BTreeSet<u64>,
     commits: Vec<(u64, Micros)>,
-    pub tally: Tally,
+    pub results: Results,
 }
 
 impl Simulation {
-    pub fn new(plan: Plan, seed: u64) -> Simulation {
+    pub fn new(params: Params, seed: u64) -> Simulation {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let (now, half) = (1_000 * SECOND, plan.config.max_clock_skew / 2);
-        let history = History::new(rng.random_range(-half..=half));
+        let (now, max_offset) = (1_000 * SECOND, params.config.max_clock_skew / 2);
+        let history = History::new(rng.random_range(-max_offset..=max_offset));
         let server = |id: usize, rng: &mut SmallRng| {
-            let off = rng.random_range(-half..=half);
+            let clock_offset = rng.random_range(-max_offset..=max_offset);
             ServerNode {
-                off,
+                clock_offset,
                 down_until: 0,
-                server: WriteLeaseServer::new(id as u32, plan.config.clone(), now + off),
+                server: WriteLeaseServer::new(id as u32, params.config.clone(), now + clock_offset),
             }
         };
-        let servers = (0..plan.servers).map(|id| server(id, &mut rng)).collect();
-        let zipf = Zipf::new(plan.keys);
-        let (partitioned, unreachable, events, seen, commits) = Default::default();
-        let (hasher, proxies, tally) = (KeyHasher::new([9; 16]), vec![], Tally::default());
-        let n = plan.proxies;
+        let servers = (0..params.servers).map(|id| server(id, &mut rng)).collect();
+        let zipf = Zipf::new(params.keys);
+        let (partitioned, unreachable, events, read_keys, commits) = Default::default();
+        let (hasher, proxies, results) = (KeyHasher::new([9; 16]), vec![], Results::default());
+        let n = params.proxies;
         let mut simulation = Simulation {
             now,
-            plan,
+            params,
             rng,
             hasher,
             zipf,
@@ -158,69 +162,72 @@
             partitioned,
             unreachable,
             events,
-            number: 0,
-            seen,
+            last_id: 0,
+            read_keys,
             commits,
-            tally,
+            results,
         };
         (0..n).for_each(|_| simulation.join());
         simulation
     }
 
-    /// A new proxy, which nobody has heard of.
+    /// Adds a new proxy.
     pub fn join(&mut self) {
-        let half = self.plan.config.max_clock_skew / 2;
-        let off = self.rng.random_range(-half..=half);
-        let (at, n, config) = (self.now + off, self.proxies.len(), self.plan.config.clone());
-        let servers = if self.plan.shared { self.plan.servers } else { 0 };
+        let max_offset = self.params.config.max_clock_skew / 2;
+        let clock_offset = self.rng.random_range(-max_offset..=max_offset);
+        let (at, n, config) = (self.now + clock_offset, self.proxies.len(), self.params.config.clone());
+        let servers = if self.params.shared { self.params.servers } else { 0 };
         let cache = NegativeCache::new(config.clone(), servers, at);
         let (writes, leases) = (
             PendingWrites::new(config.clone(), at),
-            WriteLeases::new(n as u64 + 1, config, self.plan.servers),
+            WriteLeases::new(n as u64 + 1, config, self.params.servers),
         );
         let (alive, paused_until, flood) = (true, 0, 0);
-        self.proxies.push(Proxy { off, alive, paused_until, cache, writes, leases, flood });
+        self.proxies.push(Proxy { clock_offset, alive, paused_until, cache, writes, leases, flood });
     }
 
-    /// A killed proxy restarts, with the cache of its snapshot if it had one.
-    pub fn restart(&mut self, n: usize, snapshot: bool) {
-        // A number that no other process has or had.
-        self.number += 1;
-        let (number, now) = (1_000_000 + self.number, self.now);
-        let config = self.plan.config.clone();
+    /// Restarts a killed proxy, which keeps its cache if it has a snapshot.
+    pub fn restart(&mut self, n: usize, has_snapshot: bool) {
+        // The number of a holder must be unique among all processes, past and present.
+        self.last_id += 1;
+        let (holder, now) = (1_000_000 + self.last_id, self.now);
+        let config = self.params.config.clone();
         let p = &mut self.proxies[n];
         p.alive = true;
-        p.writes = PendingWrites::new(config.clone(), now + p.off);
-        p.leases = WriteLeases::new(number, config.clone(), self.plan.servers);
-        if !snapshot {
-            p.cache = NegativeCache::new(config, self.plan.servers, now + p.off);
+        p.writes = PendingWrites::new(config.clone(), now + p.clock_offset);
+        p.leases = WriteLeases::new(holder, config.clone(), self.params.servers);
+        if !has_snapshot {
+            p.cache = NegativeCache::new(config, self.params.servers, now + p.clock_offset);
         }
     }
 
-    /// A lease server's process is lost with its state, and another takes its place.
-    pub fn replace_server(&mut self, server: usize, down: Micros) {
+    /// Replaces a lease server with a new process, without the state of the old one, after a downtime.
+    pub fn replace_server(&mut self, server: usize, downtime: Micros) {
         let node = &mut self.servers[server];
-        node.down_until = self.now + down;
-        node.server =
-            WriteLeaseServer::new(server as u32, self.plan.config.clone(), node.down_until + node.off);
+        node.down_until = self.now + downtime;
+        node.server = WriteLeaseServer::new(
+            server as u32,
+            self.params.config.clone(),
+            node.down_until + node.clock_offset,
+        );
     }
 
     fn send(&mut self, to: usize, event: Event) {
-        let copies = 1 + usize::from(self.rng.random_bool(self.plan.duplication));
+        let copies = 1 + usize::from(self.rng.random_bool(self.params.duplication));
         for _ in 0..copies {
-            if !self.rng.random_bool(self.plan.loss) {
-                let delay = self.rng.random_range(1_000..=self.plan.max_delay);
-                self.post(delay, to, event.clone());
+            if !self.rng.random_bool(self.params.loss) {
+                let delay = self.rng.random_range(1_000..=self.params.max_delay);
+                self.schedule(delay, to, event.clone());
             }
         }
     }
 
-    fn post(&mut self, delay: Micros, to: usize, event: Event) {
-        self.number += 1;
-        self.events.insert((self.now + delay, self.number), (to, event));
+    fn schedule(&mut self, delay: Micros, to: usize, event: Event) {
+        self.last_id += 1;
+        self.events.insert((self.now + delay, self.last_id), (to, event));
     }
 
-    fn spread(&mut self, event: &Event) {
+    fn gossip(&mut self, event: &Event) {
         let n = self.proxies.len();
         for to in rand::seq::index::sample(&mut self.rng, n, n.min(4)) {
             self.send(to, event.clone());
--- a/crates/negative-cache/tests/window.rs
+++ b/crates/negative-cache/tests/window.rs
@@ -1,9 +1,9 @@
-//! The sliding window over slots.
+//! Tests of the sliding window over slots.
 
 use wharfplank_negative_cache::SlotWindow;
 
 #[test]
-fn slots_are_kept_by_number_whatever_the_first_slot() {
+fn window_keeps_slots_when_it_advances() {
     let mut window = SlotWindow::new(10);
     assert!(window.insert(10) && window.insert(11) && window.insert(13) && window.insert(137));
     assert!(!window.insert(9) && !window.insert(138));
--- a/crates/negative-cache/tests/writes.rs
+++ b/crates/negative-cache/tests/writes.rs
@@ -1,11 +1,11 @@
-//! The writes of one proxy, and the slots that it closes.
+//! Tests of the writes of one proxy and of the slots that it closes.
 
 use wharfplank_negative_cache::{
     ClosedSlot, KeyHash, NegativeCacheConfig, PendingWrites, Slot, MAX_CLOSED_SLOTS_PER_REQUEST, MAX_WRITES,
     WINDOW_SLOTS,
 };
 
-/// The closed slots in which a key may have been written.
+/// Returns the closed slots in which a key may have been written.
 fn slots_with(writes: &PendingWrites, key: u32) -> Vec<Slot> {
     let closed_slots = writes.closed_slots_after(Slot::MIN);
     closed_slots
@@ -15,7 +15,7 @@
         .collect()
 }
 
-/// All closed slots, message by message.
+/// Returns all closed slots, collected message by message.
 fn all_closed_slots(writes: &PendingWrites) -> Vec<ClosedSlot> {
     let mut all: Vec<ClosedSlot> = Vec::new();
     loop {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_write_is_recorded_in_every_slot_in_which_it_may_commit() {
+fn write_is_recorded_in_all_slots_of_possible_commit() {
     let config = NegativeCacheConfig {
         slot_length: 100,
         max_clock_skew: 10,
@@ -42,21 +42,22 @@
     let not_executed = writes.begin(10_005, vec![KeyHash(3)]).unwrap();
     writes.on_not_executed(not_executed);
     writes.advance(10_110);
-    assert_eq!(writes.last_closed(), 99, "closed a slot in which a write that begins now may commit");
+    assert_eq!(writes.last_closed(), 99, "a slot was closed in which a write that begins now may commit");
     writes.advance(10_111);
     assert_eq!(writes.last_closed(), 100);
     writes.on_answered(10_195, answered);
     writes.on_in_doubt(10_195, in_doubt);
     assert_eq!(writes.last_commit_slot(), Some(112));
     writes.advance(11_600);
-    // With clocks that differ by 10: from 9,995 to 10,205, and 1,000 longer in doubt.
+    // With a clock skew of 10, the answered write may commit from 9,995 to 10,205, the one in doubt 1,000
+    // later.
     assert_eq!(slots_with(&writes, 1), [99, 100, 101, 102]);
     assert_eq!(slots_with(&writes, 2), (99..=112).collect::<Vec<_>>());
     assert_eq!((slots_with(&writes, 3).len(), writes.len()), (0, 0));
 }
 
 #[test]
-fn writes_are_bounded_and_too_many_keys_count_as_all_keys() {
+fn writes_and_keys_are_bounded() {
     let config = NegativeCacheConfig::default();
     let mut writes = PendingWrites::new(config.clone(), 0);
     let all: Vec<_> = (0..MAX_WRITES as u32).filter_map(|n| writes.begin(0, vec![KeyHash(n)])).collect();
