--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -1,40 +1,41 @@
-//! The timing and sizes of SWIM.
+//! The configuration of SWIM's timing and message sizes.
 
 use crate::note::MAX_NOTE_BYTES;
 use foca::{Config, PeriodicParams};
 use std::num::{NonZeroU32, NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// The shortest ping interval: the timeout of a ping must fit in it.
+/// The minimum ping interval: it must be longer than the ping timeout of at least 1 ms.
 const MIN_PING_INTERVAL_MS: u64 = 2;
-/// A peer that is down is remembered for this long, so that old news of it does not bring it back.
-const REMEMBER_DOWN: Duration = Duration::from_secs(600);
-/// How often a proxy announces itself to a random live peer, which heals partial views.
+/// How long a peer that is down is remembered, so that stale updates do not bring it back.
+const DOWN_PEER_RETENTION: Duration = Duration::from_secs(600);
+/// The interval at which a proxy announces itself to a random live peer, which completes partial views.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
-/// How often a proxy announces itself to peers that are down, which merges the sides of a healed partition.
+/// The interval at which a proxy announces itself to peers that are down, which merges the sides of a healed
+/// partition.
 const ANNOUNCE_TO_DOWN_INTERVAL: Duration = Duration::from_secs(3);
 const ANNOUNCE_TO_DOWN_PEERS: usize = 2;
 
-/// How often and to how many peers a proxy talks. Traffic per proxy depends on these, not on how many proxies there
-/// are: a ping and its ack each `ping_interval_ms`, a message to `gossip_fanout` peers each `gossip_interval_ms`, each
-/// of at most `max_datagram_bytes`.
+/// The configuration of SWIM. It determines the traffic per proxy independently of the number of proxies: a
+/// ping and its ack every `ping_interval_ms`, and a message to `gossip_fanout` peers every
+/// `gossip_interval_ms`, each of at most `max_datagram_bytes`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SwimConfig {
-    /// Milliseconds between pings of one peer chosen at random.
+    /// Milliseconds between pings, each to one peer chosen at random.
     pub ping_interval_ms: u64,
-    /// Milliseconds that an ack may take before others are asked to ping the peer too (ping-req).
+    /// Milliseconds to wait for an ack before other peers are asked to ping the peer (ping-req).
     pub ping_timeout_ms: u64,
-    /// Milliseconds that a suspect has to refute its suspicion before it is declared down.
+    /// Milliseconds that a suspect has to refute the suspicion before it is declared down.
     pub suspicion_timeout_ms: u64,
     /// Milliseconds between gossip messages.
     pub gossip_interval_ms: u64,
-    /// Peers that each gossip message goes to.
+    /// The number of peers that each gossip message is sent to.
     pub gossip_fanout: usize,
-    /// The largest datagram sent or accepted.
+    /// The maximum size of a datagram sent or accepted, in bytes.
     pub max_datagram_bytes: usize,
-    /// How many proxies there are about: updates are disseminated about 4 log10(n + 1) times each.
+    /// The expected number of proxies n: each update is transmitted about 4 log10(n + 1) times.
     pub expected_proxies: u32,
-    /// Milliseconds between join requests to the seeds while no peer is known.
+    /// Milliseconds between join requests to the seeds while no live peer is known.
     pub join_interval_ms: u64,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl SwimConfig {
-    /// The configuration of foca, with values out of range clamped.
+    /// Converts to the configuration of foca. Values out of range are clamped.
     pub(crate) fn to_foca(&self) -> Config {
         let ping_interval_ms = self.ping_interval_ms.max(MIN_PING_INTERVAL_MS);
         let expected_proxies = NonZeroU32::new(self.expected_proxies).unwrap_or(NonZeroU32::MIN);
@@ -64,7 +65,7 @@
         config.suspect_to_down_after = Duration::from_millis(self.suspicion_timeout_ms.max(1));
         config.max_packet_size = at_least_one(self.max_datagram_bytes.max(MAX_NOTE_BYTES * 2));
         config.max_transmissions = config.max_transmissions.max(NonZeroU8::MIN);
-        config.remove_down_after = REMEMBER_DOWN;
+        config.remove_down_after = DOWN_PEER_RETENTION;
         config.periodic_gossip = Some(PeriodicParams {
             frequency: Duration::from_millis(self.gossip_interval_ms.max(1)),
             num_members: at_least_one(self.gossip_fanout),
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -1,5 +1,5 @@
-//! Passes notes that were received piggybacked on SWIM's messages to the store, and tells foca which of them to
-//! disseminate further.
+//! Receipt of notes piggybacked on SWIM's messages: stores them and tells foca which of them to disseminate
+//! further.
 
 use crate::note::{Note, NoteKey};
 use crate::note_store::NoteStore;
@@ -7,12 +7,13 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A note that cannot be decoded.
+/// A note cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a note that cannot be read")]
+#[error("received note cannot be decoded")]
 pub struct NoteDecodeError;
 
-/// foca's handler of broadcasts. The store is shared with the membership, whose owner reads it between calls.
+/// foca's broadcast handler. The store is shared with the [`Membership`](crate::Membership), whose owner
+/// reads it between calls.
 pub(crate) struct NoteReceiver(pub(crate) Rc<RefCell<NoteStore>>);
 
 impl<T> BroadcastHandler<T> for NoteReceiver {
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -1,21 +1,21 @@
-//! What changes in the membership.
+//! Events of the membership.
 
 use crate::Peer;
 use foca::OwnedNotification;
 
-/// What changed in the membership.
+/// A change in the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
     /// A peer is alive.
     Up(Peer),
-    /// A peer is declared down.
+    /// A peer was declared down.
     Down(Peer),
-    /// This proxy was declared down and rejoined as this newer generation.
+    /// This proxy was declared down and rejoined. The peer is its new identity, with a newer generation.
     Rejoined(Peer),
 }
 
 impl MembershipEvent {
-    /// What a notification of foca means to the membership's owner, if anything.
+    /// Converts a notification of foca. Returns `None` if it is of no interest to the membership's owner.
     pub(crate) fn from_foca(notification: OwnedNotification<Peer>) -> Option<MembershipEvent> {
         match notification {
             OwnedNotification::MemberUp(peer) | OwnedNotification::Rename(_, peer) => {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,13 +1,15 @@
-//! Membership between proxies, where an installation lets them talk to each other: which proxies are alive, found with
-//! SWIM (the `foca` crate), and notes that each proxy publishes and that are disseminated piggybacked on SWIM's
-//! messages. The crate does no I/O: datagrams and the time go in, datagrams to send and what changed come out. The
-//! driver owns the socket.
+//! Membership among proxies, for installations in which proxies may communicate with each other: detection of
+//! live proxies with SWIM (the `foca` crate), and notes that each proxy publishes and that are piggybacked on
+//! SWIM's messages. The crate does no I/O: its inputs are received datagrams and the current time; its
+//! outputs are datagrams to send and membership events. The driver owns the socket.
 //!
-//! - [`Peer`]: the identity of a proxy: the address others send to, its zone, and the generation of its process.
-//! - [`Membership`]: one proxy's view of the others, and its notes.
-//! - [`SwimConfig`]: how often proxies ping and gossip, and when a suspect is declared down.
-//! - [`Note`], [`NoteStore`]: what proxies tell each other; the newest of each proxy and topic wins.
-//! - [`simulation`]: many proxies' memberships on a network in virtual time with faults, for tests and models.
+//! - [`Peer`]: the identity of a proxy: its address, its zone and the generation of its process.
+//! - [`Membership`]: one proxy's view of the other proxies and of the published notes.
+//! - [`SwimConfig`]: the intervals of pings and gossip, and the timeout after which a suspect is declared
+//!   down.
+//! - [`Note`], [`NoteStore`]: the data that proxies publish; the newest note per proxy and topic wins.
+//! - [`simulation`]: the memberships of many proxies on a simulated network with faults, for tests and
+//!   models.
 //!
 //! ```
 //! use wharfplank_gossip::{Membership, Peer, SwimConfig};
@@ -50,5 +52,5 @@
 pub use peer::{Peer, MAX_ZONE_BYTES};
 pub use traffic::{Datagram, Traffic};
 
-/// A time or a span of time, in microseconds, on the caller's clock.
+/// A point in time or a duration on the caller's clock, in microseconds.
 pub type Micros = i64;
--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -1,4 +1,5 @@
-//! One proxy's view of the others: SWIM's failure detection and dissemination by `foca`, driven by the caller's time.
+//! One proxy's view of the others: SWIM's failure detection and dissemination by `foca`, driven by the
+//! caller's clock.
 
 use crate::config::SwimConfig;
 use crate::dissemination::NoteReceiver;
@@ -17,25 +18,26 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// The most datagrams waiting for the driver; older ones are dropped, since SWIM sends again.
+/// The maximum number of datagrams queued for the driver. When the queue is full, the oldest is dropped,
+/// since SWIM sends its information repeatedly.
 const MAX_OUTGOING: usize = 1024;
 const MICROS_PER_MS: Micros = 1000;
 
-/// Why a note was not published.
+/// The reason why a note was not published.
 #[derive(Debug, thiserror::Error)]
 pub enum PublishError {
-    /// It cannot be encoded.
-    #[error("the note cannot be encoded: {0}")]
+    /// The note cannot be encoded.
+    #[error("note cannot be encoded: {0}")]
     Encoding(#[from] postcard::Error),
-    /// foca does not take it.
-    #[error("the note cannot be disseminated: {0}")]
+    /// foca rejected the note.
+    #[error("note cannot be disseminated: {0}")]
     Dissemination(#[from] foca::Error),
-    /// The store does not take it: its body is too large, or the store is full.
-    #[error("the note is not stored: it is too large, or too many are held")]
+    /// The store rejected the note: its body is too large, or the store is full.
+    #[error("note was not stored: its body is too large or the note store is full")]
     NotStored,
 }
 
-/// One proxy's view of the others, and the notes that all publish.
+/// One proxy's view of the other proxies and of the notes that all proxies publish.
 pub struct Membership {
     foca: Foca<Peer, PostcardCodec, SmallRng, NoteReceiver>,
     notes: Rc<RefCell<NoteStore>>,
@@ -43,25 +45,26 @@
     timers: TimerQueue,
     now: Micros,
     seeds: Vec<SocketAddrV4>,
-    /// When the seeds are next sent a join request, where no peer is known.
+    /// The time of the next join request to the seeds if no live peer is known.
     join_at: Micros,
     join_interval: Micros,
     outgoing: VecDeque<Datagram>,
     events: Vec<MembershipEvent>,
-    /// The version of the newest note of this proxy.
+    /// The version of this proxy's newest note.
     note_version: u64,
-    /// What was sent.
+    /// Traffic sent.
     pub sent: Traffic,
-    /// What was received, accepted or not.
+    /// Traffic received, accepted or not.
     pub received: Traffic,
-    /// Datagrams that foca did not accept: from an older generation, garbled, too large, of a peer declared down.
+    /// Datagrams that foca rejected: malformed, too large, from an older generation or from a peer declared
+    /// down.
     pub rejected: u64,
-    /// Datagrams and timers dropped since a queue was full.
+    /// Datagrams and timers dropped because a queue was full.
     pub dropped: u64,
 }
 
 impl Membership {
-    /// A proxy that knows nobody yet, at time `now`.
+    /// Creates the membership of a proxy that knows no peers yet, at time `now`.
     pub fn new(local_peer: Peer, config: SwimConfig, seed: u64, now: Micros) -> Self {
         let notes = Rc::new(RefCell::new(NoteStore::default()));
         let rng = SmallRng::seed_from_u64(seed);
@@ -85,12 +88,13 @@
         }
     }
 
-    /// Who this proxy is now: its generation grows where it was declared down and rejoined.
+    /// Returns the current identity of this proxy. Its generation increases when it rejoins after being
+    /// declared down.
     pub fn local_peer(&self) -> &Peer {
         self.foca.identity()
     }
 
-    /// Sends join requests to these addresses, and again while no peer is known.
+    /// Sends join requests to these addresses and repeats them while no live peer is known.
     pub fn join(&mut self, seeds: &[SocketAddrV4], now: Micros) {
         let local_addr = self.local_peer().addr;
         self.seeds = seeds.iter().copied().filter(|seed| *seed != local_addr).collect();
@@ -98,7 +102,7 @@
         self.tick(now);
     }
 
-    /// Takes a datagram that was received.
+    /// Handles a received datagram.
     pub fn on_datagram(&mut self, now: Micros, datagram: &[u8]) {
         self.advance_clock(now);
         self.received.count(datagram);
@@ -108,11 +112,11 @@
         self.drain_runtime();
     }
 
-    /// Fires the timers that are due, and sends join requests to the seeds where no peer is known.
+    /// Fires the timers that are due, and sends join requests to the seeds if no live peer is known.
     pub fn tick(&mut self, now: Micros) {
         self.advance_clock(now);
         while let Some(timer) = self.timers.pop_due(self.now) {
-            // A timer of an older round is harmless; foca reports it as an error that changes nothing.
+            // foca reports a timer of an earlier probe round as an error, which has no effect.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
         }
         if self.needs_to_join() && self.now >= self.join_at {
@@ -121,14 +125,14 @@
         self.drain_runtime();
     }
 
-    /// When [`Membership::tick`] is next due.
+    /// Returns the time at which [`Membership::tick`] is next due.
     pub fn next_due(&self) -> Micros {
         let timer = self.timers.next_due().unwrap_or(Micros::MAX);
         let join = if self.needs_to_join() { self.join_at } else { Micros::MAX };
         timer.min(join)
     }
 
-    /// Publishes this proxy's newest note of a topic; it replaces the one before.
+    /// Publishes this proxy's newest note of a topic, which replaces the previous one.
     pub fn publish(&mut self, topic: u8, body: Vec<u8>) -> Result<(), PublishError> {
         self.note_version += 1;
         let Peer { addr: origin, generation, .. } = *self.local_peer();
@@ -143,29 +147,31 @@
         }
     }
 
-    /// The peers that are alive, this proxy not among them.
+    /// Returns an iterator over the live peers, excluding this proxy.
     pub fn live_peers(&self) -> impl Iterator<Item = &Peer> {
         self.foca.iter_members().map(|member| member.id())
     }
 
-    /// The notes held, this proxy's own among them.
+    /// Returns the stored notes, including this proxy's own.
     pub fn notes(&self) -> Ref<'_, NoteStore> {
         self.notes.borrow()
     }
 
-    /// Takes the datagrams that are to be sent.
+    /// Takes the datagrams to send.
     pub fn take_datagrams(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.outgoing).into()
     }
 
-    /// Takes what changed since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Leaves on purpose, as at a graceful shutdown: the others need not wait for a ping to time out.
+    /// Leaves the membership, as at a graceful shutdown, so that the others need not wait for a ping to time
+    /// out.
     pub fn leave(&mut self) {
-        // foca fails only to encode the farewell; the others then find out by their pings.
+        // foca can fail only to encode the leave message. The others then detect the departure by their
+        // pings.
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.drain_runtime();
     }
@@ -181,12 +187,12 @@
     fn send_join_requests(&mut self) {
         self.join_at = self.now + self.join_interval;
         for seed in &self.seeds {
-            // A request that cannot be encoded is as one lost on the wire: it is sent again.
+            // A request that cannot be encoded is handled like a lost one: it is repeated.
             let _ = self.foca.announce(Peer::unknown_at(*seed), &mut self.runtime);
         }
     }
 
-    /// Takes over what foca asked for: datagrams to send, timers and notifications.
+    /// Collects foca's output: datagrams to send, timers and notifications.
     fn drain_runtime(&mut self) {
         while let Some((to, payload)) = self.runtime.to_send() {
             self.sent.count(&payload);
--- a/crates/gossip/src/note.rs
+++ b/crates/gossip/src/note.rs
@@ -4,37 +4,39 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// The most bytes of a note's body.
+/// The maximum size of a note's body, in bytes.
 pub const MAX_NOTE_BYTES: usize = 512;
 
-/// What one proxy tells the others about one topic. Its encoding is part of the protocol between proxies.
+/// A message that one proxy publishes to the others about one topic. Its encoding is part of the protocol
+/// between proxies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Note {
-    /// The proxy that published it: the address that others send to.
+    /// The address of the proxy that published the note.
     pub origin: SocketAddrV4,
-    /// The generation of the process that published it: a restarted one publishes with a higher one.
+    /// The generation of the process that published the note. It is higher after a restart.
     pub generation: u64,
-    /// What it is about.
+    /// The topic of the note.
     pub topic: u8,
-    /// Its version within the generation: each new note of the same topic has a higher one.
+    /// The version of the note within the generation. Each new note of the same topic has a higher one.
     pub version: u64,
-    /// What it says, in an encoding that the topic's owner defines.
+    /// The content, in an encoding that the topic's owner defines.
     pub body: Vec<u8>,
 }
 
 impl Note {
-    /// What identifies the note and orders it among those of the same proxy and topic.
+    /// Returns the key that identifies the note and orders it among those of the same proxy and topic.
     pub fn key(&self) -> NoteKey {
         NoteKey { origin: self.origin, topic: self.topic, generation: self.generation, version: self.version }
     }
 
-    /// Whether this note is newer than `other` of the same proxy and topic.
+    /// Returns whether this note is newer than `other`, a note of the same proxy and topic.
     pub fn is_newer_than(&self, other: &Note) -> bool {
         self.key().recency() > other.key().recency()
     }
 }
 
-/// What foca holds of a note while it is disseminated: the newer one of a proxy and topic replaces the older.
+/// The key by which foca tracks a note during dissemination. A newer note of a proxy and topic replaces an
+/// older one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoteKey {
     origin: SocketAddrV4,
@@ -44,7 +46,7 @@
 }
 
 impl NoteKey {
-    /// What orders the notes of one proxy and topic.
+    /// Returns the value that orders the notes of one proxy and topic.
     fn recency(&self) -> (u64, u64) {
         (self.generation, self.version)
     }
--- a/crates/gossip/src/peer.rs
+++ b/crates/gossip/src/peer.rs
@@ -4,23 +4,23 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// The most bytes of a zone's name.
+/// The maximum length of a zone's name, in bytes.
 pub const MAX_ZONE_BYTES: usize = 64;
 
 /// The identity of a proxy. Its encoding is part of the protocol between proxies.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
-    /// Where the others send to: the same after a restart.
+    /// The address that other proxies send to. It stays the same across restarts.
     pub addr: SocketAddrV4,
-    /// Its zone, as the endpoint list names it.
+    /// The zone of the proxy, as named in the endpoint list.
     pub zone: String,
-    /// The generation of its process, higher after each restart (the start time in milliseconds will do): its state and
-    /// its notes replace those of the process before.
+    /// The generation of the process, higher after each restart (for example the start time in milliseconds).
+    /// The state and the notes of a newer generation replace those of the previous process.
     pub generation: u64,
 }
 
 impl Peer {
-    /// A peer; a zone's name is truncated to [`MAX_ZONE_BYTES`] bytes.
+    /// Creates a peer. The zone's name is truncated to [`MAX_ZONE_BYTES`] bytes.
     pub fn new(addr: SocketAddrV4, zone: &str, generation: u64) -> Self {
         let mut end = zone.len().min(MAX_ZONE_BYTES);
         while !zone.is_char_boundary(end) {
@@ -29,7 +29,8 @@
         Peer { addr, zone: zone[..end].to_string(), generation }
     }
 
-    /// The identity to which a join request is addressed before the peer's own is known.
+    /// Creates the placeholder identity to which a join request is addressed before the peer's identity is
+    /// known.
     pub(crate) fn unknown_at(addr: SocketAddrV4) -> Self {
         Peer::new(addr, "", 0)
     }
@@ -38,7 +39,8 @@
 impl Identity for Peer {
     type Addr = SocketAddrV4;
 
-    /// Declared down, for instance after a pause, a proxy rejoins as a newer generation at once.
+    /// Returns the newer generation as which a proxy rejoins immediately after it was declared down, for
+    /// example after a pause.
     fn renew(&self) -> Option<Self> {
         Some(Peer { generation: self.generation + 1, ..self.clone() })
     }
--- a/crates/gossip/src/simulation.rs
+++ b/crates/gossip/src/simulation.rs
@@ -1,6 +1,6 @@
-//! Many proxies' [`Membership`]s in one process, on a network in virtual time that loses, delays, duplicates, reorders
-//! and cuts datagrams, and proxies that are paused, killed and restarted. What decides is the real code; only the network
-//! is modelled. Seeded: the same seed gives the same run.
+//! A simulation of many proxies' [`Membership`]s in one process and in virtual time. The network loses,
+//! delays, duplicates, reorders and blocks datagrams, and proxies are paused, killed and restarted. The
+//! membership code is the real one; only the network is simulated. The same seed gives the same run.
 
 use crate::{Datagram, Membership, Micros, Peer, SwimConfig};
 use rand::rngs::SmallRng;
@@ -9,74 +9,75 @@
 use std::collections::{BTreeSet, BinaryHeap};
 use std::net::SocketAddrV4;
 
-/// The port of the first proxy; the others follow.
+/// The port of the first proxy. The others use the following ports.
 const FIRST_PORT: u16 = 20_000;
-/// Each proxy's seeds are chosen among the first so many.
+/// The number of proxies from the first on that serve as seeds for the others.
 const SEED_CANDIDATES: usize = 4;
 
-/// What the network does to each datagram.
+/// The faults that the network applies to each datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// The part that is lost.
+    /// The fraction of datagrams that are lost.
     pub loss: f64,
-    /// The part that arrives twice.
+    /// The fraction of datagrams that arrive twice.
     pub duplicate: f64,
-    /// The least delay, in microseconds.
+    /// The minimum delay, in microseconds.
     pub delay: Micros,
-    /// Further delay, drawn up to this, in microseconds: datagrams overtake each other.
+    /// The upper bound of the additional random delay, in microseconds. It causes reordering.
     pub jitter: Micros,
 }
 
-/// One proxy of the network.
+/// One simulated proxy.
 pub struct SimulatedProxy {
-    /// Its view; `None` while it is dead.
+    /// The membership of the proxy; `None` while the proxy is not running.
     pub membership: Option<Membership>,
-    /// Its address.
+    /// The address of the proxy.
     pub addr: SocketAddrV4,
-    /// Its zone.
+    /// The zone of the proxy.
     pub zone: String,
-    /// Paused until then: it takes nothing and its timers stand still.
+    /// The time until which the proxy is paused: it receives no datagrams and fires no timers.
     pub paused_until: Micros,
     generation: u64,
 }
 
-/// A datagram on its way; the next to arrive is the least.
+/// A datagram in flight. The ordering is by arrival time, then by sequence number.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     arrives_at: Micros,
-    number: u64,
+    sequence: u64,
     to: usize,
     payload: Vec<u8>,
 }
 
-/// The network.
+/// The simulated network.
 pub struct SimulatedNetwork {
-    /// The proxies, by number.
+    /// The proxies, by index.
     pub proxies: Vec<SimulatedProxy>,
-    /// What the network does to datagrams.
+    /// The faults that the network applies to datagrams.
     pub faults: LinkFaults,
-    /// Pairs (from, to) of numbers whose datagrams are dropped: a partition, one way or both.
+    /// Pairs (from, to) of proxy indexes between which datagrams are dropped: a partition in one or both
+    /// directions.
     pub blocked: BTreeSet<(usize, usize)>,
     /// The current time.
     pub now: Micros,
     config: SwimConfig,
     rng: SmallRng,
     in_flight: BinaryHeap<Reverse<InFlight>>,
-    /// Numbers the datagrams in the order in which they were sent or put off.
-    numbered: u64,
-    /// Datagrams put on the network.
+    /// The sequence number of the last datagram that was sent or deferred.
+    last_sequence: u64,
+    /// The number of datagrams sent.
     pub sent: u64,
-    /// Datagrams lost on it, by loss or a partition.
+    /// The number of datagrams dropped by loss or a partition.
     pub lost: u64,
 }
 
-/// The address of a proxy.
+/// Returns the address of the proxy with this index.
 pub fn address(index: usize) -> SocketAddrV4 {
     SocketAddrV4::new([127, 0, 0, 1].into(), FIRST_PORT + index as u16)
 }
 
 impl SimulatedNetwork {
-    /// `count` proxies in `zones` by turn, all started.
+    /// Creates a network of `count` started proxies that are assigned to `zones` in turn.
     pub fn new(count: usize, zones: &[&str], config: SwimConfig, faults: LinkFaults, seed: u64) -> Self {
         let proxies = (0..count).map(|index| SimulatedProxy {
             membership: None,
@@ -93,7 +94,7 @@
             config,
             rng: SmallRng::seed_from_u64(seed),
             in_flight: BinaryHeap::new(),
-            numbered: 0,
+            last_sequence: 0,
             sent: 0,
             lost: 0,
         };
@@ -101,7 +102,8 @@
         network
     }
 
-    /// Starts a proxy, or restarts it as a new generation, with its seeds: the first three others.
+    /// Starts a proxy, or restarts it as a new generation. Its seeds are the first `SEED_CANDIDATES`
+    /// proxies except itself.
     pub fn start(&mut self, index: usize) {
         let proxy = &mut self.proxies[index];
         proxy.generation += 1;
@@ -114,7 +116,7 @@
         self.proxies[index].paused_until = 0;
     }
 
-    /// Kills a proxy: it loses its state.
+    /// Kills a proxy, which loses its state.
     pub fn kill(&mut self, index: usize) {
         let proxy = &mut self.proxies[index];
         if let Some(membership) = proxy.membership.take() {
@@ -122,12 +124,12 @@
         }
     }
 
-    /// Pauses a proxy for so long.
+    /// Pauses a proxy for a duration.
     pub fn pause(&mut self, index: usize, span: Micros) {
         self.proxies[index].paused_until = self.now + span;
     }
 
-    /// Blocks the datagrams between two sets of proxies, both ways.
+    /// Blocks the datagrams between two sets of proxies in both directions.
     pub fn partition(&mut self, one: &[usize], other: &[usize]) {
         for a in one {
             for b in other {
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Lets time pass up to `until`, in steps of `step`, delivering datagrams and firing timers.
+    /// Advances the time to `until` in steps of `step`, delivering datagrams and firing timers.
     pub fn run(&mut self, until: Micros, step: Micros) {
         while self.now < until {
             self.now = (self.now + step).min(until);
@@ -172,15 +174,15 @@
     }
 
     fn enqueue(&mut self, arrives_at: Micros, to: usize, payload: Vec<u8>) {
-        self.numbered += 1;
-        self.in_flight.push(Reverse(InFlight { arrives_at, number: self.numbered, to, payload }));
+        self.last_sequence += 1;
+        self.in_flight.push(Reverse(InFlight { arrives_at, sequence: self.last_sequence, to, payload }));
     }
 
     fn deliver_due(&mut self) {
         while self.in_flight.peek().is_some_and(|Reverse(next)| next.arrives_at <= self.now) {
             let Some(Reverse(InFlight { arrives_at, to, payload, .. })) = self.in_flight.pop() else { break };
             let proxy = &mut self.proxies[to];
-            // A paused process reads its socket later; one that is dead never does.
+            // A paused process reads its socket after it resumes; a dead one never does.
             if proxy.paused_until > arrives_at {
                 let paused_until = proxy.paused_until;
                 self.enqueue(paused_until, to, payload);
@@ -194,14 +196,14 @@
         self.proxies.iter().position(|proxy| proxy.addr == addr)
     }
 
-    /// The numbers of the proxies that one takes for alive.
+    /// Returns the indexes of the proxies that a proxy considers alive.
     pub fn seen_by(&self, index: usize) -> BTreeSet<usize> {
         let Some(membership) = self.proxies[index].membership.as_ref() else { return BTreeSet::new() };
         membership.live_peers().filter_map(|peer| self.index_of(peer.addr)).collect()
     }
 
-    /// Whether each live proxy takes exactly the other live ones of `group` for alive, and the newest generation of
-    /// each.
+    /// Returns whether each live proxy of `group` considers all other live proxies of `group` alive and knows
+    /// the newest generation of every peer that it considers alive.
     pub fn agrees(&self, group: &[usize]) -> bool {
         let is_alive = |index: &usize| self.proxies[*index].membership.is_some();
         let live: BTreeSet<usize> = group.iter().copied().filter(is_alive).collect();
@@ -212,7 +214,7 @@
         })
     }
 
-    /// Whether a proxy knows the newest generation of each peer that it takes for alive.
+    /// Returns whether a proxy knows the newest generation of each peer that it considers alive.
     fn sees_newest_generations(&self, index: usize) -> bool {
         let Some(membership) = self.proxies[index].membership.as_ref() else { return false };
         membership.live_peers().all(|peer| {
--- a/crates/gossip/src/timers.rs
+++ b/crates/gossip/src/timers.rs
@@ -1,18 +1,18 @@
-//! The timers that foca asked for.
+//! The timers requested by foca.
 
 use crate::{Micros, Peer};
 use foca::Timer;
 use std::collections::BTreeMap;
 
-/// The most timers that may be scheduled; foca asks for a few per peer that it pings at a time.
+/// The maximum number of scheduled timers. foca requests a few for each peer that it is currently pinging.
 const MAX_TIMERS: usize = 4096;
 
-/// Too many timers are scheduled already.
+/// A timer was not scheduled because [`MAX_TIMERS`] are already scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no more than {MAX_TIMERS} timers are scheduled")]
+#[error("timer queue is full: {MAX_TIMERS} timers are scheduled")]
 pub(crate) struct TimersFull;
 
-/// Scheduled timers, by when they are due; those due at the same time in the order in which they were scheduled.
+/// The scheduled timers, ordered by due time and then by the order in which they were scheduled.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     timers: BTreeMap<(Micros, u64), Timer<Peer>>,
@@ -30,14 +30,14 @@
         Ok(())
     }
 
-    /// Takes the next timer that is due by now.
+    /// Takes the earliest timer if it is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<Timer<Peer>> {
         let first = self.timers.first_entry()?;
         let (due_at, _) = *first.key();
         (due_at <= now).then(|| first.remove())
     }
 
-    /// When the next timer is due.
+    /// Returns the time at which the next timer is due.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.first_key_value().map(|((due_at, _), _)| *due_at)
     }
--- a/crates/gossip/src/traffic.rs
+++ b/crates/gossip/src/traffic.rs
@@ -1,13 +1,13 @@
-//! Datagrams, and counts of them.
+//! Datagrams and traffic counters.
 
 use std::net::SocketAddrV4;
 
-/// Counts of datagrams.
+/// Counters of datagrams and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Datagrams.
+    /// The number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// The total size of the datagrams, in bytes.
     pub bytes: u64,
 }
 
@@ -22,8 +22,8 @@
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Where it goes to.
+    /// The destination address.
     pub to: SocketAddrV4,
-    /// What it carries.
+    /// The payload.
     pub payload: Vec<u8>,
 }
