--- a/crates/shared-state/src/anti_entropy.rs
+++ b/crates/shared-state/src/anti_entropy.rs
@@ -1,10 +1,12 @@
-//! Anti-entropy: the exchange by which two proxies find and settle the differences between their stores.
+//! Anti-entropy: the exchange by which two proxies find and repair the differences between their stores.
 //!
-//! 1. One sends the digests of its buckets ([`Message::DigestRequest`]).
-//! 2. The other answers with all its entries in the buckets that differ, range by range ([`Message::Ranges`]).
-//! 3. The first merges them, and sends back what the other lacks or holds in an older form ([`Message::Repair`]).
+//! 1. The first proxy sends the digests of its buckets ([`Message::DigestRequest`]).
+//! 2. The second answers with all its entries in the buckets that differ, range by range
+//!    ([`Message::Ranges`]).
+//! 3. The first merges these and sends back the entries that the second lacks or holds in an older version
+//!    ([`Message::Repair`]).
 //!
-//! No message depends on state kept between messages, so each may be lost, duplicated or delayed.
+//! No state is kept between the messages, so each may be lost, duplicated or delayed.
 
 use crate::entry::Entry;
 use crate::key::Key;
@@ -12,40 +14,40 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The bound on the body of one message, in bytes.
+/// The maximum size of the body of one message, in bytes.
 pub const MAX_BODY_BYTES: usize = 1200;
 
-/// What a range without entries takes of a body, in bytes, and what the first key of one adds to that.
+/// The size of an empty range in a message body, and the additional size of its start key, in bytes.
 const RANGE_BYTES: usize = 8;
 const RANGE_START_BYTES: usize = 12;
 
-/// What proxies send each other.
+/// A message between proxies.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Entries that changed. Most ride on datagrams of the membership.
+    /// Entries that changed. Most are piggybacked on the membership's datagrams.
     Delta(Vec<(Key, Entry)>),
-    /// The digests of all buckets of the sender; asks for the entries of those that differ.
+    /// The digests of all of the sender's buckets; requests the entries of those that differ.
     #[serde(rename = "Ask")]
     DigestRequest(Vec<u64>),
-    /// All entries that the sender holds in some ranges of keys.
+    /// All entries that the sender holds in the given key ranges.
     #[serde(rename = "Tell")]
     Ranges(Vec<KeyRange>),
-    /// Entries that the receiver lacked or held in an older form.
+    /// Entries that the receiver lacked or held in an older version.
     #[serde(rename = "Fill")]
     Repair(Vec<(Key, Entry)>),
 }
 
-/// All entries that a proxy holds in a part of a bucket.
+/// All entries that a proxy holds in a range of keys of one bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyRange {
     /// The bucket.
     #[serde(rename = "leaf")]
     pub bucket: u16,
-    /// The first key of the range; `None`: from the first of the bucket.
+    /// The first key of the range; `None`: the start of the bucket.
     pub from: Option<Key>,
-    /// The first key after the range; `None`: to the end of the bucket.
+    /// The first key after the range; `None`: the end of the bucket.
     pub to: Option<Key>,
-    /// The entries of the range in the order of their keys.
+    /// The entries of the range in key order.
     pub entries: Vec<(Key, Entry)>,
 }
 
@@ -55,13 +57,13 @@
     }
 }
 
-/// The number of bytes that an entry takes in a message.
+/// Returns the number of bytes that an entry takes in a message.
 pub fn encoded_size(key: &Key, entry: &Entry) -> usize {
     postcard::to_allocvec(&(key, entry)).map_or(MAX_BODY_BYTES, |bytes| bytes.len())
 }
 
-/// The buckets whose digests differ from those of a peer. None does if the peer has another number of buckets, which no
-/// proxy of this version has.
+/// Returns the buckets whose digests differ from those of a peer: none if the peer has a different number of
+/// buckets, which no proxy of this version has.
 pub fn differing_buckets(store: &Store, peer_digests: &[u64]) -> Vec<usize> {
     let digests = store.bucket_digests();
     if peer_digests.len() != digests.len() {
@@ -71,10 +73,11 @@
     pairs.filter(|(_, (own, peer))| own != peer).map(|(bucket, _)| bucket).collect()
 }
 
-/// Answers a [`Message::DigestRequest`] with all entries of the buckets that differ, in at most `max_messages` messages.
+/// Answers a [`Message::DigestRequest`] with all entries of the buckets that differ, in at most
+/// `max_messages` messages.
 ///
-/// The answer begins with the first differing bucket from `first_bucket` on: where not all fit, another exchange that
-/// begins elsewhere gets to the rest.
+/// The answer begins with the first differing bucket from `first_bucket` on. If not all entries fit, a later
+/// exchange that begins at another bucket covers the rest.
 pub fn range_messages(
     store: &Store,
     peer_digests: &[u64],
@@ -114,7 +117,8 @@
     messages
 }
 
-/// The entries that the sender of a range lacks or holds in an older form, once what it sent has been merged.
+/// Returns the entries that the sender of a range lacks or holds in an older version. The entries of the
+/// range must have been merged into the store before.
 pub fn entries_missing_at_peer(store: &Store, range: &KeyRange) -> Vec<(Key, Entry)> {
     let peer_entries: BTreeMap<&Key, &Entry> =
         range.entries.iter().map(|(key, entry)| (key, entry)).collect();
@@ -126,7 +130,8 @@
         .collect()
 }
 
-/// Splits entries into repair messages of at most [`MAX_BODY_BYTES`], of which it returns the first `max_messages`.
+/// Splits entries into repair messages of at most [`MAX_BODY_BYTES`] and returns the first `max_messages` of
+/// them.
 pub fn repair_messages(entries: Vec<(Key, Entry)>, max_messages: usize) -> Vec<Message> {
     let mut messages = Vec::new();
     let mut body = Vec::new();
--- a/crates/shared-state/src/entry.rs
+++ b/crates/shared-state/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry of the replicated state: a value and when it was last refreshed.
+//! An entry of the replicated state: a value and the time of its last refresh.
 
 use crate::key::Key;
 use crate::value::Value;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash3_64;
 
-/// A value with the newest time at which a proxy refreshed it, from which its life counts.
+/// A value with the time of its last refresh by any proxy, from which its time to live counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
     value: Value,
@@ -15,22 +15,23 @@
 }
 
 impl Entry {
-    /// Creates an entry that was refreshed at that time, in microseconds of the wall clock.
+    /// Creates an entry that was last refreshed at `refreshed_at`, in microseconds of the wall clock.
     pub fn new(value: Value, refreshed_at: Micros) -> Entry {
         Entry { value, refreshed_at }
     }
 
-    /// The value.
+    /// Returns the value.
     pub fn value(&self) -> Value {
         self.value
     }
 
-    /// When the entry was last refreshed, in microseconds of the wall clock.
+    /// Returns the time of the last refresh, in microseconds of the wall clock.
     pub fn refreshed_at(&self) -> Micros {
         self.refreshed_at
     }
 
-    /// Merges another copy into this one: the greater value and the newer time win. Returns whether this copy changed.
+    /// Merges another copy into this one: the greater value and the later time win. Returns whether this copy
+    /// changed.
     pub fn merge(&mut self, other: &Entry) -> bool {
         let merged = Entry {
             value: self.value.max(other.value),
@@ -41,7 +42,8 @@
         is_changed
     }
 
-    /// The entry's part in the digest of its bucket: a hash over key and entry that is the same on every proxy.
+    /// Returns the entry's contribution to the digest of its bucket: a hash of key and entry, equal on every
+    /// proxy.
     pub fn digest(&self, key: &Key) -> u64 {
         let bytes = postcard::to_allocvec(&(key, self)).unwrap_or_default();
         XxHash3_64::oneshot(&bytes)
--- a/crates/shared-state/src/frame.rs
+++ b/crates/shared-state/src/frame.rs
@@ -1,27 +1,27 @@
-//! Framing: how a message of the replicated state shares a datagram with one of the membership.
+//! Framing of a membership message and a message of the replicated state in one datagram.
 //!
-//! A frame is a zero byte, the length of the membership's message in two bytes (big-endian), that message, and the
-//! message of the replicated state. A datagram that does not begin with a zero byte is the membership's alone: none of
-//! its messages begins so.
+//! A frame consists of a zero byte, the length of the membership message in two bytes (big-endian), that
+//! message, and the message of the replicated state. A datagram that does not begin with a zero byte holds
+//! only a membership message: no membership message begins with a zero byte.
 
-/// How many bytes a frame adds to its messages.
+/// The number of bytes that a frame adds to its messages.
 pub const FRAME_OVERHEAD: usize = 3;
 
 /// The first byte of a frame.
 const FRAME_MARKER: u8 = 0;
 
-/// The messages of one datagram; each may be empty.
+/// The messages of one datagram. Either may be empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// The membership's message.
+    /// The membership message.
     pub membership: &'a [u8],
     /// The message of the replicated state.
     pub shared_state: &'a [u8],
 }
 
-/// A frame cannot be decoded: it ends before the membership's message does.
+/// A frame cannot be decoded because it ends within its header or the membership message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("truncated frame")]
+#[error("frame ends within its header or the membership message")]
 pub struct TruncatedFrame;
 
 impl<'a> Frame<'a> {
@@ -36,11 +36,11 @@
         datagram
     }
 
-    /// Decodes a datagram, framed or of the membership alone.
+    /// Decodes a datagram that is a frame or a bare membership message.
     ///
     /// # Errors
     ///
-    /// Returns [`TruncatedFrame`] if the datagram begins as a frame does and ends too early.
+    /// Returns [`TruncatedFrame`] if the datagram begins like a frame and ends too early.
     pub fn decode(datagram: &'a [u8]) -> Result<Frame<'a>, TruncatedFrame> {
         let Some((&FRAME_MARKER, rest)) = datagram.split_first() else {
             return Ok(Frame { membership: datagram, shared_state: &[] });
--- a/crates/shared-state/src/in_doubt.rs
+++ b/crates/shared-state/src/in_doubt.rs
@@ -1,41 +1,41 @@
-//! The outcomes of writes alone, for the thread that serves requests: it has to know at once whether a write may be sent,
-//! while the whole state is on another thread.
+//! The outcomes of writes only, for the thread that serves requests. That thread must decide without delay
+//! whether a write may be sent, while the full state is owned by another thread.
 
 use crate::key::Key;
 use crate::value::WriteOutcome;
 use crate::Micros;
 use std::collections::{BTreeSet, HashMap};
 
-/// What is known of one write.
+/// The known outcome of one write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteRecord {
     /// The write.
     pub write: u64,
     /// Its outcome.
     pub outcome: WriteOutcome,
-    /// When this was last refreshed, in microseconds.
+    /// The time of the last refresh, in microseconds.
     pub refreshed_at: Micros,
 }
 
-/// A bounded table of outcomes of writes, merged by the rules of the replicated state. When it is full, the entry that
-/// was refreshed the longest ago is evicted.
+/// A bounded table of the outcomes of writes, merged by the rules of the replicated state. When the table is
+/// full, the least recently refreshed entry is evicted.
 #[derive(Clone, Debug, Default)]
 pub struct InDoubtWrites {
     records: HashMap<u64, WriteRecord>,
-    /// When each write was refreshed, oldest first.
+    /// Refresh time and write, oldest first.
     by_age: BTreeSet<(Micros, u64)>,
     max_writes: usize,
-    /// How many writes were evicted before their time to live was over.
+    /// The number of writes evicted before their time to live was over.
     pub evicted: u64,
 }
 
 impl InDoubtWrites {
-    /// Creates an empty table of at most `max_writes` writes, and of one at least.
+    /// Creates an empty table that holds at most `max_writes` writes, or one if that is 0.
     pub fn new(max_writes: usize) -> InDoubtWrites {
         InDoubtWrites { max_writes: max_writes.max(1), ..InDoubtWrites::default() }
     }
 
-    /// Merges what is known of a write: the greater outcome and the newer time win.
+    /// Merges a record of a write: the greater outcome and the later time win.
     pub fn merge(&mut self, record: WriteRecord) {
         let write = record.write;
         let merged = match self.records.get(&write) {
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Whether a write was or may have been executed as far as is known, and so must not be sent again.
+    /// Returns whether a write is known to have been, or may have been, executed and so must not be sent
+    /// again.
     pub fn contains(&self, write: u64) -> bool {
         self.records.get(&write).is_some_and(|record| record.outcome.may_have_executed())
     }
@@ -66,7 +67,8 @@
         while self.remove_oldest(oldest_valid) {}
     }
 
-    /// Removes the write that was refreshed the longest ago if that was before a time. Returns whether it did.
+    /// Removes the least recently refreshed write if its refresh was earlier than `before`. Returns whether
+    /// it did.
     fn remove_oldest(&mut self, before: Micros) -> bool {
         let Some((refreshed_at, write)) = self.by_age.first().copied() else { return false };
         if refreshed_at >= before {
@@ -77,12 +79,12 @@
         true
     }
 
-    /// The number of writes in the table.
+    /// Returns the number of writes in the table.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether the table is empty.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/shared-state/src/key.rs
+++ b/crates/shared-state/src/key.rs
@@ -1,60 +1,60 @@
-//! The keys of the replicated state, with what the store has to know of each kind: how long its entries live, which
-//! are evicted first, and which values belong to it.
+//! The keys of the replicated state, with the properties of each kind of entry that the store needs: its time
+//! to live, its eviction priority and the type of its values.
 
 use crate::value::Value;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash3_64;
 
-/// The number of buckets over which the digest of a store is spread.
+/// The number of buckets into which the keys of a store are divided, each with a digest of its own.
 pub const DIGEST_BUCKETS: usize = 64;
 
-/// What an entry is about. Members, writes, counters and processes are identified by hashes of their names that all
-/// proxies share, see [`hash_name`](crate::hash_name).
+/// The subject of an entry. Members, writes, counters and processes are identified by hashes of their names,
+/// which are the same on all proxies, see [`hash_name`](crate::hash_name).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
     /// The log position of a member.
     Position(u64),
-    /// Whether the fleet suspects a member.
+    /// Whether a member is suspected of having failed.
     #[serde(rename = "Mark")]
     MemberStatus(u64),
-    /// What one process has counted.
+    /// The share of one process in a counter.
     #[serde(rename = "Count")]
     Counter {
         /// The counter.
         counter: u32,
-        /// The process that counts.
+        /// The process that counted.
         process: u64,
     },
-    /// The outcome of a write whose client got no answer.
+    /// The outcome of a write whose client received no answer.
     #[serde(rename = "Doubt")]
     WriteOutcome(u64),
-    /// What one router has observed of a member's health.
+    /// The health of a member as one router observed it.
     Health {
         /// The member.
         member: u64,
-        /// The router.
+        /// The router that made the observation.
         router: u64,
     },
 }
 
-/// The order in which entries give way when a store is full: the least kind is evicted first.
+/// The order in which entries are evicted from a full store: the lowest priority first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EvictionPriority {
-    /// Health observations go first: a flood of them then displaces nothing else.
+    /// Health observations. Evicted first, so that a flood of them displaces no other kind.
     Health,
-    /// Log positions, which are learned again with the next answer.
+    /// Log positions. The next answer of the member brings a current one.
     Position,
     /// Suspicions.
     MemberStatus,
     /// Counters.
     Counter,
-    /// Outcomes of writes go last: to forget one may run a write twice.
+    /// Outcomes of writes. Evicted last, since a write whose outcome is forgotten may be executed twice.
     WriteOutcome,
 }
 
 impl EvictionPriority {
-    /// All priorities in rising order.
+    /// All priorities in ascending order.
     pub const ALL: [EvictionPriority; 5] = [
         EvictionPriority::Health,
         EvictionPriority::Position,
@@ -65,25 +65,26 @@
 }
 
 impl Key {
-    /// The least key.
+    /// The smallest key.
     pub const MIN: Key = Key::Position(0);
 
-    /// How long an entry lives after it was last refreshed, in microseconds.
+    /// Returns how long an entry is kept after its last refresh, in microseconds.
     pub fn time_to_live(&self) -> Micros {
         match self {
-            // A lower bound for good, but a member that nobody reads any more need not be remembered.
+            // A position remains valid as a lower bound. It expires so that members no longer read are
+            // forgotten.
             Key::Position(_) => 120_000_000,
-            // Short, so that no stale suspicion withdraws a member that works.
+            // Short, so that a stale suspicion does not keep a working member out of use.
             Key::MemberStatus(_) => 10_000_000,
             Key::Counter { .. } => 600_000_000,
-            // Longer than any client waits before it comes back.
+            // Longer than any client waits before it retries.
             Key::WriteOutcome(_) => 300_000_000,
-            // Observations are about the last seconds only.
+            // Observations cover only the last few seconds.
             Key::Health { .. } => 6_000_000,
         }
     }
 
-    /// When entries of this kind give way to others.
+    /// Returns the eviction priority of entries with this key.
     pub fn eviction_priority(&self) -> EvictionPriority {
         match self {
             Key::Health { .. } => EvictionPriority::Health,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Whether a value is of the kind that belongs to this key.
+    /// Returns whether the value's type matches this key.
     pub fn accepts(&self, value: &Value) -> bool {
         matches!(
             (self, value),
@@ -106,7 +107,7 @@
         )
     }
 
-    /// The bucket of the digest that the key belongs to, less than [`DIGEST_BUCKETS`].
+    /// Returns the digest bucket that the key belongs to, less than [`DIGEST_BUCKETS`].
     pub fn digest_bucket(&self) -> usize {
         let bytes = postcard::to_allocvec(self).unwrap_or_default();
         (XxHash3_64::oneshot(&bytes) % DIGEST_BUCKETS as u64) as usize
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,19 +1,22 @@
-//! What proxies learn, replicated among them: log positions of members, suspicions, counters, outcomes of writes and
-//! health observations. Every proxy holds a copy and may change it; copies that differ merge to one by the rule of each
-//! kind (a state-based CRDT), so no leader, order or reliable delivery is needed.
+//! State that the proxies replicate among themselves: log positions of members, suspicions, counters,
+//! outcomes of writes and health observations. Every proxy holds a copy and may change it. Copies that differ
+//! are merged by the rule of each kind of entry (a state-based CRDT), so no leader, message order or reliable
+//! delivery is needed.
 //!
-//! The crate does no I/O: local facts, datagrams and the time go in; datagrams to send and updates come out. The driver
-//! in `transport::gossip` carries the datagrams on the membership's socket.
+//! The crate does no I/O: its inputs are local observations, received datagrams and the current time; its
+//! outputs are datagrams to send and updates. The driver in `transport::gossip` sends and receives the
+//! datagrams on the membership's socket.
 //!
-//! - [`SharedState`]: one proxy's copy, and the entry point of the crate.
+//! - [`SharedState`]: the copy of one proxy, and the entry point of the crate.
 //! - [`HybridClock`], [`HybridTimestamp`]: the hybrid logical clock.
-//! - [`Key`], [`Value`], [`Entry`]: what is replicated, and the merge rules as orders of types.
-//! - [`Store`]: the bounded table of entries with its digest.
-//! - [`RumourQueue`]: changes that ride on the membership's datagrams, within the budget of a [`TokenBucket`].
-//! - [`anti_entropy`]: the exchange that settles what rumours miss.
-//! - [`snapshot`]: the encoding of a copy as a file.
-//! - [`InDoubtWrites`]: the outcomes of writes alone, for a thread that has to know them at once.
-//! - [`Frame`]: how messages share datagrams with the membership.
+//! - [`Key`], [`Value`], [`Entry`]: the replicated data; the merge rules are the orderings of these types.
+//! - [`Store`]: the bounded table of entries with its digests.
+//! - [`RumourQueue`]: changes that are piggybacked on the membership's datagrams, rate-limited by a
+//!   [`TokenBucket`].
+//! - [`anti_entropy`]: the exchange that repairs differences that rumours leave.
+//! - [`snapshot`]: the file encoding of a copy.
+//! - [`InDoubtWrites`]: the outcomes of writes only, for the thread that serves requests.
+//! - [`Frame`]: the framing of these messages in datagrams shared with the membership.
 //!
 //! ```
 //! use wharfplank_shared_state::{SharedState, SharedStateConfig, WriteOutcome};
@@ -22,7 +25,7 @@
 //! let mut two = SharedState::new(2, SharedStateConfig::default(), 2, 0);
 //! two.set_live_peers(0, ["127.0.0.1:1".parse().unwrap()].into_iter());
 //! one.record_write_outcome(10, 77, WriteOutcome::InDoubt);
-//! // The delta is lost; the exchange that follows the appearance of a peer brings the entry all the same.
+//! // The delta is lost. The exchange that starts when a new peer is seen still delivers the entry.
 //! one.piggyback(10, 1000).unwrap();
 //! two.tick(200_000);
 //! for _ in 0..2 {
@@ -33,7 +36,7 @@
 //!         two.on_message(200_000, "127.0.0.1:1".parse().unwrap(), &datagram);
 //!     }
 //! }
-//! assert!(two.is_in_doubt(77), "a write that one proxy may have executed is in doubt at the other");
+//! assert!(two.is_in_doubt(77), "a write in doubt at one proxy must be in doubt at the other");
 //! assert_eq!(one.store().digest(), two.store().digest());
 //! ```
 
@@ -61,10 +64,10 @@
 pub use token_bucket::TokenBucket;
 pub use value::{MemberStatus, Value, WriteOutcome};
 
-/// A time or a span of time, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// The number by which all proxies identify a member, a write or another thing that has a name.
+/// Returns the number by which all proxies identify a member, a write or another named object.
 pub fn hash_name(name: &str) -> u64 {
     twox_hash::XxHash3_64::oneshot(name.as_bytes())
 }
--- a/crates/shared-state/src/rumours.rs
+++ b/crates/shared-state/src/rumours.rs
@@ -1,6 +1,7 @@
-//! Rumour spreading: each proxy that learns a change passes it on a few times, on datagrams that the membership sends
-//! anyway, within a budget of bytes a second. A change that the budget has no room for waits, and a newer value of the
-//! same key takes its place. Anti-entropy brings what rumours miss.
+//! Rumour mongering: each proxy that learns of a change transmits it a few times, piggybacked on the
+//! datagrams of the membership and within a budget of bytes per second. A change that exceeds the budget is
+//! deferred, and a newer value of the same key replaces it. Anti-entropy delivers the changes that rumours
+//! miss.
 
 use crate::anti_entropy::encoded_size;
 use crate::entry::Entry;
@@ -11,25 +12,27 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// The changes that a proxy still passes on: at most one for each entry of its store.
+/// The changes that a proxy is still to transmit: at most one for each entry of its store.
 #[derive(Clone, Debug)]
 pub struct RumourQueue {
-    /// How many transmissions of each key are left.
+    /// The number of remaining transmissions of each key.
     remaining: BTreeMap<Key, u8>,
     budget: TokenBucket,
-    /// How many bytes of rumours were sent.
+    /// The number of bytes of rumours sent.
     pub bytes_sent: u64,
-    /// How often a rumour had to wait because a datagram or the budget had no room for it.
+    /// The number of times a batch ended early because the datagram or the budget had no room for the next
+    /// rumour.
     pub deferred: u64,
 }
 
-/// How often each proxy transmits a rumour with so many live peers: often enough that nearly all of them hear it.
+/// Returns how often each proxy transmits a rumour, given the number of live peers: often enough for the
+/// rumour to reach nearly all of them.
 pub fn transmission_limit(live_peers: usize) -> u8 {
     (2 + (live_peers + 1).ilog2()) as u8
 }
 
 impl RumourQueue {
-    /// Creates an empty queue with a budget.
+    /// Creates an empty queue with a budget in bytes per second.
     pub fn new(bytes_per_second: u64, now: Micros) -> RumourQueue {
         RumourQueue {
             remaining: BTreeMap::new(),
@@ -39,12 +42,13 @@
         }
     }
 
-    /// Queues the change of a key, in place of an older change of it.
+    /// Queues the change of a key. It replaces an older change of the same key.
     pub fn push(&mut self, key: Key, live_peers: usize) {
         self.remaining.insert(key, transmission_limit(live_peers));
     }
 
-    /// Counts one transmission of a key: this proxy sent it, or learned that a peer has the same value already.
+    /// Counts one transmission of a key: this proxy sent it, or learned that a peer already has the same
+    /// value.
     pub fn count_transmission(&mut self, key: &Key) {
         let Some(remaining) = self.remaining.get_mut(key) else { return };
         *remaining = remaining.saturating_sub(1);
@@ -53,8 +57,8 @@
         }
     }
 
-    /// Takes the entries for a datagram with room for `max_bytes`: those of the highest priority first, and of one
-    /// priority those that were transmitted the least.
+    /// Takes the entries for a datagram with room for `max_bytes`: the highest priority first, and within a
+    /// priority those with the most remaining transmissions first.
     pub fn take_batch(&mut self, store: &Store, max_bytes: usize, now: Micros) -> Vec<(Key, Entry)> {
         if self.remaining.is_empty() {
             return Vec::new();
@@ -93,12 +97,12 @@
         order.into_iter().map(|(_, _, key)| key).collect()
     }
 
-    /// The number of changes that wait to be passed on.
+    /// Returns the number of queued changes.
     pub fn len(&self) -> usize {
         self.remaining.len()
     }
 
-    /// Whether no change waits.
+    /// Returns whether no change is queued.
     pub fn is_empty(&self) -> bool {
         self.remaining.is_empty()
     }
--- a/crates/shared-state/src/snapshot.rs
+++ b/crates/shared-state/src/snapshot.rs
@@ -1,5 +1,6 @@
-//! The encoding of a snapshot: the entries of a store as the bytes of a file, which a restarted process reads back. A
-//! restored entry is merged as one from a peer is, so a stale snapshot brings back nothing that is past its life.
+//! The file encoding of a snapshot: the entries of a store, which a restarted process reads back. Restored
+//! entries are merged like entries from a peer, so a stale snapshot does not restore entries past their time
+//! to live.
 
 use crate::entry::Entry;
 use crate::key::Key;
@@ -7,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash3_64;
 
-/// The size of the largest snapshot that is decoded, in bytes.
+/// The maximum size of a snapshot that is decoded, in bytes.
 pub const MAX_SNAPSHOT_BYTES: usize = 4 << 20;
 
 /// The version of the encoding.
@@ -20,21 +21,21 @@
     entries: Vec<(Key, Entry)>,
 }
 
-/// Why a snapshot cannot be used.
+/// The reason why a snapshot cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// It is larger than [`MAX_SNAPSHOT_BYTES`].
-    #[error("larger than any snapshot")]
+    /// The snapshot is larger than [`MAX_SNAPSHOT_BYTES`].
+    #[error("snapshot is larger than {MAX_SNAPSHOT_BYTES} bytes")]
     TooLarge,
-    /// It is truncated or was altered.
-    #[error("damaged: the checksum does not fit")]
+    /// The snapshot is truncated or was altered.
+    #[error("snapshot is damaged: checksum or encoding is invalid")]
     Damaged,
-    /// It was written in another version of the encoding.
-    #[error("of another version")]
+    /// The snapshot was written in another version of the encoding.
+    #[error("snapshot has an unsupported version; expected {VERSION}")]
     Version,
 }
 
-/// Encodes a snapshot that is taken at `saved_at`, in microseconds of the wall clock.
+/// Encodes a snapshot taken at `saved_at`, in microseconds of the wall clock.
 pub fn encode(saved_at: Micros, entries: Vec<(Key, Entry)>) -> Vec<u8> {
     let body = Body { version: VERSION, saved_at, entries };
     let mut bytes = postcard::to_allocvec(&body).unwrap_or_default();
@@ -47,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the snapshot cannot be used, see [`SnapshotError`].
+/// Returns a [`SnapshotError`] if the snapshot is too large, damaged or of another version.
 pub fn decode(bytes: &[u8]) -> Result<Vec<(Key, Entry)>, SnapshotError> {
     if bytes.len() > MAX_SNAPSHOT_BYTES {
         return Err(SnapshotError::TooLarge);
--- a/crates/shared-state/src/state/config.rs
+++ b/crates/shared-state/src/state/config.rs
@@ -1,4 +1,4 @@
-//! How much and how often a proxy sends of its state.
+//! How much of its state a proxy sends, and how often.
 
 use crate::store::MAX_ENTRIES;
 use crate::Micros;
@@ -6,11 +6,11 @@
 /// The configuration of a [`SharedState`](super::SharedState).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SharedStateConfig {
-    /// How many bytes a second the proxy sends: one half for rumours, the other for anti-entropy.
+    /// The number of bytes per second that the proxy may send: half for rumours, half for anti-entropy.
     pub bytes_per_second: u64,
-    /// The mean time between exchanges with a random peer while nothing differs, in microseconds.
+    /// The mean time between exchanges with a random peer while no differences are found, in microseconds.
     pub exchange_interval: Micros,
-    /// The bound on the entries of the store.
+    /// The maximum number of entries in the store.
     pub max_entries: usize,
 }
 
--- a/crates/shared-state/src/state/exchange.rs
+++ b/crates/shared-state/src/state/exchange.rs
@@ -1,4 +1,4 @@
-//! Messages of peers, and the answers to them.
+//! Handling of messages from peers.
 
 use super::{SharedState, StateUpdate};
 use crate::anti_entropy::{
@@ -13,29 +13,30 @@
 use rand::Rng;
 use std::net::SocketAddrV4;
 
-/// An entry older than this should have come as a rumour: an exchange that finds it missing is followed by another at
-/// once. A younger one is on its way.
+/// The time by which a rumour should have delivered an entry. If an exchange finds an older entry missing,
+/// another exchange follows shortly; a newer entry may still be on its way.
 const RUMOUR_DELIVERY_TIME: Micros = 3_000_000;
-/// How many messages answer one message of an exchange, at most.
+/// The maximum number of messages sent in answer to one message of an exchange.
 const MAX_ANSWERS: usize = 8;
-/// How many peers each proxy sends an urgent rumour to at once. A client whose write is in doubt may come back within a
-/// second, and rumours on the membership's datagrams take about that long.
+/// The number of peers to which each proxy sends an urgent rumour immediately. A client whose write is in
+/// doubt may retry within a second, and rumours piggybacked on the membership's datagrams take about that
+/// long.
 const URGENT_FANOUT: usize = 4;
-/// How many datagrams wait to be taken by the driver; past that the oldest is dropped.
+/// The maximum number of datagrams queued for the driver. When the queue is full, the oldest is dropped.
 const MAX_OUTGOING: usize = 256;
 
 /// How an entry reached this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// As a rumour, which is passed on.
+    /// As a rumour. It is propagated further.
     Rumour,
-    /// By an exchange or from a snapshot. Only outcomes of writes are passed on: a healed partition would else flood the
-    /// fleet with rumours, while exchanges bring the rest.
+    /// By an exchange or from a snapshot. Only outcomes of writes are propagated further as rumours, since a
+    /// healed partition would otherwise flood the fleet with rumours. Exchanges deliver the other entries.
     Exchange,
 }
 
 impl SharedState {
-    /// Handles a message of a peer. One that cannot be decoded is counted and ignored.
+    /// Handles a message from a peer. A message that cannot be decoded is counted and ignored.
     pub fn on_message(&mut self, now: Micros, from: SocketAddrV4, bytes: &[u8]) {
         let Ok(message) = postcard::from_bytes::<Message>(bytes) else {
             self.stats.undecodable_messages += 1;
@@ -78,15 +79,16 @@
         }
     }
 
-    /// Follows an exchange by another at once if it found entries that rumours should have brought.
+    /// Schedules another exchange shortly if this one found entries that rumours should have delivered.
     fn on_missed_rumours(&mut self, now: Micros, missed: usize) {
         if missed > 0 {
             self.stats.exchanges_with_differences += 1;
-            self.exchange_soon(now);
+            self.schedule_early_exchange(now);
         }
     }
 
-    /// Merges entries of a peer. Returns how many changed the store that a rumour should have brought before.
+    /// Merges entries from a peer. Returns the number of those that changed the store and are overdue as
+    /// rumours.
     pub(super) fn merge_entries(&mut self, now: Micros, entries: &[(Key, Entry)], origin: Origin) -> usize {
         let mut missed = 0;
         for (key, entry) in entries {
@@ -97,7 +99,8 @@
         missed
     }
 
-    /// Merges one entry, and passes it on where that is due. Returns whether the store changed.
+    /// Merges one entry and propagates it if its origin or kind requires that. Returns whether the store
+    /// changed.
     fn merge_entry(&mut self, now: Micros, key: &Key, entry: &Entry, origin: Origin) -> bool {
         if let Value::MemberStatus { timestamp, .. } = entry.value() {
             if self.clock.observe(timestamp, now).is_err() {
@@ -109,7 +112,7 @@
         match self.store.merge(*key, entry, now) {
             MergeOutcome::Updated => {
                 self.stats.entries_updated += 1;
-                self.pass_on(now, *key, is_new, origin);
+                self.propagate(now, *key, is_new, origin);
                 self.queue_update(key);
                 true
             }
@@ -122,10 +125,10 @@
         }
     }
 
-    fn pass_on(&mut self, now: Micros, key: Key, is_new: bool, origin: Origin) {
+    fn propagate(&mut self, now: Micros, key: Key, is_new: bool, origin: Origin) {
         let is_rumour = origin == Origin::Rumour;
         let is_write = matches!(key, Key::WriteOutcome(_));
-        // A router's first observation of a member brings it into question, or answers that of another router.
+        // A router's first observation of a member raises a suspicion or responds to that of another router.
         let is_first_observation = matches!(key, Key::Health { .. }) && is_new;
         if is_rumour || is_write {
             self.rumours.push(key, self.live_peers.len());
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Sends an entry to some random peers at once, besides spreading it as a rumour.
+    /// Sends an entry immediately to a few random peers, in addition to the rumour.
     pub(super) fn send_urgently(&mut self, now: Micros, key: Key) {
         let Some(entry) = self.store.get(&key).copied() else { return };
         let message = Message::Delta(vec![(key, entry)]);
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Queues a message beside rumours, if the budget of exchanges allows it.
+    /// Queues a message in a datagram of its own if the budget for exchanges allows it.
     pub(super) fn send(&mut self, now: Micros, to: SocketAddrV4, message: &Message) {
         let bytes = postcard::to_allocvec(message).unwrap_or_default();
         if self.exchange_budget.available(now) < bytes.len() {
@@ -171,7 +174,7 @@
     }
 }
 
-/// Whether a rumour should have brought the entry by now.
+/// Returns whether a rumour should have delivered the entry by now.
 fn is_overdue(entry: &Entry, now: Micros) -> bool {
     now - entry.refreshed_at() > RUMOUR_DELIVERY_TIME
 }
--- a/crates/shared-state/src/state/local.rs
+++ b/crates/shared-state/src/state/local.rs
@@ -1,4 +1,4 @@
-//! Facts that this proxy has learned itself.
+//! Recording of this proxy's own observations.
 
 use super::SharedState;
 use crate::entry::Entry;
@@ -9,28 +9,31 @@
 use crate::Micros;
 use wharfplank_health::HealthObservation;
 
-/// About how many bytes a position takes in a message with its key.
+/// The approximate size of a position with its key in a message, in bytes.
 const POSITION_BYTES: u64 = 40;
-/// The least step between two positions of one member that are spread: a read that needs a newer one asks the member.
+/// The minimum step between two positions of one member that are propagated. A read that needs a newer
+/// position asks the member itself.
 const MIN_POSITION_STEP: Micros = 250_000;
-/// How often a suspicion that still holds is refreshed; less than its time to live.
+/// The interval at which a persisting suspicion is refreshed; less than its time to live.
 const SUSPICION_REFRESH_INTERVAL: Micros = 4_000_000;
-/// How often a counter that stands still is refreshed; less than its time to live.
+/// The interval at which an unchanged counter is refreshed; less than its time to live.
 const COUNTER_REFRESH_INTERVAL: Micros = 60_000_000;
-/// How often a counter that grows is spread, at most: a fast one would else fill every datagram.
-const COUNTER_SPREAD_INTERVAL: Micros = 1_000_000;
+/// The minimum interval between propagations of a growing counter. Without it, a fast counter would fill
+/// every datagram.
+const COUNTER_PROPAGATION_INTERVAL: Micros = 1_000_000;
 
-/// A counter of this proxy.
+/// One of this proxy's counters.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LocalCounter {
     pub(super) count: u64,
-    /// When the count was last spread.
-    spread_at: Micros,
+    /// The time at which the count was last propagated.
+    propagated_at: Micros,
 }
 
 impl SharedState {
-    /// Records the position that a member reported itself, in the epoch of its launch. It is spread if it is
-    /// [`SharedState::position_step`] ahead of the known one, or of a newer epoch.
+    /// Records the log position that a member reported, in the epoch of its process. The position is
+    /// propagated if it is at least [`SharedState::position_step`] ahead of the known one or belongs to a
+    /// newer epoch.
     pub fn record_position(&mut self, now: Micros, member: u64, epoch: i64, position: Micros) {
         let key = Key::Position(member);
         let is_step_ahead = match self.value(&key) {
@@ -45,8 +48,8 @@
         }
     }
 
-    /// The step between two positions of one member that are spread. It grows with the members and the fleet, so that
-    /// positions take at most half of the budget for rumours.
+    /// Returns the step between two positions of one member that are propagated. It grows with the number of
+    /// entries and of live peers, so that positions take at most half of the budget for rumours.
     pub fn position_step(&self) -> Micros {
         let transmissions = u64::from(transmission_limit(self.live_peers.len()));
         let round_bytes = self.store.len() as u64 * POSITION_BYTES * transmissions;
@@ -55,7 +58,8 @@
         MIN_POSITION_STEP.max(round_time)
     }
 
-    /// Records whether this proxy suspects a member: to be called while it does, and once when it no longer does.
+    /// Records whether this proxy suspects a member. Call it repeatedly while the suspicion persists, so that
+    /// it is refreshed, and once when it ends.
     pub fn record_member_status(&mut self, now: Micros, member: u64, status: MemberStatus) {
         let key = Key::MemberStatus(member);
         let suspected_at = match self.value(&key) {
@@ -73,23 +77,24 @@
         }
     }
 
-    /// Adds to a counter.
+    /// Adds an amount to a counter.
     pub fn add_to_counter(&mut self, now: Micros, counter: u32, amount: u64) {
-        let local = self.counters.entry(counter).or_insert(LocalCounter { count: 0, spread_at: now });
+        let local = self.counters.entry(counter).or_insert(LocalCounter { count: 0, propagated_at: now });
         local.count += amount;
         let count = local.count;
         let key = Key::Counter { counter, process: self.process };
         let is_due = match self.store.get(&key) {
-            Some(entry) => now - entry.refreshed_at() >= COUNTER_SPREAD_INTERVAL,
+            Some(entry) => now - entry.refreshed_at() >= COUNTER_PROPAGATION_INTERVAL,
             None => true,
         };
         if is_due {
-            local.spread_at = now;
+            local.propagated_at = now;
             self.update(now, key, Value::Counter(count));
         }
     }
 
-    /// Spreads the counters that have grown since they were last spread, and those whose entries need a refresh.
+    /// Propagates the counters that have grown since their last propagation, and those whose entries need a
+    /// refresh.
     pub(super) fn refresh_counters(&mut self, now: Micros) {
         let due: Vec<u32> = self
             .counters
@@ -99,7 +104,7 @@
             .collect();
         for counter in due {
             let Some(local) = self.counters.get_mut(&counter) else { continue };
-            local.spread_at = now;
+            local.propagated_at = now;
             let value = Value::Counter(local.count);
             self.update(now, Key::Counter { counter, process: self.process }, value);
         }
@@ -108,12 +113,12 @@
     fn is_refresh_due(&self, now: Micros, counter: u32, local: &LocalCounter) -> bool {
         let key = Key::Counter { counter, process: self.process };
         let has_grown = self.value(&key) != Some(Value::Counter(local.count));
-        let age = now - local.spread_at;
-        age >= COUNTER_REFRESH_INTERVAL || (has_grown && age >= COUNTER_SPREAD_INTERVAL)
+        let age = now - local.propagated_at;
+        age >= COUNTER_REFRESH_INTERVAL || (has_grown && age >= COUNTER_PROPAGATION_INTERVAL)
     }
 
-    /// Records what this proxy knows of a write whose client was not told of its success. It is sent to some peers at
-    /// once.
+    /// Records the known outcome of a write whose client was not told of its success, and sends it to a few
+    /// peers immediately.
     pub fn record_write_outcome(&mut self, now: Micros, write: u64, outcome: WriteOutcome) {
         let key = Key::WriteOutcome(write);
         if self.update(now, key, Value::WriteOutcome(outcome)) {
@@ -121,8 +126,8 @@
         }
     }
 
-    /// Records what this proxy, as `router`, has observed of a member's health. The first observation of a member is sent
-    /// to some peers at once.
+    /// Records the health of a member as this proxy, identified as `router`, observed it. The first
+    /// observation of a member is sent to a few peers immediately.
     pub fn record_health(&mut self, now: Micros, member: u64, router: u64, observation: HealthObservation) {
         let key = Key::Health { member, router };
         let is_new = self.store.get(&key).is_none();
@@ -131,7 +136,8 @@
         }
     }
 
-    /// Merges a value of this proxy's own, and spreads it as a rumour if the store changed. Returns whether it did.
+    /// Merges a value of this proxy and propagates it as a rumour if the store changed. Returns whether it
+    /// did.
     fn update(&mut self, now: Micros, key: Key, value: Value) -> bool {
         let outcome = self.store.merge(key, &Entry::new(value, now), now);
         let is_changed = outcome == MergeOutcome::Updated;
--- a/crates/shared-state/src/state/mod.rs
+++ b/crates/shared-state/src/state/mod.rs
@@ -1,10 +1,10 @@
-//! One proxy's copy of the replicated state: local facts, datagrams of peers and the time go in; datagrams to send and
-//! updates from peers come out.
+//! One proxy's copy of the replicated state. Its inputs are local observations, datagrams from peers and the
+//! current time; its outputs are datagrams to send and updates from peers.
 //!
-//! - this module: the state, its timers, its snapshots.
-//! - `local`: facts that this proxy has learned itself.
-//! - `query`: what is known, of all proxies.
-//! - `exchange`: messages of peers, and answers to them.
+//! - this module: the state, its timers and snapshots.
+//! - `local`: recording of this proxy's own observations.
+//! - `query`: queries over the entries of all proxies.
+//! - `exchange`: handling of messages from peers.
 
 mod config;
 mod exchange;
@@ -35,11 +35,11 @@
 use std::net::SocketAddrV4;
 use update::UpdateQueue;
 
-/// The time to the next exchange after one that found differences, or after a peer appeared.
-const EXCHANGE_INTERVAL_WHILE_DIFFERING: Micros = 100_000;
-/// How often entries are expired and counters are refreshed.
+/// The delay before the next exchange after one that found differences, or after a new peer was seen.
+const EXCHANGE_INTERVAL_WHILE_DIVERGED: Micros = 100_000;
+/// The interval at which entries are expired and counters are refreshed.
 const EXPIRY_INTERVAL: Micros = 500_000;
-/// What the encoding of a delta takes besides its entries, in bytes, at most.
+/// The maximum size of an encoded delta without its entries, in bytes.
 const DELTA_HEADER_BYTES: usize = 8;
 
 /// One proxy's copy of the replicated state.
@@ -57,13 +57,13 @@
     counters: BTreeMap<u32, LocalCounter>,
     outgoing: Vec<(SocketAddrV4, Vec<u8>)>,
     updates: UpdateQueue,
-    /// What was done.
+    /// Counters of the work done.
     pub stats: Stats,
 }
 
 impl SharedState {
-    /// Creates an empty state. `process` is a number that no other process has or had; `seed` is that of the random
-    /// choice of peers.
+    /// Creates an empty state. `process` must be unique among all processes, past ones included; `seed` seeds
+    /// the random selection of peers.
     pub fn new(process: u64, config: SharedStateConfig, seed: u64, now: Micros) -> SharedState {
         let half_budget = config.bytes_per_second / 2;
         SharedState {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Sets the peers that are alive now. An exchange follows soon if one of them is new: it or this proxy returned, or a
-    /// partition healed.
+    /// Sets the peers that are currently alive. An exchange follows shortly if one of them is new, since that
+    /// peer or this proxy may have restarted, or a partition may have healed.
     pub fn set_live_peers(&mut self, now: Micros, peers: impl Iterator<Item = SocketAddrV4>) {
         let peers: BTreeSet<SocketAddrV4> = peers.collect();
         if peers == self.live_peers {
@@ -96,11 +96,12 @@
         if self.live_peers.is_empty() {
             self.next_exchange_at = Micros::MAX;
         } else if has_new_peer {
-            self.exchange_soon(now);
+            self.schedule_early_exchange(now);
         }
     }
 
-    /// Takes a message to piggyback on a datagram of the membership that has room for `max_bytes`, if any rumour waits.
+    /// Takes a message of at most `max_bytes` to piggyback on a datagram of the membership. Returns `None` if
+    /// no rumour is queued or none fits.
     pub fn piggyback(&mut self, now: Micros, max_bytes: usize) -> Option<Vec<u8>> {
         let max_bytes = max_bytes.min(MAX_BODY_BYTES).saturating_sub(DELTA_HEADER_BYTES);
         let entries = self.rumours.take_batch(&self.store, max_bytes, now);
@@ -110,7 +111,7 @@
         Some(postcard::to_allocvec(&Message::Delta(entries)).unwrap_or_default())
     }
 
-    /// Does what is due: expires entries, refreshes this proxy's counters, and begins exchanges.
+    /// Performs the work that is due: expires entries, refreshes this proxy's counters and starts exchanges.
     pub fn tick(&mut self, now: Micros) {
         if now >= self.next_expiry_at {
             self.next_expiry_at = now + EXPIRY_INTERVAL;
@@ -118,13 +119,13 @@
             self.refresh_counters(now);
         }
         if now >= self.next_exchange_at && !self.live_peers.is_empty() {
-            self.begin_exchange(now);
+            self.start_exchange(now);
         }
     }
 
-    fn begin_exchange(&mut self, now: Micros) {
-        // The interval varies by a quarter either way, so that proxies do not fall into step.
-        let interval = self.config.exchange_interval.max(EXCHANGE_INTERVAL_WHILE_DIFFERING);
+    fn start_exchange(&mut self, now: Micros) {
+        // The interval varies by up to a quarter either way, so that proxies do not synchronize.
+        let interval = self.config.exchange_interval.max(EXCHANGE_INTERVAL_WHILE_DIVERGED);
         self.next_exchange_at = now + interval * 3 / 4 + self.rng.random_range(0..=interval / 2);
         let index = self.rng.random_range(0..self.live_peers.len());
         let Some(peer) = self.live_peers.iter().nth(index).copied() else { return };
@@ -133,31 +134,31 @@
         self.send(now, peer, &request);
     }
 
-    fn exchange_soon(&mut self, now: Micros) {
-        self.next_exchange_at = self.next_exchange_at.min(now + EXCHANGE_INTERVAL_WHILE_DIFFERING);
+    fn schedule_early_exchange(&mut self, now: Micros) {
+        self.next_exchange_at = self.next_exchange_at.min(now + EXCHANGE_INTERVAL_WHILE_DIVERGED);
     }
 
-    /// When [`SharedState::tick`] is next due.
+    /// Returns the time at which [`SharedState::tick`] is next due.
     pub fn next_due(&self) -> Micros {
         self.next_exchange_at.min(self.next_expiry_at)
     }
 
-    /// Takes the datagrams to send, each with its receiver.
+    /// Takes the datagrams to send, each with its destination.
     pub fn take_datagrams(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Takes what peers have learned since the last call.
+    /// Takes the updates received from peers since the last call.
     pub fn take_updates(&mut self) -> Vec<StateUpdate> {
         self.updates.take()
     }
 
-    /// The entries.
+    /// Returns the entries.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// The rumours that wait to be passed on.
+    /// Returns the queue of rumours that are still to be sent.
     pub fn rumours(&self) -> &RumourQueue {
         &self.rumours
     }
@@ -168,13 +169,15 @@
         snapshot::encode(now, entries)
     }
 
-    /// Merges a snapshot, each entry by its rule and its age. Returns how many entries changed the store.
+    /// Merges a snapshot, each entry subject to its merge rule and time to live. Returns the number of
+    /// entries that changed the store.
     ///
-    /// None of them is spread as a rumour: the peers have moved on meanwhile, and an exchange settles what differs.
+    /// The restored entries are not announced as rumours, except outcomes of writes: peers may hold newer
+    /// values, and an exchange repairs the differences.
     ///
     /// # Errors
     ///
-    /// Returns why the snapshot cannot be used, and leaves the state as it is.
+    /// Returns a [`SnapshotError`] and leaves the state unchanged if the snapshot cannot be used.
     pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<usize, SnapshotError> {
         let entries = snapshot::decode(bytes)?;
         let before = self.stats.entries_updated;
--- a/crates/shared-state/src/state/query.rs
+++ b/crates/shared-state/src/state/query.rs
@@ -1,4 +1,4 @@
-//! What is known, of all proxies.
+//! Queries over the entries of all proxies.
 
 use super::SharedState;
 use crate::in_doubt::WriteRecord;
@@ -7,8 +7,8 @@
 use wharfplank_health::ReportedObservation;
 
 impl SharedState {
-    /// The value of a counter: the sum of what all processes have counted, as far as it is known here. The count of a
-    /// process that has ended remains for its time to live.
+    /// Returns the value of a counter: the sum of the known counts of all processes. The count of a
+    /// terminated process is included until its time to live is over.
     pub fn counter_total(&self, counter: u32) -> u64 {
         let local = self.counters.get(&counter).map_or(0, |local| local.count);
         let remote: u64 = self
@@ -26,7 +26,8 @@
         local + remote
     }
 
-    /// Whether a write was or may have been executed as far as any proxy knows, and so must not be sent again.
+    /// Returns whether a write is known to have been, or may have been, executed and so must not be sent
+    /// again.
     pub fn is_in_doubt(&self, write: u64) -> bool {
         match self.value(&Key::WriteOutcome(write)) {
             Some(Value::WriteOutcome(outcome)) => outcome.may_have_executed(),
@@ -34,7 +35,7 @@
         }
     }
 
-    /// All that is known of writes.
+    /// Returns an iterator over the known outcomes of writes.
     pub fn write_records(&self) -> impl Iterator<Item = WriteRecord> + '_ {
         let entries = self.store.iter_from(Key::WriteOutcome(0));
         entries.map_while(|(key, entry)| match (*key, entry.value()) {
@@ -45,7 +46,7 @@
         })
     }
 
-    /// What reporters have observed of members' health.
+    /// Returns an iterator over the health observations of all routers.
     pub fn health_observations(&self) -> impl Iterator<Item = ReportedObservation> + '_ {
         let entries = self.store.iter_from(Key::Health { member: 0, router: 0 });
         entries.filter_map(|(key, entry)| match (*key, entry.value()) {
--- a/crates/shared-state/src/state/update.rs
+++ b/crates/shared-state/src/state/update.rs
@@ -1,4 +1,4 @@
-//! What other proxies have learned, for the driver to pass on, in a bounded queue.
+//! Updates from other proxies, queued for the driver.
 
 use crate::entry::Entry;
 use crate::in_doubt::WriteRecord;
@@ -6,26 +6,26 @@
 use crate::value::{MemberStatus, Value};
 use crate::Micros;
 
-/// How many updates wait at most.
+/// The maximum number of queued updates.
 const MAX_UPDATES: usize = 4096;
 
-/// What another proxy has learned.
+/// A change that another proxy reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateUpdate {
-    /// A member's log position is at least this in that epoch.
+    /// A member's log position is at least `position` in `epoch`.
     Position {
         /// The member.
         member: u64,
-        /// When its process started, in Unix milliseconds.
+        /// The start time of the member's process, in Unix milliseconds.
         epoch: i64,
-        /// The position in microseconds.
+        /// The log position in microseconds.
         position: Micros,
     },
     /// A proxy suspects a member.
     Suspected {
         /// The member.
         member: u64,
-        /// Since when, by that proxy's clock, in microseconds.
+        /// The time of the suspicion by the hybrid clock of the suspecting proxy, in microseconds.
         since: Micros,
     },
     /// The known outcome of a write changed.
@@ -33,7 +33,8 @@
 }
 
 impl StateUpdate {
-    /// What an entry means to `process`, if it is of interest there. A process's own suspicions are not.
+    /// Converts an entry to an update for `process`. Returns `None` for entries that yield no update, such as
+    /// the process's own suspicions.
     pub(super) fn from_entry(key: &Key, entry: &Entry, process: u64) -> Option<StateUpdate> {
         match (*key, entry.value()) {
             (Key::WriteOutcome(write), Value::WriteOutcome(outcome)) => {
@@ -53,17 +54,17 @@
     }
 }
 
-/// The updates that wait to be taken by the driver.
+/// A bounded queue of updates for the driver.
 #[derive(Debug, Default)]
 pub(super) struct UpdateQueue {
     updates: Vec<StateUpdate>,
 }
 
 impl UpdateQueue {
-    /// Queues an update. Returns whether another was dropped to make room.
+    /// Queues an update. Returns whether another update was dropped to make room.
     ///
-    /// The oldest position or suspicion is dropped first, since these come again; the loss of a write's outcome may
-    /// cost a write that is executed twice.
+    /// The oldest position or suspicion is dropped first, since these are reported again. The loss of a
+    /// write's outcome may cause the write to be executed twice.
     pub(super) fn push(&mut self, update: StateUpdate) -> bool {
         let is_full = self.updates.len() >= MAX_UPDATES;
         if is_full {
--- a/crates/shared-state/src/store.rs
+++ b/crates/shared-state/src/store.rs
@@ -1,4 +1,5 @@
-//! The table of entries: bounded, with a time to live for each entry, and a digest that is updated with each change.
+//! The table of entries: bounded, with a time to live for each entry and digests that are updated on every
+//! change.
 
 use crate::clock::MAX_CLOCK_SKEW;
 use crate::entry::Entry;
@@ -6,26 +7,28 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The default bound on the entries of a store.
+/// The default maximum number of entries in a store.
 ///
-/// A new entry past the bound evicts the one refreshed the longest ago among those of the least priority, provided that
-/// this one is of less priority than the new entry, or of the same and older; else the new entry is dropped.
+/// A new entry for a full store evicts the least recently refreshed entry of the lowest priority, provided
+/// that this entry has a lower priority than the new one, or the same priority and an older refresh.
+/// Otherwise the new entry is dropped.
 pub const MAX_ENTRIES: usize = 16_384;
 
-/// What became of an entry that was merged into a store.
+/// The result of merging an entry into a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
     /// The store changed.
     Updated,
-    /// The store held the same or something newer.
+    /// The store already held the same or a newer value.
     Unchanged,
-    /// The entry is past its time to live, from further ahead than clocks differ, or of another kind than its key.
+    /// The entry is past its time to live, is dated beyond the allowed clock skew, or does not match its
+    /// key's kind.
     Rejected,
-    /// The store is full of entries that do not give way.
+    /// The store is full and no entry may be evicted for the new one.
     Full,
 }
 
-/// The place of an entry in the order of eviction.
+/// The position of an entry in the eviction order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct EvictionRank {
     priority: EvictionPriority,
@@ -38,7 +41,7 @@
         EvictionRank { priority: key.eviction_priority(), refreshed_at: entry.refreshed_at(), key }
     }
 
-    /// The least rank of a priority.
+    /// Returns the lowest rank of a priority.
     fn first_of(priority: EvictionPriority) -> EvictionRank {
         EvictionRank { priority, refreshed_at: Micros::MIN, key: Key::MIN }
     }
@@ -47,9 +50,9 @@
         now - self.refreshed_at > self.key.time_to_live()
     }
 
-    /// Whether the entry gives way to another. An older one of the same priority does not displace a newer one: what was
-    /// evicted would else come back.
-    fn gives_way_to(&self, other: &EvictionRank) -> bool {
+    /// Returns whether the entry may be evicted for another. An entry never displaces one of the same
+    /// priority with an equal or newer refresh: otherwise evicted entries would return from peers.
+    fn is_evictable_for(&self, other: &EvictionRank) -> bool {
         (self.priority, self.refreshed_at) < (other.priority, other.refreshed_at)
     }
 }
@@ -58,14 +61,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Store {
     entries: BTreeMap<Key, Entry>,
-    /// All entries in the order of eviction, which is by age within a priority.
+    /// All entries in eviction order: by priority, then oldest refresh first.
     eviction_order: BTreeSet<EvictionRank>,
     bucket_digests: Vec<u64>,
     bucket_keys: Vec<BTreeSet<Key>>,
     max_entries: usize,
-    /// How many entries were rejected for their age, their timestamp or their kind.
+    /// The number of entries rejected for their age, their timestamp or their kind.
     pub rejected: u64,
-    /// How many entries, old or new, were dropped because the store was full.
+    /// The number of entries, stored or new, that were dropped because the store was full.
     pub dropped: u64,
 }
 
@@ -76,7 +79,7 @@
 }
 
 impl Store {
-    /// Creates an empty store of at most `max_entries` entries, and of one at least.
+    /// Creates an empty store that holds at most `max_entries` entries, or one if that is 0.
     pub fn new(max_entries: usize) -> Store {
         Store {
             entries: BTreeMap::new(),
@@ -96,8 +99,8 @@
             return MergeOutcome::Rejected;
         }
         match self.entries.get(&key) {
-            Some(known) => {
-                let mut merged = *known;
+            Some(stored) => {
+                let mut merged = *stored;
                 if !merged.merge(entry) {
                     return MergeOutcome::Unchanged;
                 }
@@ -115,12 +118,12 @@
         MergeOutcome::Updated
     }
 
-    /// Evicts the first entry in the order of eviction if it gives way to a new one. Returns whether it did; one of the
-    /// two is dropped in either case.
+    /// Evicts the first entry in eviction order if it may be evicted for the new one. Returns whether it did.
+    /// Either the evicted or the new entry is counted as dropped.
     fn evict_for(&mut self, new: &EvictionRank) -> bool {
         self.dropped += 1;
         let Some(first) = self.eviction_order.first().copied() else { return false };
-        let is_evicted = first.gives_way_to(new);
+        let is_evicted = first.is_evictable_for(new);
         if is_evicted {
             self.remove(&first.key);
         }
@@ -158,35 +161,36 @@
         }
     }
 
-    /// The entry of a key.
+    /// Returns the entry of a key.
     pub fn get(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// All entries in the order of their keys.
+    /// Returns an iterator over all entries in key order.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Entry)> {
         self.entries.iter()
     }
 
-    /// The entries from a key on, in the order of their keys.
+    /// Returns an iterator over the entries from a key on, in key order.
     pub fn iter_from(&self, first: Key) -> impl Iterator<Item = (&Key, &Entry)> {
         self.entries.range(first..)
     }
 
-    /// The entries of a digest bucket from a key on (`None`: from the first), in the order of their keys. A bucket that
-    /// does not exist has none.
+    /// Returns an iterator over the entries of a digest bucket from a key on (`None`: from the first), in key
+    /// order. It is empty for a bucket that does not exist.
     pub fn bucket_entries(&self, bucket: usize, from: Option<Key>) -> impl Iterator<Item = (&Key, &Entry)> {
         let first = from.unwrap_or(Key::MIN);
         let keys = self.bucket_keys.get(bucket).into_iter().flat_map(move |keys| keys.range(first..));
         keys.filter_map(|key| self.entries.get_key_value(key))
     }
 
-    /// The digest of each bucket. Two stores with the same entries in a bucket have the same digest there.
+    /// Returns the digest of each bucket. Stores with the same entries in a bucket have the same digest for
+    /// it.
     pub fn bucket_digests(&self) -> &[u64] {
         &self.bucket_digests
     }
 
-    /// A digest of the whole store.
+    /// Returns a digest of the whole store.
     pub fn digest(&self) -> u64 {
         const MULTIPLIER: u64 = 0x100_0000_01b3;
         self.bucket_digests
@@ -194,18 +198,19 @@
             .fold(0, |digest, bucket| (digest ^ bucket).wrapping_mul(MULTIPLIER).rotate_left(7))
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether the store has no entries.
+    /// Returns whether the store has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-/// Whether an entry is of its key's kind, within its time to live, and not from further ahead than clocks differ.
+/// Returns whether an entry matches its key's kind, is within its time to live and within the allowed clock
+/// skew.
 fn is_valid(key: &Key, entry: &Entry, now: Micros) -> bool {
     let is_expired = now - entry.refreshed_at() > key.time_to_live();
     let is_ahead = entry.refreshed_at() > now.saturating_add(MAX_CLOCK_SKEW);
--- a/crates/shared-state/src/token_bucket.rs
+++ b/crates/shared-state/src/token_bucket.rs
@@ -1,8 +1,8 @@
-//! A token bucket that limits bytes a second.
+//! A token bucket that limits the bytes sent per second.
 
 use crate::Micros;
 
-/// A bucket of bytes that refills with time and holds a second's worth at most. It may be overdrawn by one message.
+/// A token bucket of bytes with a capacity of one second's rate. One message may overdraw it.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     bytes_per_second: f64,
@@ -20,15 +20,15 @@
         }
     }
 
-    /// Refills the bucket, and returns how many bytes may be sent now.
+    /// Refills the bucket and returns the number of bytes that may be sent now.
     pub fn available(&mut self, now: Micros) -> usize {
-        let gained = (now - self.refilled_at).max(0) as f64 / 1e6 * self.bytes_per_second;
-        self.available = (self.available + gained).min(self.bytes_per_second);
+        let refilled_bytes = (now - self.refilled_at).max(0) as f64 / 1e6 * self.bytes_per_second;
+        self.available = (self.available + refilled_bytes).min(self.bytes_per_second);
         self.refilled_at = self.refilled_at.max(now);
         self.available.max(0.0) as usize
     }
 
-    /// Takes out the bytes that were sent.
+    /// Removes the bytes that were sent.
     pub fn consume(&mut self, bytes: usize) {
         self.available -= bytes as f64;
     }
