--- a/crates/gossip/tests/datagrams.rs
+++ b/crates/gossip/tests/datagrams.rs
@@ -1,11 +1,11 @@
-//! Pins the datagrams that proxies of different versions exchange. The values were taken from the release before the
-//! types were renamed.
+//! Pins the datagrams that proxies of different versions exchange. The expected values were taken from the
+//! release before the types were renamed.
 
 use std::net::SocketAddrV4;
 use wharfplank_gossip::{Datagram, Membership, Micros, Note, Peer, SwimConfig};
 
-const S: Micros = 1_000_000;
-const STEP: Micros = S / 100;
+const SECOND: Micros = 1_000_000;
+const STEP: Micros = SECOND / 100;
 
 fn address(index: u16) -> SocketAddrV4 {
     SocketAddrV4::new([127, 0, 0, 1].into(), 7000 + index)
@@ -16,13 +16,13 @@
     Membership::new(local_peer, SwimConfig::default(), u64::from(index) + 1, 0)
 }
 
-/// The FNV-1a hash, continued.
+/// Extends an FNV-1a hash by `bytes`.
 fn fnv1a(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3))
 }
 
 #[test]
-fn a_join_request_keeps_its_encoding() {
+fn join_request_encoding_is_stable() {
     let mut joining = membership(1);
     joining.join(&[address(0)], 0);
     let payload =
@@ -31,22 +31,22 @@
 }
 
 #[test]
-fn a_note_keeps_its_encoding() {
+fn note_encoding_is_stable() {
     let note = Note { origin: address(1), generation: 300, topic: 1, version: 2, body: vec![7, 8] };
     assert_eq!(postcard::to_allocvec(&note).unwrap(), [127, 0, 0, 1, 217, 54, 172, 2, 1, 2, 2, 7, 8]);
 }
 
-/// Four proxies join, publish notes, lose one of them for a while, and one leaves: all datagrams of ten seconds are the
-/// same, byte for byte and in the same order.
+/// Four proxies join and publish notes, one of them is unreachable for a while, and one leaves. All datagrams
+/// of ten seconds must keep their bytes and their order.
 #[test]
-fn a_seeded_run_sends_the_same_datagrams() {
+fn seeded_run_sends_the_same_datagrams() {
     let mut all: Vec<Membership> = (0..4).map(membership).collect();
     (1..4).for_each(|index| all[index].join(&[address(0)], 0));
     all[1].take_datagrams();
     all[1].join(&[address(0)], 0);
     let mut hash = 0xcbf2_9ce4_8422_2325;
     let mut count = 0;
-    for now in (0..10 * S).step_by(STEP as usize) {
+    for now in (0..10 * SECOND).step_by(STEP as usize) {
         match now {
             1_000_000 => all[2].publish(1, vec![1, 2, 3]).unwrap(),
             2_000_000 => all[3].publish(2, vec![9; 40]).unwrap(),
@@ -61,8 +61,8 @@
         for Datagram { to, payload } in sent {
             hash = fnv1a(hash, &payload);
             count += 1;
-            // The last one receives nothing for a while: it is suspected.
-            let is_cut_off = (3 * S..4 * S + S / 2).contains(&now) && to == address(3);
+            // The last proxy receives nothing for a while, so that it is suspected.
+            let is_cut_off = (3 * SECOND..4 * SECOND + SECOND / 2).contains(&now) && to == address(3);
             let index = (0..4).find(|index| address(*index) == to).unwrap();
             if !is_cut_off {
                 all[usize::from(index)].on_datagram(now, &payload);
--- a/crates/gossip/tests/membership_simulation.rs
+++ b/crates/gossip/tests/membership_simulation.rs
@@ -1,5 +1,5 @@
-//! Many proxies' membership on a network in virtual time with faults: rounds and datagrams are counted, never the
-//! machine's time.
+//! Simulates the membership of many proxies on a network with faults in virtual time. The checks count
+//! simulated steps and bytes and do not depend on the machine's speed.
 
 use wharfplank_gossip::simulation::{LinkFaults, SimulatedNetwork};
 use wharfplank_gossip::{Membership, Micros, SwimConfig};
@@ -20,9 +20,9 @@
     membership.map_or(0, |membership| membership.sent.bytes)
 }
 
-/// Steps of 10 ms until all live proxies agree, at most `most` of them.
-fn steps_until_agreed(network: &mut SimulatedNetwork, group: &[usize], most: u32) -> Option<u32> {
-    (1..=most).find(|_| {
+/// Runs steps of 10 ms until all live proxies agree, at most `max_steps`. Returns the number of steps.
+fn steps_until_agreed(network: &mut SimulatedNetwork, group: &[usize], max_steps: u32) -> Option<u32> {
+    (1..=max_steps).find(|_| {
         let until = network.now + STEP;
         network.run(until, STEP);
         network.agrees(group)
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_fleet_finds_itself_through_three_seeds_and_under_loss() {
+fn proxies_find_each_other_through_seeds_and_under_loss() {
     for (n, faults) in [
         (7, LinkFaults::default()),
         (30, LinkFaults { loss: 0.2, duplicate: 0.1, delay: MS, jitter: 5 * MS }),
@@ -42,20 +42,20 @@
 }
 
 #[test]
-fn a_killed_proxy_is_declared_down_and_its_restart_is_a_newer_generation() {
+fn killed_proxy_is_declared_down_and_rejoins() {
     let n = 12;
     let mut network = SimulatedNetwork::new(n, &ZONES, SwimConfig::default(), LinkFaults::default(), 3);
     assert!(steps_until_agreed(&mut network, &all(n), 1_000).is_some());
     network.kill(5);
     let down = steps_until_agreed(&mut network, &all(n), 1_000);
-    assert!(down.is_some(), "the dead proxy was not declared down by all within 10 s");
+    assert!(down.is_some(), "not all proxies declared the killed proxy down within 10 s");
     network.start(5);
     let back = steps_until_agreed(&mut network, &all(n), 1_000);
-    assert!(back.is_some(), "the restarted proxy was not taken in as its new generation within 10 s");
+    assert!(back.is_some(), "the restarted proxy was not seen with its new generation within 10 s");
 }
 
 #[test]
-fn a_paused_proxy_rejoins_as_a_newer_generation() {
+fn paused_proxy_rejoins_as_newer_generation() {
     let n = 7;
     let mut network = SimulatedNetwork::new(n, &ZONES, SwimConfig::default(), LinkFaults::default(), 5);
     assert!(steps_until_agreed(&mut network, &all(n), 1_000).is_some());
@@ -66,36 +66,41 @@
     let others: Vec<usize> = (0..n).filter(|i| *i != 2).collect();
     assert!(
         others.iter().all(|i| !network.seen_by(*i).contains(&2)),
-        "a proxy paused for 10 s is still taken for alive"
+        "a proxy paused for 10 s is still considered alive"
     );
     assert!(
         steps_until_agreed(&mut network, &all(n), 1_000).is_some(),
-        "the resumed proxy was not taken in again"
+        "the resumed proxy was not considered alive again"
     );
     let after = generation_of(&network, 2);
-    assert!(after > before, "it came back as generation {after:?}, not newer than {before:?}");
+    assert!(after > before, "rejoined as generation {after:?}, not newer than {before:?}");
 }
 
 #[test]
-fn the_two_sides_of_a_partition_see_only_themselves_and_merge_when_it_heals() {
+fn partition_sides_separate_and_merge_after_heal() {
     let n = 9;
     let mut network = SimulatedNetwork::new(n, &ZONES, SwimConfig::default(), LinkFaults::default(), 11);
     assert!(steps_until_agreed(&mut network, &all(n), 1_000).is_some());
-    let (small, large): (Vec<usize>, Vec<usize>) = (0..n).partition(|i| *i % 3 == 0);
-    network.partition(&small, &large);
+    let (small_side, large_side): (Vec<usize>, Vec<usize>) = (0..n).partition(|i| *i % 3 == 0);
+    network.partition(&small_side, &large_side);
     let until = network.now + 10_000 * MS;
     network.run(until, STEP);
-    assert!(network.agrees(&small) && network.agrees(&large), "each side should see exactly itself");
-    assert!(small.iter().all(|i| network.seen_by(*i).is_disjoint(&large.iter().copied().collect())));
+    assert!(
+        network.agrees(&small_side) && network.agrees(&large_side),
+        "each side should see exactly its own proxies"
+    );
+    assert!(small_side
+        .iter()
+        .all(|i| network.seen_by(*i).is_disjoint(&large_side.iter().copied().collect())));
     network.blocked.clear();
     assert!(
         steps_until_agreed(&mut network, &all(n), 3_000).is_some(),
-        "the sides did not merge within 30 s of the heal"
+        "the sides did not merge within 30 s after the partition healed"
     );
 }
 
 #[test]
-fn traffic_per_proxy_does_not_grow_with_the_fleet() {
+fn traffic_per_proxy_does_not_grow_with_fleet_size() {
     let mut rates = Vec::new();
     for n in [3, 30, 100] {
         let mut network = SimulatedNetwork::new(n, &ZONES, SwimConfig::default(), LinkFaults::default(), 13);
@@ -111,13 +116,14 @@
             .sum();
         rates.push(sent as f64 / n as f64 / 10.0);
     }
-    println!("bytes a proxy sends a second at 3, 30, 100 proxies: {rates:.0?}");
+    println!("bytes sent per proxy and second at 3, 30, 100 proxies: {rates:.0?}");
     let config = SwimConfig::default();
-    // A ping and its ack each ping interval, and gossip to the fan-out each gossip interval, of a datagram at most.
+    // A ping and its ack per ping interval, and gossip to the fan-out per gossip interval, each of at
+    // most one datagram.
     let bound = (2.0 * 1000.0 / config.ping_interval_ms as f64
         + config.gossip_fanout as f64 * 1000.0 / config.gossip_interval_ms as f64
         + 4.0)
         * config.max_datagram_bytes as f64;
-    assert!(rates.iter().all(|r| *r <= bound), "over the bound of {bound:.0} bytes a second: {rates:.0?}");
+    assert!(rates.iter().all(|r| *r <= bound), "more than {bound:.0} bytes per second: {rates:.0?}");
     assert!(rates[2] <= rates[1] * 2.0, "traffic grew with the fleet: {rates:.0?}");
 }
--- a/crates/gossip/tests/note_store.rs
+++ b/crates/gossip/tests/note_store.rs
@@ -1,4 +1,4 @@
-//! Which notes are held, and which are disseminated in place of others.
+//! Tests of which notes are stored and which replace others during dissemination.
 
 use foca::Invalidates;
 use std::net::SocketAddrV4;
@@ -10,16 +10,16 @@
 }
 
 #[test]
-fn only_a_newer_note_of_a_proxy_and_topic_is_stored() {
+fn only_newer_notes_are_stored() {
     let mut store = NoteStore::default();
     assert_eq!(store.insert(note(1, 1, 5)), Ok(()));
     assert_eq!(store.insert(note(1, 1, 5)), Err(RejectedNote::Stale), "a duplicate");
-    assert_eq!(store.insert(note(1, 1, 4)), Err(RejectedNote::Stale), "a replay of an older one");
-    assert_eq!(store.insert(note(1, 2, 0)), Ok(()), "a restarted process");
+    assert_eq!(store.insert(note(1, 1, 4)), Err(RejectedNote::Stale), "a replay of an older note");
+    assert_eq!(store.insert(note(1, 2, 0)), Ok(()), "a note of a restarted process");
     assert_eq!(
         store.insert(note(1, 1, 99)),
         Err(RejectedNote::Stale),
-        "the old process's, however high its version"
+        "a note of the old process with a higher version"
     );
     assert_eq!(store.insert(note(2, 1, 1)), Ok(()));
     assert_eq!((store.accepted, store.stale, store.len()), (3, 3, 2));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_store_is_bounded_and_counts_what_it_drops() {
+fn full_store_drops_and_counts_new_notes() {
     let mut store = NoteStore::default();
     for port in 0..(MAX_NOTES + 10) as u16 {
         let expected = if usize::from(port) < MAX_NOTES { Ok(()) } else { Err(RejectedNote::Full) };
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_newer_key_invalidates_an_older_one_of_the_same_proxy_and_topic_only() {
+fn newer_key_invalidates_older_of_same_proxy_and_topic() {
     let (old, new, other) = (note(1, 1, 1).key(), note(1, 1, 2).key(), note(2, 1, 3).key());
     assert!(new.invalidates(&old));
     assert!(!old.invalidates(&new));
--- a/crates/shared-state/tests/convergence.rs
+++ b/crates/shared-state/tests/convergence.rs
@@ -1,5 +1,6 @@
-//! The states of many proxies in virtual time, on a network that loses, duplicates, delays and partitions: how many
-//! exchanges it takes until all are equal, and how many bytes a proxy sends. No clock of the machine is read.
+//! Simulates the states of many proxies in virtual time, on a network that loses, duplicates, delays and
+//! partitions datagrams. Measures the number of exchanges until all states are equal, and the bytes that a
+//! proxy sends. The machine's clock is not read.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -10,18 +11,18 @@
 
 const MS: Micros = 1_000;
 const STEP: Micros = 25 * MS;
-/// The membership's datagrams of a proxy: one each so often.
-const DATAGRAM: Micros = 125 * MS;
+/// The interval between the membership datagrams that a proxy sends.
+const DATAGRAM_INTERVAL: Micros = 125 * MS;
 const MEMBERS: u64 = 120;
-const PACKET: usize = 1300;
+const MAX_DATAGRAM_BYTES: usize = 1300;
 
 struct Fleet {
     states: Vec<SharedState>,
-    /// Proxies on different sides of a partition do not reach each other.
+    /// The side of the partition that each proxy is on. Datagrams between the sides are lost.
     side: Vec<bool>,
     loss: f64,
     now: Micros,
-    /// Datagrams on the way: when one arrives, its sender, its receiver, its bytes.
+    /// Datagrams in flight: arrival time, sender, receiver, bytes.
     in_flight: Vec<(Micros, usize, usize, Vec<u8>)>,
     rng: SmallRng,
     sent: u64,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// One step; `busy`: each proxy learns something.
+    /// Runs one step. If `busy`, each proxy records new observations.
     fn step(&mut self, busy: bool) {
         self.now += STEP;
         let now = self.now;
@@ -82,9 +83,9 @@
             for (to, message) in self.states[i].take_datagrams() {
                 self.transmit(i, usize::from(to.port()) - 20_000, message);
             }
-            if (now / STEP + i as Micros) % (DATAGRAM / STEP) == 0 && !peers.is_empty() {
+            if (now / STEP + i as Micros) % (DATAGRAM_INTERVAL / STEP) == 0 && !peers.is_empty() {
                 let to = peers[self.rng.random_range(0..peers.len())];
-                if let Some(message) = self.states[i].piggyback(now, PACKET) {
+                if let Some(message) = self.states[i].piggyback(now, MAX_DATAGRAM_BYTES) {
                     self.transmit(i, to, message);
                 }
             }
@@ -99,7 +100,8 @@
         self.states.iter().all(|r| r.store().digest() == self.states[0].store().digest())
     }
 
-    /// Exchanges that the proxy which began most has begun until all hold the same, and the virtual time.
+    /// Runs until all states are equal. Returns the most exchanges that one proxy started meanwhile, and the
+    /// virtual time it took.
     fn converge(&mut self) -> Option<(u64, Micros)> {
         let before: Vec<u64> = self.states.iter().map(|r| r.stats.exchanges_started).collect();
         let start = self.now;
@@ -115,24 +117,25 @@
 }
 
 #[test]
-fn states_are_equal_a_few_exchanges_after_a_healed_partition_and_after_a_restart() {
+fn states_converge_after_partition_and_restart() {
     for (n, loss) in [(3, 0.0), (30, 0.0), (30, 0.2), (100, 0.0)] {
         let mut fleet = Fleet::new(n, loss, 7);
         fleet.run(3_000 * MS, true);
         (0..n / 3).for_each(|i| fleet.side[i] = true);
         fleet.run(10_000 * MS, true);
-        assert!(!fleet.equal(), "both sides of a partition hold the same");
+        assert!(!fleet.equal(), "states are equal across a partition");
         fleet.side.fill(false);
-        let (rounds, span) = fleet.converge().expect("no equal states within a minute of the heal");
-        assert!(rounds <= 60, "{n} proxies: {rounds} exchanges after a heal");
+        let (rounds, span) =
+            fleet.converge().expect("states not equal within a minute after the partition healed");
+        assert!(rounds <= 60, "{n} proxies: {rounds} exchanges after a healed partition");
         fleet.run(3_000 * MS, true);
         let now = fleet.now;
         fleet.states[n - 1] = SharedState::new(999, SharedStateConfig::default(), 5, now);
-        let (again, restart) = fleet.converge().expect("no equal states within a minute of a restart");
+        let (again, restart) = fleet.converge().expect("states not equal within a minute after a restart");
         assert!(again <= 60, "{n} proxies: {again} exchanges after a restart");
         println!(
-            "{n} proxies at {loss} loss: equal {rounds} exchanges and {} ms after a heal, {again} and {} ms after a \
-             restart, {} entries",
+            "{n} proxies at {loss} loss: equal {rounds} exchanges and {} ms after a healed partition, \
+             {again} exchanges and {} ms after a restart, {} entries",
             span / MS,
             restart / MS,
             fleet.states[0].store().len()
@@ -141,42 +144,43 @@
 }
 
 #[test]
-fn bytes_sent_by_a_proxy_are_bounded_and_do_not_grow_with_the_fleet() {
+fn bytes_sent_stay_within_budget_at_any_fleet_size() {
     for n in [3, 30, 100] {
         let mut fleet = Fleet::new(n, 0.0, 11);
         fleet.run(3_000 * MS, true);
         let (before, start) = (fleet.sent, fleet.now);
         fleet.run(15_000 * MS, true);
         let rate = (fleet.sent - before) as f64 / n as f64 / ((fleet.now - start) as f64 / 1e6);
-        let held = fleet.states.iter().map(|r| r.store().len()).max().unwrap_or(0);
-        println!("{n} proxies: {rate:.0} bytes a proxy a second, {held} entries");
+        let max_entries = fleet.states.iter().map(|r| r.store().len()).max().unwrap_or(0);
+        println!("{n} proxies: {rate:.0} bytes per proxy and second, {max_entries} entries");
         let budget = SharedStateConfig::default().bytes_per_second as f64;
-        assert!(rate <= budget * 1.05, "{n} proxies: {rate:.0} bytes a second of {budget:.0}");
+        assert!(rate <= budget * 1.05, "{n} proxies: sent {rate:.0} bytes per second, budget {budget:.0}");
     }
 }
 
 #[test]
-fn a_burst_past_the_budget_is_throttled_and_arrives_in_the_end() {
+fn burst_beyond_budget_is_throttled_and_delivered() {
     let mut fleet = Fleet::new(5, 0.2, 3);
     fleet.run(2_000 * MS, false);
     let now = fleet.now;
     (0..2_000).for_each(|write| fleet.states[0].record_write_outcome(now, write, WriteOutcome::InDoubt));
     fleet.run(500 * MS, false);
-    assert!(!fleet.equal(), "2,000 changes went round within half a second");
+    assert!(!fleet.equal(), "2,000 changes were delivered to all proxies within half a second");
     assert!(fleet.states[0].rumours().deferred > 0 || fleet.states[0].stats.throttled_messages > 0);
-    fleet.converge().expect("the burst did not come through");
+    fleet.converge().expect("states not equal within a minute after the burst");
     assert!((0..2_000).all(|write| fleet.states[4].is_in_doubt(write)));
 }
 
-/// An old message that a malicious proxy replays neither withdraws a member nor reopens a settled write.
+/// An old message that a malicious proxy replays neither marks a member as suspected nor puts a settled write
+/// in doubt again.
 #[test]
-fn a_replayed_old_message_changes_nothing() {
+fn replayed_old_message_has_no_effect() {
     let mut fleet = Fleet::new(5, 0.0, 9);
     fleet.run(2_000 * MS, false);
     let (now, old) = (fleet.now, fleet.now);
     fleet.states[0].record_member_status(now, 1, MemberStatus::Suspected);
     fleet.states[0].record_write_outcome(now, 8, WriteOutcome::InDoubt);
-    let message = fleet.states[0].piggyback(now, PACKET).expect("a rumour to send");
+    let message = fleet.states[0].piggyback(now, MAX_DATAGRAM_BYTES).expect("no rumour to send");
     fleet.run(2_000 * MS, false);
     let now = fleet.now;
     fleet.states[0].record_member_status(now, 1, MemberStatus::Alive);
@@ -188,7 +192,7 @@
     for (state, before) in fleet.states.iter_mut().zip(&before).skip(1) {
         state.take_updates();
         state.on_message(now, addr(0), &message);
-        assert!(state.take_updates().is_empty(), "an old suspicion was an update");
+        assert!(state.take_updates().is_empty(), "a replayed suspicion produced an update");
         assert!(!state.is_in_doubt(8), "a settled write is in doubt again");
         assert_eq!(state.store().get(&Key::MemberStatus(1)).copied(), *before);
     }
@@ -200,6 +204,6 @@
     fleet.states[3].on_message(now, addr(0), &message);
     assert!(
         fleet.states[3].store().get(&Key::MemberStatus(1)).is_none(),
-        "a suspicion past its time to live came back"
+        "a suspicion past its time to live was accepted"
     );
 }
--- a/crates/shared-state/tests/encoding.rs
+++ b/crates/shared-state/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! The bytes of messages and snapshots, which proxies of other versions read and a disk holds.
+//! Pins the encodings of messages and snapshots, which proxies of other versions read and which are on disk.
 
 use wharfplank_health::HealthObservation;
 use wharfplank_shared_state::anti_entropy::{KeyRange, Message};
@@ -40,12 +40,12 @@
     hex(&postcard::to_allocvec(message).unwrap())
 }
 
-/// [`entries`] as every message and snapshot holds them, with their count before them.
+/// The encoding of [`entries`] in messages and snapshots, preceded by their count.
 const ENTRIES: &str = "080001000ee0c50880897a01020186897a02090080897a01030186897a02090180897a\
     0204f40302ac0280897a0305030080897a0306030180897a0307030280897a040809049a010a050c0000000080897a";
 
 #[test]
-fn messages_keep_their_bytes() {
+fn message_encodings_are_stable() {
     let range = KeyRange { bucket: 300, from: None, to: Some(Key::WriteOutcome(5)), entries: entries() };
     assert_eq!(encoded(&Message::Delta(entries())), format!("00{ENTRIES}"));
     assert_eq!(encoded(&Message::DigestRequest(vec![0, 1, u64::MAX])), "01030001ffffffffffffffffff01");
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn a_snapshot_keeps_its_bytes() {
+fn snapshot_encoding_is_stable() {
     assert_eq!(hex(&snapshot::encode(123, entries())), format!("01f601{ENTRIES}0302edc7f87868f5"));
 }
 
 #[test]
-fn buckets_and_digests_of_entries_stay_comparable_between_versions() {
+fn buckets_and_digests_are_stable() {
     let digests: Vec<(usize, u64)> =
         entries().iter().map(|(key, entry)| (key.digest_bucket(), entry.digest(key))).collect();
     let expected = [
--- a/crates/shared-state/tests/exchange_model.rs
+++ b/crates/shared-state/tests/exchange_model.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy, checked by a model checker over every order of messages, with loss, duplicates and a restart: three
-//! proxies that run the real store and the real exchange.
+//! Checks anti-entropy with a model checker: three proxies that run the real store and exchange code, over
+//! every order of messages, with loss, duplication and a restart.
 
 use stateright::{Checker, Model, Property};
 use wharfplank_shared_state::anti_entropy::{
@@ -10,8 +10,9 @@
 const NOW: i64 = 10;
 const PROXIES: usize = 3;
 
-/// What is learned, and by which proxy: two values of one key, and one of another.
-fn facts() -> Vec<(usize, Key, Entry)> {
+/// The entries that are recorded, each with the proxy that records it: two values of one key, and one of
+/// another.
+fn recorded_entries() -> Vec<(usize, Key, Entry)> {
     vec![
         (0, Key::Position(1), Entry::new(Value::Position { epoch: 1, position: 5 }, NOW)),
         (1, Key::Position(1), Entry::new(Value::Position { epoch: 2, position: 3 }, NOW)),
@@ -29,18 +30,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     stores: Vec<Store>,
-    learned: Vec<bool>,
+    recorded: Vec<bool>,
     in_flight: Vec<Envelope>,
     exchanges: usize,
-    lost: usize,
+    faults: usize,
     restarts: usize,
-    /// Whether some store lost what it held without having restarted.
+    /// Whether a store lost entries without a restart.
     has_lost_entries: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    Learn(usize),
+    Record(usize),
     StartExchange(usize, usize),
     Deliver(usize),
     Lose(usize),
@@ -50,7 +51,7 @@
 
 struct ExchangeModel {
     exchanges: usize,
-    lost: usize,
+    faults: usize,
     restarts: usize,
 }
 
@@ -88,27 +89,27 @@
 
     fn init_states(&self) -> Vec<State> {
         let stores = vec![Store::default(); PROXIES];
-        let learned = vec![false; facts().len()];
+        let recorded = vec![false; recorded_entries().len()];
         vec![State {
             stores,
-            learned,
+            recorded,
             in_flight: Vec::new(),
             exchanges: 0,
-            lost: 0,
+            faults: 0,
             restarts: 0,
             has_lost_entries: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let not_learned = (0..state.learned.len()).filter(|n| !state.learned[*n]);
-        actions.extend(not_learned.map(Action::Learn));
+        let not_recorded = (0..state.recorded.len()).filter(|n| !state.recorded[*n]);
+        actions.extend(not_recorded.map(Action::Record));
         if state.exchanges < self.exchanges && state.in_flight.len() < 2 {
             let pairs = (0..PROXIES).flat_map(|a| (0..PROXIES).map(move |b| (a, b)));
             actions.extend(pairs.filter(|(a, b)| a != b).map(|(a, b)| Action::StartExchange(a, b)));
         }
         actions.extend((0..state.in_flight.len()).map(Action::Deliver));
-        if state.lost < self.lost {
+        if state.faults < self.faults {
             actions.extend((0..state.in_flight.len()).flat_map(|n| [Action::Lose(n), Action::Duplicate(n)]));
         }
         if state.restarts < self.restarts {
@@ -119,9 +120,9 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Learn(n) => {
-                let (proxy, key, entry) = facts()[n];
-                state.learned[n] = true;
+            Action::Record(n) => {
+                let (proxy, key, entry) = recorded_entries()[n];
+                state.recorded[n] = true;
                 state.stores[proxy].merge(key, &entry, NOW);
             }
             Action::StartExchange(a, b) => {
@@ -134,11 +135,11 @@
                 ExchangeModel::deliver(&mut state, &in_flight);
             }
             Action::Lose(n) => {
-                state.lost += 1;
+                state.faults += 1;
                 state.in_flight.remove(n);
             }
             Action::Duplicate(n) => {
-                state.lost += 1;
+                state.faults += 1;
                 let in_flight = state.in_flight[n].clone();
                 ExchangeModel::deliver(&mut state, &in_flight);
             }
@@ -152,21 +153,21 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no store loses what it holds", |_, s: &State| !s.has_lost_entries),
-            Property::always("nothing is held that nobody learned", |_, s: &State| {
-                let is_learned = |key: &Key, entry: &Entry| {
-                    facts()
+            Property::always("no store loses entries", |_, s: &State| !s.has_lost_entries),
+            Property::always("stores hold only recorded entries", |_, s: &State| {
+                let is_recorded = |key: &Key, entry: &Entry| {
+                    recorded_entries()
                         .iter()
-                        .zip(&s.learned)
-                        .any(|((_, k, e), learned)| *learned && k == key && e == entry)
+                        .zip(&s.recorded)
+                        .any(|((_, k, e), recorded)| *recorded && k == key && e == entry)
                 };
-                s.stores.iter().all(|store| store.iter().all(|(key, entry)| is_learned(key, entry)))
+                s.stores.iter().all(|store| store.iter().all(|(key, entry)| is_recorded(key, entry)))
             }),
             Property::sometimes(
-                "all are equal after all was learned, one message lost and one restart",
+                "stores are equal after all entries were recorded, one message fault and one restart",
                 |m: &ExchangeModel, s: &State| {
-                    let all = s.learned.iter().all(|learned| *learned) && s.stores[0].len() == 2;
-                    all && s.lost == m.lost
+                    let all = s.recorded.iter().all(|recorded| *recorded) && s.stores[0].len() == 2;
+                    all && s.faults == m.faults
                         && s.restarts == m.restarts
                         && s.stores.iter().all(|t| *t == s.stores[0])
                 },
@@ -175,7 +176,7 @@
     }
 }
 
-fn checked(model: ExchangeModel) -> usize {
+fn check_model(model: ExchangeModel) -> usize {
     let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{} states, {} of them distinct", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
@@ -183,26 +184,26 @@
 }
 
 #[test]
-fn every_order_of_messages_with_loss_and_a_restart_keeps_the_rules() {
+fn invariants_hold_for_all_message_orders() {
     assert!(
-        checked(ExchangeModel { exchanges: 2, lost: 1, restarts: 1 }) > 1_000,
-        "the model has hardly any states"
+        check_model(ExchangeModel { exchanges: 2, faults: 1, restarts: 1 }) > 1_000,
+        "the model has too few states"
     );
 }
 
-/// As above with a third exchange: 1.5 million states. `make model`.
+/// The same model with a third exchange: 1.5 million states. Run by `make model`.
 #[test]
 #[ignore = "takes minutes"]
-fn every_order_of_messages_of_three_exchanges_keeps_the_rules() {
-    assert!(checked(ExchangeModel { exchanges: 3, lost: 1, restarts: 1 }) > 1_000_000);
+fn invariants_hold_for_three_exchanges() {
+    assert!(check_model(ExchangeModel { exchanges: 3, faults: 1, restarts: 1 }) > 1_000_000);
 }
 
-/// From every pair of stores, one exchange without loss leaves both equal.
+/// One exchange without loss makes any two stores equal.
 #[test]
-fn one_exchange_without_loss_makes_two_stores_equal() {
-    let all = facts();
-    for mine in 0..8_u32 {
-        for theirs in 0..8_u32 {
+fn lossless_exchange_makes_stores_equal() {
+    let all = recorded_entries();
+    for first_mask in 0..8_u32 {
+        for second_mask in 0..8_u32 {
             let store_of = |mask: u32| {
                 let mut store = Store::default();
                 let chosen = all.iter().enumerate().filter(|(n, _)| mask & (1 << n) != 0);
@@ -211,13 +212,13 @@
                 });
                 store
             };
-            let learned = vec![true; all.len()];
+            let recorded = vec![true; all.len()];
             let mut state = State {
-                stores: vec![store_of(mine), store_of(theirs), Store::default()],
-                learned,
+                stores: vec![store_of(first_mask), store_of(second_mask), Store::default()],
+                recorded,
                 in_flight: Vec::new(),
                 exchanges: 0,
-                lost: 0,
+                faults: 0,
                 restarts: 0,
                 has_lost_entries: false,
             };
@@ -226,7 +227,7 @@
             while let Some(in_flight) = state.in_flight.pop() {
                 ExchangeModel::deliver(&mut state, &in_flight);
             }
-            assert_eq!(state.stores[0], state.stores[1], "stores {mine:03b} and {theirs:03b}");
+            assert_eq!(state.stores[0], state.stores[1], "stores {first_mask:03b} and {second_mask:03b}");
         }
     }
 }
--- a/crates/shared-state/tests/health.rs
+++ b/crates/shared-state/tests/health.rs
@@ -1,5 +1,6 @@
-//! How soon a fleet holds a slow member degraded, and what that costs, over the replicated state itself in virtual time:
-//! rumours on one datagram of the membership each 125 ms, exchanges beside them, each datagram lost at some part.
+//! Measures in virtual time how soon a fleet detects a slow member as degraded and how many bytes that takes,
+//! over the replicated state: rumours on one membership datagram every 125 ms, exchanges in addition,
+//! datagrams lost at random.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -9,18 +10,18 @@
 
 const SECOND: Micros = 1_000_000;
 const STEP: Micros = 25_000;
-const DATAGRAM: Micros = 125_000;
-const PACKET: usize = 1300;
+const DATAGRAM_INTERVAL: Micros = 125_000;
+const MAX_DATAGRAM_BYTES: usize = 1300;
 const MEMBERS: u64 = 8;
-const SLOW: u64 = 3;
-/// Requests a second at each router.
-const RATE: f64 = 30.0;
+const SLOW_MEMBER: u64 = 3;
+/// Requests per second at each router.
+const REQUESTS_PER_SECOND: f64 = 30.0;
 
 struct Fleet {
     now: Micros,
     routers: Vec<(SharedState, HealthMonitor)>,
     in_flight: Vec<(Micros, usize, usize, Vec<u8>)>,
-    pace: f64,
+    slow_factor: f64,
     loss: f64,
     sent: u64,
     rng: SmallRng,
@@ -43,7 +44,7 @@
         };
         let routers = (0..n).map(router).collect();
         let rng = SmallRng::seed_from_u64(seed);
-        Fleet { now, routers, in_flight: Vec::new(), pace: 1.0, loss, sent: 0, rng }
+        Fleet { now, routers, in_flight: Vec::new(), slow_factor: 1.0, loss, sent: 0, rng }
     }
 
     fn transmit(&mut self, from: usize, to: usize, message: Vec<u8>) {
@@ -64,12 +65,12 @@
             }
             for i in 0..n {
                 let exp = |rng: &mut SmallRng| -(1.0 - rng.random::<f64>()).ln();
-                let mut next = exp(&mut self.rng) / RATE;
+                let mut next = exp(&mut self.rng) / REQUESTS_PER_SECOND;
                 while next < STEP as f64 / 1e6 {
-                    next += exp(&mut self.rng) / RATE;
+                    next += exp(&mut self.rng) / REQUESTS_PER_SECOND;
                     let member = self.rng.random_range(0..MEMBERS);
-                    let pace = if member == SLOW { self.pace } else { 1.0 };
-                    let latency = (20_000.0 * (0.3 + 0.7 * exp(&mut self.rng)) * pace) as Micros;
+                    let slow_factor = if member == SLOW_MEMBER { self.slow_factor } else { 1.0 };
+                    let latency = (20_000.0 * (0.3 + 0.7 * exp(&mut self.rng)) * slow_factor) as Micros;
                     self.routers[i].1.record(now, member, Outcome::Answered { class: 0, latency });
                 }
                 let (state, health) = &mut self.routers[i];
@@ -83,9 +84,9 @@
                 for (to, message) in self.routers[i].0.take_datagrams() {
                     self.transmit(i, usize::from(to.port()) - 20_000, message);
                 }
-                if (now / STEP + i as Micros) % (DATAGRAM / STEP) == 0 {
+                if (now / STEP + i as Micros) % (DATAGRAM_INTERVAL / STEP) == 0 {
                     let to = (i + self.rng.random_range(1..n)) % n;
-                    if let Some(message) = self.routers[i].0.piggyback(now, PACKET) {
+                    if let Some(message) = self.routers[i].0.piggyback(now, MAX_DATAGRAM_BYTES) {
                         self.transmit(i, to, message);
                     }
                 }
@@ -93,57 +94,74 @@
         }
     }
 
-    /// The parts of the routers that hold the slow member degraded, together and by their own evidence alone, and how
-    /// many hold something of another.
-    fn holding(&self) -> (f64, f64, usize) {
+    /// Returns the fraction of routers that consider the slow member degraded by the evidence of all routers,
+    /// the fraction that do so by their own evidence only, and the number of false verdicts on other members.
+    fn degraded_fractions(&self) -> (f64, f64, usize) {
         let n = self.routers.len() as f64;
         let all = || self.routers.iter().map(|(_, health)| health);
         let own = |h: &&HealthMonitor| {
-            h.log().observations(self.now).get(&SLOW).is_some_and(|seen| seen.score() >= QUESTIONABLE_SCORE)
+            h.log()
+                .observations(self.now)
+                .get(&SLOW_MEMBER)
+                .is_some_and(|seen| seen.score() >= QUESTIONABLE_SCORE)
         };
-        let named = |h: &HealthMonitor, m: u64| h.verdict(m) != Verdict::Sound;
-        let wrong = (0..MEMBERS).filter(|m| *m != SLOW).map(|m| all().filter(|h| named(h, m)).count()).sum();
-        (all().filter(|h| named(h, SLOW)).count() as f64 / n, all().filter(own).count() as f64 / n, wrong)
+        let is_degraded = |h: &HealthMonitor, m: u64| h.verdict(m) != Verdict::Sound;
+        let false_verdicts = (0..MEMBERS)
+            .filter(|m| *m != SLOW_MEMBER)
+            .map(|m| all().filter(|h| is_degraded(h, m)).count())
+            .sum();
+        (
+            all().filter(|h| is_degraded(h, SLOW_MEMBER)).count() as f64 / n,
+            all().filter(own).count() as f64 / n,
+            false_verdicts,
+        )
     }
 }
 
-/// Prints the figures of fleets of that size, and holds them against the goals.
+/// Prints the measurements for fleets of `n` routers and checks them against the goals.
 fn measure(n: usize, loss: f64, seeds: u64) {
-    let (mut parts, mut wrong) = ([(0.0, 0.0); 4], 0);
-    let (mut calm, mut trouble) = (0.0, 0.0);
+    let (mut fractions, mut false_verdicts) = ([(0.0, 0.0); 4], 0);
+    let (mut normal_bytes, mut slow_bytes) = (0.0, 0.0);
     for seed in 0..seeds {
         let mut fleet = Fleet::new(n, loss, 100 + seed);
-        // The class's usual time is learned first.
+        // The usual latency of the class is learned first.
         fleet.run(4 * SECOND);
         fleet.sent = 0;
         fleet.run(6 * SECOND);
-        calm += fleet.sent as f64 / 6.0 / n as f64 / seeds as f64;
-        fleet.pace = 3.0;
+        normal_bytes += fleet.sent as f64 / 6.0 / n as f64 / seeds as f64;
+        fleet.slow_factor = 3.0;
         fleet.sent = 0;
-        for (part, span) in parts.iter_mut().zip([1, 1, 1, 2]) {
+        for (fraction, span) in fractions.iter_mut().zip([1, 1, 1, 2]) {
             fleet.run(span * SECOND);
-            let (together, alone, others) = fleet.holding();
-            (part.0, part.1) = (part.0 + together / seeds as f64, part.1 + alone / seeds as f64);
-            wrong += others;
+            let (by_all, by_own, others) = fleet.degraded_fractions();
+            (fraction.0, fraction.1) =
+                (fraction.0 + by_all / seeds as f64, fraction.1 + by_own / seeds as f64);
+            false_verdicts += others;
         }
-        trouble += fleet.sent as f64 / 5.0 / n as f64 / seeds as f64;
+        slow_bytes += fleet.sent as f64 / 5.0 / n as f64 / seeds as f64;
     }
-    let of =
-        |pick: fn(&(f64, f64)) -> f64| parts.iter().map(pick).map(|p| format!("{p:.2}")).collect::<Vec<_>>();
+    let of = |pick: fn(&(f64, f64)) -> f64| {
+        fractions.iter().map(pick).map(|p| format!("{p:.2}")).collect::<Vec<_>>()
+    };
     println!(
-        "{n} routers, {loss} lost: degraded after 1, 2, 3, 5 s together {}, alone {}; bytes a router a second calm \
-         {calm:.0}, in trouble {trouble:.0}; wrongly {wrong}",
+        "{n} routers, {loss} lost: degraded after 1, 2, 3, 5 s by all evidence {}, by own evidence {}; bytes \
+         per router and second normally {normal_bytes:.0}, with a slow member {slow_bytes:.0}; \
+         {false_verdicts} false verdicts",
         of(|p| p.0).join(" "),
         of(|p| p.1).join(" ")
     );
-    assert_eq!(wrong, 0, "sound members named at {n} routers");
-    // Three routers have some twenty answers of a member, and wait for enough of them; what is lost comes later.
+    assert_eq!(false_verdicts, 0, "healthy members considered degraded at {n} routers");
+    // Three routers together have only some twenty answers of a member and must wait for enough of them; lost
+    // datagrams delay the detection.
     let goal = if n > 3 && loss == 0.0 { 0.85 } else { 0.7 };
-    assert!(parts[2].0 >= goal && parts[3].0 >= 0.95, "{n} routers at 3 and 5 s: {parts:?}");
+    assert!(
+        fractions[2].0 >= goal && fractions[3].0 >= 0.95,
+        "{n} routers: fractions after 1, 2, 3, 5 s: {fractions:?}"
+    );
 }
 
 #[test]
-fn a_fleet_of_3_to_100_holds_a_slow_member_degraded_within_3_s() {
+fn slow_member_is_degraded_within_3_s() {
     [(3, 0.0, 60), (30, 0.0, 4), (30, 0.2, 4), (100, 0.0, 4)]
         .into_iter()
         .for_each(|(n, loss, k)| measure(n, loss, k));
@@ -151,6 +169,6 @@
 
 #[test]
 #[ignore = "minutes: make health"]
-fn a_fleet_of_300_and_3000_does_so_too() {
+fn slow_member_is_degraded_in_large_fleets() {
     [(300, 0.0, 4), (300, 0.2, 4), (3_000, 0.0, 2)].into_iter().for_each(|(n, loss, k)| measure(n, loss, k));
 }
--- a/crates/shared-state/tests/merge_laws.rs
+++ b/crates/shared-state/tests/merge_laws.rs
@@ -1,4 +1,5 @@
-//! The laws of merging, for every kind of entry and for whole stores; and that damaged or foreign bytes do no harm.
+//! Property tests of the merge laws for every kind of entry and for whole stores, and of robustness against
+//! arbitrary and damaged input.
 
 use proptest::prelude::*;
 use std::net::SocketAddrV4;
@@ -43,8 +44,8 @@
     (value(kind), 0..4_i64).prop_map(|(value, offset)| Entry::new(value, NOW + offset))
 }
 
-/// Three entries of one kind.
-fn three() -> impl Strategy<Value = (Entry, Entry, Entry)> {
+/// Generates three entries of one kind.
+fn entry_triple() -> impl Strategy<Value = (Entry, Entry, Entry)> {
     (0..4_u8).prop_flat_map(|kind| (entry(kind), entry(kind), entry(kind)))
 }
 
@@ -68,16 +69,16 @@
 
 proptest! {
     #[test]
-    fn merging_is_commutative_associative_and_idempotent((a, b, c) in three()) {
+    fn merging_is_commutative_associative_and_idempotent((a, b, c) in entry_triple()) {
         prop_assert_eq!(merged(a, b), merged(b, a));
         prop_assert_eq!(merged(merged(a, b), c), merged(a, merged(b, c)));
         prop_assert_eq!(merged(a, a), a);
         let mut both = merged(a, b);
-        prop_assert!(!both.merge(&a) && !both.merge(&b), "a copy merged again changed something");
+        prop_assert!(!both.merge(&a) && !both.merge(&b), "merging a copy again changed the entry");
     }
 
     #[test]
-    fn stores_that_merged_the_same_in_any_order_and_number_are_equal(
+    fn stores_are_equal_for_any_merge_order_and_repetition(
         (entries, shuffled) in entries().prop_flat_map(|f| (Just(f.clone()), Just(f).prop_shuffle())),
         again in 0..40_usize,
     ) {
@@ -86,15 +87,15 @@
         let two = store_of(&twice);
         prop_assert_eq!(one.digest(), two.digest());
         prop_assert!(one.iter().eq(two.iter()));
-        // Stores that differ have different digests.
+        // Different stores have different digests.
         if let Some((key, _)) = entries.first() {
-            let less: Vec<_> = entries.iter().filter(|(k, _)| k != key).copied().collect();
-            prop_assert_ne!(store_of(&less).digest(), one.digest());
+            let others: Vec<_> = entries.iter().filter(|(k, _)| k != key).copied().collect();
+            prop_assert_ne!(store_of(&others).digest(), one.digest());
         }
     }
 
     #[test]
-    fn arbitrary_bytes_never_break_a_state(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let from: SocketAddrV4 = "127.0.0.1:1".parse().unwrap();
         let mut state = SharedState::new(1, SharedStateConfig::default(), 1, NOW);
         state.on_message(NOW, from, &bytes);
@@ -109,16 +110,16 @@
 }
 
 #[test]
-fn an_old_or_damaged_snapshot_brings_nothing_back() {
+fn old_or_damaged_snapshot_restores_nothing() {
     let hour = 3_600_000_000;
     let mut state = SharedState::new(1, SharedStateConfig::default(), 1, 0);
     (0..50).for_each(|member| state.record_member_status(0, member, MemberStatus::Suspected));
     state.record_position(0, 1, 1, 7);
     let bytes = state.snapshot(0);
     let mut fresh = SharedState::new(2, SharedStateConfig::default(), 1, 0);
-    assert_eq!(fresh.restore(1_000_000, &bytes), Ok(51), "a young one is restored");
+    assert_eq!(fresh.restore(1_000_000, &bytes), Ok(51), "a recent snapshot must be restored");
     let mut later = SharedState::new(2, SharedStateConfig::default(), 1, hour);
-    assert_eq!(later.restore(hour, &bytes), Ok(0), "an hour old");
+    assert_eq!(later.restore(hour, &bytes), Ok(0), "entries of an hour-old snapshot were restored");
     assert!(later.store().is_empty() && later.take_updates().is_empty());
     let mut cut = bytes.clone();
     cut.truncate(bytes.len() - 1);
--- a/crates/shared-state/tests/store.rs
+++ b/crates/shared-state/tests/store.rs
@@ -1,4 +1,4 @@
-//! The bounds of the store: eviction, times to live, and what it rejects.
+//! Tests of the store's bounds: eviction, times to live and rejected entries.
 
 use wharfplank_shared_state::{Entry, Key, MergeOutcome, Micros, Store, Value, WriteOutcome, MAX_CLOCK_SKEW};
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_store_is_bounded_and_writes_in_doubt_do_not_give_way_to_positions() {
+fn store_is_bounded_and_keeps_writes_in_doubt() {
     let mut store = Store::new(4);
     for write in 0..4 {
         assert_eq!(store.merge(Key::WriteOutcome(write), &in_doubt(10), 10), MergeOutcome::Updated);
@@ -24,12 +24,12 @@
         store.merge(key, &entry, 10);
     }
     assert_eq!((store.len(), store.dropped), (4, 96));
-    assert!(store.get(&Key::Position(99)).is_some(), "the oldest should have been evicted");
+    assert!(store.get(&Key::Position(99)).is_some(), "the newest entry must not be evicted");
     assert_eq!(store.merge(Key::WriteOutcome(1), &in_doubt(10), 10), MergeOutcome::Updated);
 }
 
 #[test]
-fn an_entry_past_its_time_to_live_expires_and_is_not_taken_back() {
+fn expired_entry_is_not_accepted_again() {
     let mut store = Store::default();
     let empty = store.digest();
     let (key, entry) = position(1, 5, 0);
@@ -41,8 +41,16 @@
     assert_eq!((store.len(), store.digest()), (0, empty));
     assert_eq!(store.merge(key, &entry, key.time_to_live() + 1), MergeOutcome::Rejected);
     let ahead = Entry::new(Value::Position { epoch: 1, position: 5 }, MAX_CLOCK_SKEW + 1);
-    assert_eq!(store.merge(key, &ahead, 0), MergeOutcome::Rejected, "from further ahead than clocks differ");
+    assert_eq!(
+        store.merge(key, &ahead, 0),
+        MergeOutcome::Rejected,
+        "accepted an entry beyond the allowed clock skew"
+    );
     let counter = Entry::new(Value::Counter(1), 0);
-    assert_eq!(store.merge(key, &counter, 0), MergeOutcome::Rejected, "a counter is no position");
+    assert_eq!(
+        store.merge(key, &counter, 0),
+        MergeOutcome::Rejected,
+        "accepted a counter under a position key"
+    );
     assert_eq!(store.rejected, 3);
 }
