--- a/crates/shared-state/tests/health.rs
+++ b/crates/shared-state/tests/health.rs
@@ -96,7 +96,7 @@
 
     /// Returns the fraction of routers that consider the slow member degraded by the evidence of all routers,
     /// the fraction that do so by their own evidence only, and the number of false verdicts on other members.
-    fn degraded_fractions(&self) -> (f64, f64, usize) {
+    fn detection_rates(&self) -> (f64, f64, usize) {
         let n = self.routers.len() as f64;
         let all = || self.routers.iter().map(|(_, health)| health);
         let own = |h: &&HealthMonitor| {
@@ -120,7 +120,7 @@
 
 /// Prints the measurements for fleets of `n` routers and checks them against the goals.
 fn measure(n: usize, loss: f64, seeds: u64) {
-    let (mut fractions, mut false_verdicts) = ([(0.0, 0.0); 4], 0);
+    let (mut rates, mut false_verdicts) = ([(0.0, 0.0); 4], 0);
     let (mut normal_bytes, mut slow_bytes) = (0.0, 0.0);
     for seed in 0..seeds {
         let mut fleet = Fleet::new(n, loss, 100 + seed);
@@ -131,18 +131,16 @@
         normal_bytes += fleet.sent as f64 / 6.0 / n as f64 / seeds as f64;
         fleet.slow_factor = 3.0;
         fleet.sent = 0;
-        for (fraction, span) in fractions.iter_mut().zip([1, 1, 1, 2]) {
+        for (rate, span) in rates.iter_mut().zip([1, 1, 1, 2]) {
             fleet.run(span * SECOND);
-            let (by_all, by_own, others) = fleet.degraded_fractions();
-            (fraction.0, fraction.1) =
-                (fraction.0 + by_all / seeds as f64, fraction.1 + by_own / seeds as f64);
+            let (by_all, by_own, others) = fleet.detection_rates();
+            (rate.0, rate.1) = (rate.0 + by_all / seeds as f64, rate.1 + by_own / seeds as f64);
             false_verdicts += others;
         }
         slow_bytes += fleet.sent as f64 / 5.0 / n as f64 / seeds as f64;
     }
-    let of = |pick: fn(&(f64, f64)) -> f64| {
-        fractions.iter().map(pick).map(|p| format!("{p:.2}")).collect::<Vec<_>>()
-    };
+    let of =
+        |pick: fn(&(f64, f64)) -> f64| rates.iter().map(pick).map(|p| format!("{p:.2}")).collect::<Vec<_>>();
     println!(
         "{n} routers, {loss} lost: degraded after 1, 2, 3, 5 s by all evidence {}, by own evidence {}; bytes \
          per router and second normally {normal_bytes:.0}, with a slow member {slow_bytes:.0}; \
@@ -155,8 +153,8 @@
     // datagrams delay the detection.
     let goal = if n > 3 && loss == 0.0 { 0.85 } else { 0.7 };
     assert!(
-        fractions[2].0 >= goal && fractions[3].0 >= 0.95,
-        "{n} routers: fractions after 1, 2, 3, 5 s: {fractions:?}"
+        rates[2].0 >= goal && rates[3].0 >= 0.95,
+        "{n} routers: detection rates after 1, 2, 3, 5 s: {rates:?}"
     );
 }
 
