--- a/crates/budget/src/account.rs
+++ b/crates/budget/src/account.rs
@@ -1,13 +1,14 @@
-//! What an allocator knows of one lease holder.
+//! The state that an allocator keeps for one lease holder.
 
 use crate::messages::by_budget;
 use crate::{BudgetId, BudgetKind, BudgetLimits, LeaseRequest, Micros};
 use std::collections::BTreeMap;
 
-/// Leases of one holder that may be in force beside each other; past that its requests wait until one has expired.
+/// The maximum number of unexpired leases of one holder. Further requests of that holder are ignored until
+/// one of the leases expires.
 const MAX_LEASES: usize = 32;
 
-/// A lease as the allocator counts it.
+/// A granted lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     pub number: u64,
@@ -15,28 +16,29 @@
     pub amounts: BTreeMap<BudgetId, u64>,
 }
 
-/// One lease holder at an allocator.
+/// The state of one lease holder at an allocator.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HolderAccount {
-    /// The sequence number of the newest request that was accepted.
+    /// The sequence number of the newest accepted request.
     newest_request: u64,
-    /// When that request arrived.
+    /// The time at which the newest accepted request arrived.
     pub last_request_at: Micros,
-    /// What the holder wants.
+    /// The demand per budget in the newest accepted request.
     pub demand: BTreeMap<BudgetId, u64>,
-    /// What it holds open of concurrency budgets, by its newest request.
+    /// The units of concurrency budgets in use, as reported in the newest accepted request.
     in_use: BTreeMap<BudgetId, u64>,
-    /// Its leases that may be in use.
+    /// The leases that the holder may still be using.
     leases: Vec<Lease>,
 }
 
 impl HolderAccount {
-    /// Whether a request is to be answered. One that comes late or twice would take back what a newer one said.
+    /// Returns whether to answer a request. A delayed or duplicated request is rejected because it would
+    /// overwrite the newer state.
     pub fn accepts(&self, request: &LeaseRequest) -> bool {
         request.sequence > self.newest_request && self.leases.len() < MAX_LEASES
     }
 
-    /// Records what an accepted request says.
+    /// Updates the state from an accepted request.
     pub fn record_request(&mut self, now: Micros, request: &LeaseRequest, limits: &BudgetLimits) {
         self.newest_request = request.sequence;
         self.last_request_at = now;
@@ -47,12 +49,13 @@
         self.in_use = by_budget(open);
     }
 
-    /// Records a lease that is granted now.
+    /// Adds a newly granted lease.
     pub fn record_lease(&mut self, lease: Lease) {
         self.leases.push(lease);
     }
 
-    /// Drops leases that expired more than `release_grace` ago, and what a silent holder said it holds open.
+    /// Drops leases that expired more than `release_grace` ago, and the reported use of a holder that has
+    /// sent no request for `duration` plus `release_grace`.
     pub fn expire_leases(&mut self, now: Micros, duration: Micros, release_grace: Micros) {
         self.leases.retain(|lease| lease.expires_at + release_grace > now);
         if now - self.last_request_at > duration + release_grace {
@@ -60,12 +63,13 @@
         }
     }
 
-    /// Whether any lease may still be in use.
+    /// Returns whether any lease may still be in use.
     pub fn has_leases(&self) -> bool {
         !self.leases.is_empty()
     }
 
-    /// The most that the holder may be using at `now`, where leases count for `release_grace` past their expiry.
+    /// Returns the upper bound of what the holder may be using at `now`. A lease counts until
+    /// `release_grace` past its expiry.
     pub fn outstanding(&self, now: Micros, budget: BudgetId, release_grace: Micros) -> u64 {
         let in_force = self.leases.iter().filter(|lease| lease.expires_at + release_grace > now);
         let leased = in_force.filter_map(|lease| lease.amounts.get(&budget)).max().copied().unwrap_or(0);
--- a/crates/budget/src/allocator.rs
+++ b/crates/budget/src/allocator.rs
@@ -1,4 +1,5 @@
-//! A lease allocator: it owns a fixed part of every limit, and leases it out by demand.
+//! The lease allocator, which owns a fixed part of every limit and leases it to holders according to their
+//! demand.
 
 use crate::account::{HolderAccount, Lease};
 use crate::fair_division::{divide_max_min, Division};
@@ -7,20 +8,21 @@
 };
 use std::collections::BTreeMap;
 
-/// Holders known at most; past that a new one gets no lease until another has been silent for long enough.
+/// The maximum number of tracked holders. Requests of further holders are ignored until a tracked one has
+/// expired.
 pub const MAX_HOLDERS: usize = 1024;
-/// A fair division is reused for this long, unless a new holder sends a request: the cost of a request then depends on
-/// what its holder has, not on the number of holders.
+/// How long a computed division is reused, unless a new holder sends a request. This keeps the cost of a
+/// request independent of the number of holders.
 const DIVISION_REUSE: Micros = 50_000;
 
-/// What a holder is granted of one budget.
+/// The amount of one budget that is granted to a holder.
 struct Allocation {
     amount: u64,
-    /// Whether its fair share is more than what is free now.
+    /// Whether the holder's fair share exceeds what is currently free.
     is_short: bool,
 }
 
-/// A lease allocator.
+/// An allocator that leases its part of every limit to lease holders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseAllocator {
     terms: LeaseTerms,
@@ -28,12 +30,13 @@
     opens_at: Micros,
     accounts: BTreeMap<HolderId, HolderAccount>,
     divisions: BTreeMap<BudgetId, Division>,
-    /// Requests that were not answered: before the allocator opened, out of order, or past a bound.
+    /// The number of ignored requests: received before the allocator opened, out of order, or over a
+    /// capacity limit.
     pub ignored_requests: u64,
 }
 
 impl LeaseAllocator {
-    /// An allocator whose process has just started, with its part of each limit.
+    /// Creates the allocator of a newly started process, with its part of each limit.
     pub fn new(terms: LeaseTerms, limits: BudgetLimits, now: Micros) -> LeaseAllocator {
         let opens_at = now + terms.startup_delay();
         LeaseAllocator {
@@ -46,28 +49,28 @@
         }
     }
 
-    /// From when on it grants leases.
+    /// Returns the time from which the allocator grants leases.
     pub fn opens_at(&self) -> Micros {
         self.opens_at
     }
 
-    /// Makes it grant nothing before `until`.
+    /// Delays the opening of the allocator to `until`, if that is later than the current opening time.
     pub fn postpone_opening(&mut self, until: Micros) {
         self.opens_at = self.opens_at.max(until);
     }
 
-    /// What is leased out of a budget and may be in use now.
+    /// Returns the amount of a budget that is leased out and may be in use at `now`.
     pub fn outstanding(&self, now: Micros, budget: BudgetId) -> u64 {
         let release_grace = self.release_grace(budget);
         self.accounts.values().map(|account| account.outstanding(now, budget, release_grace)).sum()
     }
 
-    /// How many processes hold leases.
+    /// Returns the number of tracked lease holders.
     pub fn holder_count(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Answers a request, with at most one lease. `None` where the request is ignored, which
+    /// Answers a request with at most one lease. Returns `None` if the request is ignored, which
     /// [`LeaseAllocator::ignored_requests`] counts.
     pub fn on_request(&mut self, now: Micros, request: &LeaseRequest) -> Option<LeaseGrant> {
         self.expire_leases(now);
@@ -89,7 +92,7 @@
         self.accounts.contains_key(&holder) || self.accounts.len() < MAX_HOLDERS
     }
 
-    /// Grants a lease of these budgets. It is numbered as the request that it answers.
+    /// Grants a lease on these budgets. The lease takes the sequence number of the request that it answers.
     fn grant(&mut self, now: Micros, request: &LeaseRequest, budgets: &[BudgetId]) -> LeaseGrant {
         let mut amounts = BTreeMap::new();
         let mut more_available = false;
@@ -112,17 +115,19 @@
         }
     }
 
-    /// What a holder can have of a budget now: its fair share, as far as no other holder may be using it.
+    /// Returns the amount of a budget that the holder can be granted now: its fair share, limited to what
+    /// no other holder may be using.
     fn allocate(&mut self, now: Micros, holder: HolderId, budget: BudgetId) -> Allocation {
         let free = self.free_for(now, holder, budget);
         let fair_share = self.fair_share(now, budget, holder);
         Allocation { amount: fair_share.min(free), is_short: fair_share > free }
     }
 
-    /// What no holder but this one may be using of a budget.
+    /// Returns the amount of a budget that no other holder may be using.
     fn free_for(&self, now: Micros, holder: HolderId, budget: BudgetId) -> u64 {
         let release_grace = self.release_grace(budget);
-        // What holders kept open from before the allocator's start is known once they have released or reported it.
+        // Units that holders acquired before this allocator started are known only once the holders have
+        // released or reported them.
         if now < self.opens_at + release_grace {
             return 0;
         }
@@ -132,7 +137,8 @@
         self.limits.get(budget).unwrap_or(0).saturating_sub(outstanding)
     }
 
-    /// How long past a lease's expiry its holder may keep open what it acquired by it.
+    /// Returns how long after a lease's expiry its holder may keep units open that it acquired under the
+    /// lease.
     fn release_grace(&self, budget: BudgetId) -> Micros {
         if BudgetKind::is_concurrency(budget) {
             self.terms.allocator_release_grace()
@@ -141,15 +147,15 @@
         }
     }
 
-    /// Drops leases that are over, and forgets holders without one.
+    /// Drops expired leases and holders without any.
     fn expire_leases(&mut self, now: Micros) {
         let duration = self.terms.duration;
         let release_grace = self.terms.allocator_release_grace();
         for account in self.accounts.values_mut() {
             account.expire_leases(now, duration, release_grace);
         }
-        // A holder is remembered until its newest request must have arrived or is lost: an old one could else be taken
-        // for new.
+        // A holder is kept until its newest request must have arrived or been lost. Otherwise a delayed old
+        // request could be taken for a new one.
         let remembered = 2 * duration + release_grace;
         self.accounts
             .retain(|_, account| account.has_leases() || now - account.last_request_at <= remembered);
@@ -164,8 +170,8 @@
         });
     }
 
-    /// A holder's share of a budget by the max-min fair division in force, in units. The division is computed anew
-    /// where it is old or does not contain the holder.
+    /// Returns a holder's share of a budget, in units, under the current max-min fair division. The
+    /// division is recomputed if it is outdated or does not contain the holder.
     pub fn fair_share(&mut self, now: Micros, budget: BudgetId, holder: HolderId) -> u64 {
         let is_current = |division: &Division| {
             now - division.computed_at < DIVISION_REUSE && division.shares.contains_key(&holder)
@@ -178,7 +184,7 @@
         division.and_then(|division| division.shares.get(&holder)).copied().unwrap_or(0)
     }
 
-    /// Divides a budget anew over the demand of all holders that sent a request lately.
+    /// Divides a budget among all holders that sent a request within a lease duration, by their demand.
     fn divide(&self, now: Micros, budget: BudgetId) -> BTreeMap<HolderId, u64> {
         let recent =
             self.accounts.iter().filter(|(_, account)| now - account.last_request_at <= self.terms.duration);
--- a/crates/budget/src/concurrency_budget.rs
+++ b/crates/budget/src/concurrency_budget.rs
@@ -1,20 +1,21 @@
-//! A budget of things held open at a time, as connections to a member, at one proxy. A quota that falls below what is
-//! held open is given up only as things are released: until then this proxy claims what it still holds, and each
-//! allocator counts the claim as leased out.
+//! A concurrency budget at one proxy: a limit on units held open at the same time, such as connections to a
+//! member. When the quota falls below the number of units in use, the difference is given up only as units
+//! are released. Until then this proxy reports them in its claims, and each allocator counts its claim as
+//! leased out.
 
 use crate::{AllocatorQuota, Micros};
 
-/// So much more than is in use is wanted for [`DENIED_SPAN`] after an attempt was denied.
-const DENIED_EXTRA: u64 = 4;
-const DENIED_SPAN: Micros = 4_000_000;
+/// The extra units demanded for [`DENIAL_WINDOW`] after a denied acquisition.
+const EXTRA_AFTER_DENIAL: u64 = 4;
+const DENIAL_WINDOW: Micros = 4_000_000;
 
-/// What one allocator counts as this proxy's.
+/// The units that one allocator counts as held by this proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Claim {
     quota: u64,
-    /// What is claimed past the quota, for things that are not released yet.
+    /// The units claimed beyond the quota because they have not been released yet.
     unreleased: u64,
-    /// When the allocator's newest lease expires or has expired.
+    /// The expiry time of the allocator's newest lease, which may be in the past.
     expires_at: Micros,
 }
 
@@ -24,10 +25,10 @@
     }
 }
 
-/// One budget of things held open at one proxy.
+/// A limit on the number of units that one proxy holds open at the same time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConcurrencyBudget {
-    /// What this proxy has for good, beside what allocators lease out.
+    /// The part of the quota that this proxy has without a lease.
     static_quota: u64,
     claims: Vec<Claim>,
     in_use: u64,
@@ -35,7 +36,7 @@
 }
 
 impl ConcurrencyBudget {
-    /// A budget with nothing in use, of a static quota and the leases of so many allocators.
+    /// Creates a budget with nothing in use, from a static quota and leases of `allocators` allocators.
     pub fn new(static_quota: u64, allocators: usize) -> ConcurrencyBudget {
         ConcurrencyBudget {
             static_quota,
@@ -45,17 +46,17 @@
         }
     }
 
-    /// How many are held open.
+    /// Returns the number of units in use.
     pub fn in_use(&self) -> u64 {
         self.in_use
     }
 
-    /// The quota in force: how many may be held open once those past it are released.
+    /// Returns the current quota. More units may be in use until those above the quota are released.
     pub fn quota(&self) -> u64 {
         self.static_quota + self.claims.iter().map(|claim| claim.quota).sum::<u64>()
     }
 
-    /// Sets each allocator's quota in force.
+    /// Sets the current quota from each allocator.
     pub fn set_quotas(&mut self, quotas: &[AllocatorQuota]) {
         for (claim, quota) in self.claims.iter_mut().zip(quotas) {
             let claimed = claim.total();
@@ -66,7 +67,7 @@
         self.reduce_claims();
     }
 
-    /// Claims no more past the quota than what is in use needs.
+    /// Reduces the claims beyond the quota to the number of units in use above it.
     fn reduce_claims(&mut self) {
         let claimed: u64 = self.claims.iter().map(|claim| claim.unreleased).sum();
         let mut surplus = claimed.saturating_sub(self.over_quota());
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Acquires one more, where the quota allows.
+    /// Acquires a unit if the quota permits it.
     pub fn try_acquire(&mut self, now: Micros) -> bool {
         let is_permitted = self.in_use < self.quota();
         if is_permitted {
@@ -88,35 +89,37 @@
         is_permitted
     }
 
-    /// Releases one.
+    /// Releases a unit.
     pub fn release(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
         self.reduce_claims();
     }
 
-    /// How many are in use past the quota: so many are released as soon as they are idle, and nothing new is acquired.
+    /// Returns the number of units in use above the quota. These are to be released as soon as they are
+    /// idle, and nothing new is acquired meanwhile.
     pub fn over_quota(&self) -> u64 {
         self.in_use.saturating_sub(self.quota())
     }
 
-    /// How many must be released now, idle or not: the allocators that count them will soon not do so any more, since
-    /// they have not answered for a lease's duration and `release_grace`.
+    /// Returns the number of units that must be released now, idle or not. The allocators that count them
+    /// will soon stop doing so, because they have not answered for a lease duration plus `release_grace`.
     pub fn overdue(&self, now: Micros, release_grace: Micros) -> u64 {
         let counted = self.claims.iter().filter(|claim| claim.expires_at + release_grace > now);
         let unreleased: u64 = counted.map(|claim| claim.unreleased).sum();
         self.in_use.saturating_sub(self.quota() + unreleased)
     }
 
-    /// What the allocator is to count as still held open, whether a lease covers it or not.
+    /// Returns the number of units that the allocator has to count as in use, whether a lease covers them
+    /// or not.
     pub fn claim(&self, allocator: usize) -> u64 {
         self.claims.get(allocator).map_or(0, Claim::total).min(self.in_use)
     }
 
-    /// What this proxy wants of all allocators: a little more than it has in use where that was too little, and one at
-    /// least.
+    /// Returns the demand on all allocators together: the units in use, some more after a denial, and at
+    /// least one.
     pub fn demand(&self, now: Micros) -> u64 {
-        let was_denied = self.denied_at.is_some_and(|at| now - at <= DENIED_SPAN);
-        let wanted = self.in_use + if was_denied { DENIED_EXTRA } else { 0 };
+        let was_denied = self.denied_at.is_some_and(|at| now - at <= DENIAL_WINDOW);
+        let wanted = self.in_use + if was_denied { EXTRA_AFTER_DENIAL } else { 0 };
         wanted.saturating_sub(self.static_quota).max(1)
     }
 }
--- a/crates/budget/src/fair_division.rs
+++ b/crates/budget/src/fair_division.rs
@@ -4,28 +4,30 @@
 use std::collections::BTreeMap;
 use twox_hash::XxHash3_64;
 
-/// Where there are fewer units than holders, the units rotate among the holders this often.
+/// How often the units that cannot be divided evenly move to other holders, so that with fewer units than
+/// holders each holder gets its turn.
 pub const ROTATION_PERIOD: Micros = 5_000_000;
 
-/// How a budget was divided, and when.
+/// The computed shares of one budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Division {
-    /// When it was computed.
+    /// The time of the computation.
     pub computed_at: Micros,
-    /// The share of each holder.
+    /// The share of each holder, in units.
     pub shares: BTreeMap<HolderId, u64>,
 }
 
-/// A holder's place in the division: by demand, and at random within an equal demand.
+/// A holder's position in the division: ordered by demand, with ties broken pseudo-randomly.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Claimant {
     demand: u64,
-    lottery: u64,
+    tie_breaker: u64,
     holder: HolderId,
 }
 
-/// Divides by max-min fairness: nobody gets more than its demand, and whoever wants more than the others leave gets as
-/// much as any other. What cannot be divided evenly rotates among the holders.
+/// Divides an amount by max-min fairness: no holder gets more than its demand, and holders whose demand
+/// cannot be met in full get equal shares. The remainder that cannot be divided evenly rotates among the
+/// holders.
 pub fn divide_max_min(
     amount: u64,
     now: Micros,
@@ -33,13 +35,13 @@
 ) -> BTreeMap<HolderId, u64> {
     let rotation = now.div_euclid(ROTATION_PERIOD);
     let mut claimants: Vec<Claimant> = demand
-        .map(|(holder, demand)| Claimant { demand, lottery: lottery(holder, rotation), holder })
+        .map(|(holder, demand)| Claimant { demand, tie_breaker: tie_breaker(holder, rotation), holder })
         .collect();
     claimants.sort_unstable();
     let mut left = amount;
     let mut shares = BTreeMap::new();
-    // The smallest demand first. The remainder that does not divide goes to those that come last: they want most, or
-    // drew the higher lottery number.
+    // Smallest demand first. The remainder goes to the holders at the end, which have the largest demand or
+    // the higher tie breaker.
     let mut claimants_left = claimants.len() as u64;
     for claimant in claimants {
         let share = claimant.demand.min(left / claimants_left);
@@ -50,7 +52,7 @@
     shares
 }
 
-/// The number that a holder draws in a rotation: the same at each call.
-fn lottery(holder: HolderId, rotation: Micros) -> u64 {
+/// Returns a pseudo-random number that is stable for a holder within one rotation.
+fn tie_breaker(holder: HolderId, rotation: Micros) -> u64 {
     XxHash3_64::oneshot(&[holder.to_le_bytes(), rotation.to_le_bytes()].concat())
 }
--- a/crates/budget/src/kind.rs
+++ b/crates/budget/src/kind.rs
@@ -1,33 +1,33 @@
-//! The kinds of budgets, and the numbers of single budgets.
+//! Budget kinds and budget identifiers.
 
 use crate::BudgetId;
 
-/// The low bits of a budget's number tell which one of its kind it is; the kind is above them.
+/// The low bits of a [`BudgetId`] identify the budget within its kind; the bits above them hold the kind.
 const INSTANCE_BITS: u32 = 27;
 const INSTANCE_MASK: u32 = (1 << INSTANCE_BITS) - 1;
 
-/// What is limited, in the order of the settings.
+/// The resource that a budget limits, in the order of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum BudgetKind {
-    /// Requests a second, in all.
+    /// All requests, per second.
     Requests = 1,
-    /// Requests a second of one tenant.
+    /// Requests of one tenant, per second.
     TenantRequests = 2,
-    /// Attempts a second beyond the first of their requests.
+    /// Attempts after the first one of a request, per second.
     Retries = 3,
-    /// Health checks a second of one member.
+    /// Health checks of one member, per second.
     HealthChecks = 4,
-    /// New connections a second to one member.
+    /// New connections to one member, per second.
     NewConnections = 5,
-    /// Connections held open to one member.
+    /// Open connections to one member.
     OpenConnections = 6,
-    /// Calls to service discovery a second.
+    /// Calls to service discovery, per second.
     DiscoveryCalls = 7,
 }
 
 impl BudgetKind {
-    /// All kinds.
+    /// All kinds, in the order of the settings.
     pub const ALL: [BudgetKind; 7] = [
         BudgetKind::Requests,
         BudgetKind::TenantRequests,
@@ -38,23 +38,25 @@
         BudgetKind::DiscoveryCalls,
     ];
 
-    /// The number of the budget of this kind for one member or tenant, which is given by the hash of its name or by its
-    /// number. Two instances with the same low bits share one budget, which allows less and never more.
+    /// Returns the identifier of the budget of this kind for one member or tenant, which is given by the
+    /// hash of its name or by its number. Two instances with the same low bits share one budget, which
+    /// permits less than two budgets would, never more.
     pub fn budget(self, instance: u64) -> BudgetId {
         (self as u32) << INSTANCE_BITS | (instance as u32 & INSTANCE_MASK)
     }
 
-    /// The kind of a budget that [`BudgetKind::budget`] numbered.
+    /// Returns the kind of a budget whose identifier [`BudgetKind::budget`] made.
     pub fn of(budget: BudgetId) -> Option<BudgetKind> {
         BudgetKind::ALL.into_iter().find(|kind| *kind as u32 == budget >> INSTANCE_BITS)
     }
 
-    /// Whether a budget limits what is held open at a time, not what is done in a second.
+    /// Returns whether a budget limits units held open at the same time, as opposed to units spent per
+    /// second.
     pub fn is_concurrency(budget: BudgetId) -> bool {
         BudgetKind::of(budget) == Some(BudgetKind::OpenConnections)
     }
 
-    /// The kind's name in the settings and the log.
+    /// Returns the name of the kind in the settings and the log.
     pub fn name(self) -> &'static str {
         match self {
             BudgetKind::Requests => "requests",
@@ -67,7 +69,8 @@
         }
     }
 
-    /// The kind's name in [`BudgetLimits::canonical_text`](crate::BudgetLimits::canonical_text).
+    /// Returns the name of the kind in
+    /// [`BudgetLimits::canonical_text`](crate::BudgetLimits::canonical_text).
     pub(crate) fn canonical_name(self) -> &'static str {
         match self {
             BudgetKind::Requests => "Requests",
--- a/crates/budget/src/lease_holder.rs
+++ b/crates/budget/src/lease_holder.rs
@@ -1,4 +1,4 @@
-//! One proxy's side of the budgets: its leases, its meters, and when it sends requests to which allocator.
+//! The lease holder at one proxy: its leases, its limiters, and when it sends requests to which allocator.
 
 use crate::request_schedule::RequestSchedule;
 use crate::{
@@ -7,36 +7,39 @@
 };
 use std::collections::BTreeMap;
 
-/// The caller looks for what is overdue once a second, and closes it a little later: it hears so much ahead of time.
+/// How long before the end of the release grace units are reported as overdue. The caller checks once a
+/// second and then needs some time to close them.
 const OVERDUE_LEAD: Micros = 1_500_000;
-/// Budgets of one proxy at most, as those of members: one past that has no quota. A request then still fits a datagram.
+/// The maximum number of budgets of one proxy, such as those of its members. It keeps a request within one
+/// datagram. Further budgets are not registered.
 pub const MAX_BUDGETS: usize = 4_096;
 
-/// What is held open of a concurrency budget past its quota.
+/// The units of a concurrency budget in use above its quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Excess {
-    /// How many are in use past the quota.
+    /// The number of units in use above the quota.
     pub over_quota: u64,
-    /// How many of these must be released now, idle or not.
+    /// The number of these that must be released now, idle or not.
     pub overdue: u64,
 }
 
-/// One proxy's side of the budgets.
+/// The budgets of one proxy, limited by its leases and static quotas.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     leases: LeaseTable,
     terms: LeaseTerms,
-    /// What this proxy has for good of each budget, whether allocators answer or not.
+    /// The quotas that this proxy has without a lease, whether or not allocators answer.
     static_quotas: BudgetLimits,
     rate_meters: BTreeMap<BudgetId, RateMeter>,
     concurrency_budgets: BTreeMap<BudgetId, ConcurrencyBudget>,
     schedule: RequestSchedule,
-    /// Offsets the allocators that get the remainder of a demand that does not divide.
+    /// Determines at which allocator this proxy starts to distribute the remainder of a demand that cannot
+    /// be divided evenly.
     remainder_offset: u64,
 }
 
 impl LeaseHolder {
-    /// A process that has no lease yet, of budgets from so many allocators.
+    /// Creates a holder without leases for a newly started process.
     pub fn new(
         holder: HolderId,
         terms: LeaseTerms,
@@ -55,13 +58,13 @@
         }
     }
 
-    /// The same, with static quotas beside the leases.
+    /// Sets the static quotas that apply in addition to the leases.
     pub fn with_static_quotas(self, static_quotas: BudgetLimits) -> LeaseHolder {
         LeaseHolder { static_quotas, ..self }
     }
 
-    /// Registers a budget. Nothing may be spent in its first second, since a process before this one may have spent it
-    /// until now.
+    /// Registers a budget. Nothing may be spent in its first second, because the previous process of this
+    /// proxy may have spent the quota until now.
     pub fn register(&mut self, now: Micros, budget: BudgetId) {
         if self.is_registered(budget)
             || self.rate_meters.len() + self.concurrency_budgets.len() >= MAX_BUDGETS
@@ -85,14 +88,16 @@
         self.static_quotas.get(budget).unwrap_or(0)
     }
 
-    /// Forgets the budgets that are not to be kept; a concurrency budget only once nothing of it is in use.
+    /// Removes the budgets for which `is_kept` returns false. A concurrency budget stays as long as any of
+    /// its units is in use.
     pub fn retain(&mut self, is_kept: impl Fn(BudgetId) -> bool) {
         self.rate_meters.retain(|budget, _| is_kept(*budget));
         self.concurrency_budgets.retain(|budget, concurrency| concurrency.in_use() > 0 || is_kept(*budget));
     }
 
-    /// The requests that are due now, each with the allocator that it goes to. Each allocator is asked for an equal
-    /// part of the demand over the allocators in reach: under a network partition the others make up for it.
+    /// Returns the requests that are due now, each with the allocator to send it to. The demand is divided
+    /// equally among the reachable allocators, so that under a network partition these make up for the
+    /// others.
     pub fn due_requests(&mut self, now: Micros) -> Vec<(usize, LeaseRequest)> {
         self.refresh_quotas(now);
         let reachable = self.leases.reachable_allocators(now).max(1) as u64;
@@ -109,11 +114,11 @@
         requests
     }
 
-    /// The part of the demand that one allocator is asked for, of each budget.
+    /// Returns the part of the demand per budget to request from one allocator.
     fn demand(&mut self, now: Micros, allocator: usize, reachable: u64) -> Vec<BudgetAmount> {
         let allocators = self.schedule.allocators().max(1) as u64;
-        // The remainder goes to other allocators first at each proxy: rounded up everywhere, small quotas would lie
-        // idle by the hundred.
+        // Each proxy starts with a different allocator when it distributes the remainder. Rounding up at
+        // every allocator would leave hundreds of small quotas unused.
         let position = (allocator as u64 + self.remainder_offset) % allocators;
         let part = |demand: u64| demand / reachable + u64::from(position < demand % reachable);
         let rates = self
@@ -129,8 +134,8 @@
         demand
     }
 
-    /// Makes a request to an allocator that is sent now, with what is held open of what it counts. `None` where there
-    /// is no such allocator.
+    /// Creates a request that is sent to an allocator now, with the units in use that this allocator
+    /// counts. Returns `None` if there is no such allocator.
     pub fn request(
         &mut self,
         now: Micros,
@@ -145,7 +150,7 @@
         self.leases.request(now, allocator, demand, in_use)
     }
 
-    /// Takes an allocator's answer; whether it changed anything.
+    /// Processes an allocator's answer. Returns whether it changed anything.
     pub fn on_grant(&mut self, now: Micros, allocator: usize, grant: &LeaseGrant) -> bool {
         let effect = self.leases.on_grant(now, allocator, grant);
         match effect {
@@ -157,8 +162,8 @@
         effect.is_some()
     }
 
-    /// Passes the quotas in force on to the meters. This is done at each change, since a quota that was smaller
-    /// meanwhile counts.
+    /// Passes the current quotas to the limiters. This is done on every change, because a temporarily
+    /// smaller quota limits the spending of the following second.
     pub fn refresh_quotas(&mut self, now: Micros) {
         for (budget, meter) in &mut self.rate_meters {
             let static_quota = self.static_quotas.get(*budget).unwrap_or(0);
@@ -169,13 +174,14 @@
         }
     }
 
-    /// Spends a unit of a budget, where its quota allows; a budget that is not registered is not limited.
+    /// Spends a unit of a budget if its quota permits it. A budget that is not registered is not limited.
     pub fn try_spend(&mut self, now: Micros, budget: BudgetId) -> bool {
         let quota = self.quota(now, budget);
         self.rate_meters.get_mut(&budget).is_none_or(|meter| meter.try_spend(now, quota))
     }
 
-    /// Spends one unit of each budget, or of none. Each records the attempt, and those that are short a denial.
+    /// Spends one unit of each budget, or of none of them. Every budget records the attempt, and those
+    /// without a unit left record a denial.
     pub fn try_spend_all(&mut self, now: Micros, budgets: &[BudgetId]) -> bool {
         let is_permitted = budgets.iter().all(|budget| self.can_spend(now, *budget));
         for budget in budgets {
@@ -188,13 +194,14 @@
         is_permitted
     }
 
-    /// Whether a unit could be spent now, without spending it.
+    /// Returns whether a unit could be spent now, without spending it.
     pub fn can_spend(&mut self, now: Micros, budget: BudgetId) -> bool {
         let quota = self.quota(now, budget);
         self.rate_meters.get_mut(&budget).is_none_or(|meter| meter.can_spend(now, quota))
     }
 
-    /// Acquires one more of a concurrency budget, where its quota allows; one that is not registered is not limited.
+    /// Acquires a unit of a concurrency budget if its quota permits it. A budget that is not registered is
+    /// not limited.
     pub fn try_acquire(&mut self, now: Micros, budget: BudgetId) -> bool {
         let quotas = self.leases.allocator_quotas(now, budget);
         self.concurrency_budgets.get_mut(&budget).is_none_or(|concurrency| {
@@ -203,14 +210,14 @@
         })
     }
 
-    /// Releases one of a concurrency budget.
+    /// Releases a unit of a concurrency budget.
     pub fn release(&mut self, budget: BudgetId) {
         if let Some(concurrency) = self.concurrency_budgets.get_mut(&budget) {
             concurrency.release();
         }
     }
 
-    /// What is held open of a concurrency budget past its quota.
+    /// Returns the units of a concurrency budget in use above its quota.
     pub fn excess(&mut self, now: Micros, budget: BudgetId) -> Excess {
         let quotas = self.leases.allocator_quotas(now, budget);
         let release_grace = (self.terms.release_grace - OVERDUE_LEAD).max(0);
@@ -219,42 +226,42 @@
         Excess { over_quota: concurrency.over_quota(), overdue: concurrency.overdue(now, release_grace) }
     }
 
-    /// The quota in force, leased and static.
+    /// Returns the current quota, leased and static.
     pub fn quota(&self, now: Micros, budget: BudgetId) -> u64 {
         self.leases.quota(now, budget) + self.static_quota(budget)
     }
 
-    /// When [`LeaseHolder::due_requests`] next has something to send.
+    /// Returns the time at which [`LeaseHolder::due_requests`] next returns a request.
     pub fn next_due(&self) -> Micros {
         self.schedule.next_due()
     }
 
-    /// When an allocator's newest lease expires or has expired.
+    /// Returns the expiry time of an allocator's newest lease, which may be in the past.
     pub fn lease_expires_at(&self, allocator: usize) -> Micros {
         self.leases.expires_at(allocator)
     }
 
-    /// How many allocators have answered within a lease's duration.
+    /// Returns the number of allocators that have answered within a lease duration.
     pub fn reachable_allocators(&self, now: Micros) -> usize {
         self.leases.reachable_allocators(now)
     }
 
-    /// A budget's meter.
+    /// Returns the rate limiter of a budget.
     pub fn rate_meter(&self, budget: BudgetId) -> Option<&RateMeter> {
         self.rate_meters.get(&budget)
     }
 
-    /// The meters of all budgets of things done in a second.
+    /// Returns the rate limiters of all budgets that limit units per second.
     pub fn rate_meters(&self) -> impl Iterator<Item = (BudgetId, &RateMeter)> {
         self.rate_meters.iter().map(|(budget, meter)| (*budget, meter))
     }
 
-    /// A concurrency budget.
+    /// Returns a concurrency budget.
     pub fn concurrency_budget(&self, budget: BudgetId) -> Option<&ConcurrencyBudget> {
         self.concurrency_budgets.get(&budget)
     }
 
-    /// All concurrency budgets.
+    /// Returns all concurrency budgets.
     pub fn concurrency_budgets(&self) -> impl Iterator<Item = (BudgetId, &ConcurrencyBudget)> {
         self.concurrency_budgets.iter().map(|(budget, concurrency)| (*budget, concurrency))
     }
--- a/crates/budget/src/lease_table.rs
+++ b/crates/budget/src/lease_table.rs
@@ -1,20 +1,21 @@
-//! The leases that one proxy holds: from each allocator the newest that it has received, and nothing of an older one.
+//! The leases that one proxy holds: only the newest one received from each allocator.
 
 use crate::messages::by_budget;
 use crate::{BudgetAmount, BudgetId, HolderId, LeaseGrant, LeaseRequest, LeaseTerms, Micros};
 use std::collections::BTreeMap;
 
-/// Requests to one allocator that may be unanswered; older ones are forgotten, and their answers are ignored.
+/// The maximum number of unanswered requests per allocator. The oldest ones are dropped, and answers to
+/// them are ignored.
 const MAX_PENDING_REQUESTS: usize = 8;
 
-/// The newest lease from one allocator, and the requests to it.
+/// The newest lease from one allocator and the unanswered requests to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct AllocatorEntry {
     /// The sequence number of the newest request.
     newest_request: u64,
-    /// Unanswered requests by sequence number, and when they were sent.
+    /// The send times of unanswered requests, by sequence number.
     pending: BTreeMap<u64, Micros>,
-    /// The newest lease's number, expiry and amounts.
+    /// The number of the newest lease. `expires_at` and `amounts` belong to the same lease.
     lease: u64,
     expires_at: Micros,
     amounts: BTreeMap<BudgetId, u64>,
@@ -31,25 +32,26 @@
     }
 }
 
-/// What a grant changed.
+/// The effect of a received grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantEffect {
-    /// Some quota is smaller than before: the allocator should hear at once that the older lease is no longer used.
+    /// Some quota became smaller. The allocator should be told at once that the previous lease is no longer
+    /// used.
     pub is_reduced: bool,
-    /// More becomes free soon.
+    /// The allocator expects to grant more soon.
     pub more_available: bool,
 }
 
-/// One allocator's part of a quota.
+/// The part of a quota that one allocator has leased out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AllocatorQuota {
-    /// What is in force now.
+    /// The amount in force now.
     pub amount: u64,
-    /// When the allocator's newest lease expires or has expired.
+    /// The expiry time of the allocator's newest lease, which may be in the past.
     pub expires_at: Micros,
 }
 
-/// The leases of one proxy.
+/// The leases that one proxy holds from all allocators.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTable {
     holder: HolderId,
@@ -58,13 +60,13 @@
 }
 
 impl LeaseTable {
-    /// An empty table for the leases of so many allocators.
+    /// Creates an empty table for the leases of `allocators` allocators.
     pub fn new(holder: HolderId, terms: LeaseTerms, allocators: usize) -> LeaseTable {
         LeaseTable { holder, terms, entries: vec![AllocatorEntry::default(); allocators] }
     }
 
-    /// Makes a request to an allocator that is sent now. `in_use` is what is held open of concurrency budgets as far
-    /// as this allocator counts it. `None` where there is no such allocator.
+    /// Creates a request that is sent to an allocator now. `in_use` lists the units of concurrency budgets
+    /// in use that this allocator counts. Returns `None` if there is no such allocator.
     pub fn request(
         &mut self,
         now: Micros,
@@ -87,8 +89,9 @@
         })
     }
 
-    /// Takes an allocator's answer. `None` where it changes nothing: it is not for this process, answers no pending
-    /// request, or is older than the lease held, which this proxy has promised not to use any more.
+    /// Processes an allocator's answer. Returns `None` if it changes nothing: it is for another process,
+    /// answers no pending request, or is older than the current lease. This proxy has confirmed to the
+    /// allocator that it no longer uses older leases.
     pub fn on_grant(&mut self, now: Micros, allocator: usize, grant: &LeaseGrant) -> Option<GrantEffect> {
         if grant.holder != self.holder {
             return None;
@@ -108,13 +111,13 @@
         Some(GrantEffect { is_reduced, more_available: grant.more_available })
     }
 
-    /// The quota in force now: what all allocators have leased out to this proxy.
+    /// Returns the current quota: the sum of what all allocators have leased to this proxy.
     pub fn quota(&self, now: Micros, budget: BudgetId) -> u64 {
         let in_force = self.entries.iter().filter(|entry| entry.is_in_force(now));
         in_force.filter_map(|entry| entry.amounts.get(&budget)).sum()
     }
 
-    /// Each allocator's part of the quota in force now.
+    /// Returns each allocator's part of the current quota.
     pub fn allocator_quotas(&self, now: Micros, budget: BudgetId) -> Vec<AllocatorQuota> {
         let quota = |entry: &AllocatorEntry| AllocatorQuota {
             amount: if entry.is_in_force(now) { entry.amount(budget) } else { 0 },
@@ -123,12 +126,12 @@
         self.entries.iter().map(quota).collect()
     }
 
-    /// When an allocator's newest lease expires or has expired.
+    /// Returns the expiry time of an allocator's newest lease, which may be in the past.
     pub fn expires_at(&self, allocator: usize) -> Micros {
         self.entries.get(allocator).map_or(0, |entry| entry.expires_at)
     }
 
-    /// How many allocators have answered within a lease's duration.
+    /// Returns the number of allocators that have answered within a lease duration.
     pub fn reachable_allocators(&self, now: Micros) -> usize {
         let is_reachable = |entry: &&AllocatorEntry| {
             entry.answered_at.is_some_and(|answered_at| now - answered_at <= self.terms.duration)
@@ -136,7 +139,7 @@
         self.entries.iter().filter(is_reachable).count()
     }
 
-    /// How many allocators there are.
+    /// Returns the number of allocators.
     pub fn allocators(&self) -> usize {
         self.entries.len()
     }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,20 +1,24 @@
-//! Budgets that apply to a whole fleet of proxies, divided among the proxies by leases. The budget is divided anew as
-//! demand moves and as proxies join and leave, and the quotas in force never add up to more than the fleet's limit.
-//! The crate does no I/O: messages, the time and attempts to spend go in; messages and permissions come out.
+//! Budgets that apply to a whole fleet of proxies and are divided among the proxies by leases. The
+//! division follows the demand and the proxies that join and leave, and the quotas in force never add up
+//! to more than the fleet's limit. The crate does no I/O: it takes messages, the time and attempts to
+//! spend, and returns messages and permissions.
 //!
-//! Each of a few lease allocators owns a fixed part of every limit and leases it out on its own. No allocator depends
-//! on another, so under a network partition each side keeps the parts of the allocators that it can reach. A lease
-//! expires by itself, on the holder's clock before it does on the allocator's. The allocator does not reuse what it
-//! leased out before that expiry, unless the holder has confirmed that it uses a newer lease. Clocks need not agree;
-//! they only have to run at the same rate within [`LeaseTerms::max_drift_ppm`].
+//! Each of a few lease allocators owns a fixed part of every limit and leases it out independently of the
+//! others. Under a network partition, each side keeps the parts of the allocators that it can reach. A
+//! lease expires by time alone, on the holder's clock before it does on the allocator's. The allocator
+//! does not reuse a leased amount before that expiry unless the holder has confirmed that it uses a newer
+//! lease. Clocks need not agree; they only have to run at the same rate within
+//! [`LeaseTerms::max_drift_ppm`].
 //!
-//! - [`LeaseAllocator`]: leases its part out by demand, and never more than it has.
-//! - [`LeaseTable`]: the leases that one proxy holds, from all allocators.
+//! - [`LeaseAllocator`]: leases out its part according to demand, and never more than that part.
+//! - [`LeaseTable`]: the leases that one proxy holds from all allocators.
 //! - [`RateMeter`]: enforces a quota per second and estimates the demand.
-//! - [`ConcurrencyBudget`]: what one proxy holds of a budget of things held open, as connections.
+//! - [`ConcurrencyBudget`]: limits the units that one proxy holds open at the same time, such as
+//!   connections.
 //! - [`TakeoverGuard`]: delays an allocator's leases after the set of allocators has changed.
 //! - [`BudgetLimits`]: the limits of the fleet, of one allocator, or the static quota of one proxy.
-//! - [`LeaseHolder`]: one proxy's lease table and meters, and when it sends requests to which allocator.
+//! - [`LeaseHolder`]: one proxy's lease table and limiters, and when it sends requests to which
+//!   allocator.
 //!
 //! ```
 //! use wharfplank_budget::{LeaseAllocator, LeaseHolder, LeaseTerms};
@@ -22,7 +26,7 @@
 //! let terms = LeaseTerms::default();
 //! let mut allocator = LeaseAllocator::new(terms.clone(), [(7, 100)].into(), 0);
 //! let mut holder = LeaseHolder::new(1, terms.clone(), 1, [7].into(), 0);
-//! // An allocator that has just started grants nothing before every lease of its predecessor has expired.
+//! // A newly started allocator grants nothing until every lease of its predecessor has expired.
 //! let mut now = allocator.opens_at();
 //! while holder.quota(now, 7) == 0 {
 //!     now += 50_000;
@@ -31,7 +35,7 @@
 //!         grant.iter().for_each(|grant| assert!(holder.on_grant(now, 0, grant)));
 //!     }
 //! }
-//! // A quota that has grown may be spent once it has been in force for a second.
+//! // An increased quota may be spent once it has been in force for a second.
 //! assert!(!holder.try_spend(now, 7));
 //! assert!(holder.try_spend(now + 1_000_001, 7));
 //! ```
@@ -62,11 +66,11 @@
 pub use takeover::{EpochAnnouncement, TakeoverGuard};
 pub use terms::LeaseTerms;
 
-/// A time or a span of time, in microseconds, on the caller's own clock.
+/// A point in time or a duration, in microseconds, on the caller's clock.
 pub type Micros = i64;
 
-/// The number of a budget, as [`BudgetKind::budget`] makes it.
+/// The identifier of a budget, as made by [`BudgetKind::budget`].
 pub type BudgetId = u32;
 
-/// The number of a lease holder: one process of a proxy. No other process has it, nor ever had it.
+/// The identifier of a lease holder: one process of a proxy. It is never reused for another process.
 pub type HolderId = u64;
--- a/crates/budget/src/limits.rs
+++ b/crates/budget/src/limits.rs
@@ -1,10 +1,11 @@
-//! Limits by budget: of the whole fleet, of one allocator's part, or of the static quota of each proxy. The budgets of
-//! one kind, as the health checks of each member, share one limit: their members are not known beforehand.
+//! Limits per budget: for the whole fleet, one allocator's part, or the static quota of each proxy. All
+//! budgets of one kind, such as the health checks of each member, can share one limit, because the members
+//! are not known in advance.
 
 use crate::{BudgetId, BudgetKind};
 use std::collections::BTreeMap;
 
-/// Amounts by budget, and by kind for the budgets that have none of their own.
+/// Limits per budget, and per kind for budgets without a limit of their own.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct BudgetLimits {
     by_budget: BTreeMap<BudgetId, u64>,
@@ -18,23 +19,24 @@
 }
 
 impl BudgetLimits {
-    /// The limits of single budgets, and of each budget of a kind.
+    /// Creates limits from those of single budgets and those that apply to each budget of a kind.
     pub fn new(by_budget: BTreeMap<BudgetId, u64>, by_kind: BTreeMap<BudgetKind, u64>) -> BudgetLimits {
         BudgetLimits { by_budget, by_kind }
     }
 
-    /// The limit of a budget; `None` where there is no such budget.
+    /// Returns the limit of a budget, or `None` if the budget is not limited.
     pub fn get(&self, budget: BudgetId) -> Option<u64> {
         self.by_budget.get(&budget).or_else(|| self.by_kind.get(&BudgetKind::of(budget)?)).copied()
     }
 
-    /// The static quota of each of `proxies` proxies: its equal part of `percent` per cent of every limit, whether
-    /// allocators answer or not, and however many of the proxies run.
+    /// Returns the static quota of each proxy: `percent` per cent of every limit, divided equally by
+    /// `proxies`. A proxy has it whether or not allocators answer and however many proxies are running.
     pub fn static_quota(&self, percent: u64, proxies: u64) -> BudgetLimits {
         self.map(|limit| limit * percent.min(100) / 100 / proxies.max(1))
     }
 
-    /// What allocator number `index` of `allocators` leases out, where `proxies` proxies have a static quota besides.
+    /// Returns the part that allocator `index` of `allocators` leases out, after the static quotas of
+    /// `proxies` proxies are deducted.
     pub fn allocator_part(
         &self,
         static_quota: &BudgetLimits,
@@ -45,8 +47,8 @@
         let allocators = allocators.max(1);
         let part = |limit: u64, static_quota: Option<&u64>| {
             let leased = limit.saturating_sub(static_quota.copied().unwrap_or(0) * proxies);
-            let has_one_of_the_rest = index < leased % allocators;
-            leased / allocators + u64::from(has_one_of_the_rest)
+            let gets_remainder_unit = index < leased % allocators;
+            leased / allocators + u64::from(gets_remainder_unit)
         };
         let by_budget = self.by_budget.iter();
         let by_kind = self.by_kind.iter();
@@ -58,8 +60,9 @@
         }
     }
 
-    /// The limits as a text that is the same at all proxies with the same limits. Proxies exchange a hash of it to tell
-    /// whether they may lease from each other, so that the text must not change between versions.
+    /// Formats the limits as a text that is identical at all proxies with the same limits. Proxies exchange
+    /// a hash of it to check whether they may lease from each other, so the text must not change between
+    /// versions.
     pub fn canonical_text(&self) -> String {
         let by_budget: Vec<String> =
             self.by_budget.iter().map(|(budget, limit)| format!("{budget}: {limit}")).collect();
--- a/crates/budget/src/messages.rs
+++ b/crates/budget/src/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between lease holders and allocators. Their encoded names and the order of their fields are part of
-//! the protocol between proxies of different versions.
+//! The messages between lease holders and allocators. Their encoded names and the order of their fields are
+//! part of the protocol between proxies of different versions.
 
 use crate::{BudgetId, HolderId};
 use serde::{Deserialize, Serialize};
@@ -9,14 +9,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(BudgetId, u64)", into = "(BudgetId, u64)")]
 pub struct BudgetAmount {
-    /// The budget.
+    /// The budget's identifier.
     pub budget: BudgetId,
-    /// The amount, in units a second or in units held open.
+    /// The amount, in units per second or in units held open.
     pub amount: u64,
 }
 
 impl BudgetAmount {
-    /// An amount of a budget.
+    /// Creates an amount of a budget.
     pub fn new(budget: BudgetId, amount: u64) -> BudgetAmount {
         BudgetAmount { budget, amount }
     }
@@ -34,44 +34,47 @@
     }
 }
 
-/// The amounts by budget; of a budget that is listed twice the last amount counts.
+/// Collects amounts by budget. If a budget is listed twice, the last amount counts.
 pub(crate) fn by_budget(amounts: impl Iterator<Item = BudgetAmount>) -> BTreeMap<BudgetId, u64> {
     amounts.map(|BudgetAmount { budget, amount }| (budget, amount)).collect()
 }
 
-/// A holder's request to an allocator for a lease of all of its budgets.
+/// A holder's request to an allocator for a lease on all of its budgets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Who sends it.
+    /// The sender.
     pub holder: HolderId,
-    /// Grows with each request of this holder to this allocator.
+    /// Increases with each request of this holder to this allocator.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The newest lease that the holder has, by its [`LeaseGrant::lease`]: it no longer uses an older one. 0: none.
+    /// The [`LeaseGrant::lease`] of the holder's newest lease, or 0 if it has none. The holder no longer
+    /// uses older leases.
     #[serde(rename = "uses")]
     pub newest_lease: u64,
-    /// What it wants, in units a second, or in units held open.
+    /// The demand, in units per second or in units held open.
     #[serde(rename = "wants")]
     pub demand: Vec<BudgetAmount>,
-    /// What it holds open of concurrency budgets, as far as it counts as this allocator's.
+    /// The units of concurrency budgets in use, as far as this allocator counts them.
     #[serde(rename = "holds")]
     pub in_use: Vec<BudgetAmount>,
 }
 
-/// An allocator's lease.
+/// An allocator's answer to a [`LeaseRequest`]: a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// To whom.
+    /// The receiver.
     pub holder: HolderId,
-    /// The [`LeaseRequest::sequence`] that it answers: the lease is valid from when that request was sent.
+    /// The [`LeaseRequest::sequence`] of the answered request. The lease is valid from the time at which
+    /// that request was sent.
     #[serde(rename = "ask")]
     pub request: u64,
-    /// The lease's number: grows with each lease of the allocator's process to this holder.
+    /// The lease's number, which increases with each lease that this allocator process grants to this
+    /// holder.
     #[serde(rename = "number")]
     pub lease: u64,
-    /// What is leased, in units a second or in units held open.
+    /// The leased amounts, in units per second or in units held open.
     pub amounts: Vec<BudgetAmount>,
-    /// Whether the holder's fair share is more than this lease, so that more becomes free soon.
+    /// Whether the holder's fair share exceeds this lease, so that more becomes available soon.
     #[serde(rename = "more")]
     pub more_available: bool,
 }
--- a/crates/budget/src/rate_meter.rs
+++ b/crates/budget/src/rate_meter.rs
@@ -1,52 +1,56 @@
-//! A budget of things done in a second, at one proxy: what may be spent, and how much is wanted.
+//! The limit on the units that one proxy spends per second on a budget, and the estimate of its demand.
 
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// The span over which spending is counted.
+/// The length of the sliding window over which spending is counted.
 const SECOND: Micros = 1_000_000;
-/// Spends remembered within a second: a quota above this is enforced as if it were this much.
+/// The maximum number of spends remembered within a second. A higher quota is enforced as if it were this
+/// one.
 const MAX_SPENDS: usize = 65_536;
-/// The demand is the mean rate of attempts over about this span, in microseconds.
-const MEAN_SPAN: f64 = 4e6;
-/// The demand is so many times the mean while attempts are denied, so that a quota grows with demand. A quota that
-/// suffices is not exceeded so, since what lies idle here is missed elsewhere.
-const DENIED_FACTOR: f64 = 1.1;
-/// The mean of a meter younger than this is taken as if the meter were this old: it has not seen enough to tell.
+/// The time constant, in microseconds, of the exponentially decaying mean of attempts from which the demand
+/// is estimated.
+const MEAN_TIME_CONSTANT: f64 = 4e6;
+/// The factor by which the demand exceeds the mean while attempts are denied, so that the quota grows with
+/// the demand. While the quota suffices no more than the mean is demanded, because a quota that is unused
+/// here is missing at other proxies.
+const DENIAL_GROWTH_FACTOR: f64 = 1.1;
+/// A limiter younger than this estimates the demand as if it had this age, because it has not yet seen
+/// enough attempts.
 const MIN_AGE: Micros = 300_000;
-/// A demand that falls by less than this part stays as it was: each change of a quota costs the second in which the
-/// lesser quota counts.
+/// The reported demand stays unchanged while it falls by less than this fraction. Every change of a quota
+/// costs the second in which the smaller quota applies.
 const HYSTERESIS: f64 = 0.2;
 
-/// A quota and from when on it was in force.
+/// A quota and the time from which it was in force.
 #[derive(Clone, Copy, Debug)]
 struct QuotaChange {
     from: Micros,
     quota: u64,
 }
 
-/// A sliding-window limiter for one budget at one proxy, which also estimates the demand.
+/// A sliding-window rate limiter for one budget at one proxy, which also estimates the demand.
 #[derive(Clone, Debug)]
 pub struct RateMeter {
-    /// When each unit was spent within the last second.
+    /// The times at which units were spent within the last second.
     spends: VecDeque<Micros>,
-    /// The quotas that were in force within the last second.
+    /// The quotas that were in force within the last second, oldest first.
     quotas: VecDeque<QuotaChange>,
-    /// The mean rate of attempts a second, decayed up to `decayed_at`.
+    /// The mean rate of attempts per second, decayed up to `decayed_at`.
     attempt_rate: f64,
     decayed_at: Micros,
     created_at: Micros,
     denied_at: Option<Micros>,
-    /// The demand as reported last.
+    /// The most recently reported demand.
     reported_demand: u64,
-    /// Attempts that were permitted.
+    /// The number of permitted attempts.
     pub spent: u64,
-    /// Attempts that were denied.
+    /// The number of denied attempts.
     pub denied: u64,
 }
 
 impl RateMeter {
-    /// A meter with nothing spent, and no quota.
+    /// Creates a limiter without a quota.
     pub fn new(now: Micros) -> RateMeter {
         RateMeter {
             spends: VecDeque::new(),
@@ -61,7 +65,7 @@
         }
     }
 
-    /// Sets the quota in force from now on, in units a second.
+    /// Sets the quota in force from now on, in units per second.
     pub fn set_quota(&mut self, now: Micros, quota: u64) {
         if self.quotas.back().is_none_or(|last| last.quota != quota) {
             self.quotas.push_back(QuotaChange { from: now, quota });
@@ -72,27 +76,27 @@
         }
     }
 
-    /// What may be spent within the second that ends now: the least quota of that second. What another proxy gave up it
-    /// may have spent until then, so a quota that grows counts a second later; then the fleet spends no more than its
-    /// limit in any second.
+    /// Returns how much may be spent within the second that ends now: the smallest quota of that second. A
+    /// quota that grows applies one second later, because another proxy may have spent the units that it
+    /// gave up until that moment. This way the fleet never spends more than its limit in any second.
     pub fn usable_quota(&self) -> u64 {
         self.quotas.iter().map(|change| change.quota).min().unwrap_or(0)
     }
 
-    /// Whether a unit could be spent now under this quota.
+    /// Returns whether a unit could be spent now under this quota.
     pub fn can_spend(&mut self, now: Micros, quota: u64) -> bool {
         self.set_quota(now, quota);
         self.expire_spends(now);
         (self.spends.len() as u64) < self.usable_quota().min(MAX_SPENDS as u64)
     }
 
-    /// Records an attempt that another budget denied: it counts as demand of this one all the same.
+    /// Records an attempt that another budget denied. It counts as demand on this budget as well.
     pub fn record_attempt(&mut self, now: Micros) {
         self.decay(now);
-        self.attempt_rate += SECOND as f64 / MEAN_SPAN;
+        self.attempt_rate += SECOND as f64 / MEAN_TIME_CONSTANT;
     }
 
-    /// Spends one unit where the quota allows, and records the attempt.
+    /// Spends a unit if the quota permits it, and records the attempt.
     pub fn try_spend(&mut self, now: Micros, quota: u64) -> bool {
         self.record_attempt(now);
         let is_permitted = self.can_spend(now, quota);
@@ -106,11 +110,12 @@
         is_permitted
     }
 
-    /// What this proxy wants, in units a second: one at least, so that a proxy that has just joined gets something.
+    /// Returns the demand of this proxy, in units per second. It is at least one, so that a proxy that has
+    /// just joined gets a quota.
     pub fn demand(&mut self, now: Micros) -> u64 {
         let demand = self.estimate_demand(now);
-        let falls_clearly = (demand as f64) < self.reported_demand as f64 * (1.0 - HYSTERESIS);
-        if demand > self.reported_demand || falls_clearly {
+        let is_large_decrease = (demand as f64) < self.reported_demand as f64 * (1.0 - HYSTERESIS);
+        if demand > self.reported_demand || is_large_decrease {
             self.reported_demand = demand;
         }
         self.reported_demand
@@ -118,15 +123,15 @@
 
     fn estimate_demand(&mut self, now: Micros) -> u64 {
         self.decay(now);
-        let was_denied = self.denied_at.is_some_and(|at| (now - at) as f64 <= MEAN_SPAN);
-        let factor = if was_denied { DENIED_FACTOR } else { 1.0 };
-        // A meter younger than the span has seen only this part of the mean.
+        let was_denied = self.denied_at.is_some_and(|at| (now - at) as f64 <= MEAN_TIME_CONSTANT);
+        let factor = if was_denied { DENIAL_GROWTH_FACTOR } else { 1.0 };
+        // A young limiter has observed only this fraction of the mean's time span.
         let age = (now - self.created_at).max(MIN_AGE) as f64;
-        let seen_part = 1.0 - (-age / MEAN_SPAN).exp();
-        (self.attempt_rate / seen_part * factor).ceil().max(1.0) as u64
+        let observed_fraction = 1.0 - (-age / MEAN_TIME_CONSTANT).exp();
+        (self.attempt_rate / observed_fraction * factor).ceil().max(1.0) as u64
     }
 
-    /// Forgets what was spent a second ago or before.
+    /// Removes the spends that are a second old or older.
     fn expire_spends(&mut self, now: Micros) {
         while self.spends.front().is_some_and(|at| now - at >= SECOND) {
             self.spends.pop_front();
@@ -134,7 +139,7 @@
     }
 
     fn decay(&mut self, now: Micros) {
-        self.attempt_rate *= (-((now - self.decayed_at).max(0) as f64) / MEAN_SPAN).exp();
+        self.attempt_rate *= (-((now - self.decayed_at).max(0) as f64) / MEAN_TIME_CONSTANT).exp();
         self.decayed_at = self.decayed_at.max(now);
     }
 }
--- a/crates/budget/src/request_schedule.rs
+++ b/crates/budget/src/request_schedule.rs
@@ -1,11 +1,12 @@
-//! When the next lease request to each allocator is due.
+//! The schedule of lease requests to the allocators.
 
 use crate::Micros;
 
-/// An allocator that will have more soon is sent the next request after this fraction of the usual interval.
+/// Divides the usual interval to get the delay of the next request to an allocator that expects to grant
+/// more soon.
 const SHORT_INTERVAL_DIVISOR: Micros = 4;
 
-/// When the next request to each allocator is due.
+/// The times at which the next request to each allocator is due.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestSchedule {
     interval: Micros,
@@ -13,17 +14,18 @@
 }
 
 impl RequestSchedule {
-    /// A schedule by which a request to each of so many allocators is due now.
+    /// Creates a schedule in which a request to each of `allocators` allocators is due at `now`.
     pub fn new(interval: Micros, allocators: usize, now: Micros) -> RequestSchedule {
         RequestSchedule { interval, next_at: vec![now; allocators] }
     }
 
-    /// How many allocators there are.
+    /// Returns the number of allocators.
     pub fn allocators(&self) -> usize {
         self.next_at.len()
     }
 
-    /// Whether a request to an allocator is due. If so, the next one is due an interval from now.
+    /// Returns whether a request to an allocator is due. If so, schedules the next one an interval from
+    /// now.
     pub fn take_due(&mut self, now: Micros, allocator: usize) -> bool {
         let is_due = now >= self.next_at[allocator];
         if is_due {
@@ -32,7 +34,7 @@
         is_due
     }
 
-    /// Makes a request to an allocator due now.
+    /// Schedules a request to an allocator for now.
     pub fn request_now(&mut self, now: Micros, allocator: usize) {
         self.next_at[allocator] = now;
     }
@@ -48,7 +50,7 @@
         (0..self.allocators()).for_each(|allocator| self.request_soon(now, allocator));
     }
 
-    /// When the next request is due.
+    /// Returns the time at which the next request to any allocator is due.
     pub fn next_due(&self) -> Micros {
         self.next_at.iter().copied().min().unwrap_or(Micros::MAX)
     }
--- a/crates/budget/src/terms.rs
+++ b/crates/budget/src/terms.rs
@@ -4,17 +4,18 @@
 
 const MILLION: i64 = 1_000_000;
 
-/// The timing of leases. All proxies of a fleet use the same.
+/// The timing of leases, which must be the same at all proxies of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTerms {
-    /// How long a lease is valid, counted by the allocator from when the request arrived.
+    /// The validity of a lease, counted by the allocator from the arrival of the request.
     pub duration: Micros,
-    /// How much faster or slower than another a clock may run, in millionths.
+    /// The maximum difference in rate between two clocks, in parts per million.
     pub max_drift_ppm: i64,
-    /// How often a holder sends a request to each allocator while all is well; a third of `duration` survives two
-    /// lost messages.
+    /// The interval between the regular requests of a holder to each allocator. At a third of `duration`,
+    /// two lost messages in a row do no harm.
     pub request_interval: Micros,
-    /// How long after a lease's expiry its holder may still keep open what it acquired by it, as connections in use.
+    /// How long after a lease's expiry its holder may keep units open that it acquired under the lease,
+    /// such as connections in use.
     pub release_grace: Micros,
 }
 
@@ -30,24 +31,25 @@
 }
 
 impl LeaseTerms {
-    /// How long a holder relies on a lease, counted from when it sent the request: shorter than
-    /// [`LeaseTerms::duration`] by what clocks may drift apart over it.
+    /// Returns how long a holder may use a lease, counted from when it sent the request:
+    /// [`LeaseTerms::duration`] less the maximum clock drift over it.
     pub fn holder_duration(&self) -> Micros {
         self.duration - self.max_drift(self.duration)
     }
 
-    /// How long past a lease's expiry an allocator counts what may still be held open by it.
+    /// Returns how long after a lease's expiry an allocator counts the units that may still be held open
+    /// under it.
     pub fn allocator_release_grace(&self) -> Micros {
         self.release_grace + self.max_drift(self.release_grace)
     }
 
-    /// How long an allocator that has started waits before it grants leases: any lease of its predecessor has expired
-    /// by then.
+    /// Returns how long a newly started allocator waits before it grants leases. Any lease of its
+    /// predecessor has expired by then.
     pub fn startup_delay(&self) -> Micros {
         self.duration + self.max_drift(self.duration)
     }
 
-    /// How far two clocks may drift apart over a span.
+    /// Returns how far two clocks may drift apart over a span.
     fn max_drift(&self, span: Micros) -> Micros {
         span * self.max_drift_ppm / MILLION
     }
