--- a/crates/budget/tests/allocator.rs
+++ b/crates/budget/tests/allocator.rs
@@ -1,4 +1,4 @@
-//! What an allocator grants, and what it counts as still in use.
+//! Tests of what an allocator grants and of what it counts as still in use.
 
 use wharfplank_budget::{
     BudgetAmount, LeaseAllocator, LeaseGrant, LeaseRequest, LeaseTerms, Micros, MAX_HOLDERS, ROTATION_PERIOD,
@@ -20,7 +20,7 @@
     grant.map_or(0, |grant| grant.amounts[0].amount)
 }
 
-/// An allocator and the time from which on it grants leases.
+/// Creates an allocator and returns it with the time from which it grants leases.
 fn open_allocator(limit: u64) -> (LeaseAllocator, Micros) {
     let allocator = LeaseAllocator::new(LeaseTerms::default(), [(BUDGET, limit)].into(), 0);
     let now = allocator.opens_at();
@@ -28,34 +28,34 @@
 }
 
 #[test]
-fn an_allocator_that_has_just_started_grants_nothing() {
+fn newly_started_allocator_grants_nothing() {
     let (mut allocator, opens_at) = open_allocator(10);
     assert_eq!(allocator.on_request(opens_at - 1, &request(1, 1, 0, 10)), None);
     assert_eq!(amount(allocator.on_request(opens_at, &request(1, 2, 0, 10))), 10);
 }
 
 #[test]
-fn what_a_holder_may_still_use_is_not_free_until_it_confirms_a_newer_lease_or_its_lease_expires() {
+fn leased_units_are_not_reused_before_confirmation_or_expiry() {
     let (mut allocator, now) = open_allocator(10);
     assert_eq!(amount(allocator.on_request(now, &request(1, 1, 0, 10))), 10);
     let second = allocator.on_request(now + 1, &request(2, 1, 0, 10)).unwrap();
     assert_eq!((second.amounts[0].amount, second.more_available), (0, true));
-    // The first is cut to half, but may not have heard so.
+    // The first holder's share is halved, but it may not have received that grant yet.
     assert_eq!(amount(allocator.on_request(now + 2, &request(1, 2, 1, 10))), 5);
     assert_eq!(amount(allocator.on_request(now + 3, &request(2, 2, 1, 10))), 0);
-    // Now it uses the newer lease.
+    // The first holder confirms that it uses the newer lease.
     allocator.on_request(now + 4, &request(1, 3, 2, 10));
     assert_eq!(amount(allocator.on_request(now + 5, &request(2, 3, 2, 10))), 5);
     assert_eq!(allocator.outstanding(now + 5, BUDGET), 10);
-    // A request that comes late takes nothing back.
+    // A delayed older request does not undo the confirmation.
     assert_eq!(allocator.on_request(now + 6, &request(1, 1, 0, 10)), None);
-    // Silent for a lease's duration, the first has nothing left.
+    // The first holder has sent nothing for a lease duration, so its leases have expired.
     let later = now + LeaseTerms::default().duration + 10;
     assert_eq!(amount(allocator.on_request(later, &request(2, 4, 3, 10))), 10);
 }
 
 #[test]
-fn a_small_demand_is_met_and_the_rest_is_divided_evenly() {
+fn small_demand_is_met_and_the_rest_divided_evenly() {
     let (mut allocator, now) = open_allocator(100);
     for (holder, demand) in [(1, 5), (2, 90), (3, 90)] {
         allocator.on_request(now, &request(holder, 1, 0, demand));
@@ -74,16 +74,16 @@
         for holder in 1..=5 {
             allocator.on_request(now, &request(holder, rotation as u64 + 1, 0, 1));
         }
-        let winners: Vec<u64> =
+        let holders_with_a_unit: Vec<u64> =
             (1..=5).filter(|holder| allocator.fair_share(now, BUDGET, *holder) > 0).collect();
-        assert_eq!(winners.len(), 1);
-        served.extend(winners);
+        assert_eq!(holders_with_a_unit.len(), 1);
+        served.extend(holders_with_a_unit);
     }
-    assert_eq!(served.len(), 5, "some holder never had its turn");
+    assert_eq!(served.len(), 5, "some holder never got the unit in any rotation");
 }
 
 #[test]
-fn holders_are_bounded() {
+fn holder_count_is_bounded() {
     let (mut allocator, now) = open_allocator(10);
     for holder in 0..MAX_HOLDERS as u64 + 5 {
         allocator.on_request(now, &request(holder, 1, 0, 1));
--- a/crates/budget/tests/concurrency_model.rs
+++ b/crates/budget/tests/concurrency_model.rs
@@ -1,5 +1,6 @@
-//! Things held open under the leases of one allocator, checked by a model checker over every order of messages and
-//! time, with loss and restarts: what all proxies hold open together never exceeds the limit, whichever way quotas move.
+//! Model check of concurrency budgets under the leases of one allocator, over every order of messages and
+//! time, with message loss and restarts. The units that all proxies hold open together must never exceed
+//! the limit, however quotas move.
 
 use stateright::{Checker, Model, Property};
 use wharfplank_budget::{
@@ -36,12 +37,12 @@
     allocator: LeaseAllocator,
     proxies: Vec<Proxy>,
     now: Micros,
-    /// What was done so far.
+    /// The steps taken so far.
     steps: Steps,
     in_flight: Vec<Message>,
 }
 
-/// Counts of steps, or their bounds.
+/// The number of steps of each type, or their bounds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Steps {
     ticks: u32,
@@ -65,7 +66,7 @@
 struct ConcurrencyModel {
     bounds: Steps,
     restarts: bool,
-    /// Whether holders do not report what they still hold open: the rule taken out.
+    /// Whether holders omit the units in use from their requests, which disables the rule under test.
     omits_in_use: bool,
 }
 
@@ -125,7 +126,7 @@
             Action::Tick => {
                 state.steps.ticks += 1;
                 state.now += TICK;
-                // What is overdue is released by itself as time passes.
+                // Overdue units are released as time passes.
                 for proxy in &mut state.proxies {
                     proxy.refresh_quotas(state.now);
                     let overdue = proxy.connections.overdue(state.now, terms().release_grace);
@@ -178,8 +179,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("what is in use never exceeds the limit", |_, s: &State| s.in_use() <= LIMIT),
-            Property::sometimes("something is in use past a quota", |_, s: &State| {
+            Property::always("units in use never exceed the limit", |_, s: &State| s.in_use() <= LIMIT),
+            Property::sometimes("some units are in use above a quota", |_, s: &State| {
                 s.proxies.iter().any(|proxy| proxy.connections.over_quota() > 0)
             }),
         ]
@@ -187,33 +188,34 @@
 }
 
 #[test]
-fn what_is_in_use_never_exceeds_the_limit() {
+fn units_in_use_never_exceed_the_limit() {
     let bounds = Steps { ticks: 1, requests: 3, acquisitions: 3, faults: 0 };
-    let checker = ConcurrencyModel { bounds, restarts: false, omits_in_use: false };
-    let checker = checker.checker().threads(4).spawn_bfs().join();
+    let model = ConcurrencyModel { bounds, restarts: false, omits_in_use: false };
+    let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{} distinct states", checker.unique_state_count());
     checker.assert_properties();
 }
 
-/// The same with restarts and losses, and over more time. `make model`.
+/// The same check with more steps, and with message loss and restarts. Run by `make model`.
 #[test]
 #[ignore = "takes minutes"]
 fn what_is_in_use_never_exceeds_the_limit_with_restarts() {
     let without_faults = Steps { ticks: 2, requests: 4, acquisitions: 3, faults: 0 };
-    let with_a_fault = Steps { ticks: 3, requests: 3, acquisitions: 2, faults: 1 };
-    for (bounds, restarts) in [(without_faults, false), (with_a_fault, true)] {
-        let checker = ConcurrencyModel { bounds, restarts, omits_in_use: false };
-        let checker = checker.checker().threads(4).spawn_bfs().join();
+    let with_fault = Steps { ticks: 3, requests: 3, acquisitions: 2, faults: 1 };
+    for (bounds, restarts) in [(without_faults, false), (with_fault, true)] {
+        let model = ConcurrencyModel { bounds, restarts, omits_in_use: false };
+        let checker = model.checker().threads(4).spawn_bfs().join();
         println!("{} distinct states", checker.unique_state_count());
         checker.assert_properties();
     }
 }
 
-/// The check can fail: where a holder does not report what it still holds open, its quota is leased out twice.
+/// Shows that the check can fail: if holders do not report the units that they still hold open, their quota
+/// is leased out twice.
 #[test]
-fn a_quota_given_up_before_it_is_released_is_found() {
+fn model_detects_quota_given_up_before_release() {
     let bounds = Steps { ticks: 0, requests: 5, acquisitions: 3, faults: 0 };
-    let checker = ConcurrencyModel { bounds, restarts: false, omits_in_use: true };
-    let checker = checker.checker().threads(4).spawn_bfs().join();
-    assert!(checker.discovery("what is in use never exceeds the limit").is_some());
+    let model = ConcurrencyModel { bounds, restarts: false, omits_in_use: true };
+    let checker = model.checker().threads(4).spawn_bfs().join();
+    assert!(checker.discovery("units in use never exceed the limit").is_some());
 }
--- a/crates/budget/tests/encoding.rs
+++ b/crates/budget/tests/encoding.rs
@@ -1,5 +1,6 @@
-//! Pins the bytes that proxies of different versions exchange, and the text whose hash tells whether two proxies run
-//! with the same limits. The values were taken from the release before the types were renamed.
+//! Tests that pin the bytes that proxies of different versions exchange, and the text whose hash tells
+//! whether two proxies run with the same limits. The expected values come from the release before the types
+//! were renamed.
 
 use std::collections::BTreeMap;
 use wharfplank_budget::{
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn the_canonical_text_of_limits_does_not_change() {
+fn canonical_text_of_limits_does_not_change() {
     let by_budget: BTreeMap<BudgetId, u64> =
         [(BudgetKind::Requests.budget(0), 100), (BudgetKind::TenantRequests.budget(7), 10)].into();
     let by_kind = [
--- a/crates/budget/tests/lease_model.rs
+++ b/crates/budget/tests/lease_model.rs
@@ -1,6 +1,6 @@
-//! The leases of one allocator (allocators do not depend on each other), checked by a model checker over every order of
-//! messages and time, with lost, late and duplicated messages, and restarts: three proxies that run the real allocator
-//! and lease table.
+//! Model check of the leases of one allocator, over every order of messages and time, with lost, delayed
+//! and duplicated messages, and restarts. Three proxies run the real allocator and lease table. One
+//! allocator is enough because allocators do not depend on each other.
 
 use stateright::{Checker, Model, Property};
 use wharfplank_budget::{
@@ -45,7 +45,7 @@
     RestartProxy(usize),
 }
 
-struct Leases {
+struct LeaseModel {
     ticks: u32,
     requests: u32,
     faults: u32,
@@ -70,7 +70,7 @@
     }
 }
 
-impl Model for Leases {
+impl Model for LeaseModel {
     type State = State;
     type Action = Action;
 
@@ -151,7 +151,7 @@
             s.quotas() <= LIMIT
         })];
         if self.requests >= 4 {
-            all.push(Property::sometimes("the limit is shared by two", |_, s: &State| {
+            all.push(Property::sometimes("two proxies share the limit", |_, s: &State| {
                 s.tables.iter().filter(|table| table.quota(s.now, BUDGET) == 1).count() == 2
             }));
         }
@@ -169,7 +169,7 @@
     }
 }
 
-fn check_all_states(model: Leases) -> usize {
+fn check_all_states(model: LeaseModel) -> usize {
     let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{} states, {} of them distinct", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
@@ -177,15 +177,16 @@
 }
 
 #[test]
-fn every_order_of_messages_and_time_keeps_the_limit() {
-    assert!(check_all_states(Leases { ticks: 2, requests: 4, faults: 0, restarts: 0 }) > 10_000);
-    assert!(check_all_states(Leases { ticks: 2, requests: 3, faults: 0, restarts: 1 }) > 10_000);
+fn every_message_order_keeps_the_limit() {
+    assert!(check_all_states(LeaseModel { ticks: 2, requests: 4, faults: 0, restarts: 0 }) > 10_000);
+    assert!(check_all_states(LeaseModel { ticks: 2, requests: 3, faults: 0, restarts: 1 }) > 10_000);
 }
 
-/// As above, with a message lost, late or duplicated, and over more time with a restart: millions of states. `make model`.
+/// The same check with a lost, delayed or duplicated message, and over more time with a restart: millions
+/// of states. Run by `make model`.
 #[test]
 #[ignore = "takes minutes"]
 fn every_order_of_messages_and_time_with_faults_keeps_the_limit() {
-    assert!(check_all_states(Leases { ticks: 2, requests: 4, faults: 1, restarts: 0 }) > 1_000_000);
-    assert!(check_all_states(Leases { ticks: 3, requests: 3, faults: 0, restarts: 1 }) > 1_000_000);
+    assert!(check_all_states(LeaseModel { ticks: 2, requests: 4, faults: 1, restarts: 0 }) > 1_000_000);
+    assert!(check_all_states(LeaseModel { ticks: 3, requests: 3, faults: 0, restarts: 1 }) > 1_000_000);
 }
--- a/crates/budget/tests/limits.rs
+++ b/crates/budget/tests/limits.rs
@@ -1,9 +1,9 @@
-//! How limits are divided into static quotas and the parts of the allocators.
+//! Tests of the division of limits into static quotas and the parts of the allocators.
 
 use wharfplank_budget::{BudgetKind, BudgetLimits};
 
 #[test]
-fn parts_and_static_quotas_add_up_to_the_limit_and_never_to_more() {
+fn parts_and_static_quotas_add_up_to_the_limit() {
     let tenant = BudgetKind::TenantRequests.budget(7);
     let member = BudgetKind::HealthChecks.budget(0xdead_beef_dead);
     assert_eq!(
--- a/crates/budget/tests/rate_meter.rs
+++ b/crates/budget/tests/rate_meter.rs
@@ -1,26 +1,26 @@
-//! What a meter permits in a second, and the demand that it reports.
+//! Tests of what a rate limiter permits per second and of the demand that it reports.
 
 use wharfplank_budget::{Micros, RateMeter};
 
 const SECOND: Micros = 1_000_000;
 
 #[test]
-fn no_second_has_more_than_its_least_quota() {
+fn no_second_exceeds_its_smallest_quota() {
     let mut meter = RateMeter::new(0);
     meter.set_quota(0, 10);
-    assert!(!meter.try_spend(SECOND - 1, 10), "a quota that has just grown was spent at once");
+    assert!(!meter.try_spend(SECOND - 1, 10), "a quota was spent within a second after its increase");
     let spent = (0..100).filter(|i| meter.try_spend(2 * SECOND + i, 10)).count();
     assert_eq!(spent, 10);
-    assert!(!meter.try_spend(3 * SECOND - 1, 10), "an eleventh within a second");
+    assert!(!meter.try_spend(3 * SECOND - 1, 10), "an eleventh unit was spent within a second");
     assert!(meter.try_spend(3 * SECOND, 10));
-    // A quota that shrinks counts at once, one that grows a second later.
+    // A reduced quota applies at once, an increased one a second later.
     assert!(!(0..9).map(|i| meter.try_spend(4 * SECOND + i, 2)).skip(2).any(|permitted| permitted));
     assert_eq!((0..50).filter(|i| meter.try_spend(5 * SECOND + 20 + i, 20)).count(), 2);
     assert_eq!((0..50).filter(|i| meter.try_spend(7 * SECOND + i, 20)).count(), 20);
 }
 
 #[test]
-fn demand_follows_attempts_and_falls_back_to_one() {
+fn demand_follows_attempts() {
     let mut meter = RateMeter::new(0);
     (0..1_000).for_each(|i| assert!(!meter.try_spend(i * 10_000, 0)));
     let demand = meter.demand(10 * SECOND);
--- a/crates/budget/tests/simulation/mod.rs
+++ b/crates/budget/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Proxies and allocators in virtual time, and the network between them.
+//! A simulation of proxies, allocators and the network between them, in virtual time.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -8,23 +8,23 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000 * MS;
 pub const STEP: Micros = 20 * MS;
-/// The limit, in units a second for each proxy of the fleet: some tens of requests.
+/// The limit, in units per second for each proxy of the fleet: a few tens of requests.
 pub const LIMIT_PER_PROXY: u64 = 39;
 pub const ALLOCATORS: usize = 3;
 pub const LENGTH: Micros = 30 * S;
-/// The number of the only budget.
+/// The only budget.
 pub const BUDGET: u32 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Case {
-    Calm,
-    Kill70,
+    NoFault,
+    Kill70Percent,
     Join,
-    Split,
-    Pause,
-    Skew,
-    Shift,
-    Lossy,
+    Partition,
+    ProcessPause,
+    ClockSkew,
+    DemandShift,
+    PacketLoss,
 }
 
 pub enum Message {
@@ -32,7 +32,7 @@
     Grant(LeaseGrant),
 }
 
-/// A message on its way.
+/// A message in flight.
 pub struct InFlight {
     pub arrives_at: Micros,
     pub from: usize,
@@ -40,16 +40,16 @@
     pub message: Message,
 }
 
-/// A process: what its clock reads is `clock_offset` ahead, and it runs `clock_rate` times as fast as time.
+/// A process. Its clock is `clock_offset` ahead and runs at `clock_rate` times the simulation's rate.
 pub struct Node {
     pub holder: Option<LeaseHolder>,
     pub allocator: Option<LeaseAllocator>,
     pub clock_offset: Micros,
     pub clock_rate: f64,
     pub paused_until: Micros,
-    /// Attempts a second.
+    /// The attempts per second.
     pub demand: f64,
-    /// Whether it is on the smaller side of a network partition.
+    /// Whether the node is on the smaller side of a network partition.
     pub is_cut_off: bool,
     pub generation: u64,
 }
@@ -60,13 +60,14 @@
     pub now: Micros,
     pub in_flight: Vec<InFlight>,
     pub rng: SmallRng,
-    /// When each unit was spent within the last second.
+    /// The times at which units were spent within the last second.
     pub recent_spends: VecDeque<Micros>,
     pub spent: u64,
-    pub wanted: u64,
-    /// Steps in which the quotas in force added up to more than the limit, and spends past the limit in a second.
+    pub attempted: u64,
+    /// The number of steps in which the quotas in force added up to more than the limit, plus those in
+    /// which more than the limit was spent within a second.
     pub breaches: u64,
-    /// What an equal, fixed split would have spent.
+    /// The units that an equal, fixed split would have spent.
     pub spent_by_equal_split: f64,
     pub limit: u64,
 }
@@ -77,13 +78,13 @@
         let nodes = (0..count).map(|index| Simulation::node(index, count, case, &mut rng)).collect();
         let mut simulation = Simulation {
             nodes,
-            loss: if case == Case::Lossy { 0.2 } else { 0.0 },
+            loss: if case == Case::PacketLoss { 0.2 } else { 0.0 },
             now: 0,
             in_flight: Vec::new(),
             rng,
             recent_spends: VecDeque::new(),
             spent: 0,
-            wanted: 0,
+            attempted: 0,
             breaches: 0,
             spent_by_equal_split: 0.0,
             limit: LIMIT_PER_PROXY * count as u64,
@@ -94,11 +95,12 @@
     }
 
     fn node(index: usize, count: usize, case: Case, rng: &mut SmallRng) -> Node {
-        let is_skewed = case == Case::Skew;
+        let is_skewed = case == Case::ClockSkew;
         let clock_offset =
             if is_skewed { rng.random_range(-500 * MS..500 * MS) } else { index as Micros * S };
         let clock_rate = if is_skewed { 1.0 + rng.random_range(-0.004..0.004) } else { 1.0 };
-        // Traffic is uneven: some proxies get several times the mean, and all together more than the limit.
+        // Traffic is uneven: some proxies receive several times the mean, and together they receive more
+        // than the limit.
         let demand = 2.0 * LIMIT_PER_PROXY as f64 * if index.is_multiple_of(5) { 4.0 } else { 0.25 };
         let joins_later = case == Case::Join && index >= count / 2;
         Node {
@@ -113,7 +115,7 @@
         }
     }
 
-    /// What a node's clock reads.
+    /// Returns the time on a node's clock.
     pub fn clock(&self, index: usize) -> Micros {
         let node = &self.nodes[index];
         node.clock_offset + (self.now as f64 * node.clock_rate) as Micros
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Stops a node's process at once.
+    /// Stops a node's process abruptly.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].holder = None;
         self.nodes[index].allocator = None;
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Lets a node send its requests and make the attempts of one step.
+    /// Sends a node's due requests and makes its attempts of one step.
     fn run_node(&mut self, index: usize) {
         let now = self.now;
         let clock = self.clock(index);
@@ -208,7 +210,7 @@
         let attempts = self.nodes[index].demand * STEP as f64 / 1e6;
         let attempts = attempts as u64 + u64::from(self.rng.random::<f64>() < attempts.fract());
         for _ in 0..attempts {
-            self.wanted += 1;
+            self.attempted += 1;
             let holder = self.nodes[index].holder.as_mut();
             if holder.is_some_and(|holder| holder.try_spend(clock, BUDGET)) {
                 self.spent += 1;
@@ -229,37 +231,37 @@
         self.breaches += u64::from(self.recent_spends.len() as u64 > self.limit);
     }
 
-    /// The quota that a node believes to have. A paused process keeps what it believes, by its own clock, which runs
-    /// on.
+    /// Returns the quota that a node has by its own clock. A paused process keeps it while its
+    /// clock runs on.
     pub fn quota(&self, index: usize) -> u64 {
         let holder = self.nodes[index].holder.as_ref();
         holder.map_or(0, |holder| holder.quota(self.clock(index), BUDGET))
     }
 
-    /// Runs a case to its end.
-    pub fn play(&mut self, case: Case) {
+    /// Runs the simulation to its end with the fault of `case`.
+    pub fn run_case(&mut self, case: Case) {
         let count = self.nodes.len();
         let fault_at = 10 * S + self.rng.random_range(0..S);
-        let mut has_begun = false;
+        let mut fault_has_begun = false;
         while self.now < LENGTH {
             self.step();
-            if !has_begun && self.now >= fault_at {
-                has_begun = true;
+            if !fault_has_begun && self.now >= fault_at {
+                fault_has_begun = true;
                 self.begin_fault(case, count);
             }
-            if case == Case::Kill70 && self.now >= fault_at + S && self.now < fault_at + S + STEP {
-                self.start_killed();
+            if case == Case::Kill70Percent && self.now >= fault_at + S && self.now < fault_at + S + STEP {
+                self.restart_killed();
             }
-            if case == Case::Split && self.now >= fault_at + 8 * S {
+            if case == Case::Partition && self.now >= fault_at + 8 * S {
                 self.nodes.iter_mut().for_each(|node| node.is_cut_off = false);
             }
-            if case == Case::Join && has_begun && self.now < fault_at + 2 * S {
+            if case == Case::Join && fault_has_begun && self.now < fault_at + 2 * S {
                 self.start_next_joining(fault_at, count);
             }
         }
     }
 
-    fn start_killed(&mut self) {
+    fn restart_killed(&mut self) {
         for index in 0..self.nodes.len() {
             if self.nodes[index].holder.is_none() {
                 self.start(index);
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Starts the next node of the second half, which all join within two seconds.
+    /// Starts the next node of the second half; all of these join within two seconds.
     fn start_next_joining(&mut self, fault_at: Micros, count: usize) {
         let joined = count / 2 + ((self.now - fault_at) * (count as Micros / 2) / (2 * S)) as usize;
         let next = (count / 2..joined.min(count)).find(|index| self.nodes[*index].holder.is_none());
@@ -279,23 +281,23 @@
 
     fn begin_fault(&mut self, case: Case, count: usize) {
         match case {
-            Case::Kill70 => {
+            Case::Kill70Percent => {
                 for index in 0..count {
                     if self.rng.random::<f64>() < 0.7 {
                         self.kill(index);
                     }
                 }
             }
-            Case::Split => (0..count / 3).for_each(|third| self.nodes[third * 3].is_cut_off = true),
-            Case::Pause => {
+            Case::Partition => (0..count / 3).for_each(|third| self.nodes[third * 3].is_cut_off = true),
+            Case::ProcessPause => {
                 let index = self.rng.random_range(0..count);
                 self.nodes[index].paused_until = self.now + 8 * S;
             }
-            Case::Shift => {
+            Case::DemandShift => {
                 let demands: Vec<f64> = self.nodes.iter().map(|node| node.demand).collect();
                 (0..count).for_each(|index| self.nodes[index].demand = demands[(index + 2) % count]);
             }
-            Case::Calm | Case::Join | Case::Skew | Case::Lossy => {}
+            Case::NoFault | Case::Join | Case::ClockSkew | Case::PacketLoss => {}
         }
     }
 }
--- a/crates/budget/tests/static_quotas.rs
+++ b/crates/budget/tests/static_quotas.rs
@@ -1,13 +1,14 @@
-//! Static quotas: what a fleet without allocators spends and holds open, and one whose allocators are all unreachable.
+//! Tests of static quotas: what a fleet spends and holds open without allocators, and with all allocators
+//! unreachable.
 
 use wharfplank_budget::{BudgetKind, BudgetLimits, LeaseHolder, LeaseTerms, Micros};
 
 const S: Micros = 1_000_000;
 const PROXIES: u64 = 7;
 
-/// Spends and acquires as much as it can for some seconds, while no allocator answers: returns what was spent in the
-/// last second, and what is held open.
-fn spend_and_acquire_most(percent: u64, allocators: usize, running: u64) -> (u64, u64) {
+/// Spends and acquires as much as possible for some seconds while no allocator answers. Returns the units
+/// spent in the last second and the units held open.
+fn spend_and_acquire_all(percent: u64, allocators: usize, running: u64) -> (u64, u64) {
     let requests = BudgetKind::Requests.budget(0);
     let connections = BudgetKind::OpenConnections.budget(9);
     let limits = BudgetLimits::new([(requests, 100)].into(), [(BudgetKind::OpenConnections, 30)].into());
@@ -38,22 +39,22 @@
 }
 
 #[test]
-fn without_allocators_each_has_an_equal_quota_and_all_no_more_than_the_limit() {
-    // 100 / 7 is 14 each, 30 / 7 is 4.
-    assert_eq!(spend_and_acquire_most(100, 0, PROXIES), (98, 28));
-    assert_eq!(spend_and_acquire_most(100, 0, 3), (42, 12));
+fn static_quotas_are_equal_and_within_the_limit() {
+    // Each proxy has 100 / 7 = 14 requests and 30 / 7 = 4 connections.
+    assert_eq!(spend_and_acquire_all(100, 0, PROXIES), (98, 28));
+    assert_eq!(spend_and_acquire_all(100, 0, 3), (42, 12));
 }
 
 #[test]
-fn with_all_allocators_unreachable_the_static_quota_is_left() {
-    // A fifth: 20 / 7 is 2 each, 6 / 7 is none.
-    assert_eq!(spend_and_acquire_most(20, 3, PROXIES), (14, 0));
-    assert_eq!(spend_and_acquire_most(0, 3, PROXIES), (0, 0));
+fn static_quota_remains_without_reachable_allocators() {
+    // A fifth of the limits: each proxy has 20 / 7 = 2 requests and 6 / 7 = 0 connections.
+    assert_eq!(spend_and_acquire_all(20, 3, PROXIES), (14, 0));
+    assert_eq!(spend_and_acquire_all(0, 3, PROXIES), (0, 0));
 }
 
-/// What one budget denies is not spent of the other, but counts as its demand all the same.
+/// A unit that one budget denies is not spent on the other, but counts as demand on it.
 #[test]
-fn two_budgets_are_spent_together_or_not_at_all() {
+fn budgets_are_spent_together_or_not_at_all() {
     let (all, tenant) = (BudgetKind::Requests.budget(0), BudgetKind::TenantRequests.budget(3));
     let limits = BudgetLimits::new([(all, 100), (tenant, 10)].into(), [].into());
     let mut holder = LeaseHolder::new(1, LeaseTerms::default(), 1, vec![], 0)
--- a/crates/budget/tests/takeover_model.rs
+++ b/crates/budget/tests/takeover_model.rs
@@ -1,6 +1,6 @@
-//! An allocator that is retired leaves its part to the others, and takes it again when it is back: three allocators in
-//! three epochs, each started anew for each by its operator, in every order of restarts, messages and time. Whatever
-//! holders may use of all allocators together never exceeds the limit.
+//! Model check of the takeover of a retired allocator's part by the others, and of its return. Three
+//! allocators go through three epochs, each restarted by its operator for each epoch, in every order of
+//! restarts, messages and time. The leases in force at all allocators together must never exceed the limit.
 
 use stateright::{Checker, Model, Property};
 use wharfplank_budget::{
@@ -12,9 +12,9 @@
 const LIMIT: u64 = 6;
 const TICK: Micros = 1_000_000;
 const BUDGET: BudgetId = 1;
-/// The allocator that is retired for one epoch.
+/// The index of the allocator that is retired for one epoch.
 const RETIRING: usize = 2;
-/// The third allocator is retired in the second epoch, and back in the third.
+/// The retired allocators by epoch: the third one is retired in the second epoch and back in the third.
 const RETIRED: [[bool; ALLOCATORS]; 3] = [[false; 3], [false, false, true], [false; 3]];
 
 fn terms() -> LeaseTerms {
@@ -34,7 +34,7 @@
     epoch: usize,
     guard: TakeoverGuard,
     allocator: LeaseAllocator,
-    /// What it has granted, to holders that want all.
+    /// The granted leases, to holders that demand the whole limit.
     leases: Vec<Lease>,
 }
 
@@ -47,9 +47,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// `None`: off.
+    /// `None` for a stopped process.
     processes: Vec<Option<Process>>,
-    /// What was granted by processes that are off now.
+    /// The leases granted by processes that have since stopped.
     leases_of_stopped: Vec<Lease>,
     in_flight: Vec<Message>,
     requests: u64,
@@ -63,7 +63,7 @@
     Tick,
     Lease(usize),
     Stop(usize),
-    /// An allocator is started, or started again, in an epoch.
+    /// Starts or restarts an allocator in an epoch.
     Start {
         index: usize,
         epoch: usize,
@@ -76,7 +76,7 @@
 struct TakeoverModel {
     ticks: u32,
     announcements: u32,
-    /// Whether an allocator waits for the others of its epoch: the rule taken out.
+    /// Whether an allocator waits for the others of its epoch, which is the rule under test.
     waits: bool,
 }
 
@@ -155,12 +155,13 @@
                     if state.announcements < self.announcements && state.in_flight.len() < 2 {
                         actions.push(Action::Announce(index));
                     }
-                    // The operator declares the third retired once it is off, and epochs only grow.
-                    let is_off = state.processes[RETIRING].is_none();
-                    let epochs = (process.epoch + 1..3).filter(|epoch| *epoch == 2 || is_off);
+                    // The operator declares the third allocator retired once it is stopped, and epochs only
+                    // increase.
+                    let is_stopped = state.processes[RETIRING].is_none();
+                    let epochs = (process.epoch + 1..3).filter(|epoch| *epoch == 2 || is_stopped);
                     actions.extend(epochs.map(|epoch| Action::Start { index, epoch }));
                 }
-                // It comes back in the third epoch only.
+                // A stopped allocator only comes back in the third epoch.
                 None => actions.push(Action::Start { index, epoch: 2 }),
             }
         }
@@ -217,7 +218,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("leases in force never exceed the limit", |_, s: &State| s.in_force() <= LIMIT),
-            Property::sometimes("two allocators have the part of the retired one", |_, s: &State| {
+            Property::sometimes("two allocators lease out the retired one's part", |_, s: &State| {
                 s.processes[RETIRING].is_none() && s.in_force() == LIMIT
             }),
         ]
@@ -225,14 +226,14 @@
 }
 
 #[test]
-fn a_part_that_is_taken_over_is_never_leased_out_twice() {
+fn taken_over_part_is_never_leased_twice() {
     let model = TakeoverModel { ticks: 1, announcements: 2, waits: true };
     let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{} distinct states", checker.unique_state_count());
     checker.assert_properties();
 }
 
-/// With more time. `make model`.
+/// The same check over more time. Run by `make model`.
 #[test]
 #[ignore = "takes minutes"]
 fn a_part_that_is_taken_over_and_comes_back_is_never_leased_out_twice() {
@@ -242,9 +243,9 @@
     checker.assert_properties();
 }
 
-/// The check can fail: allocators that do not wait for each other lease a part out twice.
+/// Shows that the check can fail: allocators that do not wait for each other lease out a part twice.
 #[test]
-fn a_takeover_without_waiting_is_found() {
+fn model_detects_takeover_without_waiting() {
     let model = TakeoverModel { ticks: 1, announcements: 0, waits: false };
     let checker = model.checker().threads(4).spawn_bfs().join();
     assert!(checker.discovery("leases in force never exceed the limit").is_some());
