--- a/crates/failover/src/controller.rs
+++ b/crates/failover/src/controller.rs
@@ -1,4 +1,4 @@
-//! Decides for one proxy which zones its reads may use.
+//! The failover decision of one proxy: which zones its reads may use.
 
 use crate::failure_detector::{MemberOutcome, ZoneFailureDetector};
 use crate::quorum::Quorum;
@@ -8,24 +8,24 @@
 use crate::{FailoverTerms, Micros, PeerId, ZoneVote};
 use std::collections::BTreeMap;
 
-/// Zones decided about; a zone named past this keeps all of its reads.
+/// The maximum number of tracked zones. Any further zone keeps all of its reads.
 pub const MAX_ZONES: usize = 64;
-/// A Down vote is published again so many times within the span after which it expires at the peers.
-const DOWN_REPEATS: Micros = 3;
-/// While anything can change by the clock alone, zones are evaluated so many times in a window.
+/// How many times a Down vote is published again within the span after which it expires at the peers.
+const DOWN_REPEATS_PER_TTL: Micros = 3;
+/// How many times per window zones are evaluated while anything can change by the passage of time alone.
 const EVALUATIONS_PER_WINDOW: Micros = 10;
 
-/// What a proxy does that cannot reach a quorum of its fleet, or has no peers at all.
+/// The behavior of a proxy that cannot reach a quorum of its fleet or has no peers at all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum IsolationPolicy {
-    /// It evacuates no zone: each member is the router's decision alone, as without this crate.
+    /// Evacuates no zone. The router decides about each member on its own, as it does without this crate.
     #[default]
     KeepServing,
-    /// It follows its own vote, as a quorum of one.
+    /// Follows its own vote, as a quorum of one.
     FollowOwnVote,
 }
 
-/// The failover decision of one proxy.
+/// The failover controller of one proxy, which decides from its own outcomes and the votes of its peers.
 #[derive(Clone, Debug, Default)]
 pub struct FailoverController {
     terms: FailoverTerms,
@@ -36,39 +36,40 @@
     published: Vec<ZoneVote>,
     published_at: Micros,
     stall: StallDetector,
-    /// Votes of peers past [`MAX_PEERS`](crate::MAX_PEERS) and mentions of zones past [`MAX_ZONES`], which are ignored.
+    /// The number of ignored votes of peers beyond [`MAX_PEERS`](crate::MAX_PEERS) and ignored mentions of
+    /// zones beyond [`MAX_ZONES`].
     pub dropped: u64,
 }
 
 impl FailoverController {
-    /// A proxy that has seen nothing yet.
+    /// Creates the controller of a proxy that has seen no outcomes yet.
     pub fn new(terms: FailoverTerms, isolation: IsolationPolicy) -> Self {
         FailoverController { terms, isolation, ..FailoverController::default() }
     }
 
     /// Records an outcome of a member of `zone`.
     pub fn record(&mut self, now: Micros, zone: &str, member: u32, outcome: MemberOutcome) {
-        self.on_call(now);
+        self.record_call(now);
         if self.register_zone(zone) {
             let detector = self.detectors.entry(zone.to_string()).or_default();
             detector.record(now, member, outcome, &self.terms);
         }
     }
 
-    /// Records that what was sent to a member of `zone` at `sent_at` has timed out; see
+    /// Records the timeout of a request sent to a member of `zone` at `sent_at`; see
     /// [`ZoneFailureDetector::record_timeout`].
     pub fn record_timeout(&mut self, now: Micros, sent_at: Micros, zone: &str, member: u32) {
-        self.on_call(now);
+        self.record_call(now);
         if !self.stall.is_before_resumption(sent_at) && self.register_zone(zone) {
             let detector = self.detectors.entry(zone.to_string()).or_default();
             detector.record_timeout(now, sent_at, member, &self.terms);
         }
     }
 
-    /// Takes the votes of a peer, as in its newest note. The same note received again changes nothing.
+    /// Processes the votes from a peer's newest note. Receiving the same note again changes nothing.
     pub fn on_peer_votes(&mut self, now: Micros, peer: PeerId, version: VoteVersion, votes: &[ZoneVote]) {
-        self.on_call(now);
-        if self.quorum.has_ballot(peer, version) {
+        self.record_call(now);
+        if self.quorum.has_votes(peer, version) {
             return;
         }
         if !self.quorum.has_capacity_for(peer) {
@@ -76,30 +77,32 @@
             return;
         }
         let votes = votes.iter().filter(|vote| self.register_zone(&vote.zone)).cloned().collect();
-        // What is read after a stall may have waited since the stall began: a Down in it counts once it is repeated.
+        // Votes that are read after a stall may have been waiting since the stall began. A Down vote among
+        // them counts once it is repeated.
         let received_at = if self.is_catching_up(now) { DISTANT_PAST } else { now };
         self.quorum.record(peer, version, received_at, votes);
     }
 
-    /// Sets the peers that are alive now; the votes of others do not count, and peers dead for long are forgotten.
+    /// Sets the peers that are alive now. The votes of other peers do not count, and peers that have been
+    /// dead for a minute are forgotten.
     pub fn set_live_peers(&mut self, now: Micros, peers: impl Iterator<Item = PeerId>) {
         self.quorum.set_live_peers(now, peers);
     }
 
-    /// This proxy's own vote on a zone.
+    /// Returns this proxy's own vote on a zone.
     pub fn own_vote(&mut self, zone: &str, now: Micros) -> Vote {
         self.detectors.get_mut(zone).map_or(Vote::Unknown, |detector| detector.vote(now, &self.terms))
     }
 
-    /// This proxy's votes, where they are to be published: they changed since the last call, or one of them is Down and
-    /// has to be repeated.
+    /// Returns this proxy's votes if they have to be published: because they changed since the last call,
+    /// or because one of them is Down and is due to be repeated.
     pub fn votes_to_publish(&mut self, now: Micros) -> Option<Vec<ZoneVote>> {
         let terms = &self.terms;
         let detectors = self.detectors.iter_mut();
         let votes: Vec<ZoneVote> =
             detectors.map(|(zone, detector)| ZoneVote::new(zone, detector.vote(now, terms))).collect();
         let has_down = votes.iter().any(|vote| vote.vote == Vote::Down);
-        let repeats_down = has_down && now - self.published_at >= terms.vote_ttl / DOWN_REPEATS;
+        let repeats_down = has_down && now - self.published_at >= terms.vote_ttl / DOWN_REPEATS_PER_TTL;
         if votes == self.published && !repeats_down {
             return None;
         }
@@ -108,13 +111,13 @@
         Some(votes)
     }
 
-    /// Whether this proxy reaches too few of its fleet to count a quorum: it and the live peers are no majority of those
-    /// alive within the last minute.
+    /// Returns whether this proxy reaches too few of its fleet to form a quorum: it and the live peers are
+    /// not a majority of the proxies that were alive within the last minute.
     pub fn is_isolated(&self) -> bool {
         self.quorum.is_isolated()
     }
 
-    /// Whether a quorum of the live proxies says that a zone is down. An isolated proxy decides by its
+    /// Returns whether a quorum of the live proxies considers a zone down. An isolated proxy decides by its
     /// [`IsolationPolicy`].
     pub fn is_down_by_quorum(&mut self, zone: &str, now: Micros) -> bool {
         let own_vote = self.own_vote(zone, now);
@@ -124,9 +127,9 @@
         self.quorum.is_down(zone, own_vote, now, &self.terms)
     }
 
-    /// Decides each zone's state anew; true where one changed.
+    /// Re-evaluates the state of each zone. Returns whether any state changed.
     pub fn evaluate(&mut self, now: Micros) -> bool {
-        self.on_call(now);
+        self.record_call(now);
         let names: Vec<String> = self.zones.keys().cloned().collect();
         let mut has_changed = false;
         for name in names {
@@ -148,34 +151,35 @@
         }
     }
 
-    /// The state of a zone.
+    /// Returns the state of a zone.
     pub fn zone_state(&self, zone: &str) -> ZoneState {
         self.zones.get(zone).map_or(ZoneState::InService, ZoneStatus::state)
     }
 
-    /// The part of its reads that a zone gets now: all, none while it is evacuated, and while it recovers a part that
-    /// grows as a cold member's capacity does.
+    /// Returns the fraction of its reads that a zone gets now: none while it is evacuated, and while it
+    /// recovers a fraction that grows like the capacity of a cold member.
     pub fn read_share(&self, zone: &str, now: Micros) -> f64 {
         self.zone_state(zone).read_share(now, &self.terms)
     }
 
-    /// Every zone that does not get all of its reads, with its part.
+    /// Returns the zones that do not get all of their reads, with their fractions.
     pub fn reduced_shares(&self, now: Micros) -> Vec<(String, f64)> {
         let shares = self.zones.iter().map(|(name, zone)| (name, zone.state().read_share(now, &self.terms)));
         shares.filter(|(_, share)| *share < 1.0).map(|(name, share)| (name.clone(), share)).collect()
     }
 
-    /// How many zones are decided about.
+    /// Returns the number of tracked zones.
     pub fn zone_count(&self) -> usize {
         self.zones.len()
     }
 
-    /// How many peers' votes are held.
+    /// Returns the number of peers whose votes are stored.
     pub fn voting_peer_count(&self) -> usize {
-        self.quorum.ballot_count()
+        self.quorum.voting_peer_count()
     }
 
-    /// When something may change by the clock alone: a vote expires, a hold ends, a share grows.
+    /// Returns the time at which something may change by the passage of time alone: a vote expires, a hold
+    /// ends, or a share grows.
     pub fn next_due(&self, now: Micros) -> Micros {
         let is_any_reduced = self.zones.values().any(|zone| zone.state() != ZoneState::InService);
         if is_any_reduced || !self.detectors.is_empty() {
@@ -185,11 +189,11 @@
         }
     }
 
-    /// Notes that this proxy runs. One that was stalled (paused, starved) resumes to datagrams and time-outs of a past
-    /// that the others have left behind: until it has read them it evacuates no zone, and time-outs of what it sent
-    /// before do not count.
-    fn on_call(&mut self, now: Micros) {
-        if self.stall.on_call(now, self.terms.max_call_gap) {
+    /// Records a call, to detect stalls. A proxy that was stalled (paused, or starved of CPU time) resumes
+    /// with datagrams and timeouts that are outdated at the other proxies. Until it has read them it
+    /// evacuates no zone, and timeouts of requests that it sent before the stall do not count.
+    fn record_call(&mut self, now: Micros) {
+        if self.stall.record_call(now, self.terms.max_call_gap) {
             self.quorum.expire_down_votes();
         }
     }
@@ -198,7 +202,7 @@
         self.stall.is_catching_up(now, self.terms.window)
     }
 
-    /// Makes a zone one that is decided about; false where there are too many already.
+    /// Starts tracking a zone. Returns false if too many zones are tracked already.
     fn register_zone(&mut self, zone: &str) -> bool {
         if self.zones.contains_key(zone) {
             return true;
--- a/crates/failover/src/failure_detector.rs
+++ b/crates/failover/src/failure_detector.rs
@@ -1,18 +1,20 @@
-//! What this proxy has seen of one zone's members, and its own vote on the zone.
+//! The failure detector of one zone: outcomes of its members as seen by this proxy, and this proxy's own
+//! vote on the zone.
 
 use crate::votes::Vote;
 use crate::{FailoverTerms, Micros};
 use std::collections::VecDeque;
 
-/// Outcomes of a zone kept at most: past that the oldest go, which only shortens the window under a flood.
+/// The maximum number of outcomes kept per zone. Beyond it the oldest are dropped, which only shortens the
+/// window under a flood of outcomes.
 pub const MAX_OUTCOMES: usize = 256;
 
-/// What became of something that was sent to a member.
+/// The outcome of a request to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberOutcome {
-    /// The member answered in any way: a value, an error, a miss, or that it is overloaded.
+    /// The member answered in any way: with a value, an error, a miss, or an overload rejection.
     Answered,
-    /// There was no connection, or no answer in time.
+    /// The connection failed, or no answer arrived in time.
     Silent,
 }
 
@@ -23,14 +25,14 @@
     outcome: MemberOutcome,
 }
 
-/// Detects at one proxy that a zone's members stopped answering.
+/// Detects that the members of a zone have stopped answering one proxy.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneFailureDetector {
     observations: VecDeque<Observation>,
     vote: Vote,
-    /// When the vote was last confirmed.
+    /// The time at which the vote was last confirmed.
     confirmed_at: Micros,
-    /// When the zone last answered.
+    /// The time of the zone's last answer.
     answered_at: Option<Micros>,
 }
 
@@ -47,21 +49,22 @@
         self.update_vote(now, terms);
     }
 
-    /// Records that what was sent at `sent_at` has timed out by now. A request sent before the zone's last answer says
-    /// nothing newer than that answer: a long wait that began while the zone was lost ends after its return.
+    /// Records the timeout, at `now`, of a request sent at `sent_at`. A request sent before the zone's last
+    /// answer is ignored because it is no newer evidence: a request with a long timeout that was sent while
+    /// the zone was lost may end after the zone has returned.
     pub fn record_timeout(&mut self, now: Micros, sent_at: Micros, member: u32, terms: &FailoverTerms) {
         if self.answered_at.is_none_or(|answered_at| answered_at < sent_at) {
             self.record(now, member, MemberOutcome::Silent, terms);
         }
     }
 
-    /// The vote as of now.
+    /// Returns the vote as of `now`.
     pub fn vote(&mut self, now: Micros, terms: &FailoverTerms) -> Vote {
         self.update_vote(now, terms);
         self.vote
     }
 
-    /// How many outcomes are kept.
+    /// Returns the number of stored outcomes.
     pub fn outcome_count(&self) -> usize {
         self.observations.len()
     }
@@ -73,7 +76,8 @@
         } else if self.is_silent(terms) {
             self.confirm(now, Vote::Down);
         } else if !self.observations.is_empty() && self.vote == Vote::Up {
-            // Silence since the last answer: the zone is no longer known to answer, nor yet known not to.
+            // No answer since the last one: the zone is no longer known to answer, but not yet known to be
+            // silent.
             self.vote = Vote::Unknown;
         } else {
             self.expire_vote(now, terms);
@@ -90,7 +94,8 @@
         self.observations.iter().any(|observation| observation.outcome == MemberOutcome::Answered)
     }
 
-    /// Whether enough outcomes of enough members are silent, where none is an answer.
+    /// Returns whether there are enough silent outcomes from enough members. The caller has checked that no
+    /// outcome in the window is an answer.
     fn is_silent(&self, terms: &FailoverTerms) -> bool {
         let mut members: Vec<u32> = self.observations.iter().map(|observation| observation.member).collect();
         members.sort_unstable();
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,17 +1,20 @@
-//! Zone failover decided by a quorum of proxies. Reads leave a zone when a quorum of the proxies that can reach each
-//! other has seen the zone's members stop answering. They come back along a recovery ramp that follows the slow start
-//! of the members, so that all proxies together stay below the load that a cold member can take. The crate does no
-//! I/O: what members did, what peers voted and the time go in; each zone's share of reads comes out. Which member serves
-//! a read stays the router's decision: it only gets the shares.
+//! Zone failover decided by a quorum of proxies. Reads leave a zone when a quorum of the proxies that can
+//! reach each other has seen the zone's members stop answering. They return along a recovery ramp that
+//! follows the slow start of the members, so that all proxies together stay below the load that a cold
+//! member can take. The crate does no I/O: it takes the outcomes of members, the votes of peers and the
+//! time, and returns each zone's share of reads. The router still decides which member serves a read; it
+//! only receives the shares.
 //!
-//! - [`ZoneFailureDetector`]: recent outcomes of a zone's members at this proxy, and its own vote on the zone.
+//! - [`ZoneFailureDetector`]: recent outcomes of a zone's members at this proxy, and its own vote on the
+//!   zone.
 //! - [`FailoverController`]: the votes of all proxies, their quorum, and the state of each zone.
 //! - [`ZoneState`]: whether a zone is in service, evacuated or recovering.
 //! - [`encode_votes`] and [`decode_votes`]: a proxy's votes as the body of a gossip note.
 //!
 //! ```
 //! use wharfplank_failover::{
-//!     FailoverController, FailoverTerms, IsolationPolicy, MemberOutcome, Vote, VoteVersion, ZoneState, ZoneVote,
+//!     FailoverController, FailoverTerms, IsolationPolicy, MemberOutcome, Vote, VoteVersion, ZoneState,
+//!     ZoneVote,
 //! };
 //!
 //! let mut failover = FailoverController::new(FailoverTerms::default(), IsolationPolicy::KeepServing);
@@ -21,7 +24,7 @@
 //!     failover.record(now, "b", member, MemberOutcome::Silent);
 //! }
 //! assert_eq!(failover.own_vote("b", now), Vote::Down);
-//! // Two peers that this proxy can reach saw the same: a quorum of three.
+//! // Two reachable peers vote Down as well, which makes a quorum of three.
 //! for peer in [7, 8] {
 //!     let version = VoteVersion { generation: 1, version: 1 };
 //!     failover.on_peer_votes(now, peer, version, &[ZoneVote::new("b", Vote::Down)]);
@@ -50,8 +53,8 @@
 pub use votes::{Vote, VoteVersion, ZoneVote};
 pub use zone_state::ZoneState;
 
-/// A time or a span of time, in microseconds, on the caller's clock.
+/// A point in time or a duration, in microseconds, on the caller's clock.
 pub type Micros = i64;
 
-/// The number by which the caller names a peer.
+/// The number by which the caller identifies a peer.
 pub type PeerId = u64;
--- a/crates/failover/src/stall.rs
+++ b/crates/failover/src/stall.rs
@@ -1,8 +1,8 @@
-//! Detects that this process was stalled: paused, or starved of CPU time.
+//! Detection of stalls of this process: pauses, or starvation of CPU time.
 
 use crate::Micros;
 
-/// Tells a process that was stalled from one that runs, by the gaps between the calls to it.
+/// Detects stalls of this process by the gaps between calls.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StallDetector {
     last_call_at: Option<Micros>,
@@ -10,8 +10,8 @@
 }
 
 impl StallDetector {
-    /// Records a call; true where the process was stalled until now.
-    pub fn on_call(&mut self, now: Micros, max_call_gap: Micros) -> bool {
+    /// Records a call. Returns whether the process was stalled until now.
+    pub fn record_call(&mut self, now: Micros, max_call_gap: Micros) -> bool {
         let was_stalled = self.last_call_at.is_some_and(|last| now - last > max_call_gap);
         if was_stalled {
             self.resumed_at = Some(now);
@@ -20,12 +20,13 @@
         was_stalled
     }
 
-    /// Whether the process resumed within the span before now: what it reads may have waited since before the stall.
+    /// Returns whether the process resumed within `span` before `now`. What it reads then may have been
+    /// waiting since before the stall.
     pub fn is_catching_up(&self, now: Micros, span: Micros) -> bool {
         self.resumed_at.is_some_and(|resumed_at| now - resumed_at < span)
     }
 
-    /// Whether a time is before the process last resumed.
+    /// Returns whether `at` is before the process last resumed.
     pub fn is_before_resumption(&self, at: Micros) -> bool {
         self.resumed_at.is_some_and(|resumed_at| resumed_at > at)
     }
--- a/crates/failover/src/terms.rs
+++ b/crates/failover/src/terms.rs
@@ -1,40 +1,45 @@
-//! The thresholds and spans of the failover decision.
+//! The thresholds and time spans of the failover decision.
 
 use crate::Micros;
 
-/// The thresholds and spans of the failover decision. Those of the recovery ramp come from the platform's settings
-/// (`cold_from`, `cold_span`); the others are this crate's, with their reasons beside them.
+/// The thresholds and time spans of the failover decision. Those of the recovery ramp come from the
+/// platform's settings (`Rules.ColdFrom`, `Rules.ColdUs`); the others are defined by this crate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailoverTerms {
-    /// The span over which a zone's outcomes count together.
+    /// The length of the window within which outcomes of a zone are evaluated together.
     pub window: Micros,
-    /// Silent outcomes (no connection, no answer in time) within the window that make this proxy vote Down, from at
-    /// least `min_silent_members` members, with not one answer from the zone in that window.
+    /// The number of silent outcomes (failed connections and missing answers) within the window at which
+    /// this proxy votes Down. They must come from at least `min_silent_members` members, without a single
+    /// answer from the zone in that window.
     pub min_silent_outcomes: u32,
-    /// See `min_silent_outcomes`: one silent member is that member's fault, not its zone's.
+    /// The number of members that silent outcomes must come from for a Down vote. A single silent member is
+    /// a fault of that member and not of its zone.
     pub min_silent_members: usize,
-    /// How long a vote is valid without a new outcome that confirms it. An evacuated zone gets no reads, so the Down
-    /// votes on it expire by themselves, and it is tried again.
+    /// The validity of a vote without a new outcome that confirms it. An evacuated zone gets no reads, so
+    /// the Down votes on it expire by time and the zone is tried again.
     pub vote_ttl: Micros,
-    /// How long an Up vote is valid without an answer that confirms it, and without silence that contradicts it. A far
-    /// zone may see few requests of this proxy; a vote that flipped each time would be published each time, and notes to
-    /// all proxies from each of them grow with the fleet.
+    /// The validity of an Up vote without an answer that confirms it or silence that contradicts it. It is
+    /// longer because a remote zone may get few requests from this proxy: a vote that changed every time
+    /// would be published every time, and the notes from every proxy to all others grow with the fleet.
     pub up_vote_ttl: Micros,
-    /// The least time a zone stays evacuated; it doubles with each recovery that fails, up to `max_hold`.
+    /// The minimum time for which a zone stays evacuated. It doubles with each failed recovery, up to
+    /// `max_hold`.
     pub min_hold: Micros,
-    /// See `min_hold`.
+    /// The maximum time for which a zone is held evacuated; see `min_hold`.
     pub max_hold: Micros,
-    /// A zone that has not been evacuated for this long has its failed recoveries forgotten.
+    /// How long after a zone's last evacuation its failed recoveries are forgotten.
     pub hold_reset_after: Micros,
-    /// The part of its reads that a recovering zone gets at first, and the span in which that grows to all of them: a
-    /// member that starts cold has `ramp_start` of its capacity and all of it after `ramp_duration`.
+    /// The fraction of its reads that a recovering zone gets at first. It grows to all reads within
+    /// `ramp_duration`, because a cold member starts with `ramp_start` of its capacity and has all of it
+    /// after `ramp_duration`.
     pub ramp_start: f64,
-    /// See `ramp_start`.
+    /// The duration of the recovery ramp; see `ramp_start`.
     pub ramp_duration: Micros,
-    /// A proxy that was not called for longer than this was stalled.
+    /// The longest gap between calls. A proxy that was not called for longer was stalled.
     pub max_call_gap: Micros,
-    /// The least part of the live proxies (this one among them) that must vote on a zone before their majority counts: a
-    /// handful that saw something are no quorum of hundreds that saw nothing.
+    /// The minimum fraction of the live proxies, including this one, that must vote on a zone before a
+    /// majority of the votes counts. A few proxies that saw something are not a quorum of hundreds that saw
+    /// nothing.
     pub min_voter_fraction: f64,
 }
 
--- a/crates/failover/src/votes.rs
+++ b/crates/failover/src/votes.rs
@@ -1,24 +1,24 @@
-//! Votes on zones: this proxy's, and those that a peer published.
+//! Votes on zones.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A time before any that the caller passes.
+/// A time before any time that the caller passes.
 pub(crate) const DISTANT_PAST: Micros = Micros::MIN / 2;
 
 /// A proxy's vote on a zone. The encoded order of the variants is part of the protocol between proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Vote {
-    /// Nothing recent enough to tell.
+    /// No recent outcomes to decide by.
     #[default]
     Unknown,
-    /// Its members answer.
+    /// The zone's members answer.
     Up,
-    /// Its members stopped answering.
+    /// The zone's members have stopped answering.
     Down,
 }
 
-/// A vote and the zone that it is on, encoded as a pair.
+/// A zone and a vote on it, encoded as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, Vote)", into = "(String, Vote)")]
 pub struct ZoneVote {
@@ -29,7 +29,7 @@
 }
 
 impl ZoneVote {
-    /// A vote on a zone.
+    /// Creates a vote on a zone.
     pub fn new(zone: impl Into<String>, vote: Vote) -> ZoneVote {
         ZoneVote { zone: zone.into(), vote }
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// Which of a peer's publications the votes came in.
+/// The version of a peer's published votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteVersion {
     /// The generation of the peer's process.
@@ -56,18 +56,19 @@
     pub version: u64,
 }
 
-/// All votes of one peer, as it published them last.
+/// The votes that one peer published last.
 #[derive(Clone, Debug)]
-pub(crate) struct Ballot {
+pub(crate) struct PeerVotes {
     pub version: VoteVersion,
-    /// When it was first received.
+    /// The time at which this version was first received.
     pub received_at: Micros,
     pub votes: Vec<ZoneVote>,
 }
 
-impl Ballot {
-    /// The peer's vote on a zone. A peer repeats Down while it holds: one that is not repeated is of a past whose end was
-    /// missed, as by a proxy that was away when the note that took it back was disseminated.
+impl PeerVotes {
+    /// Returns the peer's vote on a zone. A peer repeats a Down vote while it holds. A Down vote that is
+    /// not repeated is outdated: this proxy missed its withdrawal, for instance because it was away when
+    /// that note was disseminated.
     pub fn vote(&self, zone: &str, now: Micros, ttl: Micros) -> Vote {
         let vote = self.votes.iter().find(|vote| vote.zone == zone).map_or(Vote::Unknown, |vote| vote.vote);
         match vote {
--- a/crates/failover/src/zone_state.rs
+++ b/crates/failover/src/zone_state.rs
@@ -1,20 +1,20 @@
 //! The state machine of one zone.
 
-use crate::recovery::{hold, ramp_share};
+use crate::recovery::{hold_duration, ramp_share};
 use crate::votes::DISTANT_PAST;
 use crate::{FailoverTerms, Micros};
 
-/// Whether a zone serves this proxy's reads.
+/// The state of a zone with regard to this proxy's reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneState {
-    /// It gets all of its reads.
+    /// The zone gets all of its reads.
     InService,
-    /// It gets none.
+    /// The zone gets no reads.
     Evacuated {
         /// Since when.
         since: Micros,
     },
-    /// It gets a growing part of its reads.
+    /// The zone gets a growing fraction of its reads.
     Recovering {
         /// Since when.
         since: Micros,
@@ -22,7 +22,7 @@
 }
 
 impl ZoneState {
-    /// The part of its reads that the zone gets now.
+    /// Returns the fraction of its reads that the zone gets now.
     pub(crate) fn read_share(self, now: Micros, terms: &FailoverTerms) -> f64 {
         match self {
             ZoneState::InService => 1.0,
@@ -32,22 +32,23 @@
     }
 }
 
-/// What the quorum says of a zone.
+/// The verdict of the quorum on a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuorumVerdict {
-    /// It is not down.
+    /// The zone is not down.
     NotDown,
-    /// It is down.
+    /// The zone is down.
     Down,
-    /// It is down by votes that this proxy may have read late: a zone in service is not evacuated on it.
+    /// The zone is down by votes that may be outdated because this proxy read them late. A zone in service
+    /// is not evacuated on them.
     PossiblyOutdatedDown,
 }
 
-/// A zone's state and the history that its next state depends on.
+/// The state of a zone and the history that its next state depends on.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneStatus {
     state: ZoneState,
-    /// Recoveries that failed since the zone was last stable: each doubles the hold.
+    /// The number of failed recoveries since the zone was last stable. Each one doubles the hold.
     failed_recoveries: u32,
     evacuated_at: Micros,
 }
@@ -59,12 +60,11 @@
 }
 
 impl ZoneStatus {
-    /// The state.
     pub fn state(&self) -> ZoneState {
         self.state
     }
 
-    /// Moves on to the next state; true where it changed.
+    /// Moves to the next state. Returns whether the state changed.
     pub fn update(&mut self, now: Micros, verdict: QuorumVerdict, terms: &FailoverTerms) -> bool {
         if now - self.evacuated_at > terms.hold_reset_after {
             self.failed_recoveries = 0;
@@ -83,7 +83,7 @@
 
     fn next_state(&self, now: Micros, verdict: QuorumVerdict, terms: &FailoverTerms) -> ZoneState {
         let is_down = verdict != QuorumVerdict::NotDown;
-        let hold = hold(self.failed_recoveries, terms);
+        let hold = hold_duration(self.failed_recoveries, terms);
         match self.state {
             ZoneState::InService if verdict == QuorumVerdict::Down => ZoneState::Evacuated { since: now },
             ZoneState::Recovering { .. } if is_down => ZoneState::Evacuated { since: now },
