--- a/crates/failover/src/controller.rs
+++ b/crates/failover/src/controller.rs
@@ -175,7 +175,7 @@
 
     /// Returns the number of peers whose votes are stored.
     pub fn voting_peer_count(&self) -> usize {
-        self.quorum.voting_peer_count()
+        self.quorum.stored_peer_count()
     }
 
     /// Returns the time at which something may change by the passage of time alone: a vote expires, a hold
--- a/crates/failover/src/quorum.rs
+++ b/crates/failover/src/quorum.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns the number of peers whose votes are stored.
-    pub fn voting_peer_count(&self) -> usize {
+    pub fn stored_peer_count(&self) -> usize {
         self.votes_by_peer.len()
     }
 
--- a/crates/failover/tests/fleet.rs
+++ b/crates/failover/tests/fleet.rs
@@ -138,7 +138,7 @@
 fn measure_agreement(n: usize, connected: bool, faults: LinkFaults, seed: u64) -> ([f64; 3], [f64; 3]) {
     let mut fleet = Fleet::new(n, connected, faults, seed);
     (0..300).for_each(|_| fleet.step(None));
-    let mut evacuated = [0.0; 3];
+    let mut evacuated_fractions = [0.0; 3];
     let mut agreeing = [0.0; 3];
     for step in 1..=500 {
         fleet.step(Some("isando"));
@@ -148,10 +148,10 @@
             500 => 2,
             _ => continue,
         };
-        evacuated[at] = fleet.evacuated_fraction("isando");
+        evacuated_fractions[at] = fleet.evacuated_fraction("isando");
         agreeing[at] = fleet.agreeing_fraction("isando");
     }
-    (evacuated, agreeing)
+    (evacuated_fractions, agreeing)
 }
 
 #[test]
@@ -178,9 +178,13 @@
 #[test]
 fn proxies_agree_under_loss_and_reordering() {
     let faults = LinkFaults { loss: 0.2, duplicate: 0.1, delay: MS, jitter: 5 * MS };
-    let (evacuated, _) = measure_agreement(30, true, faults, 5);
-    println!("evacuated the lost zone at 1, 2, 5 s under 20% loss: {evacuated:.2?}");
-    assert!(evacuated[2] >= 0.95, "only {:.2} had evacuated the zone after 5 s", evacuated[2]);
+    let (evacuated_under_loss, _) = measure_agreement(30, true, faults, 5);
+    println!("evacuated the lost zone at 1, 2, 5 s under 20% loss: {evacuated_under_loss:.2?}");
+    assert!(
+        evacuated_under_loss[2] >= 0.95,
+        "only {:.2} had evacuated the zone after 5 s",
+        evacuated_under_loss[2]
+    );
 }
 
 #[test]
