--- a/crates/budget/src/lease_holder.rs
+++ b/crates/budget/src/lease_holder.rs
@@ -3,7 +3,7 @@
 use crate::request_schedule::RequestSchedule;
 use crate::{
     BudgetAmount, BudgetId, BudgetKind, BudgetLimits, ConcurrencyBudget, GrantEffect, HolderId, LeaseGrant,
-    LeaseRequest, LeaseTable, LeaseTerms, Micros, RateMeter,
+    LeaseRequest, LeaseTable, LeaseTerms, Micros, RateLimiter,
 };
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
     terms: LeaseTerms,
     /// The quotas that this proxy has without a lease, whether or not allocators answer.
     static_quotas: BudgetLimits,
-    rate_meters: BTreeMap<BudgetId, RateMeter>,
+    rate_limiters: BTreeMap<BudgetId, RateLimiter>,
     concurrency_budgets: BTreeMap<BudgetId, ConcurrencyBudget>,
     schedule: RequestSchedule,
     /// Determines at which allocator this proxy starts to distribute the remainder of a demand that cannot
@@ -52,7 +52,7 @@
             schedule: RequestSchedule::new(terms.request_interval, allocators, now),
             terms,
             static_quotas: BudgetLimits::default(),
-            rate_meters: budgets.into_iter().map(|budget| (budget, RateMeter::new(now))).collect(),
+            rate_limiters: budgets.into_iter().map(|budget| (budget, RateLimiter::new(now))).collect(),
             concurrency_budgets: BTreeMap::new(),
             remainder_offset: holder >> 16 ^ holder,
         }
@@ -67,7 +67,7 @@
     /// proxy may have spent the quota until now.
     pub fn register(&mut self, now: Micros, budget: BudgetId) {
         if self.is_registered(budget)
-            || self.rate_meters.len() + self.concurrency_budgets.len() >= MAX_BUDGETS
+            || self.rate_limiters.len() + self.concurrency_budgets.len() >= MAX_BUDGETS
         {
             return;
         }
@@ -75,13 +75,13 @@
             let concurrency = ConcurrencyBudget::new(self.static_quota(budget), self.leases.allocators());
             self.concurrency_budgets.insert(budget, concurrency);
         } else {
-            self.rate_meters.insert(budget, RateMeter::new(now));
+            self.rate_limiters.insert(budget, RateLimiter::new(now));
         }
         self.schedule.request_soon_from_all(now);
     }
 
     fn is_registered(&self, budget: BudgetId) -> bool {
-        self.rate_meters.contains_key(&budget) || self.concurrency_budgets.contains_key(&budget)
+        self.rate_limiters.contains_key(&budget) || self.concurrency_budgets.contains_key(&budget)
     }
 
     fn static_quota(&self, budget: BudgetId) -> u64 {
@@ -91,7 +91,7 @@
     /// Removes the budgets for which `is_kept` returns false. A concurrency budget stays as long as any of
     /// its units is in use.
     pub fn retain(&mut self, is_kept: impl Fn(BudgetId) -> bool) {
-        self.rate_meters.retain(|budget, _| is_kept(*budget));
+        self.rate_limiters.retain(|budget, _| is_kept(*budget));
         self.concurrency_budgets.retain(|budget, concurrency| concurrency.in_use() > 0 || is_kept(*budget));
     }
 
@@ -122,9 +122,9 @@
         let position = (allocator as u64 + self.remainder_offset) % allocators;
         let part = |demand: u64| demand / reachable + u64::from(position < demand % reachable);
         let rates = self
-            .rate_meters
+            .rate_limiters
             .iter_mut()
-            .map(|(budget, meter)| BudgetAmount::new(*budget, part(meter.demand(now))));
+            .map(|(budget, limiter)| BudgetAmount::new(*budget, part(limiter.demand(now))));
         let mut demand: Vec<BudgetAmount> = rates.collect();
         demand.extend(
             self.concurrency_budgets
@@ -165,9 +165,9 @@
     /// Passes the current quotas to the limiters. This is done on every change, because a temporarily
     /// smaller quota limits the spending of the following second.
     pub fn refresh_quotas(&mut self, now: Micros) {
-        for (budget, meter) in &mut self.rate_meters {
+        for (budget, limiter) in &mut self.rate_limiters {
             let static_quota = self.static_quotas.get(*budget).unwrap_or(0);
-            meter.set_quota(now, self.leases.quota(now, *budget) + static_quota);
+            limiter.set_quota(now, self.leases.quota(now, *budget) + static_quota);
         }
         for (budget, concurrency) in &mut self.concurrency_budgets {
             concurrency.set_quotas(&self.leases.allocator_quotas(now, *budget));
@@ -177,7 +177,7 @@
     /// Spends a unit of a budget if its quota permits it. A budget that is not registered is not limited.
     pub fn try_spend(&mut self, now: Micros, budget: BudgetId) -> bool {
         let quota = self.quota(now, budget);
-        self.rate_meters.get_mut(&budget).is_none_or(|meter| meter.try_spend(now, quota))
+        self.rate_limiters.get_mut(&budget).is_none_or(|limiter| limiter.try_spend(now, quota))
     }
 
     /// Spends one unit of each budget, or of none of them. Every budget records the attempt, and those
@@ -187,8 +187,8 @@
         for budget in budgets {
             if is_permitted || !self.can_spend(now, *budget) {
                 self.try_spend(now, *budget);
-            } else if let Some(meter) = self.rate_meters.get_mut(budget) {
-                meter.record_attempt(now);
+            } else if let Some(limiter) = self.rate_limiters.get_mut(budget) {
+                limiter.record_attempt(now);
             }
         }
         is_permitted
@@ -197,7 +197,7 @@
     /// Returns whether a unit could be spent now, without spending it.
     pub fn can_spend(&mut self, now: Micros, budget: BudgetId) -> bool {
         let quota = self.quota(now, budget);
-        self.rate_meters.get_mut(&budget).is_none_or(|meter| meter.can_spend(now, quota))
+        self.rate_limiters.get_mut(&budget).is_none_or(|limiter| limiter.can_spend(now, quota))
     }
 
     /// Acquires a unit of a concurrency budget if its quota permits it. A budget that is not registered is
@@ -247,13 +247,13 @@
     }
 
     /// Returns the rate limiter of a budget.
-    pub fn rate_meter(&self, budget: BudgetId) -> Option<&RateMeter> {
-        self.rate_meters.get(&budget)
+    pub fn rate_limiter(&self, budget: BudgetId) -> Option<&RateLimiter> {
+        self.rate_limiters.get(&budget)
     }
 
     /// Returns the rate limiters of all budgets that limit units per second.
-    pub fn rate_meters(&self) -> impl Iterator<Item = (BudgetId, &RateMeter)> {
-        self.rate_meters.iter().map(|(budget, meter)| (*budget, meter))
+    pub fn rate_limiters(&self) -> impl Iterator<Item = (BudgetId, &RateLimiter)> {
+        self.rate_limiters.iter().map(|(budget, limiter)| (*budget, limiter))
     }
 
     /// Returns a concurrency budget.
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! - [`LeaseAllocator`]: leases out its part according to demand, and never more than that part.
 //! - [`LeaseTable`]: the leases that one proxy holds from all allocators.
-//! - [`RateMeter`]: enforces a quota per second and estimates the demand.
+//! - [`RateLimiter`]: enforces a quota per second and estimates the demand.
 //! - [`ConcurrencyBudget`]: limits the units that one proxy holds open at the same time, such as
 //!   connections.
 //! - [`TakeoverGuard`]: delays an allocator's leases after the set of allocators has changed.
@@ -62,7 +62,7 @@
 pub use lease_table::{AllocatorQuota, GrantEffect, LeaseTable};
 pub use limits::BudgetLimits;
 pub use messages::{BudgetAmount, LeaseGrant, LeaseRequest};
-pub use rate_meter::RateMeter;
+pub use rate_meter::RateLimiter;
 pub use takeover::{EpochAnnouncement, TakeoverGuard};
 pub use terms::LeaseTerms;
 
--- a/crates/budget/src/rate_meter.rs
+++ b/crates/budget/src/rate_meter.rs
@@ -31,7 +31,7 @@
 
 /// A sliding-window rate limiter for one budget at one proxy, which also estimates the demand.
 #[derive(Clone, Debug)]
-pub struct RateMeter {
+pub struct RateLimiter {
     /// The times at which units were spent within the last second.
     spends: VecDeque<Micros>,
     /// The quotas that were in force within the last second, oldest first.
@@ -49,10 +49,10 @@
     pub denied: u64,
 }
 
-impl RateMeter {
+impl RateLimiter {
     /// Creates a limiter without a quota.
-    pub fn new(now: Micros) -> RateMeter {
-        RateMeter {
+    pub fn new(now: Micros) -> RateLimiter {
+        RateLimiter {
             spends: VecDeque::new(),
             quotas: VecDeque::from([QuotaChange { from: now, quota: 0 }]),
             attempt_rate: 0.0,
--- a/crates/budget/tests/static_quotas.rs
+++ b/crates/budget/tests/static_quotas.rs
@@ -62,8 +62,11 @@
     [all, tenant].into_iter().for_each(|budget| holder.register(0, budget));
     holder.due_requests(0);
     let spent = (0..50).filter(|n| holder.try_spend_all(2 * S + n, &[all, tenant])).count();
-    assert_eq!((spent, holder.rate_meter(all).unwrap().spent), (10, 10));
-    assert_eq!((holder.rate_meter(tenant).unwrap().denied, holder.rate_meter(all).unwrap().denied), (40, 0));
+    assert_eq!((spent, holder.rate_limiter(all).unwrap().spent), (10, 10));
+    assert_eq!(
+        (holder.rate_limiter(tenant).unwrap().denied, holder.rate_limiter(all).unwrap().denied),
+        (40, 0)
+    );
     let demand: Vec<u64> =
         holder.due_requests(2 * S)[0].1.demand.iter().map(|demand| demand.amount).collect();
     assert!(demand.iter().all(|demand| *demand >= 30), "demand {demand:?} after 50 attempts");
--- a/crates/failover/src/controller.rs
+++ b/crates/failover/src/controller.rs
@@ -5,7 +5,7 @@
 use crate::stall::StallDetector;
 use crate::votes::{Vote, VoteVersion, DISTANT_PAST};
 use crate::zone_state::{QuorumVerdict, ZoneState, ZoneStatus};
-use crate::{FailoverTerms, Micros, PeerId, ZoneVote};
+use crate::{FailoverConfig, Micros, PeerId, ZoneVote};
 use std::collections::BTreeMap;
 
 /// The maximum number of tracked zones. Any further zone keeps all of its reads.
@@ -28,7 +28,7 @@
 /// The failover controller of one proxy, which decides from its own outcomes and the votes of its peers.
 #[derive(Clone, Debug, Default)]
 pub struct FailoverController {
-    terms: FailoverTerms,
+    config: FailoverConfig,
     isolation: IsolationPolicy,
     detectors: BTreeMap<String, ZoneFailureDetector>,
     quorum: Quorum,
@@ -43,8 +43,8 @@
 
 impl FailoverController {
     /// Creates the controller of a proxy that has seen no outcomes yet.
-    pub fn new(terms: FailoverTerms, isolation: IsolationPolicy) -> Self {
-        FailoverController { terms, isolation, ..FailoverController::default() }
+    pub fn new(config: FailoverConfig, isolation: IsolationPolicy) -> Self {
+        FailoverController { config, isolation, ..FailoverController::default() }
     }
 
     /// Records an outcome of a member of `zone`.
@@ -52,7 +52,7 @@
         self.record_call(now);
         if self.register_zone(zone) {
             let detector = self.detectors.entry(zone.to_string()).or_default();
-            detector.record(now, member, outcome, &self.terms);
+            detector.record(now, member, outcome, &self.config);
         }
     }
 
@@ -62,7 +62,7 @@
         self.record_call(now);
         if !self.stall.is_before_resumption(sent_at) && self.register_zone(zone) {
             let detector = self.detectors.entry(zone.to_string()).or_default();
-            detector.record_timeout(now, sent_at, member, &self.terms);
+            detector.record_timeout(now, sent_at, member, &self.config);
         }
     }
 
@@ -91,18 +91,18 @@
 
     /// Returns this proxy's own vote on a zone.
     pub fn own_vote(&mut self, zone: &str, now: Micros) -> Vote {
-        self.detectors.get_mut(zone).map_or(Vote::Unknown, |detector| detector.vote(now, &self.terms))
+        self.detectors.get_mut(zone).map_or(Vote::Unknown, |detector| detector.vote(now, &self.config))
     }
 
     /// Returns this proxy's votes if they have to be published: because they changed since the last call,
     /// or because one of them is Down and is due to be repeated.
     pub fn votes_to_publish(&mut self, now: Micros) -> Option<Vec<ZoneVote>> {
-        let terms = &self.terms;
+        let config = &self.config;
         let detectors = self.detectors.iter_mut();
         let votes: Vec<ZoneVote> =
-            detectors.map(|(zone, detector)| ZoneVote::new(zone, detector.vote(now, terms))).collect();
+            detectors.map(|(zone, detector)| ZoneVote::new(zone, detector.vote(now, config))).collect();
         let has_down = votes.iter().any(|vote| vote.vote == Vote::Down);
-        let repeats_down = has_down && now - self.published_at >= terms.vote_ttl / DOWN_REPEATS_PER_TTL;
+        let repeats_down = has_down && now - self.published_at >= config.vote_ttl / DOWN_REPEATS_PER_TTL;
         if votes == self.published && !repeats_down {
             return None;
         }
@@ -124,7 +124,7 @@
         if self.is_isolated() {
             return self.isolation == IsolationPolicy::FollowOwnVote && own_vote == Vote::Down;
         }
-        self.quorum.is_down(zone, own_vote, now, &self.terms)
+        self.quorum.is_down(zone, own_vote, now, &self.config)
     }
 
     /// Re-evaluates the state of each zone. Returns whether any state changed.
@@ -135,7 +135,7 @@
         for name in names {
             let verdict = self.verdict(&name, now);
             if let Some(zone) = self.zones.get_mut(&name) {
-                has_changed |= zone.update(now, verdict, &self.terms);
+                has_changed |= zone.update(now, verdict, &self.config);
             }
         }
         has_changed
@@ -159,12 +159,12 @@
     /// Returns the fraction of its reads that a zone gets now: none while it is evacuated, and while it
     /// recovers a fraction that grows like the capacity of a cold member.
     pub fn read_share(&self, zone: &str, now: Micros) -> f64 {
-        self.zone_state(zone).read_share(now, &self.terms)
+        self.zone_state(zone).read_share(now, &self.config)
     }
 
     /// Returns the zones that do not get all of their reads, with their fractions.
     pub fn reduced_shares(&self, now: Micros) -> Vec<(String, f64)> {
-        let shares = self.zones.iter().map(|(name, zone)| (name, zone.state().read_share(now, &self.terms)));
+        let shares = self.zones.iter().map(|(name, zone)| (name, zone.state().read_share(now, &self.config)));
         shares.filter(|(_, share)| *share < 1.0).map(|(name, share)| (name.clone(), share)).collect()
     }
 
@@ -183,7 +183,7 @@
     pub fn next_due(&self, now: Micros) -> Micros {
         let is_any_reduced = self.zones.values().any(|zone| zone.state() != ZoneState::InService);
         if is_any_reduced || !self.detectors.is_empty() {
-            now + self.terms.window / EVALUATIONS_PER_WINDOW
+            now + self.config.window / EVALUATIONS_PER_WINDOW
         } else {
             Micros::MAX
         }
@@ -193,13 +193,13 @@
     /// with datagrams and timeouts that are outdated at the other proxies. Until it has read them it
     /// evacuates no zone, and timeouts of requests that it sent before the stall do not count.
     fn record_call(&mut self, now: Micros) {
-        if self.stall.record_call(now, self.terms.max_call_gap) {
+        if self.stall.record_call(now, self.config.max_call_gap) {
             self.quorum.expire_down_votes();
         }
     }
 
     fn is_catching_up(&self, now: Micros) -> bool {
-        self.stall.is_catching_up(now, self.terms.window)
+        self.stall.is_catching_up(now, self.config.window)
     }
 
     /// Starts tracking a zone. Returns false if too many zones are tracked already.
--- a/crates/failover/src/encoding.rs
+++ b/crates/failover/src/encoding.rs
@@ -3,7 +3,7 @@
 use crate::ZoneVote;
 
 /// The topic of the gossip notes in which proxies publish their votes.
-pub const TOPIC: u8 = 1;
+pub const VOTES_TOPIC: u8 = 1;
 
 /// The error returned for a note body that is not a list of votes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/failover/src/failure_detector.rs
+++ b/crates/failover/src/failure_detector.rs
@@ -2,7 +2,7 @@
 //! vote on the zone.
 
 use crate::votes::Vote;
-use crate::{FailoverTerms, Micros};
+use crate::{FailoverConfig, Micros};
 use std::collections::VecDeque;
 
 /// The maximum number of outcomes kept per zone. Beyond it the oldest are dropped, which only shortens the
@@ -38,7 +38,7 @@
 
 impl ZoneFailureDetector {
     /// Records an outcome of a member.
-    pub fn record(&mut self, now: Micros, member: u32, outcome: MemberOutcome, terms: &FailoverTerms) {
+    pub fn record(&mut self, now: Micros, member: u32, outcome: MemberOutcome, config: &FailoverConfig) {
         if outcome == MemberOutcome::Answered {
             self.answered_at = Some(now);
         }
@@ -46,21 +46,21 @@
             self.observations.pop_front();
         }
         self.observations.push_back(Observation { at: now, member, outcome });
-        self.update_vote(now, terms);
+        self.update_vote(now, config);
     }
 
     /// Records the timeout, at `now`, of a request sent at `sent_at`. A request sent before the zone's last
     /// answer is ignored because it is no newer evidence: a request with a long timeout that was sent while
     /// the zone was lost may end after the zone has returned.
-    pub fn record_timeout(&mut self, now: Micros, sent_at: Micros, member: u32, terms: &FailoverTerms) {
+    pub fn record_timeout(&mut self, now: Micros, sent_at: Micros, member: u32, config: &FailoverConfig) {
         if self.answered_at.is_none_or(|answered_at| answered_at < sent_at) {
-            self.record(now, member, MemberOutcome::Silent, terms);
+            self.record(now, member, MemberOutcome::Silent, config);
         }
     }
 
     /// Returns the vote as of `now`.
-    pub fn vote(&mut self, now: Micros, terms: &FailoverTerms) -> Vote {
-        self.update_vote(now, terms);
+    pub fn vote(&mut self, now: Micros, config: &FailoverConfig) -> Vote {
+        self.update_vote(now, config);
         self.vote
     }
 
@@ -69,18 +69,18 @@
         self.observations.len()
     }
 
-    fn update_vote(&mut self, now: Micros, terms: &FailoverTerms) {
-        self.expire_observations(now, terms.window);
+    fn update_vote(&mut self, now: Micros, config: &FailoverConfig) {
+        self.expire_observations(now, config.window);
         if self.has_answer() {
             self.confirm(now, Vote::Up);
-        } else if self.is_silent(terms) {
+        } else if self.is_silent(config) {
             self.confirm(now, Vote::Down);
         } else if !self.observations.is_empty() && self.vote == Vote::Up {
             // No answer since the last one: the zone is no longer known to answer, but not yet known to be
             // silent.
             self.vote = Vote::Unknown;
         } else {
-            self.expire_vote(now, terms);
+            self.expire_vote(now, config);
         }
     }
 
@@ -96,12 +96,12 @@
 
     /// Returns whether there are enough silent outcomes from enough members. The caller has checked that no
     /// outcome in the window is an answer.
-    fn is_silent(&self, terms: &FailoverTerms) -> bool {
+    fn is_silent(&self, config: &FailoverConfig) -> bool {
         let mut members: Vec<u32> = self.observations.iter().map(|observation| observation.member).collect();
         members.sort_unstable();
         members.dedup();
-        self.observations.len() as u32 >= terms.min_silent_outcomes
-            && members.len() >= terms.min_silent_members
+        self.observations.len() as u32 >= config.min_silent_outcomes
+            && members.len() >= config.min_silent_members
     }
 
     fn confirm(&mut self, now: Micros, vote: Vote) {
@@ -109,8 +109,8 @@
         self.confirmed_at = now;
     }
 
-    fn expire_vote(&mut self, now: Micros, terms: &FailoverTerms) {
-        let ttl = if self.vote == Vote::Up { terms.up_vote_ttl } else { terms.vote_ttl };
+    fn expire_vote(&mut self, now: Micros, config: &FailoverConfig) {
+        let ttl = if self.vote == Vote::Up { config.up_vote_ttl } else { config.vote_ttl };
         if now - self.confirmed_at > ttl {
             self.vote = Vote::Unknown;
         }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -13,11 +13,11 @@
 //!
 //! ```
 //! use wharfplank_failover::{
-//!     FailoverController, FailoverTerms, IsolationPolicy, MemberOutcome, Vote, VoteVersion, ZoneState,
+//!     FailoverController, FailoverConfig, IsolationPolicy, MemberOutcome, Vote, VoteVersion, ZoneState,
 //!     ZoneVote,
 //! };
 //!
-//! let mut failover = FailoverController::new(FailoverTerms::default(), IsolationPolicy::KeepServing);
+//! let mut failover = FailoverController::new(FailoverConfig::default(), IsolationPolicy::KeepServing);
 //! let mut now = 0;
 //! for member in [1, 2, 1, 2] {
 //!     now += 100_000;
@@ -46,10 +46,10 @@
 mod zone_state;
 
 pub use controller::{FailoverController, IsolationPolicy, MAX_ZONES};
-pub use encoding::{decode_votes, encode_votes, DecodeError, TOPIC};
+pub use encoding::{decode_votes, encode_votes, DecodeError, VOTES_TOPIC};
 pub use failure_detector::{MemberOutcome, ZoneFailureDetector, MAX_OUTCOMES};
 pub use quorum::MAX_PEERS;
-pub use terms::FailoverTerms;
+pub use terms::FailoverConfig;
 pub use votes::{Vote, VoteVersion, ZoneVote};
 pub use zone_state::ZoneState;
 
--- a/crates/failover/src/quorum.rs
+++ b/crates/failover/src/quorum.rs
@@ -1,7 +1,7 @@
 //! The peers, their votes, and the quorum that they form together with this proxy.
 
 use crate::votes::{PeerVotes, Vote, VoteVersion, DISTANT_PAST};
-use crate::{FailoverTerms, Micros, PeerId, ZoneVote};
+use crate::{FailoverConfig, Micros, PeerId, ZoneVote};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The maximum number of peers whose votes are stored. Votes of further peers are ignored until a stored
@@ -70,17 +70,17 @@
 
     /// Returns whether a quorum of the live proxies votes Down: a majority of those with a vote other than
     /// Unknown, who must be at least `min_voter_fraction` of the live proxies.
-    pub fn is_down(&self, zone: &str, own_vote: Vote, now: Micros, terms: &FailoverTerms) -> bool {
+    pub fn is_down(&self, zone: &str, own_vote: Vote, now: Micros, config: &FailoverConfig) -> bool {
         let live_votes = self.live_peers.iter().filter_map(|peer| self.votes_by_peer.get(peer));
         let votes: Vec<Vote> = live_votes
-            .map(|peer_votes| peer_votes.vote(zone, now, terms.vote_ttl))
+            .map(|peer_votes| peer_votes.vote(zone, now, config.vote_ttl))
             .chain(std::iter::once(own_vote))
             .collect();
         let down_votes = votes.iter().filter(|vote| **vote == Vote::Down).count();
         let voters = votes.iter().filter(|vote| **vote != Vote::Unknown).count();
         let live_proxies = self.live_peers.len() + 1;
         let is_majority = down_votes * 2 > voters;
-        let has_enough_voters = voters as f64 >= terms.min_voter_fraction * live_proxies as f64;
+        let has_enough_voters = voters as f64 >= config.min_voter_fraction * live_proxies as f64;
         is_majority && has_enough_voters && down_votes >= MIN_DOWN_VOTES
     }
 }
--- a/crates/failover/src/terms.rs
+++ b/crates/failover/src/terms.rs
@@ -5,7 +5,7 @@
 /// The thresholds and time spans of the failover decision. Those of the recovery ramp come from the
 /// platform's settings (`Rules.ColdFrom`, `Rules.ColdUs`); the others are defined by this crate.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FailoverTerms {
+pub struct FailoverConfig {
     /// The length of the window within which outcomes of a zone are evaluated together.
     pub window: Micros,
     /// The number of silent outcomes (failed connections and missing answers) within the window at which
@@ -43,9 +43,9 @@
     pub min_voter_fraction: f64,
 }
 
-impl Default for FailoverTerms {
+impl Default for FailoverConfig {
     fn default() -> Self {
-        FailoverTerms {
+        FailoverConfig {
             window: 1_000_000,
             min_silent_outcomes: 3,
             min_silent_members: 2,
--- a/crates/failover/src/zone_state.rs
+++ b/crates/failover/src/zone_state.rs
@@ -2,7 +2,7 @@
 
 use crate::recovery::{hold_duration, ramp_share};
 use crate::votes::DISTANT_PAST;
-use crate::{FailoverTerms, Micros};
+use crate::{FailoverConfig, Micros};
 
 /// The state of a zone with regard to this proxy's reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,11 +23,11 @@
 
 impl ZoneState {
     /// Returns the fraction of its reads that the zone gets now.
-    pub(crate) fn read_share(self, now: Micros, terms: &FailoverTerms) -> f64 {
+    pub(crate) fn read_share(self, now: Micros, config: &FailoverConfig) -> f64 {
         match self {
             ZoneState::InService => 1.0,
             ZoneState::Evacuated { .. } => 0.0,
-            ZoneState::Recovering { since } => ramp_share(since, now, terms),
+            ZoneState::Recovering { since } => ramp_share(since, now, config),
         }
     }
 }
@@ -65,11 +65,11 @@
     }
 
     /// Moves to the next state. Returns whether the state changed.
-    pub fn update(&mut self, now: Micros, verdict: QuorumVerdict, terms: &FailoverTerms) -> bool {
-        if now - self.evacuated_at > terms.hold_reset_after {
+    pub fn update(&mut self, now: Micros, verdict: QuorumVerdict, config: &FailoverConfig) -> bool {
+        if now - self.evacuated_at > config.hold_reset_after {
             self.failed_recoveries = 0;
         }
-        let next = self.next_state(now, verdict, terms);
+        let next = self.next_state(now, verdict, config);
         if next == self.state {
             return false;
         }
@@ -81,16 +81,16 @@
         true
     }
 
-    fn next_state(&self, now: Micros, verdict: QuorumVerdict, terms: &FailoverTerms) -> ZoneState {
+    fn next_state(&self, now: Micros, verdict: QuorumVerdict, config: &FailoverConfig) -> ZoneState {
         let is_down = verdict != QuorumVerdict::NotDown;
-        let hold = hold_duration(self.failed_recoveries, terms);
+        let hold = hold_duration(self.failed_recoveries, config);
         match self.state {
             ZoneState::InService if verdict == QuorumVerdict::Down => ZoneState::Evacuated { since: now },
             ZoneState::Recovering { .. } if is_down => ZoneState::Evacuated { since: now },
             ZoneState::Evacuated { since } if !is_down && now - since >= hold => {
                 ZoneState::Recovering { since: now }
             }
-            ZoneState::Recovering { since } if now - since >= terms.ramp_duration => ZoneState::InService,
+            ZoneState::Recovering { since } if now - since >= config.ramp_duration => ZoneState::InService,
             state => state,
         }
     }
--- a/crates/failover/tests/controller.rs
+++ b/crates/failover/tests/controller.rs
@@ -2,14 +2,14 @@
 
 use wharfplank_failover::MemberOutcome::{Answered, Silent};
 use wharfplank_failover::{
-    FailoverController, FailoverTerms, IsolationPolicy, Micros, Vote, VoteVersion, ZoneState, ZoneVote,
+    FailoverConfig, FailoverController, IsolationPolicy, Micros, Vote, VoteVersion, ZoneState, ZoneVote,
     MAX_PEERS, MAX_ZONES,
 };
 
 const S: Micros = 1_000_000;
 
 fn controller(isolation: IsolationPolicy) -> FailoverController {
-    FailoverController::new(FailoverTerms::default(), isolation)
+    FailoverController::new(FailoverConfig::default(), isolation)
 }
 
 /// Records enough silent outcomes of a zone's members for a Down vote.
@@ -97,7 +97,7 @@
 
 #[test]
 fn evacuated_zone_recovers_gradually_and_backs_off() {
-    let terms = FailoverTerms::default();
+    let config = FailoverConfig::default();
     let mut failover = controller(IsolationPolicy::FollowOwnVote);
     record_silence(&mut failover, 0, "a");
     failover.evaluate(0);
@@ -109,9 +109,9 @@
         now += S / 10;
         failover.evaluate(now);
     }
-    assert!(now >= terms.vote_ttl.max(terms.min_hold), "recovered after {now} µs");
-    assert!((failover.read_share("a", now) - terms.ramp_start).abs() < 1e-9);
-    assert!(failover.read_share("a", now + terms.ramp_duration / 2) < 1.0);
+    assert!(now >= config.vote_ttl.max(config.min_hold), "recovered after {now} µs");
+    assert!((failover.read_share("a", now) - config.ramp_start).abs() < 1e-9);
+    assert!(failover.read_share("a", now + config.ramp_duration / 2) < 1.0);
     // The zone is still silent: it is evacuated again and held twice as long.
     record_silence(&mut failover, now, "a");
     failover.evaluate(now + 3);
@@ -122,15 +122,15 @@
         failover.evaluate(now);
     }
     assert!(
-        now - evacuated_at >= 2 * terms.min_hold,
+        now - evacuated_at >= 2 * config.min_hold,
         "held {} µs after a failed recovery",
         now - evacuated_at
     );
     // The zone answers, so the recovery continues to all reads.
     failover.record(now, "a", 1, Answered);
-    failover.evaluate(now + terms.ramp_duration);
+    failover.evaluate(now + config.ramp_duration);
     assert_eq!(failover.zone_state("a"), ZoneState::InService);
-    assert_eq!(failover.read_share("a", now + terms.ramp_duration), 1.0);
+    assert_eq!(failover.read_share("a", now + config.ramp_duration), 1.0);
 }
 
 #[test]
@@ -164,20 +164,20 @@
 
 #[test]
 fn down_votes_expire_unless_repeated() {
-    let terms = FailoverTerms::default();
+    let config = FailoverConfig::default();
     let mut failover = controller(IsolationPolicy::KeepServing);
     failover.set_live_peers(0, [1, 2, 3].into_iter());
     [1, 2].into_iter().for_each(|peer| failover.on_peer_votes(0, peer, version(1), &down("a")));
     // This proxy misses the notes that withdraw these votes, as a proxy does that was away.
     let mut now = 0;
-    while now < terms.vote_ttl + S {
+    while now < config.vote_ttl + S {
         now += S / 10;
         failover.set_live_peers(now, [1, 2, 3].into_iter());
         [1, 2].into_iter().for_each(|peer| failover.on_peer_votes(now, peer, version(1), &down("a")));
         failover.evaluate(now);
     }
     failover.record(now, "a", 1, Answered);
-    failover.evaluate(now + terms.min_hold);
+    failover.evaluate(now + config.min_hold);
     assert!(!is_evacuated(&failover, "a"), "evacuated on expired votes");
     assert!(!failover.is_down_by_quorum("a", now));
     [1, 2].into_iter().for_each(|peer| failover.on_peer_votes(now, peer, version(2), &down("a")));
@@ -187,7 +187,7 @@
     record_silence(&mut own, 0, "a");
     assert!(own.votes_to_publish(3).is_some());
     assert!(own.votes_to_publish(S).is_none());
-    assert!(own.votes_to_publish(terms.vote_ttl / 3 + 3).is_some());
+    assert!(own.votes_to_publish(config.vote_ttl / 3 + 3).is_some());
 }
 
 #[test]
--- a/crates/failover/tests/fleet.rs
+++ b/crates/failover/tests/fleet.rs
@@ -6,8 +6,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use wharfplank_failover::{
-    decode_votes, encode_votes, FailoverController, FailoverTerms, IsolationPolicy, MemberOutcome,
-    VoteVersion, ZoneState, TOPIC,
+    decode_votes, encode_votes, FailoverConfig, FailoverController, IsolationPolicy, MemberOutcome,
+    VoteVersion, ZoneState, VOTES_TOPIC,
 };
 use wharfplank_gossip::simulation::{LinkFaults, SimulatedNetwork};
 use wharfplank_gossip::{Micros, SwimConfig};
@@ -63,7 +63,7 @@
         }
         let isolation = if connected { IsolationPolicy::KeepServing } else { IsolationPolicy::FollowOwnVote };
         let controllers =
-            (0..n).map(|_| FailoverController::new(FailoverTerms::default(), isolation)).collect();
+            (0..n).map(|_| FailoverController::new(FailoverConfig::default(), isolation)).collect();
         let pending = (0..n).map(|_| Vec::new()).collect();
         Fleet { network, controllers, pending, rng: SmallRng::seed_from_u64(seed) }
     }
@@ -99,7 +99,7 @@
             let alive: Vec<u64> = membership.live_peers().map(|peer| peer_id(peer.addr)).collect();
             let notes: Vec<_> = membership
                 .notes()
-                .by_topic(TOPIC)
+                .by_topic(VOTES_TOPIC)
                 .map(|note| {
                     let version = VoteVersion { generation: note.generation, version: note.version };
                     (peer_id(note.origin), version, note.body.clone())
@@ -113,7 +113,7 @@
             }
             self.controllers[i].set_live_peers(now, alive.into_iter());
             if let Some(votes) = self.controllers[i].votes_to_publish(now) {
-                membership.publish(TOPIC, encode_votes(&votes)).unwrap();
+                membership.publish(VOTES_TOPIC, encode_votes(&votes)).unwrap();
             }
             self.controllers[i].evaluate(now);
         }
--- a/crates/proxy/src/gossip/config.rs
+++ b/crates/proxy/src/gossip/config.rs
@@ -1,7 +1,7 @@
 //! The parameters of membership, failover and shared state, as the settings give them.
 
 use crate::config::Config;
-use wharfplank_failover::{FailoverTerms, IsolationPolicy};
+use wharfplank_failover::{FailoverConfig, IsolationPolicy};
 use wharfplank_gossip::SwimConfig;
 use wharfplank_settings::{GossipSettings, MinorityBehavior, SharedStateSettings};
 use wharfplank_shared_state::SharedStateConfig;
@@ -22,11 +22,11 @@
 }
 
 /// A returning zone ramps up as a member in slow start does, by the platform's own parameters where it gives them.
-pub(super) fn failover_terms(config: &Config) -> FailoverTerms {
-    let defaults = FailoverTerms::default();
+pub(super) fn failover_config(config: &Config) -> FailoverConfig {
+    let defaults = FailoverConfig::default();
     let slow_start_span = config.settings.slow_start_span;
     let (min_ramp_start, max_ramp_start) = RAMP_START_BOUNDS;
-    FailoverTerms {
+    FailoverConfig {
         ramp_start: config.settings.slow_start_from.clamp(min_ramp_start, max_ramp_start),
         ramp_duration: if slow_start_span > 0 { slow_start_span } else { defaults.ramp_duration },
         ..defaults
--- a/crates/proxy/src/gossip/mod.rs
+++ b/crates/proxy/src/gossip/mod.rs
@@ -63,7 +63,7 @@
     let me = Peer::new(advertise, &config.parameters.zone, (now / 1000).max(1) as u64);
     let seed = config.settings.seed;
     let swim = config::swim_config(peers);
-    let failover = config::failover_terms(config);
+    let failover = config::failover_config(config);
     let isolation = config::isolation_policy(peers);
     let evaluates_health = settings.health.is_some();
 
--- a/crates/transport/src/budgets/log.rs
+++ b/crates/transport/src/budgets/log.rs
@@ -50,7 +50,7 @@
     /// The usage of a kind; `None` where there is no budget of it.
     pub fn of(holder: &LeaseHolder, now: Micros, kind: BudgetKind) -> Option<BudgetUsage> {
         let is_of_kind = |budget: BudgetId| BudgetKind::of(budget) == Some(kind);
-        let rates = holder.rate_meters().filter(|(budget, _)| is_of_kind(*budget));
+        let rates = holder.rate_limiters().filter(|(budget, _)| is_of_kind(*budget));
         let rates = rates.map(|(budget, meter)| BudgetUsage {
             quota: holder.quota(now, budget),
             spent: meter.spent,
--- a/crates/transport/src/budgets/mod.rs
+++ b/crates/transport/src/budgets/mod.rs
@@ -179,7 +179,7 @@
             return false;
         }
         if let Some(trace) = trace {
-            for budget in budgets.iter().filter(|budget| holder.rate_meter(**budget).is_some()) {
+            for budget in budgets.iter().filter(|budget| holder.rate_limiter(**budget).is_some()) {
                 trace.record_spend(now, *budget);
             }
         }
--- a/crates/transport/src/gossip/zones.rs
+++ b/crates/transport/src/gossip/zones.rs
@@ -3,7 +3,7 @@
 use super::driver::Driver;
 use super::{peer_key, GossipLogEvent, GossipUpdate};
 use std::collections::{BTreeMap, BTreeSet};
-use wharfplank_failover::{decode_votes, encode_votes, VoteVersion, TOPIC};
+use wharfplank_failover::{decode_votes, encode_votes, VoteVersion, VOTES_TOPIC};
 use wharfplank_routing::Micros;
 
 /// The least change of a share that is reported.
@@ -30,7 +30,7 @@
         self.worker.failover.set_live_peers(now, live_peers);
         if let Some(votes) = self.worker.failover.votes_to_publish(now) {
             // Votes that do not fit a note are not published: the peers keep the older ones.
-            let _ = self.worker.membership.publish(TOPIC, encode_votes(&votes));
+            let _ = self.worker.membership.publish(VOTES_TOPIC, encode_votes(&votes));
         }
     }
 
@@ -39,7 +39,7 @@
         let local_addr = membership.local_peer().addr;
         let notes = membership.notes();
         notes
-            .by_topic(TOPIC)
+            .by_topic(VOTES_TOPIC)
             .filter(|note| note.origin != local_addr)
             .map(|note| VoteNote {
                 peer: peer_key(note.origin),
