--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -49,7 +49,7 @@
 mod lease_table;
 mod limits;
 mod messages;
-mod rate_meter;
+mod rate_limiter;
 mod request_schedule;
 mod takeover;
 mod terms;
@@ -62,7 +62,7 @@
 pub use lease_table::{AllocatorQuota, GrantEffect, LeaseTable};
 pub use limits::BudgetLimits;
 pub use messages::{BudgetAmount, LeaseGrant, LeaseRequest};
-pub use rate_meter::RateLimiter;
+pub use rate_limiter::RateLimiter;
 pub use takeover::{EpochAnnouncement, TakeoverGuard};
 pub use terms::LeaseTerms;
 
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -35,21 +35,21 @@
 //! assert_eq!(failover.read_share("b", now), 0.0);
 //! ```
 
+mod config;
 mod controller;
 mod encoding;
 mod failure_detector;
 mod quorum;
 mod recovery;
 mod stall;
-mod terms;
 mod votes;
 mod zone_state;
 
+pub use config::FailoverConfig;
 pub use controller::{FailoverController, IsolationPolicy, MAX_ZONES};
 pub use encoding::{decode_votes, encode_votes, DecodeError, VOTES_TOPIC};
 pub use failure_detector::{MemberOutcome, ZoneFailureDetector, MAX_OUTCOMES};
 pub use quorum::MAX_PEERS;
-pub use terms::FailoverConfig;
 pub use votes::{Vote, VoteVersion, ZoneVote};
 pub use zone_state::ZoneState;
 
