--- a/crates/failover/src/failure_detector.rs
+++ b/crates/failover/src/failure_detector.rs
@@ -1,18 +1,20 @@
-//! What this proxy has seen of one zone's members, and its own vote on the zone.
+//! The failure detector of one zone: outcomes of its members as seen by this proxy, and this proxy's own
+//! vote on the zone.
 
 use crate::votes::Vote;
-use crate::{FailoverTerms, Micros};
+use crate::{FailoverConfig, Micros};
 use std::collections::VecDeque;
 
-/// Outcomes of a zone kept at most: past that the oldest go, which only shortens the window under a flood.
+/// The maximum number of outcomes kept per zone. Beyond it the oldest are dropped, which only shortens the
+/// window under a flood of outcomes.
 pub const MAX_OUTCOMES: usize = 256;
 
-/// What became of something that was sent to a member.
+/// The outcome of a request to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberOutcome {
-    /// The member answered in any way: a value, an error, a miss, or that it is overloaded.
+    /// The member answered in any way: with a value, an error, a miss, or an overload rejection.
     Answered,
-    /// There was no connection, or no answer in time.
+    /// The connection failed, or no answer arrived in time.
     Silent,
 }
 
@@ -23,20 +25,20 @@
     outcome: MemberOutcome,
 }
 
-/// Detects at one proxy that a zone's members stopped answering.
+/// Detects that the members of a zone have stopped answering one proxy.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneFailureDetector {
     observations: VecDeque<Observation>,
     vote: Vote,
-    /// When the vote was last confirmed.
+    /// The time at which the vote was last confirmed.
     confirmed_at: Micros,
-    /// When the zone last answered.
+    /// The time of the zone's last answer.
     answered_at: Option<Micros>,
 }
 
 impl ZoneFailureDetector {
     /// Records an outcome of a member.
-    pub fn record(&mut self, now: Micros, member: u32, outcome: MemberOutcome, terms: &FailoverTerms) {
+    pub fn record(&mut self, now: Micros, member: u32, outcome: MemberOutcome, config: &FailoverConfig) {
         if outcome == MemberOutcome::Answered {
             self.answered_at = Some(now);
         }
@@ -44,39 +46,41 @@
             self.observations.pop_front();
         }
         self.observations.push_back(Observation { at: now, member, outcome });
-        self.update_vote(now, terms);
+        self.update_vote(now, config);
     }
 
-    /// Records that what was sent at `sent_at` has timed out by now. A request sent before the zone's last answer says
-    /// nothing newer than that answer: a long wait that began while the zone was lost ends after its return.
-    pub fn record_timeout(&mut self, now: Micros, sent_at: Micros, member: u32, terms: &FailoverTerms) {
+    /// Records the timeout, at `now`, of a request sent at `sent_at`. A request sent before the zone's last
+    /// answer is ignored because it is no newer evidence: a request with a long timeout that was sent while
+    /// the zone was lost may end after the zone has returned.
+    pub fn record_timeout(&mut self, now: Micros, sent_at: Micros, member: u32, config: &FailoverConfig) {
         if self.answered_at.is_none_or(|answered_at| answered_at < sent_at) {
-            self.record(now, member, MemberOutcome::Silent, terms);
+            self.record(now, member, MemberOutcome::Silent, config);
         }
     }
 
-    /// The vote as of now.
-    pub fn vote(&mut self, now: Micros, terms: &FailoverTerms) -> Vote {
-        self.update_vote(now, terms);
+    /// Returns the vote as of `now`.
+    pub fn vote(&mut self, now: Micros, config: &FailoverConfig) -> Vote {
+        self.update_vote(now, config);
         self.vote
     }
 
-    /// How many outcomes are kept.
+    /// Returns the number of stored outcomes.
     pub fn outcome_count(&self) -> usize {
         self.observations.len()
     }
 
-    fn update_vote(&mut self, now: Micros, terms: &FailoverTerms) {
-        self.expire_observations(now, terms.window);
+    fn update_vote(&mut self, now: Micros, config: &FailoverConfig) {
+        self.expire_observations(now, config.window);
         if self.has_answer() {
             self.confirm(now, Vote::Up);
-        } else if self.is_silent(terms) {
+        } else if self.is_silent(config) {
             self.confirm(now, Vote::Down);
         } else if !self.observations.is_empty() && self.vote == Vote::Up {
-            // Silence since the last answer: the zone is no longer known to answer, nor yet known not to.
+            // No answer since the last one: the zone is no longer known to answer, but not yet known to be
+            // silent.
             self.vote = Vote::Unknown;
         } else {
-            self.expire_vote(now, terms);
+            self.expire_vote(now, config);
         }
     }
 
@@ -90,13 +94,14 @@
         self.observations.iter().any(|observation| observation.outcome == MemberOutcome::Answered)
     }
 
-    /// Whether enough outcomes of enough members are silent, where none is an answer.
-    fn is_silent(&self, terms: &FailoverTerms) -> bool {
+    /// Returns whether there are enough silent outcomes from enough members. The caller has checked that no
+    /// outcome in the window is an answer.
+    fn is_silent(&self, config: &FailoverConfig) -> bool {
         let mut members: Vec<u32> = self.observations.iter().map(|observation| observation.member).collect();
         members.sort_unstable();
         members.dedup();
-        self.observations.len() as u32 >= terms.min_silent_outcomes
-            && members.len() >= terms.min_silent_members
+        self.observations.len() as u32 >= config.min_silent_outcomes
+            && members.len() >= config.min_silent_members
     }
 
     fn confirm(&mut self, now: Micros, vote: Vote) {
@@ -104,8 +109,8 @@
         self.confirmed_at = now;
     }
 
-    fn expire_vote(&mut self, now: Micros, terms: &FailoverTerms) {
-        let ttl = if self.vote == Vote::Up { terms.up_vote_ttl } else { terms.vote_ttl };
+    fn expire_vote(&mut self, now: Micros, config: &FailoverConfig) {
+        let ttl = if self.vote == Vote::Up { config.up_vote_ttl } else { config.vote_ttl };
         if now - self.confirmed_at > ttl {
             self.vote = Vote::Unknown;
         }
--- a/crates/failover/src/zone_state.rs
+++ b/crates/failover/src/zone_state.rs
@@ -1,20 +1,20 @@
 //! The state machine of one zone.
 
-use crate::recovery::{hold, ramp_share};
+use crate::recovery::{hold_duration, ramp_share};
 use crate::votes::DISTANT_PAST;
-use crate::{FailoverTerms, Micros};
+use crate::{FailoverConfig, Micros};
 
-/// Whether a zone serves this proxy's reads.
+/// The state of a zone with regard to this proxy's reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneState {
-    /// It gets all of its reads.
+    /// The zone gets all of its reads.
     InService,
-    /// It gets none.
+    /// The zone gets no reads.
     Evacuated {
         /// Since when.
         since: Micros,
     },
-    /// It gets a growing part of its reads.
+    /// The zone gets a growing fraction of its reads.
     Recovering {
         /// Since when.
         since: Micros,
@@ -22,32 +22,33 @@
 }
 
 impl ZoneState {
-    /// The part of its reads that the zone gets now.
-    pub(crate) fn read_share(self, now: Micros, terms: &FailoverTerms) -> f64 {
+    /// Returns the fraction of its reads that the zone gets now.
+    pub(crate) fn read_share(self, now: Micros, config: &FailoverConfig) -> f64 {
         match self {
             ZoneState::InService => 1.0,
             ZoneState::Evacuated { .. } => 0.0,
-            ZoneState::Recovering { since } => ramp_share(since, now, terms),
+            ZoneState::Recovering { since } => ramp_share(since, now, config),
         }
     }
 }
 
-/// What the quorum says of a zone.
+/// The verdict of the quorum on a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuorumVerdict {
-    /// It is not down.
+    /// The zone is not down.
     NotDown,
-    /// It is down.
+    /// The zone is down.
     Down,
-    /// It is down by votes that this proxy may have read late: a zone in service is not evacuated on it.
+    /// The zone is down by votes that may be outdated because this proxy read them late. A zone in service
+    /// is not evacuated on them.
     PossiblyOutdatedDown,
 }
 
-/// A zone's state and the history that its next state depends on.
+/// The state of a zone and the history that its next state depends on.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneStatus {
     state: ZoneState,
-    /// Recoveries that failed since the zone was last stable: each doubles the hold.
+    /// The number of failed recoveries since the zone was last stable. Each one doubles the hold.
     failed_recoveries: u32,
     evacuated_at: Micros,
 }
@@ -59,17 +60,16 @@
 }
 
 impl ZoneStatus {
-    /// The state.
     pub fn state(&self) -> ZoneState {
         self.state
     }
 
-    /// Moves on to the next state; true where it changed.
-    pub fn update(&mut self, now: Micros, verdict: QuorumVerdict, terms: &FailoverTerms) -> bool {
-        if now - self.evacuated_at > terms.hold_reset_after {
+    /// Moves to the next state. Returns whether the state changed.
+    pub fn update(&mut self, now: Micros, verdict: QuorumVerdict, config: &FailoverConfig) -> bool {
+        if now - self.evacuated_at > config.hold_reset_after {
             self.failed_recoveries = 0;
         }
-        let next = self.next_state(now, verdict, terms);
+        let next = self.next_state(now, verdict, config);
         if next == self.state {
             return false;
         }
@@ -81,16 +81,16 @@
         true
     }
 
-    fn next_state(&self, now: Micros, verdict: QuorumVerdict, terms: &FailoverTerms) -> ZoneState {
+    fn next_state(&self, now: Micros, verdict: QuorumVerdict, config: &FailoverConfig) -> ZoneState {
         let is_down = verdict != QuorumVerdict::NotDown;
-        let hold = hold(self.failed_recoveries, terms);
+        let hold = hold_duration(self.failed_recoveries, config);
         match self.state {
             ZoneState::InService if verdict == QuorumVerdict::Down => ZoneState::Evacuated { since: now },
             ZoneState::Recovering { .. } if is_down => ZoneState::Evacuated { since: now },
             ZoneState::Evacuated { since } if !is_down && now - since >= hold => {
                 ZoneState::Recovering { since: now }
             }
-            ZoneState::Recovering { since } if now - since >= terms.ramp_duration => ZoneState::InService,
+            ZoneState::Recovering { since } if now - since >= config.ramp_duration => ZoneState::InService,
             state => state,
         }
     }
