--- a/crates/proxy/src/broker/admin_calls.rs
+++ b/crates/proxy/src/broker/admin_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: health and metrics of the process, and cordons on members.
+//! Operators' admin calls: health and metrics of the process, and cordons on members.
 
 use super::Broker;
 use crate::log;
@@ -8,13 +8,13 @@
 use wharfplank_routing::{HostId, MemberView, Micros};
 
 impl Broker {
-    /// Carries a call out at once, and returns the text of its answer. What a positive answer promises holds before
-    /// it is written: a member that is cordoned gets no first byte from then on.
+    /// Executes a call immediately, and returns the text of its answer. The effect is in force before the
+    /// answer is written: once a cordon has been confirmed, no first byte of a request is sent to the member.
     pub(super) fn perform_admin_call(&mut self, command: &Command) -> String {
         match command {
             Command::Health => self.health_text().to_string(),
             Command::Counters => {
-                self.log_avoided_members();
+                self.log_excluded_members();
                 format!("{}\neof\n", self.pools.metrics.to_json(self.gauges()))
             }
             Command::Cordon(id) => {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Applies the changed cordon of a member to the router and the pools, unless it was refused; returns the text of
-    /// the answer.
+    /// Applies the changed cordon of a member to the router and the pools unless the change was rejected;
+    /// returns the text of the answer.
     pub(super) fn apply_cordon(&mut self, id: &str, result: Result<(), CordonError>) -> String {
         if let Err(error) = result {
             log::admin_command(id, &error.to_string());
@@ -53,20 +53,21 @@
         let record = self.endpoints.records.get(id).map(|record| self.endpoints.cordons.apply(record));
         if let Some(record) = record {
             let version = self.endpoints.version;
-            self.apply_effective_list(&EndpointList { version, complete: false, endpoints: vec![record] });
+            self.apply_list_with_cordons(&EndpointList { version, complete: false, endpoints: vec![record] });
         }
         format!("ok {state}\n")
     }
 
-    fn log_avoided_members(&self) {
+    fn log_excluded_members(&self) {
         if self.counts.is_enabled() {
-            let avoided = self.avoided_members().map(|(id, reason)| format!("{id}:{}", reason.as_str()));
-            log::excluded_members(&avoided.collect::<Vec<_>>().join(","));
+            let excluded =
+                self.excluded_members_with_reasons().map(|(id, reason)| format!("{id}:{}", reason.as_str()));
+            log::excluded_members(&excluded.collect::<Vec<_>>().join(","));
         }
     }
 
-    /// The listed members that get no requests, and why.
-    fn avoided_members(&self) -> impl Iterator<Item = (&str, Exclusion)> {
+    /// Returns the listed members that receive no requests, with the reason.
+    fn excluded_members_with_reasons(&self) -> impl Iterator<Item = (&str, Exclusion)> {
         let now = self.clock.now();
         let suspected_since = |view: MemberView| Some((view.host, view.suspected_since?));
         let suspected: HashMap<HostId, Micros> =
@@ -84,7 +85,7 @@
         Gauges {
             concurrent: self.requests.len(),
             targets: self.endpoints.records.len(),
-            targets_disabled: self.avoided_members().count(),
+            targets_disabled: self.excluded_members_with_reasons().count(),
         }
     }
 }
--- a/crates/proxy/src/broker/attempt_table.rs
+++ b/crates/proxy/src/broker/attempt_table.rs
@@ -1,4 +1,4 @@
-//! The table of attempts that are in flight, and the queue of those that finished without a report from the driver.
+//! The table of attempts in flight, and the queue of attempts that finished without a report from the driver.
 
 use async_executor::Task;
 use std::cell::Cell;
@@ -7,7 +7,7 @@
 use wharfplank_routing::{self as routing, AttemptOutcome, HostId, Micros, RequestId};
 use wharfplank_transport::member_pool::AttemptStage;
 
-/// Identifies an attempt: its request, and its number within the request, counted from 0.
+/// The key of an attempt: its request and its number within the request, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct AttemptKey {
     pub(super) request: RequestId,
@@ -26,19 +26,19 @@
     }
 }
 
-/// An attempt whose answer has not begun to arrive.
+/// An attempt whose response has not started to arrive.
 pub(super) struct InFlightAttempt {
     pub(super) host: HostId,
     pub(super) sent_at: Micros,
-    /// The member's newest known log position when the attempt was sent.
+    /// The newest known log position of the member at the time of sending.
     pub(super) position_at_send: Option<Micros>,
-    /// How far the attempt has come; the task that runs it updates this.
+    /// The progress of the attempt, updated by the task that runs it.
     pub(super) stage: Rc<Cell<AttemptStage>>,
-    /// The task that runs the attempt. Dropping it closes the attempt's connection.
+    /// The task that runs the attempt. Dropping it closes the connection of the attempt.
     pub(super) task: Task<()>,
 }
 
-/// An attempt whose outcome was decided here rather than reported by the driver.
+/// An attempt whose outcome was decided by the broker instead of being reported by the driver.
 pub(super) struct FinishedAttempt {
     pub(super) key: AttemptKey,
     pub(super) host: HostId,
@@ -46,11 +46,11 @@
     pub(super) outcome: AttemptOutcome,
 }
 
-/// What the settings allow of attempts.
+/// The limits that the settings put on attempts.
 pub(super) struct AttemptPolicy {
-    /// The most attempts of one request.
+    /// The maximum number of attempts per request.
     pub(super) max_attempts: u32,
-    /// Whether an attempt that has begun may be cancelled.
+    /// Whether an attempt that has started may be cancelled.
     pub(super) may_cancel: bool,
 }
 
@@ -60,11 +60,11 @@
     }
 }
 
-/// The attempts of all open requests, and of closed ones whose attempts still run.
+/// The attempts of all open requests, and those of closed requests that are still in flight.
 #[derive(Default)]
 pub(super) struct AttemptTable {
     in_flight: HashMap<AttemptKey, InFlightAttempt>,
-    /// Outcomes that the router hears of after the event in hand.
+    /// Outcomes to be reported to the router after the current event.
     finished: VecDeque<FinishedAttempt>,
 }
 
@@ -81,12 +81,12 @@
         self.in_flight.contains_key(&key)
     }
 
-    /// How far an attempt in flight has come.
+    /// Returns the progress of an attempt in flight.
     pub(super) fn stage(&self, key: AttemptKey) -> Option<AttemptStage> {
         self.in_flight.get(&key).map(|attempt| attempt.stage.get())
     }
 
-    /// The keys of the attempts in flight that satisfy the predicate, in ascending order.
+    /// Returns the keys of the attempts in flight that satisfy the predicate, in ascending order.
     pub(super) fn keys_where(&self, matches: impl Fn(&InFlightAttempt) -> bool) -> Vec<AttemptKey> {
         let matching = self.in_flight.iter().filter(|(_, attempt)| matches(attempt));
         let mut keys: Vec<AttemptKey> = matching.map(|(key, _)| *key).collect();
@@ -94,21 +94,21 @@
         keys
     }
 
-    /// The attempts at a member that have begun to be written, with the time when each was sent.
-    pub(super) fn begun_at(&self, host: HostId) -> impl Iterator<Item = (Micros, AttemptKey)> + '_ {
-        let begun = self.in_flight.iter().filter(move |(_, attempt)| {
+    /// Returns the attempts to a member whose writing has started, with the time at which each was sent.
+    pub(super) fn started_at_member(&self, host: HostId) -> impl Iterator<Item = (Micros, AttemptKey)> + '_ {
+        let started = self.in_flight.iter().filter(move |(_, attempt)| {
             attempt.host == host
                 && matches!(attempt.stage.get(), AttemptStage::Writing | AttemptStage::Written)
         });
-        begun.map(|(key, attempt)| (attempt.sent_at, *key))
+        started.map(|(key, attempt)| (attempt.sent_at, *key))
     }
 
-    /// Queues an outcome for the router.
+    /// Queues an outcome to be reported to the router.
     pub(super) fn push_finished(&mut self, attempt: FinishedAttempt) {
         self.finished.push_back(attempt);
     }
 
-    /// The next outcome that the router has not heard of.
+    /// Removes the next outcome to be reported to the router.
     pub(super) fn pop_finished(&mut self) -> Option<FinishedAttempt> {
         self.finished.pop_front()
     }
--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: sending it, ending it from this side, and handling the driver's report.
+//! The lifecycle of an attempt: sending it, ending it locally, and handling the driver's report.
 
 use super::attempt_table::{AttemptKey, FinishedAttempt, InFlightAttempt};
 use super::health_checks::role;
@@ -16,12 +16,12 @@
 };
 use wharfplank_transport::ProxyEvent;
 
-/// How long before the end of [`SEND_MARGIN`] the last byte of a request must be written.
+/// The time before the end of [`SEND_MARGIN`] by which the last byte of a request must be written.
 const WRITE_MARGIN: Micros = 500;
 
 impl Broker {
-    /// Sends an attempt that the router decided on at `now`, which all its limits count from. An attempt that may
-    /// not be sent any more is reported as not sent.
+    /// Sends an attempt that the router ordered at `now`, the time from which all its limits count. An
+    /// attempt that may no longer be sent is reported as not sent.
     pub(super) fn send_attempt(
         &mut self,
         now: Micros,
@@ -51,12 +51,13 @@
         self.spawn_attempt(now, key, host, &member, limits);
     }
 
-    /// The member to send an attempt to, unless the attempt is one too many, a budget denies the retry, the client
-    /// has gone, or the member has no connection pool.
+    /// Returns the member to which an attempt may be sent. Returns `None` if the request has reached its
+    /// maximum number of attempts, a budget denies the retry, the client has disconnected, or the member has
+    /// no connection pool.
     fn sendable_member(&self, key: AttemptKey, host: HostId) -> Option<Rc<MemberPool>> {
         let request = self.requests.get(key.request)?;
         let is_retry = key.number > 0;
-        // A retry takes from the budget even where it is then not sent for another reason.
+        // A retry is charged to the budget even if it is then not sent for another reason.
         let is_denied =
             is_retry && self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.try_spend_retry());
         let may_send = key.number < self.attempt_policy.max_attempts
@@ -74,7 +75,8 @@
         });
     }
 
-    /// Spawns the task that runs an attempt and reports its end, and a streamed answer's end, as events.
+    /// Spawns the task that runs an attempt and sends events when it, and its response stream if any, have
+    /// ended.
     fn spawn_attempt(
         &mut self,
         now: Micros,
@@ -106,8 +108,9 @@
         self.attempts.insert(key, InFlightAttempt { host, sent_at: now, position_at_send, stage, task });
     }
 
-    /// Ends an attempt from this side by closing its connection. An attempt whose report is already queued goes on:
-    /// an answer that has arrived is not thrown away. One that was not written completely never ran.
+    /// Ends an attempt locally by closing its connection. An attempt whose report is already queued
+    /// continues, since its response has arrived. An attempt that was not completely written has not been
+    /// executed.
     pub(super) fn end_attempt(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         let outcome = match self.attempts.stage(key) {
             Some(AttemptStage::Finished) => return,
@@ -117,7 +120,7 @@
         let Some(attempt) = self.attempts.remove(key) else { return };
         drop(attempt.task);
         self.counts.increment("attempt", activity_counts::outcome_name(outcome), "");
-        self.note_attempt_ended(key, outcome);
+        self.report_attempt_end(key, outcome);
         self.attempts.push_finished(FinishedAttempt {
             key,
             host: attempt.host,
@@ -126,13 +129,15 @@
         });
     }
 
-    /// Tells gossip and the negative cache how an attempt ended: a write may now be settled, or in doubt.
-    pub(super) fn note_attempt_ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
+    /// Reports the outcome of an attempt to gossip and the negative cache: a write may now be settled or in
+    /// doubt.
+    pub(super) fn report_attempt_end(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         self.gossip.on_attempt_finished(self.clock.now(), key.request, outcome);
         self.negative_cache.on_attempt_finished(self.clock.now(), key.into(), outcome);
     }
 
-    /// Handles the driver's report of an attempt: the complete answer, its first bytes, or the failure.
+    /// Handles the driver's report of an attempt: a complete response, the start of a streamed one, or a
+    /// failure.
     pub(super) fn on_attempt_report(&mut self, key: AttemptKey, report: AttemptReport) {
         if report.stream.is_some() {
             self.on_stream_started(key, report);
@@ -142,16 +147,16 @@
     }
 
     fn on_attempt_finished(&mut self, key: AttemptKey, mut report: AttemptReport) {
-        self.notice_client_left(key.request);
+        self.handle_client_disconnect(key.request);
         let Some(attempt) = self.attempts.remove(key) else { return };
         let outcome = report.outcome;
-        self.note_attempt_ended(key, outcome);
+        self.report_attempt_end(key, outcome);
         self.report_attempt_latency(key.request, &attempt, outcome);
         if outcome == AttemptOutcome::Ok {
             self.serve_answer(key.request, &attempt, &mut report);
         }
         self.counts.increment("attempt", activity_counts::outcome_name(outcome), "");
-        self.note_attempt_outcome(key.request, attempt.host, outcome);
+        self.store_attempt_outcome(key.request, attempt.host, outcome);
         self.gossip.report_reachability(attempt.host, attempt.sent_at, outcome);
         let result = self.attempt_result(key, attempt.host, attempt.sent_at, &report);
         self.gossip.report_position(self.clock.now(), attempt.host, result.position);
@@ -159,7 +164,7 @@
         self.notify_router(routing::Event::AttemptFinished(result));
     }
 
-    /// Reports an attempt's latency and outcome to the health check of the fleet and to a rollout under way.
+    /// Reports an attempt's latency and outcome to the fleet's health evaluation and the rollout service.
     fn report_attempt_latency(&mut self, id: RequestId, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get(id) else { return };
         let now = self.clock.now();
@@ -167,7 +172,7 @@
         self.rollout.on_attempt_finished(attempt.host, request.class, now - attempt.sent_at, outcome);
     }
 
-    /// Answers a request with the complete answer of a member.
+    /// Responds to a request with the complete response of a member.
     fn serve_answer(&mut self, id: RequestId, attempt: &InFlightAttempt, report: &mut AttemptReport) {
         let Some(answer) = &mut report.response else { return };
         self.update_negative_cache(id, attempt.position_at_send, answer);
@@ -175,7 +180,7 @@
         self.answer(id, FinalResponse::Served(std::mem::take(&mut answer.messages)));
     }
 
-    /// The result of an attempt as the router takes it. A position that is ahead of the clock is left out.
+    /// Converts an attempt's report to the router's representation. A position ahead of the clock is omitted.
     pub(super) fn attempt_result(
         &self,
         key: AttemptKey,
--- a/crates/proxy/src/broker/budgets.rs
+++ b/crates/proxy/src/broker/budgets.rs
@@ -1,5 +1,5 @@
-//! The fleet's budgets, applied to requests, retries, health checks and connections. What a budget denies is reported
-//! to the router, which decides what follows.
+//! Applies the fleet's budgets to requests, retries, health checks and connections. Denials are reported to
+//! the router, which decides how to proceed.
 
 use super::attempt_table::AttemptKey;
 use super::Broker;
@@ -7,12 +7,12 @@
 use wharfplank_routing::{self as routing, Action, AttemptOutcome, GroupId, HostId, Micros};
 use wharfplank_transport::member_pool::AttemptReport;
 
-/// What the budgets have denied.
+/// The denials that have to be reported to the router.
 #[derive(Default)]
 pub(super) struct BudgetDenials {
-    /// Whether the router was told that no retries may be sent.
+    /// Whether the router was last notified that retries are denied.
     retries: bool,
-    /// Members whose health check was denied; the router hears of them after the event in hand.
+    /// Members whose health check was denied, to be reported to the router after the current event.
     health_checks: VecDeque<HostId>,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl Broker {
-    /// Takes one more request of this group from the budgets; true where they have no capacity for it.
+    /// Charges a request of this group to the budgets; returns true if they have no capacity for it.
     pub(super) fn is_over_budget(&mut self, group: GroupId) -> bool {
         let is_denied =
             self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.try_spend_request(group.0));
@@ -33,7 +33,7 @@
         is_denied
     }
 
-    /// Tells the router whether retries may be sent, where that has changed.
+    /// Notifies the router if the permission to send retries has changed.
     pub(super) fn update_retry_permission(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let is_denied = self.pools.budgets.as_ref().is_some_and(|budgets| !budgets.can_retry());
         if is_denied != self.budget_denials.retries {
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Tells the router of health checks that a budget denied: it decides without their results, and no member is
-    /// taken for faulty.
+    /// Reports denied health checks to the router. It decides without their results and does not treat the
+    /// members as faulty.
     pub(super) fn report_denied_health_checks(&mut self) {
         while let Some(host) = self.budget_denials.health_checks.pop_front() {
             self.counts.increment("probed", "denied", "");
@@ -53,29 +53,30 @@
         }
     }
 
-    /// Cancels attempts, the oldest first, whose connections the fleet's budget no longer allows. Idle connections
-    /// over the budget are closed as the pools are maintained.
+    /// Cancels attempts, oldest first, whose connections exceed the fleet's budget. Idle connections over the
+    /// budget are closed by the maintenance of the pools.
     pub(super) fn cancel_attempts_over_budget(&mut self) {
         for (host, overdue) in self.overdue_connections() {
-            for key in self.oldest_begun_attempts(host, overdue) {
+            for key in self.oldest_started_attempts(host, overdue) {
                 self.cancel_over_budget(key);
             }
         }
         self.report_finished_attempts();
     }
 
-    /// The members with connections that must close now even though they are in use, and the number of these.
+    /// Returns the members with connections in use that must be closed now, and the number of these
+    /// connections.
     fn overdue_connections(&self) -> Vec<(HostId, usize)> {
         let excess =
             self.endpoints.members.iter().map(|(host, member)| (*host, member.excess().overdue as usize));
         excess.filter(|(_, overdue)| *overdue > 0).collect()
     }
 
-    fn oldest_begun_attempts(&self, host: HostId, count: usize) -> Vec<AttemptKey> {
-        let mut begun: Vec<(Micros, AttemptKey)> = self.attempts.begun_at(host).collect();
-        begun.extend(self.streaming.sent_to(host));
-        begun.sort_unstable();
-        begun.into_iter().take(count).map(|(_, key)| key).collect()
+    fn oldest_started_attempts(&self, host: HostId, count: usize) -> Vec<AttemptKey> {
+        let mut started: Vec<(Micros, AttemptKey)> = self.attempts.started_at_member(host).collect();
+        started.extend(self.streaming.sent_to(host));
+        started.sort_unstable();
+        started.into_iter().take(count).map(|(_, key)| key).collect()
     }
 
     fn cancel_over_budget(&mut self, key: AttemptKey) {
--- a/crates/proxy/src/broker/endpoint_table.rs
+++ b/crates/proxy/src/broker/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The table of members: their records from discovery, their numeric ids, their connection pools and their cordons.
+//! The table of members: their discovery records, numeric ids, connection pools and cordons.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -7,26 +7,26 @@
 use wharfplank_routing::HostId;
 use wharfplank_transport::member_pool::MemberPool;
 
-/// Past so many known names, those of members without a connection pool are forgotten.
+/// The maximum number of known names. Above it the names of members without a connection pool are removed.
 const MAX_NAMES: usize = 4096;
 
-/// All members that this process knows.
+/// All members known to this process.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     /// The members with a connection pool.
     pub(super) members: BTreeMap<HostId, Rc<MemberPool>>,
-    /// The ids of members by name; also those of members that have left the list.
+    /// The ids of members by name, including members that are no longer listed.
     pub(super) ids: HashMap<String, HostId>,
-    /// The list as discovery has it, without the effect of cordons.
+    /// The endpoint list as sent by discovery, without the effect of cordons.
     pub(super) records: BTreeMap<String, EndpointRecord>,
     /// The version of the list.
     pub(super) version: u64,
-    /// The members that operators have taken out of service.
+    /// The members that operators have cordoned.
     pub(super) cordons: Cordons,
 }
 
 impl EndpointTable {
-    /// Applies a list, or the changes to one, as discovery sends it.
+    /// Applies a complete list, or changes to one, from discovery.
     pub(super) fn apply_records(&mut self, list: &EndpointList) {
         self.version = list.version;
         if list.complete {
@@ -45,17 +45,18 @@
         }
     }
 
-    /// The connection pool of the member of this name.
+    /// Returns the connection pool of the member with this name.
     pub(super) fn member_named(&self, name: &str) -> Option<&Rc<MemberPool>> {
         self.ids.get(name).and_then(|host| self.members.get(host))
     }
 
-    /// The names of members by id.
+    /// Returns the names of members by id.
     pub(super) fn names_by_id(&self) -> HashMap<HostId, &str> {
         self.ids.iter().map(|(name, host)| (*host, name.as_str())).collect()
     }
 
-    /// The id of a member, assigned if the name is new: a hash of the name, incremented where two names collide.
+    /// Returns the id of a member, and assigns one if the name is new: a hash of the name, incremented on
+    /// collision.
     pub(super) fn assign_id(&mut self, name: &str) -> HostId {
         if let Some(host) = self.ids.get(name) {
             return *host;
@@ -68,13 +69,13 @@
         HostId(number)
     }
 
-    /// Drops the connection pools that are neither in service nor in use.
+    /// Removes the connection pools that are neither in service nor in use.
     pub(super) fn drop_unused_members(&mut self) {
         self.members.retain(|_, member| member.is_active() || !member.has_no_connections());
     }
 
-    /// Forgets the names of members without a connection pool where too many are known; true where it did.
-    pub(super) fn forget_old_names(&mut self) -> bool {
+    /// Removes the names of members without a connection pool if too many are known; returns whether it did.
+    pub(super) fn prune_names(&mut self) -> bool {
         if self.ids.len() <= MAX_NAMES {
             return false;
         }
@@ -83,18 +84,18 @@
         true
     }
 
-    /// Whether a name is known for this id.
+    /// Returns whether a name is known for this id.
     pub(super) fn knows(&self, host: &HostId) -> bool {
         self.ids.values().any(|known| known == host)
     }
 }
 
-/// The router's id of a zone: a hash of its name.
+/// Returns the router's id of a zone, a hash of its name.
 pub(super) fn zone_id(zone: &str) -> u32 {
     fnv1a(zone.as_bytes()) as u32
 }
 
-/// The 64-bit FNV-1a hash.
+/// Computes the 64-bit FNV-1a hash.
 pub(super) fn fnv1a(bytes: &[u8]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x100_0000_01b3;
--- a/crates/proxy/src/broker/endpoints.rs
+++ b/crates/proxy/src/broker/endpoints.rs
@@ -1,4 +1,5 @@
-//! Changes of the endpoint list on their way from discovery and operators to the router and the connection pools.
+//! Applies endpoint list changes from discovery, and operators' cordons, to the router and the connection
+//! pools.
 
 use super::attempt_table::InFlightAttempt;
 use super::endpoint_table::zone_id;
@@ -14,7 +15,7 @@
 impl Broker {
     /// Handles a watch event of discovery: a new list, a change of the list's staleness, or both.
     pub(super) fn on_watch_event(&mut self, event: WatchEvent, staleness: Option<Staleness>) {
-        // An answer that there is nothing new confirms the list that is known.
+        // A response without changes confirms the known list.
         if event.update.is_some() || staleness == Some(Staleness::Fresh) {
             self.lifecycle.confirm_list();
         }
@@ -35,16 +36,16 @@
         }
     }
 
-    /// Applies a list, or the changes to one, as discovery sends it.
+    /// Applies a complete list, or changes to one, from discovery.
     pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
         self.endpoints.apply_records(&list);
         let cordons = &self.endpoints.cordons;
         let endpoints = list.endpoints.iter().map(|record| cordons.apply(record)).collect();
-        self.apply_effective_list(&EndpointList { endpoints, ..list });
+        self.apply_list_with_cordons(&EndpointList { endpoints, ..list });
     }
 
-    /// Applies records in which the cordons have taken effect: to the pools, the router and the queued attempts.
-    pub(super) fn apply_effective_list(&mut self, list: &EndpointList) {
+    /// Applies records that include the effect of cordons to the pools, the router and the queued attempts.
+    pub(super) fn apply_list_with_cordons(&mut self, list: &EndpointList) {
         if list.complete {
             self.retire_members_not_in(list);
         }
@@ -56,7 +57,7 @@
         self.log_slow_start();
         self.end_attempts_queued_for_retired_members();
         self.endpoints.drop_unused_members();
-        self.forget_old_names();
+        self.prune_names();
     }
 
     fn retire_members_not_in(&self, list: &EndpointList) {
@@ -65,7 +66,7 @@
         self.endpoints.members.values().filter(|m| !is_listed(m)).for_each(|m| m.deactivate());
     }
 
-    /// Ends the attempts that are queued for a connection to a member which takes nothing new.
+    /// Ends the attempts that are queued for a connection to a member that accepts no new requests.
     fn end_attempts_queued_for_retired_members(&mut self) {
         let members = &self.endpoints.members;
         let is_retired = |host: &HostId| members.get(host).is_none_or(|member| !member.is_active());
@@ -77,16 +78,16 @@
         self.report_finished_attempts();
     }
 
-    fn forget_old_names(&mut self) {
-        if self.endpoints.forget_old_names() {
+    fn prune_names(&mut self) {
+        if self.endpoints.prune_names() {
             let endpoints = &self.endpoints;
             self.gossip.retain_members(|host| endpoints.knows(host));
             self.negative_cache.retain(|host| endpoints.knows(host));
         }
     }
 
-    /// Passes one record on to records, gossip, the negative cache and the member's pool; returns it as the router
-    /// takes it.
+    /// Passes a record to the recorder, gossip, the negative cache and the member's pool. Returns its
+    /// representation for the router.
     fn apply_record(&mut self, version: u64, record: &EndpointRecord) -> Endpoint {
         let is_new = !self.endpoints.ids.contains_key(&record.name);
         let host = self.endpoints.assign_id(&record.name);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Puts a member's pool in or out of service; an active member without a pool gets one.
+    /// Activates or deactivates a member's pool, and creates one for an active member without a pool.
     fn update_pool(&mut self, host: HostId, record: &EndpointRecord) {
         let is_active = record.health == EndpointHealth::Active;
         if let Some(member) = self.endpoints.members.get(&host) {
--- a/crates/proxy/src/broker/handover/mod.rs
+++ b/crates/proxy/src/broker/handover/mod.rs
@@ -1,5 +1,5 @@
-//! The handover between an old process and the new one that replaces it while both serve: together they form one
-//! proxy, share the listening socket and the connection limits, and keep the same cordons.
+//! The handover from an old process to the new one that replaces it while both serve. Together they act as
+//! one proxy: they share the listening socket and the connection limits, and keep the same cordons.
 
 mod peer;
 mod state;
@@ -18,33 +18,35 @@
 use wharfplank_transport::admin::AdminCall;
 use wharfplank_transport::handover::{HandoverLink, Inherited, RendezvousSocket};
 
-/// How often the new process is told how many connections the old one holds.
+/// The interval at which the old process reports the number of its connections to the new one.
 const REPORT_INTERVAL: Micros = 100_000;
 
-/// This process's side of a handover that may happen, or is under way.
+/// This process's side of a possible or ongoing handover.
 pub(super) struct HandoverController {
-    /// Where the next process looks for this one.
+    /// The path at which a successor connects to this process.
     socket_path: PathBuf,
-    /// Listens at the path. Dropping it ends that, so that one process listens at a time however many successors die.
+    /// Accepts connections at the path. Dropping it stops that, so that only one process listens at a time,
+    /// however many successors fail.
     socket_task: Option<Task<()>>,
-    /// The socket that clients connect to, until this process accepts no connections any more: it closes then, unless
-    /// the other process has it too.
+    /// The client listening socket, until this process stops accepting connections. Dropping it closes the
+    /// socket unless the other process holds it too.
     listener: Option<Rc<Async<TcpListener>>>,
-    /// What both processes may hold together.
+    /// The limits on the connections of both processes together.
     total_limits: ConnectionCounts,
     state: Handover,
     /// The connection to the other process, if there is one.
     link: Option<HandoverLink>,
     pending_calls: Vec<PendingCall>,
-    /// What the old process had learned of members, until the router has been told.
+    /// Observations of members by the old process that have not been reported to the router yet.
     inherited_observations: Vec<MemberKnowledge>,
     last_reported: ConnectionCounts,
     next_report_at: Micros,
-    /// Whether this process accepts clients: from the start where it replaces none, and otherwise once it is ready.
+    /// Whether this process accepts clients: from the start if it replaces no other process, and otherwise
+    /// once it is ready.
     is_serving: bool,
 }
 
-/// An admin call whose answer waits until the other process has confirmed it.
+/// An admin call whose answer is delayed until the other process has confirmed it.
 struct PendingCall {
     number: CommandId,
     call: AdminCall,
@@ -73,12 +75,13 @@
         }
     }
 
-    /// Sends a message to the other process; false where there is none, or it takes no more.
+    /// Sends a message to the other process; returns false if there is none or it accepts no more messages.
     fn send(&self, message: HandoverMessage) -> bool {
         self.link.as_ref().is_some_and(|link| link.send(message))
     }
 
-    /// Reports the connections of this process to the new one, where they changed and the interval has passed.
+    /// Reports the connections of this process to the new one if they have changed and the interval has
+    /// passed.
     fn report_connections(&mut self, now: Micros, held: ConnectionCounts) {
         if self.state.is_predecessor() && now >= self.next_report_at && held != self.last_reported {
             self.next_report_at = now + REPORT_INTERVAL;
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Answers the pending calls of these numbers.
+    /// Answers the pending calls with these numbers.
     fn answer_calls(&mut self, numbers: &[CommandId]) {
         let pending = std::mem::take(&mut self.pending_calls);
         let is_answered = |pending: &PendingCall| numbers.contains(&pending.number);
@@ -100,8 +103,8 @@
 }
 
 impl Broker {
-    /// Allows another process to take over from this one from now on. `total_limits` is what both may hold together,
-    /// and `inherited` what this process took over from the one before it.
+    /// Enables another process to take over from this one. `total_limits` applies to the connections of both
+    /// processes together, and `inherited` is the state taken over from the predecessor, if any.
     pub fn enable_handover(
         &mut self,
         socket_path: PathBuf,
@@ -118,28 +121,31 @@
         self.apply_connection_limits();
     }
 
-    /// Continues with the state of the process that this one replaces.
+    /// Adopts the state of the process that this one replaces.
     fn take_over(&mut self, handover: &mut HandoverController, inherited: Inherited) {
         let state = inherited.state.clone();
-        log::handover_step("replaces another", state.cordoned.len());
+        log::handover_step("taking over from the running process", state.cordoned.len());
         self.endpoints.cordons = Cordons::restore(state.cordoned, state.uncordoned_at);
         handover.inherited_observations = state.members;
         handover.state = Handover::successor_of(state.connections);
         handover.link = Some(inherited.into_link(&self.pools.executor, self.events.clone()));
     }
 
-    /// Listens where the next process looks for this one. On failure this process cannot be replaced, and serves on.
+    /// Listens for a successor. On failure this process cannot be replaced but continues to serve.
     fn open_handover_socket(&self, path: &Path) -> Option<Task<()>> {
         match RendezvousSocket::bind(path) {
             Ok(socket) => Some(self.pools.executor.spawn(socket.accept_requests(self.events.clone()))),
             Err(error) => {
-                log::handover_step(&format!("cannot be replaced: {}: {error}", path.display()), 0);
+                log::handover_step(
+                    &format!("cannot listen for a successor on {}: {error}", path.display()),
+                    0,
+                );
                 None
             }
         }
     }
 
-    /// Puts this process's socket at the path, whoever listens there.
+    /// Binds this process's socket at the path, replacing the socket of any other process.
     fn claim_handover_socket(&mut self) {
         let Some(handover) = &self.handover else { return };
         let socket_task = self.open_handover_socket(&handover.socket_path);
@@ -148,7 +154,7 @@
         }
     }
 
-    /// Gives up the listening socket, and the socket where the next process would ask for it.
+    /// Closes the listening socket and the handover socket.
     pub(super) fn release_listener(&mut self) {
         if let Some(handover) = &mut self.handover {
             handover.listener = None;
@@ -156,7 +162,7 @@
         }
     }
 
-    /// Carries out an operator's call, and answers it once the other process, if there is one, has confirmed it too.
+    /// Executes an operator's call, and answers it once the other process, if any, has confirmed it too.
     pub(super) fn on_admin_call(&mut self, call: AdminCall) {
         let answer = self.perform_admin_call(&call.command);
         let (id, is_cordoned) = match &call.command {
@@ -176,7 +182,7 @@
         }
     }
 
-    /// Does what is due by the clock between the two processes.
+    /// Runs the timed work of the handover.
     pub(super) fn run_handover_timers(&mut self) {
         let now = self.clock.now();
         let held = self.connections_held();
@@ -195,7 +201,7 @@
         }
     }
 
-    /// When [`Broker::run_handover_timers`] has something to do although no event arrives.
+    /// Returns when [`Broker::run_handover_timers`] is due next, independently of events.
     pub(super) fn next_handover_timer(&self) -> Option<Micros> {
         let handover = self.handover.as_ref()?;
         let report = handover.state.is_predecessor().then(|| self.clock.now() + REPORT_INTERVAL);
@@ -209,7 +215,7 @@
         }
     }
 
-    /// Puts this process's part of the connection limits into force.
+    /// Applies this process's part of the connection limits.
     fn apply_connection_limits(&mut self) {
         let Some(handover) = &self.handover else { return };
         let limits = handover.state.connection_limit(handover.total_limits);
--- a/crates/proxy/src/broker/handover/peer.rs
+++ b/crates/proxy/src/broker/handover/peer.rs
@@ -1,4 +1,4 @@
-//! The messages of the other process of a handover.
+//! Handles the messages from the other process of a handover.
 
 use crate::broker::Broker;
 use crate::log;
@@ -9,7 +9,7 @@
 use wharfplank_transport::handover::{self as handover_socket, HandoverEvent, HandoverLink};
 
 impl Broker {
-    /// Handles what the other process does: it asks to take over, sends a message, or ends.
+    /// Handles an event of the other process: a takeover request, a message, or its disconnection.
     pub(in crate::broker) fn on_handover_event(&mut self, event: HandoverEvent) {
         if self.handover.is_none() {
             return;
@@ -22,18 +22,18 @@
         self.apply_connection_limits();
     }
 
-    /// Another process asks to replace this one. It gets the listening socket and the state, unless a handover is
-    /// under way already.
+    /// Handles another process's request to replace this one. It receives the listening socket and the state,
+    /// unless a handover is already in progress.
     fn on_takeover_request(&mut self, stream: Async<UnixStream>) {
         let held = self.connections_held();
         let Some(handover) = &mut self.handover else { return };
-        // Without a socket to hand over the request goes unanswered, as if there were no process.
+        // Without a socket to hand over the request is not answered, as if no process were listening.
         let Some(listener) = handover.listener.clone() else { return };
         if !handover.state.begin(held) {
             return self.pools.executor.spawn(handover_socket::reject(stream)).detach();
         }
         let state = self.handover_state(held);
-        log::handover_step("is being replaced", state.cordoned.len());
+        log::handover_step("handing over to a new process", state.cordoned.len());
         let link = HandoverLink::accept(&self.pools.executor, stream, listener, &state, self.events.clone());
         if let Some(handover) = &mut self.handover {
             handover.link = Some(link);
@@ -44,10 +44,10 @@
         let Some(handover) = &mut self.handover else { return };
         match message {
             HandoverMessage::Serving => {
-                log::handover_step("the other serves", 0);
+                log::handover_step("the new process is serving", 0);
                 handover.state.on_successor_serving();
             }
-            HandoverMessage::Connections(holds) => handover.state.on_predecessor_connections(holds),
+            HandoverMessage::Connections(counts) => handover.state.on_predecessor_connections(counts),
             HandoverMessage::CordonApplied(number) => {
                 if handover.state.confirm_command(number) {
                     handover.answer_calls(&[number]);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Applies a cordon, or its end, that an operator ordered at the other process. That process has checked that the
-    /// member is listed: it is listed here too, or about to be.
+    /// Applies a cordon or uncordon command that the other process received. That process has checked that
+    /// the member is listed, so it is listed here too or will be shortly.
     fn apply_peer_cordon(&mut self, id: &str, is_cordoned: bool, at: Micros) {
         let cordons = &mut self.endpoints.cordons;
         let result = if is_cordoned { cordons.cordon(id, true) } else { cordons.uncordon(id, true, at) };
@@ -71,13 +71,13 @@
     }
 
     fn on_peer_lost(&mut self) {
-        log::handover_step("the other is gone", 0);
-        self.note_sessions_of_peer(self.clock.now());
+        log::handover_step("lost the connection to the other process", 0);
+        self.report_peer_sessions(self.clock.now());
         let Some(handover) = &mut self.handover else { return };
         handover.link = None;
         let was_replaced = handover.state.is_predecessor();
         let unconfirmed_calls = handover.state.on_peer_lost();
-        // The successor may have put its own socket in the place of this one's.
+        // The successor may have replaced this process's handover socket with its own.
         if was_replaced && handover.listener.is_some() {
             self.claim_handover_socket();
         }
--- a/crates/proxy/src/broker/handover/state.rs
+++ b/crates/proxy/src/broker/handover/state.rs
@@ -1,4 +1,4 @@
-//! The state that an old process hands over to the new one.
+//! The state that an old process hands over to its successor.
 
 use crate::broker::Broker;
 use wharfplank_admin::{ConnectionCounts, HandoverState, MemberKnowledge, MemberTraits};
@@ -6,7 +6,7 @@
 use wharfplank_routing::{self as routing, MemberView, Micros, PeerObservation};
 
 impl Broker {
-    /// Tells the router what the process before this one had learned of members.
+    /// Reports to the router the observations of members inherited from the predecessor.
     pub(in crate::broker) fn restore_inherited_observations(&mut self) {
         let Some(handover) = &mut self.handover else { return };
         let inherited = std::mem::take(&mut handover.inherited_observations);
@@ -25,17 +25,17 @@
         }
     }
 
-    /// Tells the router that sessions may have written at the other process of a handover until now, if there is one.
-    /// The two are one proxy, and what a session wrote at one it reads at the other.
-    pub(in crate::broker) fn note_sessions_of_peer(&mut self, now: Micros) {
+    /// Notifies the router that sessions may have committed writes at the other process of a handover up to
+    /// `now`. The two processes act as one proxy: a session must read at one what it wrote at the other.
+    pub(in crate::broker) fn report_peer_sessions(&mut self, now: Micros) {
         if self.handover.as_ref().is_some_and(|handover| handover.state.has_peer()) {
             self.route(now, routing::Event::SessionsCommittedElsewhere(now));
         }
     }
 
-    /// What the new process starts from: the endpoint list, the cordons, what is known of members, and the connections
-    /// that this process holds.
-    pub(super) fn handover_state(&self, holds: ConnectionCounts) -> HandoverState {
+    /// Returns the initial state of the new process: the endpoint list, the cordons, the knowledge of
+    /// members, and the connections that this process holds.
+    pub(super) fn handover_state(&self, open_connections: ConnectionCounts) -> HandoverState {
         let cordons = &self.endpoints.cordons;
         HandoverState {
             version: wharfplank_admin::handover::PROTOCOL_VERSION,
@@ -46,12 +46,12 @@
             }),
             cordoned: cordons.cordoned().map(str::to_string).collect(),
             uncordoned_at: cordons.uncordoned_at().map(|(id, at)| (id.to_string(), at)).collect(),
-            members: self.learned_of_members(),
-            connections: holds,
+            members: self.member_knowledge(),
+            connections: open_connections,
         }
     }
 
-    fn learned_of_members(&self) -> Vec<MemberKnowledge> {
+    fn member_knowledge(&self) -> Vec<MemberKnowledge> {
         let names = self.endpoints.names_by_id();
         let learned = |view: MemberView| {
             Some(MemberKnowledge {
--- a/crates/proxy/src/broker/health_checks.rs
+++ b/crates/proxy/src/broker/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of members: starting them, and reading their load reports.
+//! Health checks of members: starts them and reads the load reports.
 
 use super::{Broker, MAX_POSITION_AHEAD};
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// From this value on a report's role column stands for the primary.
+/// The minimum value of a report's role column that denotes the primary.
 const PRIMARY_THRESHOLD: f64 = 0.5;
 
 impl Broker {
@@ -29,7 +29,7 @@
         self.pools.executor.spawn(task).detach();
     }
 
-    /// Handles the end of a health check. Without a report, or with one that is invalid, the check has failed.
+    /// Handles the end of a health check. Without a valid report the check has failed.
     pub(super) fn on_health_check_result(&mut self, host: HostId, report: Option<String>) {
         let result = self.read_load_report(host, report.as_deref());
         self.counts.increment("probed", if result.answered { "ok" } else { "failed" }, "");
@@ -46,7 +46,7 @@
         self.notify_router(routing::Event::ProbeFinished(result));
     }
 
-    /// Reads the columns of a load report. A report that cannot be read, or whose position is ahead of the clock,
+    /// Reads the columns of a load report. An unreadable report, or one whose position is ahead of the clock,
     /// counts as a failed check.
     fn read_load_report(&self, host: HostId, report: Option<&str>) -> ProbeResult {
         let columns = report.and_then(|text| load_report::parse(text, &self.parameters.report_columns));
@@ -69,7 +69,7 @@
     }
 }
 
-/// The role of a member that states whether it is the primary.
+/// Converts a member's statement of whether it is the primary to a role.
 pub(super) fn role(is_primary: bool) -> Role {
     if is_primary {
         Role::Primary
--- a/crates/proxy/src/broker/lifecycle.rs
+++ b/crates/proxy/src/broker/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of the process: its start, readiness and configuration reloads.
+//! The lifecycle of the process: startup, readiness and configuration reloads.
 
 use super::shutdown::Shutdown;
 use super::Broker;
@@ -8,28 +8,30 @@
 use wharfplank_pool_policy::StartupConnectOrder;
 use wharfplank_routing::Micros;
 
-/// How long readiness waits for discovery to confirm the endpoint list: a proxy that cannot reach discovery still
-/// serves from the list that it has.
+/// The maximum time for which readiness waits for discovery to confirm the endpoint list. A proxy that cannot
+/// reach discovery serves from the list that it has.
 const DISCOVERY_WAIT: Micros = 500_000;
-/// How long readiness waits for an endpoint list and a connection to a member: a proxy that has neither still answers.
+/// The maximum time for which readiness waits for an endpoint list and a connection to a member. A proxy that
+/// has neither still answers requests.
 const READY_WAIT: Micros = 3_000_000;
-/// How often readiness is checked until it is reached.
+/// The interval of readiness checks until the process is ready.
 const READINESS_CHECK_INTERVAL: Micros = 10_000;
 
-/// The stage of the process's life.
+/// The lifecycle stage of the process.
 pub(super) struct Lifecycle {
     started_at: Micros,
-    /// Whether discovery has sent a list, or confirmed the one that is known.
+    /// Whether discovery has sent an endpoint list or confirmed the known one.
     list_confirmed: bool,
     is_ready: bool,
-    /// Chooses the members that a starting proxy connects to.
+    /// Selects the members to which a starting proxy connects.
     connect_order: StartupConnectOrder,
-    /// Present from SIGTERM on.
+    /// Present once SIGTERM has been received.
     pub(super) shutdown: Option<Shutdown>,
 }
 
 impl Lifecycle {
-    /// A process that starts now. `seed` varies the order in which proxies connect to members.
+    /// Creates the state of a process that starts at `now`. `seed` varies the order in which proxies connect
+    /// to members.
     pub(super) fn new(now: Micros, seed: u64, connect_timeout: Micros) -> Self {
         Lifecycle {
             started_at: now,
@@ -54,19 +56,19 @@
         self.shutdown.is_some()
     }
 
-    /// Whether a shutdown has given up the open requests.
-    pub(super) fn has_given_up(&self) -> bool {
-        self.shutdown.as_ref().is_some_and(|shutdown| shutdown.has_given_up)
+    /// Whether a shutdown has aborted the open requests.
+    pub(super) fn has_aborted_requests(&self) -> bool {
+        self.shutdown.as_ref().is_some_and(|shutdown| shutdown.has_aborted_requests)
     }
 
-    /// When readiness is to be checked next.
+    /// Returns the time of the next readiness check, or `None` if the process is ready.
     pub(super) fn next_readiness_check(&self, now: Micros) -> Option<Micros> {
         (!self.is_ready).then_some(now + READINESS_CHECK_INTERVAL)
     }
 }
 
 impl Broker {
-    /// Reads the configuration file again and applies the address of discovery. An invalid file changes nothing.
+    /// Reloads the configuration file and applies the discovery address. An invalid file changes nothing.
     pub(super) fn reload_configuration(&mut self) {
         let config = Config::reload();
         self.pools.metrics.record_reload(match config {
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Opens a first connection to a member, and declares the process ready once discovery has confirmed the list and
-    /// a member is connected, or the waits for them have passed.
+    /// Opens a first connection to a member. Declares the process ready once discovery has confirmed the list
+    /// and a member is connected, or the maximum wait times have passed.
     pub(super) fn check_readiness(&mut self, now: Micros) {
         if self.lifecycle.is_ready {
             return;
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Connects to the next member in turn. Once a member is connected there are no candidates, and the order starts
-    /// over.
+    /// Connects to the next member in order. Once a member is connected there are no candidates, which resets
+    /// the order.
     fn open_first_connection(&mut self, now: Micros, is_connected: bool) {
         let members = self.endpoints.members.iter();
         let candidates = members.filter(|(_, member)| !is_connected && member.is_active());
--- a/crates/proxy/src/broker/maintenance.rs
+++ b/crates/proxy/src/broker/maintenance.rs
@@ -1,4 +1,4 @@
-//! Work that is due by the clock: the router's timers, and the maintenance of pools, logs and records each second.
+//! Timed work: the router's timers, and the maintenance of pools, logs and records every second.
 
 use super::Broker;
 use crate::log;
@@ -10,7 +10,7 @@
 /// The interval of the maintenance.
 const MAINTENANCE_INTERVAL: Micros = 1_000_000;
 
-/// The times at which the broker has work to do although no event arrives.
+/// The times at which the broker has work to do independently of events.
 pub(super) struct MaintenanceTimers {
     router_timers: BinaryHeap<Reverse<Micros>>,
     next_maintenance_at: Micros,
@@ -29,7 +29,7 @@
         self.router_timers.push(Reverse(at));
     }
 
-    /// Removes a router timer that has expired, if there is one.
+    /// Removes an expired router timer, if any.
     fn pop_expired_router_timer(&mut self, now: Micros) -> Option<Micros> {
         let Reverse(at) = *self.router_timers.peek()?;
         if at > now {
@@ -45,7 +45,7 @@
 }
 
 impl Broker {
-    /// When the event loop has something to do although no event arrives.
+    /// Returns when the event loop has work to do independently of events.
     pub(super) fn next_wakeup_at(&self) -> Micros {
         let now = self.clock.now();
         let wakeups = [
@@ -57,7 +57,7 @@
         wakeups.into_iter().flatten().fold(self.timers.next_maintenance_at, Micros::min)
     }
 
-    /// Does the work that is due at this time.
+    /// Runs the work that is due now.
     pub(super) fn run_due_work(&mut self) {
         let now = self.clock.now();
         while self.timers.pop_expired_router_timer(now).is_some() {
@@ -109,7 +109,7 @@
     }
 }
 
-/// The members that the router suspects of a fault.
+/// Returns the members that the router suspects to be faulty.
 fn suspected_members(router: &Router) -> impl Iterator<Item = HostId> + '_ {
     router.member_views().filter(|view| view.suspected_since.is_some()).map(|view| view.host)
 }
--- a/crates/proxy/src/broker/mod.rs
+++ b/crates/proxy/src/broker/mod.rs
@@ -1,7 +1,7 @@
 //! The broker: the single owner of the router and of the tables of requests, attempts and endpoints.
 //!
-//! It feeds the events of the I/O drivers to the router and carries out the router's actions. All of it runs on one
-//! thread, in one event loop ([`Broker::run`]); each submodule implements one concern of that loop.
+//! It feeds the events of the I/O drivers to the router and carries out the router's actions. All of it runs
+//! on one thread, in one event loop ([`Broker::run`]); each submodule implements one concern of that loop.
 
 mod admin_calls;
 mod attempt_table;
@@ -55,11 +55,11 @@
 use wharfplank_transport::member_pool::PoolContext;
 use wharfplank_transport::ProxyEvent;
 
-/// How far a log position may be ahead of this process's clock before it is discarded as invalid: all machines read
-/// one clock.
+/// The maximum time by which a log position may be ahead of this process's clock. Positions further ahead are
+/// discarded as invalid, because all machines share one clock.
 const MAX_POSITION_AHEAD: Micros = 50_000;
 
-/// Why the event loop continues after a wait.
+/// The reason for which the event loop woke up.
 enum Wakeup {
     AdminCall(AdminCall),
     Event(ProxyEvent),
@@ -73,10 +73,10 @@
     router: Router,
     parameters: ProxyParameters,
     attempt_policy: AttemptPolicy,
-    /// What the connection pools of all members share.
+    /// The state shared by the connection pools of all members.
     pools: Rc<PoolContext>,
     clients: Rc<ClientListener>,
-    /// Where spawned tasks send their results; the event loop receives at the other end.
+    /// The queue in which spawned tasks put their results; the event loop receives from it.
     events: Sender<ProxyEvent>,
     discovery: DiscoveryWatch,
     recorder: DecisionRecorder,
@@ -88,7 +88,7 @@
     lifecycle: Lifecycle,
     timers: MaintenanceTimers,
     budget_denials: BudgetDenials,
-    /// Present where another process may take over from this one while it serves.
+    /// Present if another process can take over from this one while it serves.
     handover: Option<HandoverController>,
     gossip: GossipClient,
     negative_cache: NegativeCacheClient,
@@ -97,8 +97,8 @@
 }
 
 impl Broker {
-    /// Creates a broker with empty tables. Gossip, the negative cache, rollouts and handover are off until the
-    /// `enable_` methods are called.
+    /// Creates a broker with empty tables. Gossip, the negative cache, rollouts and handover are disabled
+    /// until the corresponding `enable_` method is called.
     pub fn new(
         config: &Config,
         clock: Clock,
@@ -135,29 +135,29 @@
         }
     }
 
-    /// Reports what members do to the gossip thread from now on.
+    /// Enables reports of observed member behavior to the gossip thread.
     pub fn enable_gossip(&mut self, handle: GossipHandle) {
         self.gossip.connect(handle);
     }
 
-    /// Reports the state of members to the rollout service from now on.
+    /// Enables reports of member states to the rollout service.
     pub fn enable_rollout(&mut self, rollout: RolloutReporter) {
         self.rollout = rollout;
     }
 
-    /// Answers reads of missing keys from the negative cache, and requires a lease for writes, from now on.
+    /// Enables the negative cache: reads of missing keys are answered from it, and writes require a lease.
     pub fn enable_negative_cache(&mut self, negative_cache: NegativeCacheClient) {
         self.negative_cache = negative_cache;
     }
 
-    /// Runs the event loop until the process is to exit. `known` is the endpoint list that the process starts from.
+    /// Runs the event loop until the process is to exit, starting from the endpoint list `initial_endpoints`.
     pub async fn run(
         mut self,
-        known: EndpointList,
+        initial_endpoints: EndpointList,
         events: Receiver<ProxyEvent>,
         admin_calls: Receiver<AdminCall>,
     ) {
-        self.start(known);
+        self.start(initial_endpoints);
         loop {
             let wakeup = self.wait_for_wakeup(&events, &admin_calls).await;
             self.gossip.on_event_loop_turn(self.clock.now());
@@ -175,17 +175,17 @@
         }
     }
 
-    fn start(&mut self, known: EndpointList) {
+    fn start(&mut self, initial_endpoints: EndpointList) {
         let mut actions = Vec::new();
         self.router.start(&mut actions);
         self.perform(self.clock.now(), actions);
-        // The stored list may be old, but nothing else is known yet: it counts as complete.
-        self.apply_endpoint_list(EndpointList { complete: true, ..known });
+        // The stored list may be outdated, but nothing newer is available yet, so it is treated as complete.
+        self.apply_endpoint_list(EndpointList { complete: true, ..initial_endpoints });
         self.restore_inherited_observations();
     }
 
-    /// Waits for the next admin call, event or timer. Admin calls take precedence: their answers are due whatever
-    /// events are queued.
+    /// Waits for the next admin call, event or timer. Admin calls take precedence, so that they are answered
+    /// promptly even if many events are queued.
     async fn wait_for_wakeup(
         &self,
         events: &Receiver<ProxyEvent>,
--- a/crates/proxy/src/broker/negative_cache.rs
+++ b/crates/proxy/src/broker/negative_cache.rs
@@ -1,4 +1,4 @@
-//! The negative cache in the request path: it may answer a read of a missing key at once, and a write needs a lease.
+//! The negative cache in the request path: answers reads of missing keys, and rejects writes without a lease.
 
 use super::request_log::Disposition;
 use super::Broker;
@@ -6,13 +6,13 @@
 use wharfplank_protocol::pipeline::FinalResponse;
 use wharfplank_routing::{Micros, RequestId};
 
-/// The Retry-After of a write that was rejected for lack of a lease, in milliseconds: a lease server answers within
-/// this time, or is down.
+/// The Retry-After of a write that was rejected for lack of a lease, in milliseconds. A lease server that
+/// does not answer within this time is down.
 const LEASE_RETRY_AFTER_MS: i64 = 500;
 
 impl Broker {
-    /// Answers a request that has just been opened, where the negative cache knows the answer to a read, or holds no
-    /// lease for a write. True where the request is answered.
+    /// Answers a newly opened request if the negative cache has the answer to a read or holds no lease for a
+    /// write. Returns whether the request has been answered.
     pub(super) fn answer_from_negative_cache(
         &mut self,
         id: RequestId,
@@ -37,8 +37,8 @@
         true
     }
 
-    /// Updates the cache with a member's complete answer to the read of a key. `position_at_send` is the member's
-    /// newest known log position when the read was sent.
+    /// Updates the cache with a member's complete response to a read of a key. `position_at_send` is the
+    /// newest known log position of the member at the time of sending.
     pub(super) fn update_negative_cache(
         &self,
         id: RequestId,
--- a/crates/proxy/src/broker/request_log.rs
+++ b/crates/proxy/src/broker/request_log.rs
@@ -1,4 +1,4 @@
-//! How requests end, for the counters, the debug log and the records.
+//! Reports the results of requests to the counters, the debug log and the records.
 
 use super::request_table::{AttemptOutcomeAt, OpenRequest};
 use super::Broker;
@@ -7,7 +7,7 @@
 use crate::{activity_counts, log};
 use wharfplank_routing::{AttemptOutcome, HostId, RequestId};
 
-/// How a request was answered, as the counters name it.
+/// The kind of a request's final response, as named by the counters.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Disposition {
     Served,
@@ -26,8 +26,8 @@
 }
 
 impl Broker {
-    /// Counts how an open request is answered, and why. One that is not served gets a log line of its own, by which
-    /// the client's id can be followed through the logs of all proxies.
+    /// Counts the result of an open request and its reason. A request that is not served is also logged with
+    /// the client's id, by which it can be traced through the logs of all proxies.
     pub(super) fn count_request(&mut self, id: RequestId, disposition: Disposition, why: &'static str) {
         if !self.counts.is_enabled() {
             return;
@@ -59,8 +59,8 @@
         });
     }
 
-    /// Keeps how an attempt ended, for the log line of a request that is not served.
-    pub(super) fn note_attempt_outcome(&mut self, id: RequestId, host: HostId, outcome: AttemptOutcome) {
+    /// Stores the outcome of an attempt for the log line of a request that is not served.
+    pub(super) fn store_attempt_outcome(&mut self, id: RequestId, host: HostId, outcome: AttemptOutcome) {
         if !self.counts.is_enabled() {
             return;
         }
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Counts and records an open request that a member's answer serves; `primary` is the role that the answer states.
+    /// Counts and records an open request that a member has served; `primary` is the role stated in the
+    /// response.
     pub(super) fn record_served(&mut self, id: RequestId, host: HostId, primary: Option<bool>) {
         let role = if primary == Some(true) { "primary" } else { "replica" };
         self.count_request(id, Disposition::Served, role);
@@ -80,7 +81,7 @@
         });
     }
 
-    /// Records the end of an open request, where the settings ask for records.
+    /// Records the result of an open request if recording is enabled.
     pub(super) fn record_request(
         &self,
         id: RequestId,
--- a/crates/proxy/src/broker/request_table.rs
+++ b/crates/proxy/src/broker/request_table.rs
@@ -1,5 +1,5 @@
-//! The table of open requests, indexed by the router's request id, the client listener's request number and the
-//! client's id.
+//! The table of open requests, indexed by the router's request id, the client listener's request number and
+//! the client's id.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -8,26 +8,26 @@
 use wharfplank_transport::client_connection::ResponseWriter;
 use wharfplank_transport::Statement;
 
-/// A request that has no final answer yet.
+/// A request without a final response.
 pub(super) struct OpenRequest {
     pub(super) number: RequestNumber,
-    /// The id that the client gave the request.
+    /// The id that the client assigned to the request.
     pub(super) client_id: String,
     pub(super) statement: Rc<Statement>,
-    /// Takes the final answer.
+    /// Writes the final response.
     pub(super) responses: Rc<ResponseWriter>,
-    /// The number of attempts that the router has asked for.
+    /// The number of attempts that the router has ordered.
     pub(super) attempts: u32,
     pub(super) class: ClassId,
     pub(super) group: GroupId,
-    /// The key that the request reads or writes, where the negative cache needs it.
+    /// The key that the request reads or writes, if the negative cache needs it.
     pub(super) touched_key: Option<wharfplank_negative_cache::Lookup>,
     pub(super) arrived_at: Micros,
-    /// How the attempts ended, where the log counts requests: at most `max_attempts` entries.
+    /// The outcomes of the attempts if the log counts requests; at most `max_attempts` entries.
     pub(super) attempt_outcomes: Vec<AttemptOutcomeAt>,
 }
 
-/// How an attempt ended, and at which member.
+/// The outcome of an attempt and its member.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptOutcomeAt {
     pub(super) host: HostId,
@@ -43,7 +43,7 @@
 }
 
 impl RequestTable {
-    /// Reserves the id that a client gave a request; false where another open request has it.
+    /// Reserves the id that a client assigned to a request; returns false if another open request has it.
     pub(super) fn reserve_client_id(&mut self, client_id: &str) -> bool {
         self.client_ids.insert(client_id.to_string())
     }
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request, from its arrival to its one final answer.
+//! The lifecycle of a request, from its arrival to its single final response.
 
 use super::attempt_table::AttemptKey;
 use super::endpoint_table::fnv1a;
@@ -14,23 +14,24 @@
 use wharfplank_transport::member_pool::AttemptStage;
 use wharfplank_transport::ClientRequest;
 
-/// The client counts its wait from its own send: answers are due this much earlier here.
+/// The safety margin before a request's deadline: the client measures its timeout from the time of its own
+/// send.
 const ANSWER_MARGIN: Micros = 5_000;
 
-/// What becomes of the attempts that have begun when their request is closed.
+/// How attempts that have started are handled when their request is closed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum BegunAttempts {
-    /// They run to their end, whose outcome the router still learns from.
+enum StartedAttempts {
+    /// They run to completion, so that the router learns from their outcome.
     Continue,
     /// They are cancelled.
     Cancel,
 }
 
 impl Broker {
-    /// Takes a request that a client connection has read: answers it at once where it is invalid, over budget or
-    /// known from the negative cache, and hands it to the router otherwise.
+    /// Handles a request that a client connection has read: responds at once if it is invalid, over budget or
+    /// answered by the negative cache, and passes it to the router otherwise.
     pub(super) fn on_client_request(&mut self, received: ClientRequest) {
-        // The client disconnected or cancelled before the request got here: it has its answer, or needs none.
+        // The client disconnected or cancelled the request while it was queued: no response is needed.
         if !received.response_writer.is_awaited(received.number) {
             return;
         }
@@ -40,7 +41,7 @@
                 .respond(received.number, FinalResponse::Malformed("the class is not in the settings"));
             return;
         };
-        // Members tell requests apart by their ids: a second one would be taken for a copy of the first.
+        // Members identify requests by their ids and would treat the second one as a duplicate of the first.
         if !self.requests.reserve_client_id(&received.id) {
             received.response_writer.respond(
                 received.number,
@@ -59,7 +60,7 @@
         self.parameters.class_names.iter().position(|known| known == name).map(ClassId)
     }
 
-    /// The request as the router takes it.
+    /// Converts a received request to the router's representation.
     fn router_request(&self, now: Micros, class: ClassId, received: &ClientRequest) -> Request {
         let arrived_at = self.clock.to_micros(received.arrived_at);
         Request {
@@ -67,7 +68,8 @@
             class,
             group: GroupId(received.group),
             session: received.session_key.as_ref().map(|key| SessionKey(fnv1a(key.as_bytes()))),
-            // The wait runs from the request's last byte, however long it was queued behind others.
+            // The timeout counts from the arrival of the last byte, including the time queued behind other
+            // requests.
             deadline: arrived_at + (Micros::from(received.timeout_ms) * 1000 - ANSWER_MARGIN).max(1),
             may_have_run: self.gossip.may_have_run(now, &received.id),
             last_write_age: received.min_position_ms.map(|ms| now - ms.saturating_mul(1000)),
@@ -96,7 +98,7 @@
         self.requests.insert(request.id, open);
     }
 
-    /// Hands an open request to the router, unless a budget denies it or the negative cache settles it.
+    /// Passes an open request to the router, unless a budget denies it or the negative cache answers it.
     fn admit(&mut self, now: Micros, request: Request, min_position_ms: Option<i64>) {
         if self.is_over_budget(request.group) {
             return self.notify_router_at(now, routing::Event::RequestOverQuota(request));
@@ -104,40 +106,42 @@
         if self.answer_from_negative_cache(request.id, now, min_position_ms) {
             return;
         }
-        self.note_sessions_of_peer(now);
-        // The age of the session's write counts from the very time that the router takes the request at:
-        // a later one would ask for a position some microseconds past the commit.
+        self.report_peer_sessions(now);
+        // `last_write_age` is relative to `now`. A later time here would make the router require a position
+        // some microseconds past the commit.
         self.notify_router_at(now, routing::Event::Request(request));
-        // A request taken after shutdown has given up the others is answered all the same.
-        if self.lifecycle.has_given_up() {
+        // A request accepted after the shutdown has aborted the others must be answered too.
+        if self.lifecycle.has_aborted_requests() {
             self.notify_router(routing::Event::Shutdown);
         }
     }
 
-    /// A client cancelled a request, which its connection has answered: none of its attempts continues.
+    /// Handles a cancellation by the client, whose connection has already responded: stops its attempts,
+    /// except for started ones if the settings do not allow cancellation.
     pub(super) fn on_request_cancelled(&mut self, number: RequestNumber) {
         let Some(id) = self.requests.id_of(number) else { return };
         self.count_request(id, Disposition::Failed, "cancelled");
         let attempts = self.finish(id, &FinalResponse::Cancelled).map_or(0, |request| request.attempts);
-        let begun = match self.attempt_policy.may_cancel {
-            true => BegunAttempts::Cancel,
-            false => BegunAttempts::Continue,
+        let started = match self.attempt_policy.may_cancel {
+            true => StartedAttempts::Cancel,
+            false => StartedAttempts::Continue,
         };
-        self.withdraw_attempts(id, attempts, begun);
+        self.stop_attempts(id, attempts, started);
         self.notify_router(routing::Event::ClientDisconnected(id));
     }
 
-    /// A client disconnected: its request needs no answer any more.
+    /// Handles the disconnection of a client: its request needs no response any more.
     pub(super) fn on_client_disconnected(&mut self, number: RequestNumber) {
         let Some(id) = self.requests.id_of(number) else { return };
-        self.note_abandoned_write(id);
+        self.report_abandoned_write(id);
         let attempts = self.close(id).map_or(0, |request| request.attempts);
-        self.withdraw_attempts(id, attempts, BegunAttempts::Continue);
+        self.stop_attempts(id, attempts, StartedAttempts::Continue);
         self.notify_router(routing::Event::ClientDisconnected(id));
     }
 
-    /// Reports to gossip a request whose client disconnected while its last attempt was in flight: it may still run.
-    fn note_abandoned_write(&mut self, id: RequestId) {
+    /// Reports to gossip a request whose client disconnected while its last attempt was in flight: it may
+    /// still execute.
+    fn report_abandoned_write(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let last_attempt = AttemptKey::new(id, request.attempts.saturating_sub(1));
         if self.attempts.contains(last_attempt) || self.streaming.contains(last_attempt) {
@@ -145,30 +149,31 @@
         }
     }
 
-    /// Called when an attempt has ended. Where its client has disconnected and the event that says so is still queued,
-    /// that event is handled first, so that nothing more is sent or looked up.
-    pub(super) fn notice_client_left(&mut self, id: RequestId) {
+    /// Closes the request of a finished attempt if its client has disconnected. The event for the
+    /// disconnection may still be queued; handling it now ensures that nothing more is sent or looked up for
+    /// the request.
+    pub(super) fn handle_client_disconnect(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         if request.responses.is_disconnected() {
             self.on_client_disconnected(request.number);
         }
     }
 
-    /// Closes a request whose attempt was not sent since its client has disconnected.
-    pub(super) fn close_if_client_left(&mut self, id: RequestId) {
+    /// Closes a request whose attempt was not sent because its client has disconnected.
+    pub(super) fn close_if_client_disconnected(&mut self, id: RequestId) {
         if self.requests.get(id).is_some_and(|request| request.responses.is_disconnected()) {
             self.close(id);
         }
     }
 
-    /// Ends the attempts of a request that needs no answer any more. One that is queued for a connection never begins;
-    /// `begun` says what becomes of the others.
-    fn withdraw_attempts(&mut self, id: RequestId, attempts: u32, begun: BegunAttempts) {
+    /// Stops the attempts of a request that needs no response any more. Attempts that are queued for a
+    /// connection are not started; `started` determines how the others are handled.
+    fn stop_attempts(&mut self, id: RequestId, attempts: u32, started: StartedAttempts) {
         for number in 0..attempts {
             let key = AttemptKey::new(id, number);
             match self.attempts.stage(key) {
                 Some(AttemptStage::Queued) => self.end_attempt(key, AttemptOutcome::NotSent),
-                Some(AttemptStage::Writing | AttemptStage::Written) if begun == BegunAttempts::Cancel => {
+                Some(AttemptStage::Writing | AttemptStage::Written) if started == StartedAttempts::Cancel => {
                     self.end_attempt(key, AttemptOutcome::Cancelled);
                 }
                 _ => {}
@@ -176,19 +181,19 @@
         }
     }
 
-    /// Removes a request from the tables without an answer.
+    /// Removes a request from the tables without responding to it.
     fn close(&mut self, id: RequestId) -> Option<OpenRequest> {
         self.requests.remove(id)
     }
 
-    /// Gives a request its one final answer.
+    /// Sends the final response to a request.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         if let Some(request) = self.finish(id, &answer) {
             request.responses.respond(request.number, answer);
         }
     }
 
-    /// Counts the one final answer of an open request, and removes the request from the tables.
+    /// Counts the final response to an open request, and removes the request from the tables.
     pub(super) fn finish(&mut self, id: RequestId, answer: &FinalResponse) -> Option<OpenRequest> {
         self.gossip.count_answer(self.clock.now(), answer);
         let request = self.close(id)?;
@@ -204,8 +209,8 @@
     }
 }
 
-/// The router's id of a request: the request number, which keeps equal ids of several clients apart, and the client's
-/// id.
+/// The router's id of a request: the request number, which distinguishes equal ids of different clients,
+/// followed by the client's id.
 fn request_id(number: RequestNumber, client_id: &str) -> RequestId {
     const NUMBER_DIGITS: usize = 16;
     let mut bytes = [b'.'; 36];
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -1,4 +1,4 @@
-//! Delivers events to the router and carries out the actions that it returns.
+//! Delivers events to the router and executes the actions that it returns.
 
 use super::attempt_table::{AttemptKey, FinishedAttempt};
 use super::request_log::Disposition;
@@ -10,18 +10,19 @@
 use wharfplank_transport::member_pool::AttemptReport;
 
 impl Broker {
-    /// Delivers an event to the router, carries out its actions, and reports the attempts that end by these at once.
+    /// Delivers an event to the router, executes its actions, and reports the attempts that these end
+    /// immediately.
     pub(super) fn notify_router(&mut self, event: routing::Event) {
         self.notify_router_at(self.clock.now(), event);
     }
 
-    /// The same, for an event that was observed at `now`.
+    /// Like [`Broker::notify_router`], for an event observed at `now`.
     pub(super) fn notify_router_at(&mut self, now: Micros, event: routing::Event) {
         self.route(now, event);
         self.report_finished_attempts();
     }
 
-    /// Delivers one event and carries out its actions. Outcomes that these produce stay queued.
+    /// Delivers one event and executes its actions. Resulting outcomes stay queued.
     pub(super) fn route(&mut self, now: Micros, event: routing::Event) {
         let mut actions = Vec::new();
         self.update_retry_permission(now, &mut actions);
@@ -29,7 +30,8 @@
         self.perform(now, actions);
     }
 
-    /// Reports the queued outcomes to the router until none is left; each report may queue further ones.
+    /// Reports the queued outcomes to the router until none is left, including those that the reports
+    /// produce.
     pub(super) fn report_finished_attempts(&mut self) {
         while let Some(finished) = self.attempts.pop_finished() {
             self.report_finished_attempt(&finished);
@@ -40,14 +42,14 @@
 
     fn report_finished_attempt(&mut self, finished: &FinishedAttempt) {
         let FinishedAttempt { key, host, sent_at, outcome } = *finished;
-        self.note_attempt_outcome(key.request, host, outcome);
+        self.store_attempt_outcome(key.request, host, outcome);
         self.gossip.report_reachability(host, sent_at, outcome);
-        self.close_if_client_left(key.request);
+        self.close_if_client_disconnected(key.request);
         let result = self.attempt_result(key, host, sent_at, &AttemptReport::without_response(outcome));
         self.route(self.clock.now(), routing::Event::AttemptFinished(result));
     }
 
-    /// Carries out the actions that the router decided on at `now`.
+    /// Executes the actions that the router ordered at `now`.
     pub(super) fn perform(&mut self, now: Micros, actions: Vec<Action>) {
         for action in actions {
             self.perform_action(now, action);
@@ -69,19 +71,19 @@
                 self.start_health_check(host);
             }
             Action::SetTimer(delay) => self.timers.schedule_router_timer(self.clock.now() + delay),
-            // The watch on discovery always runs.
+            // The discovery watch is always running.
             Action::Subscribe => {}
         }
     }
 
-    /// Answers a request that the router sheds. The wait until a retry is rounded up to whole milliseconds.
+    /// Rejects a request that the router sheds. The retry delay is rounded up to whole milliseconds.
     fn reject(&mut self, id: RequestId, retry_after: Micros, reason: routing::RejectReason) {
         self.count_request(id, Disposition::Rejected, record_reason(reason).name());
         self.record_request(id, |recorder, request| recorder.record_rejected(request, reason));
         self.answer(id, FinalResponse::Rejected { retry_after_ms: (retry_after + 999) / 1000 });
     }
 
-    /// Answers a request that the router has given up.
+    /// Fails a request that the router cannot serve.
     fn fail(&mut self, id: RequestId, reason: routing::RejectReason) {
         if let Some(request) = self.requests.get(id) {
             self.gossip.on_request_failed(
--- a/crates/proxy/src/broker/shutdown.rs
+++ b/crates/proxy/src/broker/shutdown.rs
@@ -1,45 +1,48 @@
-//! Graceful shutdown: after SIGTERM clients are drained, the listener closes, and what is still open then is given up.
+//! Graceful shutdown: after SIGTERM, clients are drained, the listener closes, and the requests that are
+//! still open are aborted.
 
 use super::attempt_table::InFlightAttempt;
-use super::shutdown_timing::{give_up_delay, CLOSE_LISTENER_AFTER, FINAL_WRITE_TIME};
+use super::shutdown_timing::{abort_delay, CLOSE_LISTENER_AFTER, FINAL_WRITE_TIME};
 use super::Broker;
 use wharfplank_routing::{self as routing, AttemptOutcome, Micros};
 use wharfplank_transport::member_pool::AttemptStage;
 
-/// How often the end of the last connections and streams is checked once the listener is closed.
+/// The interval at which open connections and streams are checked after the listener has closed.
 const EXIT_CHECK_INTERVAL: Micros = FINAL_WRITE_TIME / 4;
 
-/// How far a shutdown has come.
+/// The progress of a shutdown.
 pub(super) struct Shutdown {
-    /// When SIGTERM was received. A process that was stalled past the time to give up counts as if it had been in time.
-    began_at: Micros,
+    /// When SIGTERM was received. It is moved forward if the process was stalled past the time to abort
+    /// requests.
+    started_at: Micros,
     is_listener_closed: bool,
-    pub(super) has_given_up: bool,
+    pub(super) has_aborted_requests: bool,
 }
 
 impl Broker {
-    /// Starts to drain clients. A second SIGTERM changes nothing.
+    /// Starts draining clients. A repeated SIGTERM has no effect.
     pub(super) fn begin_shutdown(&mut self) {
         if self.lifecycle.is_shutting_down() {
             return;
         }
-        let began_at = self.clock.now();
-        let shutdown = Shutdown { began_at, is_listener_closed: false, has_given_up: false };
+        let started_at = self.clock.now();
+        let shutdown = Shutdown { started_at, is_listener_closed: false, has_aborted_requests: false };
         self.lifecycle.shutdown = Some(shutdown);
         self.recorder.record_shutdown();
         self.clients.begin_draining();
     }
 
-    /// Takes the steps of the shutdown that are due.
+    /// Executes the shutdown steps that are due.
     pub(super) fn advance_shutdown(&mut self, now: Micros) {
-        let Some(Shutdown { began_at, is_listener_closed, has_given_up }) = self.lifecycle.shutdown else {
+        let Some(Shutdown { started_at, is_listener_closed, has_aborted_requests }) = self.lifecycle.shutdown
+        else {
             return;
         };
-        if !is_listener_closed && now >= began_at + CLOSE_LISTENER_AFTER {
+        if !is_listener_closed && now >= started_at + CLOSE_LISTENER_AFTER {
             self.close_listener();
         }
-        if !has_given_up && now >= began_at + self.give_up_delay() {
-            self.give_up_open_requests(now);
+        if !has_aborted_requests && now >= started_at + self.abort_delay() {
+            self.abort_open_requests(now);
         }
     }
 
@@ -52,14 +55,15 @@
         self.release_listener();
     }
 
-    /// Answers all open requests. Attempts that were not written completely are taken back first: they never ran, so
-    /// their requests are rejected rather than failed.
-    fn give_up_open_requests(&mut self, now: Micros) {
-        let delay = self.give_up_delay();
+    /// Answers all open requests. Attempts that were not completely written are cancelled first: they have
+    /// not been executed, so their requests are rejected instead of failed.
+    fn abort_open_requests(&mut self, now: Micros) {
+        let delay = self.abort_delay();
         if let Some(shutdown) = &mut self.lifecycle.shutdown {
-            shutdown.has_given_up = true;
-            // A process that was stalled gives up late: the answers have their time to be written all the same.
-            shutdown.began_at = now - delay;
+            shutdown.has_aborted_requests = true;
+            // If the process was stalled, requests are aborted late: the final responses still get their time
+            // to be written.
+            shutdown.started_at = now - delay;
         }
         self.notify_router(routing::Event::StopSending);
         let unsent = |attempt: &InFlightAttempt| {
@@ -72,29 +76,29 @@
         self.notify_router(routing::Event::Shutdown);
     }
 
-    /// When the shutdown has its next step, if one is under way.
+    /// Returns the time of the next shutdown step, if a shutdown is in progress.
     pub(super) fn next_shutdown_step(&self, now: Micros) -> Option<Micros> {
         let shutdown = self.lifecycle.shutdown.as_ref()?;
         let exit_check = now + EXIT_CHECK_INTERVAL;
-        Some(match (shutdown.is_listener_closed, shutdown.has_given_up) {
-            (false, _) => shutdown.began_at + CLOSE_LISTENER_AFTER,
-            (true, false) => exit_check.min(shutdown.began_at + self.give_up_delay()),
-            // Answers that are still streamed are waited for past the end.
+        Some(match (shutdown.is_listener_closed, shutdown.has_aborted_requests) {
+            (false, _) => shutdown.started_at + CLOSE_LISTENER_AFTER,
+            (true, false) => exit_check.min(shutdown.started_at + self.abort_delay()),
+            // Responses that are still being streamed are waited for beyond the exit time.
             (true, true) => exit_check,
         })
     }
 
-    /// Whether the process may exit.
+    /// Returns whether the process may exit.
     pub(super) fn can_exit(&self) -> bool {
         let Some(shutdown) = &self.lifecycle.shutdown else { return false };
         let is_drained = self.requests.is_empty() && self.clients.is_finished();
-        // Answers that are still streamed end by themselves, or with the process.
-        let exit_at = shutdown.began_at + self.give_up_delay() + FINAL_WRITE_TIME;
+        // Responses that are still being streamed end on their own, or when the process is killed.
+        let exit_at = shutdown.started_at + self.abort_delay() + FINAL_WRITE_TIME;
         let is_overdue = self.clock.now() >= exit_at;
         (shutdown.is_listener_closed && is_drained) || (is_overdue && self.streaming.is_empty())
     }
 
-    fn give_up_delay(&self) -> Micros {
-        give_up_delay(self.parameters.longest_deadline)
+    fn abort_delay(&self) -> Micros {
+        abort_delay(self.parameters.longest_deadline)
     }
 }
--- a/crates/proxy/src/broker/slow_start_log.rs
+++ b/crates/proxy/src/broker/slow_start_log.rs
@@ -1,16 +1,16 @@
-//! Log lines of members in slow start: when it begins, how it goes on, and what this proxy has sent when it ends.
+//! Logs members in slow start: its start, its progress, and the requests that this proxy has sent at its end.
 
 use super::Broker;
 use crate::log::{self, SlowStartStage};
 use std::collections::BTreeMap;
 use wharfplank_routing::{HostId, SlowStartView};
 
-/// The members in slow start as they were last logged. There are never more than members.
+/// The members in slow start as last logged; bounded by the number of members.
 #[derive(Default)]
 pub(super) struct SlowStartLog(BTreeMap<HostId, SlowStartView>);
 
 impl Broker {
-    /// Logs the members that have entered slow start since the last call, and those that have left it.
+    /// Logs the members in slow start, and those that have left it since the last call.
     pub(super) fn log_slow_start(&mut self) {
         let present: BTreeMap<HostId, SlowStartView> =
             self.router.slow_start_views().map(|view| (view.host, view)).collect();
@@ -23,7 +23,7 @@
             log::slow_start(stage, names.get(&view.host).copied().unwrap_or("-"), view);
         };
         for view in present.values() {
-            // A start that is younger than the last one that was logged is another one.
+            // A slow start that is younger than the last logged one is a new one.
             let is_known = previous.get(&view.host).is_some_and(|before| before.age <= view.age);
             log(if is_known { SlowStartStage::Continued } else { SlowStartStage::Began }, view);
         }
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -1,4 +1,4 @@
-//! Streaming responses: answers whose first bytes are passed on to the client while the rest still arrives.
+//! Streaming responses, which are forwarded to the client while the rest is still being received.
 
 use super::attempt_table::{AttemptKey, InFlightAttempt};
 use super::request_log::Disposition;
@@ -12,17 +12,18 @@
 };
 use wharfplank_transport::member_pool::AttemptReport;
 
-/// An attempt whose answer is being streamed.
+/// An attempt whose response is being streamed.
 struct StreamingAttempt {
     attempt: InFlightAttempt,
-    /// The result that the router gets when the stream ends, where it has not had it at the beginning.
+    /// The result to be reported to the router at the end of the stream, unless it was reported at the start.
     deferred_result: Option<AttemptResult>,
 }
 
-/// The attempts whose answer is being streamed; their requests stay open until the stream ends.
+/// The attempts whose response is being streamed. Their requests stay open until the stream ends.
 pub(super) struct StreamingAttempts {
     streams: HashMap<AttemptKey, StreamingAttempt>,
-    /// By class: whether the router must remember the commit positions of its writes for their sessions.
+    /// For each class, whether the router must remember the commit positions of its writes for their
+    /// sessions.
     remembers_commits: Vec<bool>,
 }
 
@@ -44,7 +45,7 @@
         self.streams.contains_key(&key)
     }
 
-    /// The streams from a member, with the time when each attempt was sent.
+    /// Returns the streams from a member, with the time at which each attempt was sent.
     pub(super) fn sent_to(&self, host: HostId) -> impl Iterator<Item = (Micros, AttemptKey)> + '_ {
         let streams = self.streams.iter().filter(move |(_, stream)| stream.attempt.host == host);
         streams.map(|(key, stream)| (stream.attempt.sent_at, *key))
@@ -56,10 +57,10 @@
 }
 
 impl Broker {
-    /// A long answer has begun, and is streamed from here on. Its member has done the work: the router hears of it
-    /// now, with the latency of the first bytes, since neither the rest of them nor a client that reads slowly tells
-    /// anything of the member's load. Only for a write whose commit sessions must remember the result is deferred to
-    /// the end of the stream, where the commit position stands.
+    /// Handles the start of a streamed response. The member has done its work, so the result is reported to
+    /// the router now, with the latency of the first bytes: the transfer of the rest, or a slow client, says
+    /// nothing about the member's load. For a write whose commit position must be remembered for its session
+    /// the result is deferred to the end of the stream, where the position is stated.
     pub(super) fn on_stream_started(&mut self, key: AttemptKey, mut report: AttemptReport) {
         let Some(attempt) = self.attempts.remove(key) else { return };
         let request = self.requests.get(key.request);
@@ -76,14 +77,14 @@
         }
     }
 
-    /// A streamed answer has ended, completely or not.
+    /// Handles the end of a streamed response, complete or not.
     pub(super) fn on_stream_finished(&mut self, key: AttemptKey, report: AttemptReport) {
         let Some(stream) = self.streaming.streams.remove(&key) else { return };
         let StreamingAttempt { attempt, deferred_result } = stream;
-        self.note_attempt_ended(key, report.outcome);
+        self.report_attempt_end(key, report.outcome);
         self.gossip.report_reachability(attempt.host, attempt.sent_at, report.outcome);
         self.counts.increment("attempt", activity_counts::outcome_name(report.outcome), "");
-        // Where the client left meanwhile, there is nothing more to answer or count.
+        // If the client has disconnected in the meantime, there is nothing to respond or count.
         if self.requests.contains(key.request) {
             self.finish_streamed_request(key.request, attempt.host, &report);
         }
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Counts the end of a request whose answer the client connection has already written.
+    /// Counts the end of a request whose response has already been written by the client connection.
     fn finish_streamed_request(&mut self, id: RequestId, host: HostId, report: &AttemptReport) {
         if report.outcome == AttemptOutcome::Ok {
             let primary = report.response.as_ref().and_then(|answer| answer.primary);
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Tells the router the position that a member stated at the end of a stream. It is a position that the member has
-    /// reached, and says nothing of its load.
+    /// Reports to the router the log position that a member stated at the end of a stream. It says nothing
+    /// about the member's load.
     fn report_stream_position(&mut self, host: HostId, position: Option<Micros>) {
         let observation = |position| PeerObservation { host, position, suspected_at: 0, traits: None };
         self.notify_router(routing::Event::PeerObservations(position.map(observation).into_iter().collect()));
