--- a/crates/proxy/src/budgets/limits.rs
+++ b/crates/proxy/src/budgets/limits.rs
@@ -1,10 +1,10 @@
-//! The limits that the settings give to each budget.
+//! Converts the settings to the limit of each budget.
 
 use std::collections::BTreeMap;
 use wharfplank_budget::{BudgetId, BudgetKind, BudgetLimits};
 use wharfplank_settings::BudgetSettings;
 
-/// The limits of the fleet; a limit of 0 means that there is no such budget.
+/// Returns the limits of the fleet. A limit of 0 disables the budget.
 pub(super) fn budget_limits(settings: &BudgetSettings) -> BudgetLimits {
     let fleet_wide = [
         (BudgetKind::Requests, settings.requests),
--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -1,5 +1,5 @@
-//! Starts the fleet's budgets where the settings ask for them: the datagram socket, the thread that exchanges leases, and
-//! the lease allocator where this proxy is one.
+//! Starts the fleet's budgets if the settings enable them: the datagram socket, the thread that exchanges
+//! leases, and the lease allocator if this proxy runs one.
 
 mod limits;
 
@@ -19,30 +19,30 @@
 };
 use wharfplank_transport::socket::open;
 
-/// The percentage of a budget that is handed out statically where there are no allocators to lease the rest: all of it.
-const ALL_PERCENT: u64 = 100;
+/// The percentage of a budget that is divided statically if there are no allocators: all of it.
+const FULL_PERCENT: u64 = 100;
 
-/// Binds the socket and starts the thread and the serving side.
+/// Binds the socket, and starts the lease thread and the budgets of the serving thread.
 pub fn start(
     settings: &BudgetSettings,
     clock: Clock,
     executor: &LocalExecutor<'static>,
 ) -> Result<Rc<Budgets>, StartError> {
     let (socket, bound) = bind(settings)?;
-    let me: SocketAddrV4 = settings.advertise().unwrap_or(bound);
+    let local_address: SocketAddrV4 = settings.advertise().unwrap_or(bound);
     let skew = settings.clock_skew_ms * 1000;
     let now = clock.now() + skew;
 
     let limits = budget_limits(settings);
     let terms = LeaseTerms::default();
     let allocators = settings.allocators();
-    let static_percent = if allocators.is_empty() { ALL_PERCENT } else { settings.even_percent };
+    let static_percent = if allocators.is_empty() { FULL_PERCENT } else { settings.even_percent };
     let static_quotas = limits.static_quota(static_percent, settings.max_proxies);
-    let own_allocator = own_allocator(settings, me, &limits, &static_quotas, now);
+    let own_allocator = own_allocator(settings, local_address, &limits, &static_quotas, now);
     let is_allocator = own_allocator.is_some();
 
-    // The id of the process is unique: it is made of its address and of when it started.
-    let process = hash_name(&format!("{me} {} {}", clock.now(), std::process::id()));
+    // The holder id must be unique, so it is derived from the address and the start time.
+    let process = hash_name(&format!("{local_address} {} {}", clock.now(), std::process::id()));
     let holder = LeaseHolder::new(process, terms.clone(), allocators.len(), Vec::new(), now)
         .with_static_quotas(static_quotas);
     let settings_hash =
@@ -64,15 +64,15 @@
     };
     let budgets = lease_worker::start(worker, budgets_config, executor)
         .map_err(StartError::component_start(Component::Budgets))?;
-    log::budgets_started(bound, me, is_allocator);
+    log::budgets_started(bound, local_address, is_allocator);
     Ok(budgets)
 }
 
-/// The allocator that this proxy runs, where the settings name its address and do not list it as removed. The live
-/// allocators divide what is not handed out statically.
+/// Returns the allocator that this proxy runs, if the settings contain its address and do not list it as
+/// removed. The active allocators divide the part of the budgets that is not assigned statically.
 fn own_allocator(
     settings: &BudgetSettings,
-    me: SocketAddrV4,
+    local_address: SocketAddrV4,
     limits: &BudgetLimits,
     static_quotas: &BudgetLimits,
     now: Micros,
@@ -80,14 +80,14 @@
     let allocators = settings.allocators();
     let removed = settings.removed_allocators();
     let is_removed: Vec<bool> = allocators.iter().map(|allocator| removed.contains(allocator)).collect();
-    let index = allocators.iter().position(|allocator| *allocator == me)?;
+    let index = allocators.iter().position(|allocator| *allocator == local_address)?;
     if is_removed[index] {
         return None;
     }
-    let live_count = |removed: &[bool]| removed.iter().filter(|is_removed| !**is_removed).count() as u64;
-    let live_before = live_count(&is_removed[..index]);
+    let active_count = |removed: &[bool]| removed.iter().filter(|is_removed| !**is_removed).count() as u64;
+    let active_before = active_count(&is_removed[..index]);
     let part =
-        limits.allocator_part(static_quotas, settings.max_proxies, live_before, live_count(&is_removed));
+        limits.allocator_part(static_quotas, settings.max_proxies, active_before, active_count(&is_removed));
     let allocator = LeaseAllocator::new(LeaseTerms::default(), part, now);
     let guard = TakeoverGuard::new(settings.allocator_set_version, index, &is_removed);
     Some(OwnAllocator { index, allocator, guard })
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! Configuration errors.
 
 use serde_json::Value;
 use std::io;
@@ -7,7 +7,7 @@
 use wharfplank_protocol::endpoint_list::EndpointListError;
 use wharfplank_routing::settings::FieldError;
 
-/// Why the configuration that the environment names cannot be used.
+/// An error in the configuration named by the environment.
 #[derive(Debug, Error)]
 pub enum EnvironmentError {
     /// The variable that names the file is missing.
@@ -18,7 +18,7 @@
     Unusable(#[from] ReadError),
 }
 
-/// Why a configuration file cannot be used.
+/// An error in a configuration file.
 #[derive(Debug, Error)]
 pub enum ReadError {
     /// The file cannot be read.
@@ -26,20 +26,20 @@
     Io {
         /// The file.
         path: PathBuf,
-        /// What the system reported.
+        /// The error reported by the system.
         source: io::Error,
     },
-    /// The text of the file is not a configuration.
+    /// The text of the file is not a valid configuration.
     #[error("{}: {source}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong with its text.
+        /// The error in its text.
         source: ParseError,
     },
 }
 
-/// Why a text is not a configuration.
+/// An error in the text of a configuration.
 #[derive(Debug, Error)]
 pub enum ParseError {
     /// The text is not JSON.
@@ -48,27 +48,27 @@
     /// A required address is missing.
     #[error("{0} is missing")]
     MissingAddress(&'static str),
-    /// An address is given as something other than a string.
-    #[error("{field} {value} is no address")]
+    /// The value of an address is not a string.
+    #[error("{field} {value} is not a string with an IP:PORT address")]
     AddressNotText {
         /// The key.
         field: &'static str,
         /// Its value.
         value: Value,
     },
-    /// A string is not `IP:PORT`.
-    #[error("{field} '{text}' is no address")]
+    /// An address string is not of the form `IP:PORT`.
+    #[error("{field} '{text}' is not an IP:PORT address")]
     InvalidAddress {
         /// The key.
         field: &'static str,
-        /// Its value, or that of the environment variable in its place.
+        /// Its value, or the value of the environment variable that overrides it.
         text: String,
     },
-    /// There is no group of settings.
+    /// There is no settings object.
     #[error("settings are missing")]
     MissingSettings,
     /// The seed is neither a whole number nor a hexadecimal string.
-    #[error("seed is no number")]
+    #[error("seed is neither a whole number nor a hexadecimal string")]
     InvalidSeed,
     /// A field of the settings is invalid.
     #[error("settings: {0}")]
@@ -80,12 +80,12 @@
     #[error("known: {0}")]
     InvalidEndpointList(#[from] EndpointListError),
     /// The limits are not a JSON object.
-    #[error("limits are no group of fields")]
+    #[error("limits are not a JSON object")]
     LimitsNotObject,
-    /// The limit of descriptors is invalid.
-    #[error("limits: field sockets: is no whole number from 1 on")]
+    /// The descriptor limit is invalid.
+    #[error("limits: field sockets: must be a whole number of at least 1")]
     InvalidDescriptorLimit,
-    /// The limit of memory is invalid.
-    #[error("limits: field memory_mb: is no number above 0 and up to 1e9")]
+    /// The memory limit is invalid.
+    #[error("limits: field memory_mb: must be a number above 0 and at most 1e9")]
     InvalidMemoryLimit,
 }
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration of one process, checked before any socket is opened.
+//! The configuration of one process, validated before any socket is opened.
 
 mod error;
 mod parse;
@@ -12,28 +12,28 @@
 use wharfplank_routing::settings::ProxyParameters;
 use wharfplank_routing::Settings;
 
-/// The checked configuration.
+/// A validated configuration.
 #[derive(Debug)]
 pub struct Config {
     /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// The address at which operators connect, where they may.
+    /// The address at which operators connect, if enabled.
     pub admin: Option<SocketAddr>,
     /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The most file descriptors that the process may hold.
+    /// The maximum number of file descriptors of the process.
     pub max_descriptors: usize,
-    /// The most memory that the process may use, in bytes.
+    /// The maximum memory use of the process, in bytes.
     pub max_memory_bytes: usize,
-    /// The endpoint list as it was last known.
+    /// The last known endpoint list.
     pub initial_endpoints: EndpointList,
     /// The settings of the routing policy.
     pub settings: Settings,
-    /// The settings of everything around the routing policy.
+    /// The settings of everything outside the routing policy.
     pub parameters: ProxyParameters,
 }
 
-/// Addresses that take precedence over those of the file.
+/// Addresses that override those of the file.
 #[derive(Clone, Debug, Default)]
 pub struct AddressOverrides {
     /// The address at which clients connect.
@@ -45,7 +45,7 @@
 }
 
 impl AddressOverrides {
-    /// The overrides that environment variables give; an empty variable counts as missing.
+    /// Returns the overrides from environment variables; an empty variable counts as unset.
     fn from_environment() -> Self {
         let variable = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
         AddressOverrides {
@@ -57,13 +57,14 @@
 }
 
 impl Config {
-    /// Reads the file that `BALANCER_CONFIG` names; the addresses of other variables take precedence over its own.
+    /// Reads the file named by `BALANCER_CONFIG`. Addresses in other environment variables override those of
+    /// the file.
     pub fn from_environment() -> Result<Self, EnvironmentError> {
         Self::read_named_file(AddressOverrides::from_environment())
     }
 
-    /// Reads the file that `BALANCER_CONFIG` names again. The other variables do not count: they are as old as the
-    /// process, and the file is newer.
+    /// Reads the file named by `BALANCER_CONFIG` again. The address variables are ignored, since they date
+    /// from the start of the process and the file is newer.
     pub fn reload() -> Result<Self, EnvironmentError> {
         Self::read_named_file(AddressOverrides::default())
     }
--- a/crates/proxy/src/config/parse.rs
+++ b/crates/proxy/src/config/parse.rs
@@ -7,15 +7,15 @@
 use wharfplank_routing::settings::{translate, Fields, ProxyParameters};
 use wharfplank_routing::{Consistency, Micros, Settings};
 
-/// The staleness bound of a read counts when its last byte is sent, a little after the decision: reads are decided as if
-/// the bound were this much tighter. In microseconds.
+/// The amount by which staleness bounds are tightened for routing decisions, in microseconds. The bound
+/// applies when the last byte of a read is sent, which is slightly after the decision.
 pub const SEND_MARGIN: Micros = 2_000;
 
-/// The default of `limits.sockets`: what holds on scored days.
+/// The default of `limits.sockets`: the limit in the platform's scored runs.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// The default of `limits.memory_mb`: what holds on scored days.
+/// The default of `limits.memory_mb`: the limit in the platform's scored runs.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
-/// More memory than any machine has.
+/// The maximum of `limits.memory_mb`, more than the memory of any machine.
 const MAX_MEMORY_MB: f64 = 1e9;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
@@ -44,7 +44,7 @@
     })
 }
 
-/// The value of a key; `null` counts as missing.
+/// Returns the value of a key; `null` counts as missing.
 fn non_null<'a>(json: &'a Value, key: &str) -> Option<&'a Value> {
     json.get(key).filter(|value| !value.is_null())
 }
@@ -93,7 +93,7 @@
     Ok((settings, parameters))
 }
 
-/// A whole number, or a string of hexadecimal digits.
+/// Parses a whole number or a string of hexadecimal digits.
 fn parse_seed(seed: &Value) -> Option<u64> {
     seed.as_u64().or_else(|| u64::from_str_radix(seed.as_str()?, 16).ok())
 }
@@ -114,7 +114,7 @@
     Ok(usize::try_from(descriptors).unwrap_or(usize::MAX))
 }
 
-/// The limit of memory in bytes.
+/// Parses the memory limit, in bytes.
 fn parse_max_memory(limits: Option<&Value>) -> Result<usize, ParseError> {
     let megabytes = match limits.and_then(|limits| non_null(limits, "memory_mb")) {
         Some(limit) => limit.as_f64().filter(|limit| *limit > 0.0 && *limit <= MAX_MEMORY_MB),
--- a/crates/proxy/src/gossip/config.rs
+++ b/crates/proxy/src/gossip/config.rs
@@ -1,4 +1,4 @@
-//! The parameters of membership, failover and shared state, as the settings give them.
+//! Converts the settings to the parameters of membership, failover and shared state.
 
 use crate::config::Config;
 use wharfplank_failover::{FailoverTerms, IsolationPolicy};
@@ -6,7 +6,7 @@
 use wharfplank_settings::{GossipSettings, MinorityBehavior, SharedStateSettings};
 use wharfplank_shared_state::SharedStateConfig;
 
-/// The bounds of the share of reads with which a returning zone begins.
+/// The bounds of the initial share of reads of a recovering zone.
 const RAMP_START_BOUNDS: (f64, f64) = (0.01, 1.0);
 
 pub(super) fn swim_config(settings: &GossipSettings) -> SwimConfig {
@@ -21,7 +21,8 @@
     }
 }
 
-/// A returning zone ramps up as a member in slow start does, by the platform's own parameters where it gives them.
+/// Returns the failover parameters. A recovering zone ramps up like a member in slow start, with the
+/// platform's slow-start parameters if they are set.
 pub(super) fn failover_terms(config: &Config) -> FailoverTerms {
     let defaults = FailoverTerms::default();
     let slow_start_span = config.settings.slow_start_span;
--- a/crates/proxy/src/gossip/snapshot.rs
+++ b/crates/proxy/src/gossip/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot file of the shared state: read at the start, and written by a thread of its own.
+//! The snapshot file of the shared state, read at startup and written by a dedicated thread.
 
 use crate::error::{Component, StartError};
 use crate::log;
@@ -10,10 +10,10 @@
 use wharfplank_shared_state::snapshot::{SnapshotError, MAX_SNAPSHOT_BYTES};
 use wharfplank_shared_state::SharedState;
 
-/// Snapshots that may wait to be written.
-const QUEUE: usize = 1;
+/// The maximum number of snapshots that wait to be written.
+const QUEUE_CAPACITY: usize = 1;
 
-/// Why a snapshot is not used.
+/// An error on restoring a snapshot.
 #[derive(Debug, Error)]
 enum RestoreError {
     #[error(transparent)]
@@ -22,18 +22,18 @@
     Invalid(#[from] SnapshotError),
 }
 
-/// Merges the snapshot into the state where there is one; a snapshot that cannot be used is logged.
+/// Merges the snapshot into the state if there is one. A snapshot that cannot be restored is logged.
 pub(super) fn restore(state: &mut SharedState, now: Micros, path: &Path) {
     if !path.exists() {
         return;
     }
     match read_into(state, now, path) {
-        Ok(entries) => log::snapshot_event(&format!("{entries} entries taken from {}", path.display())),
-        Err(error) => log::snapshot_event(&format!("{} is not used: {error}", path.display())),
+        Ok(entries) => log::snapshot_event(&format!("restored {entries} entries from {}", path.display())),
+        Err(error) => log::snapshot_event(&format!("cannot restore snapshot {}: {error}", path.display())),
     }
 }
 
-/// Returns the number of entries that were new to the state.
+/// Restores the snapshot, and returns the number of entries that were new to the state.
 fn read_into(state: &mut SharedState, now: Micros, path: &Path) -> Result<usize, RestoreError> {
     let bytes = read_bounded(path)?;
     Ok(state.restore(now, &bytes)?)
@@ -46,30 +46,30 @@
     Ok(bytes)
 }
 
-/// Starts the writer's thread. The returned function queues a snapshot without waiting; one that finds the queue full is
-/// dropped, since another follows.
+/// Starts the writer thread. The returned function queues a snapshot without blocking. If the queue is full
+/// the snapshot is dropped, since a newer one follows.
 pub(super) fn start_writer(path: PathBuf) -> Result<impl Fn(Vec<u8>) + Send, StartError> {
-    let (sender, snapshots) = sync_channel::<Vec<u8>>(QUEUE);
+    let (sender, snapshots) = sync_channel::<Vec<u8>>(QUEUE_CAPACITY);
     std::thread::Builder::new()
         .name("replica".to_string())
         .spawn(move || write_all(&path, &snapshots))
-        .map_err(StartError::component_start(Component::Replica))?;
+        .map_err(StartError::component_start(Component::Snapshot))?;
     Ok(move |bytes| {
         let _ = sender.try_send(bytes);
     })
 }
 
-/// Writes each snapshot beside the file and renames it, so that a kill leaves a complete one. The first of a series of
-/// faults is logged.
+/// Writes each snapshot to a temporary file and renames it, so that the snapshot stays complete if the
+/// process is killed. Only the first of consecutive errors is logged.
 fn write_all(path: &Path, snapshots: &Receiver<Vec<u8>>) {
     let temporary = path.with_extension("new");
-    let mut has_failed = false;
+    let mut failed = false;
     while let Ok(bytes) = snapshots.recv() {
         let written = std::fs::write(&temporary, bytes).and_then(|()| std::fs::rename(&temporary, path));
         match &written {
-            Err(error) if !has_failed => log::snapshot_event(&format!("{}: {error}", path.display())),
+            Err(error) if !failed => log::snapshot_event(&format!("cannot save {}: {error}", path.display())),
             _ => {}
         }
-        has_failed = written.is_err();
+        failed = written.is_err();
     }
 }
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the proxy step by step, and runs it until it is asked to end.
+//! Starts the components of the proxy, and runs it until shutdown.
 
 mod descriptors;
 mod sockets;
@@ -28,20 +28,21 @@
 use wharfplank_transport::member_pool::{self, PoolContext};
 use wharfplank_transport::{signals, ConnectionEndObserver, MemoryBudget, Now, ProxyEvent};
 
-/// Events that may wait for the broker; past that connections wait.
+/// The capacity of the broker's event queue. Senders wait if it is full.
 const EVENT_QUEUE: usize = 1024;
-/// Operators' calls that may wait for the broker.
+/// The capacity of the broker's queue of admin calls.
 const ADMIN_QUEUE: usize = 2 * MAX_CONNECTIONS;
-/// The fraction of the memory that large messages of clients may fill, and as much for those of members: a buffer may
-/// double while it grows, and what is forwarded is copied beside it.
+/// The divisor of the memory limit that gives the budget for large client messages; large member messages get
+/// the same amount. The rest is needed because a buffer may double while it grows, and forwarded data is
+/// copied.
 const LARGE_MESSAGE_FRACTION: usize = 8;
-/// How long the gossip thread may take to announce that this process leaves.
+/// The maximum time for the gossip thread to announce that this process leaves.
 const GOSSIP_LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Serves until the process is asked to end.
+/// Serves until a shutdown is requested.
 ///
 /// # Errors
-/// Returns why a socket, a thread or the recorder cannot be started; nothing is served then.
+/// Returns an error if a socket, a thread or the recorder cannot be started. Nothing is served in that case.
 pub fn run(mut config: Config, settings: &Settings) -> Result<(), StartError> {
     let signals = signals::register().map_err(StartError::Signals)?;
     let client_socket = ClientSocket::open(&config)?;
@@ -88,7 +89,7 @@
     Ok(())
 }
 
-/// Other proxies learn at once that this one leaves, and need not detect it.
+/// Waits until this process has announced that it leaves, so that other proxies need not detect it.
 async fn finish_gossip(gossip_end: Task<()>) {
     let timeout = async {
         async_io::Timer::after(GOSSIP_LEAVE_TIMEOUT).await;
@@ -96,7 +97,7 @@
     futures_lite::future::or(gossip_end, timeout).await;
 }
 
-/// What the steps of the start share.
+/// The state shared by the startup steps.
 struct Context<'a> {
     settings: &'a Settings,
     executor: Rc<LocalExecutor<'static>>,
@@ -171,12 +172,18 @@
         DiscoveryWatch::start(watch_context, tracker, config.discovery)
     }
 
-    /// Starts gossip between proxies only where the settings ask for it: the platform's days forbid it. The returned task
-    /// ends once this process has announced that it leaves.
+    /// Starts gossip between proxies if the settings enable it. It is off by default, because the platform's
+    /// scored runs forbid it. The returned task ends once this process has announced that it leaves.
     fn start_gossip(&self, config: &Config, broker: &mut Broker) -> Result<Option<Task<()>>, StartError> {
-        let Some(peers) = &self.settings.gossip else { return Ok(None) };
-        let (handle, ended) =
-            gossip::start(peers, self.settings, config, self.clock, self.events.clone(), &self.executor)?;
+        let Some(gossip_settings) = &self.settings.gossip else { return Ok(None) };
+        let (handle, ended) = gossip::start(
+            gossip_settings,
+            self.settings,
+            config,
+            self.clock,
+            self.events.clone(),
+            &self.executor,
+        )?;
         broker.enable_gossip(handle);
         Ok(Some(ended))
     }
@@ -200,7 +207,7 @@
         Ok(())
     }
 
-    /// Serves operators where there is a socket for them, and returns the queue of their calls.
+    /// Serves operators if there is a socket for them, and returns the queue of their calls.
     fn serve_admin(&self, socket: Option<AdminSocket>) -> Receiver<AdminCall> {
         let (calls, queue) = async_channel::bounded(ADMIN_QUEUE);
         if let Some(socket) = socket {
@@ -212,7 +219,8 @@
     }
 }
 
-/// How often discovery is polled: at a shared pace where the settings bound the polls of all proxies together.
+/// Returns the schedule of discovery polls, at a shared pace if the settings limit the polls of all proxies
+/// together.
 fn poll_schedule(config: &Config) -> PollSchedule {
     let schedule = PollSchedule::new(config.parameters.drain_within);
     match config.parameters.poll_interval {
--- a/crates/proxy/src/startup/sockets.rs
+++ b/crates/proxy/src/startup/sockets.rs
@@ -13,14 +13,14 @@
 /// The listening socket for clients.
 pub(super) struct ClientSocket {
     pub(super) listener: Rc<Async<TcpListener>>,
-    /// Where a successor asks for the socket; `None` where this process cannot be replaced.
+    /// The path at which a successor requests the socket; `None` if this process cannot be replaced.
     pub(super) handover_path: Option<PathBuf>,
-    /// What the predecessor handed over, where there is one.
+    /// The state handed over by the predecessor, if any.
     pub(super) inherited: Option<Inherited>,
 }
 
 impl ClientSocket {
-    /// Takes the socket over from a predecessor, or opens it.
+    /// Takes the socket over from a predecessor, or opens it if there is none.
     pub(super) fn open(config: &Config) -> Result<Self, StartError> {
         let listen_error = StartError::listen(config.listen);
         let handover_path = can_be_replaced(config).then(|| handover::socket_path(config.listen));
@@ -38,15 +38,15 @@
         Ok(ClientSocket { listener, handover_path, inherited })
     }
 
-    /// The endpoint list of the predecessor, which is newer than that of the configuration file.
+    /// Returns the endpoint list of the predecessor, which is newer than the one in the configuration file.
     pub(super) fn inherited_endpoints(&self) -> Option<EndpointList> {
         let state = &self.inherited.as_ref()?.state;
         endpoint_list::from_json(&state.endpoint_list).ok()
     }
 }
 
-/// A process is replaced while it serves only where operators connect; elsewhere nothing else may listen. One that takes
-/// any free port cannot be replaced, since nobody can tell whose port that was.
+/// Returns whether this process can be replaced while it serves. This requires admin access, since otherwise
+/// nothing else may listen, and a fixed port, since a successor cannot know a port assigned by the system.
 fn can_be_replaced(config: &Config) -> bool {
     config.admin.is_some() && config.listen.port() != 0
 }
@@ -59,14 +59,14 @@
 }
 
 impl AdminSocket {
-    /// Opens the socket where the configuration asks for it.
+    /// Opens the socket if the configuration enables it.
     pub(super) fn open(config: &Config) -> Result<Option<Self>, StartError> {
         let Some(address) = config.admin else { return Ok(None) };
         let listener = handover::listen(address).map_err(StartError::listen(address))?;
         Ok(Some(AdminSocket { listener, address }))
     }
 
-    /// The address at which operators connect.
+    /// Returns the address at which operators connect.
     pub(super) fn local_address(&self) -> SocketAddr {
         self.listener.get_ref().local_addr().unwrap_or(self.address)
     }
