--- a/crates/proxy/src/activity_counts.rs
+++ b/crates/proxy/src/activity_counts.rs
@@ -1,20 +1,21 @@
-//! Counts what one proxy does, for one log line per second at level `debug`. Added up over all proxies of a fleet
-//! (`wharfplank lab counts`) they show what each proxy does little of and the fleet much.
+//! Counts the activities of one proxy, for one log line per second at level `debug`. Summed over all proxies
+//! of a fleet (`wharfplank lab counts`), the counts show activities that are rare at each proxy but frequent
+//! in the fleet.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use wharfplank_routing::{AttemptOutcome, ProbePurpose};
 
-/// What a counter counts. Counters are ordered by their fields.
+/// The key of a counter. Counters are ordered by these fields.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CounterKey {
     activity: &'static str,
     result: &'static str,
-    /// The class of the request, or empty.
+    /// The class of the request, or empty if the activity belongs to no class.
     class: String,
 }
 
-/// The counters since the last line of the log.
+/// The counters since the last log line.
 #[derive(Debug, Default)]
 pub struct ActivityCounts {
     is_enabled: bool,
@@ -22,22 +23,22 @@
 }
 
 impl ActivityCounts {
-    /// Counts where lines of level `debug` are written, and does nothing elsewhere.
+    /// Creates counters that are enabled if lines of level `debug` are written.
     pub fn new() -> Self {
         ActivityCounts { is_enabled: tracing::enabled!(tracing::Level::DEBUG), ..ActivityCounts::default() }
     }
 
-    /// Whether anything is counted.
+    /// Returns whether counting is enabled.
     pub fn is_enabled(&self) -> bool {
         self.is_enabled
     }
 
-    /// Adds one. `class` is empty for what belongs to no class.
+    /// Adds one to a counter. `class` is empty for an activity that belongs to no class.
     pub fn increment(&mut self, activity: &'static str, result: &'static str, class: &str) {
         self.add(activity, result, class, 1);
     }
 
-    /// Adds `count`. `class` is empty for what belongs to no class.
+    /// Adds `count` to a counter. `class` is empty for an activity that belongs to no class.
     pub fn add(&mut self, activity: &'static str, result: &'static str, class: &str, count: u64) {
         if !self.is_enabled || count == 0 {
             return;
@@ -46,12 +47,12 @@
         *self.counters.entry(key).or_default() += count;
     }
 
-    /// Resets the counters, and returns them as `activity.result.class=count`, separated by commas; `None` where
-    /// nothing was counted.
+    /// Resets the counters, and returns them as comma-separated entries `activity.result.class=count`; `None`
+    /// if nothing was counted.
     pub fn take_text(&mut self) -> Option<String> {
         let mut text = String::new();
         for (key, count) in std::mem::take(&mut self.counters) {
-            // Records name reasons by several words; a space would end the value of the log's field.
+            // Names of reasons contain spaces, which would end the value of the log field.
             let result = key.result.replace(' ', "_");
             let separator = if text.is_empty() { "" } else { "," };
             let dot = if key.class.is_empty() { "" } else { "." };
@@ -62,7 +63,7 @@
     }
 }
 
-/// The name of an attempt's outcome in the log.
+/// Returns the name of an attempt's outcome in the log.
 pub fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Ok => "ok",
@@ -77,7 +78,7 @@
     }
 }
 
-/// The name of a probe's purpose in the log.
+/// Returns the name of a probe's purpose in the log.
 pub fn probe_purpose_name(purpose: ProbePurpose) -> &'static str {
     match purpose {
         ProbePurpose::ReadPosition => "read",
--- a/crates/proxy/src/broker/negative_cache.rs
+++ b/crates/proxy/src/broker/negative_cache.rs
@@ -24,7 +24,7 @@
         let key = request.touched_key.as_ref();
         let cached = key.and_then(|key| self.negative_cache.answer(now, class, key, min_position_ms));
         if let Some(messages) = cached {
-            self.count_request(id, Disposition::Served, "missing");
+            self.count_request_result(id, Disposition::Served, "missing");
             self.record_request(id, |recorder, request| recorder.record_served(request));
             self.answer(id, FinalResponse::Served(messages));
             return true;
@@ -32,7 +32,7 @@
         if self.negative_cache.may_send(now, class) {
             return false;
         }
-        self.count_request(id, Disposition::Rejected, "no_leave");
+        self.count_request_result(id, Disposition::Rejected, "no_leave");
         self.answer(id, FinalResponse::Rejected { retry_after_ms: LEASE_RETRY_AFTER_MS });
         true
     }
--- a/crates/proxy/src/broker/request_log.rs
+++ b/crates/proxy/src/broker/request_log.rs
@@ -28,7 +28,12 @@
 impl Broker {
     /// Counts the result of an open request and its reason. A request that is not served is also logged with
     /// the client's id, by which it can be traced through the logs of all proxies.
-    pub(super) fn count_request(&mut self, id: RequestId, disposition: Disposition, why: &'static str) {
+    pub(super) fn count_request_result(
+        &mut self,
+        id: RequestId,
+        disposition: Disposition,
+        why: &'static str,
+    ) {
         if !self.counts.is_enabled() {
             return;
         }
@@ -75,7 +80,7 @@
     /// response.
     pub(super) fn record_served(&mut self, id: RequestId, host: HostId, primary: Option<bool>) {
         let role = if primary == Some(true) { "primary" } else { "replica" };
-        self.count_request(id, Disposition::Served, role);
+        self.count_request_result(id, Disposition::Served, role);
         self.record_request(id, |recorder, request| {
             recorder.record_served(RequestSummary { member: Some(host), ..request });
         });
--- a/crates/proxy/src/broker/requests.rs
+++ b/crates/proxy/src/broker/requests.rs
@@ -120,7 +120,7 @@
     /// except for started ones if the settings do not allow cancellation.
     pub(super) fn on_request_cancelled(&mut self, number: RequestNumber) {
         let Some(id) = self.requests.id_of(number) else { return };
-        self.count_request(id, Disposition::Failed, "cancelled");
+        self.count_request_result(id, Disposition::Failed, "cancelled");
         let attempts = self.finish(id, &FinalResponse::Cancelled).map_or(0, |request| request.attempts);
         let started = match self.attempt_policy.may_cancel {
             true => StartedAttempts::Cancel,
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -78,7 +78,7 @@
 
     /// Rejects a request that the router sheds. The retry delay is rounded up to whole milliseconds.
     fn reject(&mut self, id: RequestId, retry_after: Micros, reason: routing::RejectReason) {
-        self.count_request(id, Disposition::Rejected, record_reason(reason).name());
+        self.count_request_result(id, Disposition::Rejected, record_reason(reason).name());
         self.record_request(id, |recorder, request| recorder.record_rejected(request, reason));
         self.answer(id, FinalResponse::Rejected { retry_after_ms: (retry_after + 999) / 1000 });
     }
@@ -93,7 +93,7 @@
                 &request.client_id,
             );
         }
-        self.count_request(id, Disposition::Failed, record_reason(reason).name());
+        self.count_request_result(id, Disposition::Failed, record_reason(reason).name());
         self.record_request(id, |recorder, request| recorder.record_failed(request, reason));
         self.answer(id, FinalResponse::Failed);
     }
--- a/crates/proxy/src/broker/streaming.rs
+++ b/crates/proxy/src/broker/streaming.rs
@@ -107,7 +107,7 @@
             self.record_served(id, host, primary);
             self.finish(id, &FinalResponse::Served(Vec::new()));
         } else {
-            self.count_request(id, Disposition::Failed, "cut_off");
+            self.count_request_result(id, Disposition::Failed, "cut_off");
             self.finish(id, &FinalResponse::Failed);
         }
     }
--- a/crates/proxy/src/gossip_client/abandoned_writes.rs
+++ b/crates/proxy/src/gossip_client/abandoned_writes.rs
@@ -4,14 +4,14 @@
 use wharfplank_routing::{AttemptOutcome, RequestId};
 use wharfplank_shared_state::WriteOutcome;
 
-/// What became of a write in doubt.
+/// The outcome of a write that was in doubt.
 pub(super) struct SettledWrite {
-    /// The hash of the client's id of the request.
+    /// The hash of the request id that the client assigned.
     pub(super) write: u64,
     pub(super) outcome: WriteOutcome,
 }
 
-/// The abandoned writes whose attempts are in flight; bounded as attempts are.
+/// The abandoned writes whose attempts are in flight; bounded by the number of attempts.
 #[derive(Default)]
 pub(super) struct AbandonedWrites {
     writes: HashMap<RequestId, u64>,
@@ -22,7 +22,7 @@
         self.writes.insert(id, write);
     }
 
-    /// Forgets the write of a request whose attempt ended; returns what became of it, if the outcome tells.
+    /// Removes the write of a request whose attempt has ended, and returns its outcome if it is known.
     pub(super) fn on_attempt_finished(
         &mut self,
         id: RequestId,
--- a/crates/proxy/src/gossip_client/member_index.rs
+++ b/crates/proxy/src/gossip_client/member_index.rs
@@ -1,11 +1,11 @@
-//! Translates between the router's ids of members and the keys by which all proxies know them.
+//! Maps the router's ids of members to the keys that all proxies use, and back.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use wharfplank_protocol::endpoint_list::EndpointRecord;
 use wharfplank_routing::HostId;
 
-/// A member as all proxies know it.
+/// The data by which all proxies identify a member.
 pub(super) struct IndexedMember {
     pub(super) zone: Arc<str>,
     /// The hash of the member's name.
@@ -14,7 +14,7 @@
     pub(super) started_at_ms: i64,
 }
 
-/// The members of the endpoint list, by id and by key; bounded as the broker's table of names is.
+/// The members of the endpoint list, by id and by key; bounded by the broker's table of names.
 #[derive(Default)]
 pub(super) struct MemberIndex {
     members: HashMap<HostId, IndexedMember>,
@@ -29,7 +29,7 @@
         self.hosts.insert(key, host);
     }
 
-    /// The member's zone; an unchanged one is not allocated again.
+    /// Returns the member's zone. An unchanged zone is not allocated again.
     fn shared_zone(&self, host: HostId, zone: &str) -> Arc<str> {
         match self.members.get(&host) {
             Some(member) if *member.zone == *zone => Arc::clone(&member.zone),
@@ -41,7 +41,7 @@
         self.members.get(&host)
     }
 
-    /// The id of the member with this key.
+    /// Returns the id of the member with this key.
     pub(super) fn host(&self, key: u64) -> Option<HostId> {
         self.hosts.get(&key).copied()
     }
@@ -50,7 +50,7 @@
         self.hosts.keys().copied()
     }
 
-    /// Forgets the members for which `is_known` is false.
+    /// Removes the members for which `is_known` returns false.
     pub(super) fn retain(&mut self, is_known: impl Fn(&HostId) -> bool) {
         self.members.retain(|host, _| is_known(host));
         let members = &self.members;
--- a/crates/proxy/src/gossip_client/mod.rs
+++ b/crates/proxy/src/gossip_client/mod.rs
@@ -1,6 +1,6 @@
-//! The broker's side of the gossip between proxies: reports what this proxy observes of members and writes to the
-//! gossip thread, and translates what other proxies observed into the router's terms. Without peers every call does
-//! nothing.
+//! The broker's interface to gossip between proxies. Reports this proxy's observations of members and writes
+//! to the gossip thread, and converts the observations of other proxies to the router's representation. Every
+//! call does nothing if no peers are configured.
 
 mod abandoned_writes;
 mod member_index;
@@ -21,15 +21,15 @@
 use wharfplank_shared_state::{hash_name, MemberStatus, StateUpdate, WriteOutcome};
 use wharfplank_transport::gossip::{GossipHandle, MemberContact};
 
-/// Reports to the gossip thread, and reads what it has received.
+/// The broker's connection to the gossip thread.
 pub struct GossipClient {
-    /// The gossip thread's inbox, where the settings name peers.
+    /// The handle of the gossip thread, if the settings enable gossip.
     thread: Option<GossipHandle>,
     members: MemberIndex,
-    /// Members that this proxy has reported as suspected.
+    /// Members that this proxy last reported as suspected.
     reported_suspects: HashSet<HostId>,
     abandoned_writes: AbandonedWrites,
-    /// By class: whether its requests must not run twice.
+    /// For each class, whether its requests must not be executed twice.
     not_idempotent: Vec<bool>,
     stalls: StallDetector,
 }
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Reports to this gossip thread from now on.
+    /// Connects the client to a gossip thread.
     pub fn connect(&mut self, thread: GossipHandle) {
         self.thread = Some(thread);
     }
 
-    /// Takes over a member's record from the endpoint list.
+    /// Adds or updates a member from its record in the endpoint list.
     pub fn update_member(&mut self, host: HostId, record: &EndpointRecord) {
         let Some(thread) = &self.thread else { return };
         let key = hash_name(&record.name);
@@ -61,7 +61,7 @@
         self.members.insert(host, key, record);
     }
 
-    /// Forgets the members for which `is_known` is false.
+    /// Removes the members for which `is_known` returns false.
     pub fn retain_members(&mut self, is_known: impl Fn(&HostId) -> bool) {
         self.members.retain(is_known);
         if let Some(thread) = &self.thread {
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Reports an attempt's outcome and latency for the health scores that the proxies share. An attempt that its
-    /// member did not take, or that was taken back, tells nothing of the member's health.
+    /// Reports an attempt's outcome and latency for the health scores that the proxies share. Attempts that
+    /// their member did not accept, or that were cancelled, say nothing about the member's health.
     pub fn report_attempt_health(
         &self,
         now: Micros,
@@ -93,8 +93,9 @@
         thread.record_request_outcome(now, member.key, outcome);
     }
 
-    /// Reports whether a member answered what it was sent at `sent_at`, for the failover of its zone. Any answer shows
-    /// that the member is reachable, no connection and no answer in time that it is not; other outcomes show neither.
+    /// Reports whether a member answered an attempt sent at `sent_at`, for the failover of its zone. Any
+    /// answer shows that the member is reachable. A failed connection or a timeout shows that it is not.
+    /// Other outcomes show neither.
     pub fn report_reachability(&self, host: HostId, sent_at: Micros, outcome: AttemptOutcome) {
         let (Some(thread), Some(member)) = (&self.thread, self.members.get(host)) else { return };
         let answered = match outcome {
@@ -109,7 +110,7 @@
         thread.record_contact(MemberContact { zone, member: host.0, sent_at, answered });
     }
 
-    /// Reports a log position that a member stated itself, and its replication lag.
+    /// Reports a log position stated by the member itself, and its replication lag.
     pub fn report_position(&self, now: Micros, host: HostId, position: Option<Micros>) {
         let (Some(thread), Some(member)) = (&self.thread, self.members.get(host)) else { return };
         if let Some(position) = position {
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Reports the members that this proxy suspects now; one that it no longer suspects is reported as alive once.
+    /// Reports the members that this proxy currently suspects. A member that is no longer suspected is
+    /// reported once as alive.
     pub fn report_suspects(&mut self, now: Micros, suspects: impl Iterator<Item = HostId>) {
         let Some(thread) = &self.thread else { return };
         let suspects: HashSet<HostId> = suspects.collect();
@@ -133,7 +135,7 @@
         self.reported_suspects = suspects;
     }
 
-    /// Counts a request's final answer in the totals of all proxies.
+    /// Counts a request's final response in the totals of the fleet.
     pub fn count_answer(&self, now: Micros, answer: &FinalResponse) {
         let Some(thread) = &self.thread else { return };
         let counter = match answer {
@@ -146,16 +148,16 @@
         thread.increment_counter(now, counter.id());
     }
 
-    /// The latency factors of members, by the router's ids instead of the keys that proxies share.
+    /// Returns the latency factors of members by the router's ids instead of the shared keys.
     pub fn latency_factors(&self, factors: &[(u64, f64)]) -> Vec<(HostId, f64)> {
         let known = factors.iter().filter_map(|(key, factor)| Some((self.members.host(*key)?, *factor)));
         known.collect()
     }
 
-    /// What other proxies observed, in the router's terms.
+    /// Converts the observations of other proxies to the router's representation.
     ///
-    /// Positions past `latest_position` are invalid and left out. So are those of an earlier start of a member than the
-    /// endpoint list has: their data may be lost.
+    /// Positions past `latest_position` are invalid and omitted. Positions from a different incarnation of a
+    /// member than the listed one are omitted too, because its data may have been lost.
     pub fn peer_observations(
         &self,
         updates: &[StateUpdate],
@@ -181,27 +183,29 @@
         }
     }
 
-    /// Called at each turn of the event loop, to detect that the process was stalled.
+    /// Records a turn of the event loop, to detect stalls of the process.
     pub fn on_event_loop_turn(&mut self, now: Micros) {
         self.stalls.on_turn(now);
     }
 
-    /// Whether the request of this client id may have run elsewhere: another proxy reported so, or this one was stalled
-    /// until just now, and the client may have sent the request to another proxy meanwhile.
+    /// Returns whether the request with this client id may already have been executed elsewhere. That is the
+    /// case if another proxy has reported it, or if this process has just resumed from a stall, during which
+    /// the client may have sent the request to another proxy.
     pub fn may_have_run(&self, now: Micros, client_id: &str) -> bool {
         let Some(thread) = &self.thread else { return false };
         self.stalls.has_just_resumed(now) || thread.is_in_doubt(now, hash_name(client_id))
     }
 
-    /// A request has failed after this number of attempts: one that is not idempotent may have run.
+    /// Handles the failure of a request after this number of attempts: a request that is not idempotent may
+    /// have been executed.
     pub fn on_request_failed(&self, now: Micros, class: ClassId, attempts: u32, client_id: &str) {
         if attempts > 0 && self.is_not_idempotent(class) {
             self.report_write(now, hash_name(client_id), WriteOutcome::InDoubt);
         }
     }
 
-    /// A client disconnected while an attempt of its request was in flight: the request may run, until the attempt's
-    /// outcome is known.
+    /// Handles the disconnection of a client during an attempt of its request, which may be executed. It is
+    /// in doubt until the outcome of the attempt is known.
     pub fn on_request_abandoned(&mut self, now: Micros, id: RequestId, class: ClassId, client_id: &str) {
         if self.thread.is_some() && self.is_not_idempotent(class) {
             let write = hash_name(client_id);
@@ -210,7 +214,7 @@
         }
     }
 
-    /// An attempt has ended: reports what became of the write, if its client had disconnected.
+    /// Handles the end of an attempt: reports the outcome of the write if its client had disconnected.
     pub fn on_attempt_finished(&mut self, now: Micros, id: RequestId, outcome: AttemptOutcome) {
         if let Some(settled) = self.abandoned_writes.on_attempt_finished(id, outcome) {
             self.report_write(now, settled.write, settled.outcome);
--- a/crates/proxy/src/gossip_client/stall_detector.rs
+++ b/crates/proxy/src/gossip_client/stall_detector.rs
@@ -1,11 +1,13 @@
-//! Detects that the process was stalled, for example since the machine was paused.
+//! Detects that the process was stalled, for example because the machine was paused.
 
 use wharfplank_routing::Micros;
 use wharfplank_transport::gossip::{CATCH_UP_TIME, STALL_TIMEOUT};
 
-/// Compares the times of the event loop's turns, which are at most a second apart in a process that runs.
+/// Detects stalls from the times of the event loop's turns, which are at most a second apart in a running
+/// process.
 ///
-/// What is read just after a stall may have been sent before it, and its client may have sent it to another proxy.
+/// A request read just after a stall may have been sent before it, and the client may since have sent it to
+/// another proxy.
 #[derive(Default)]
 pub(super) struct StallDetector {
     last_turn_at: Option<Micros>,
@@ -21,7 +23,7 @@
         self.last_turn_at = Some(now);
     }
 
-    /// Whether the process resumed from a stall so recently that requests may be duplicates.
+    /// Returns whether the process resumed from a stall so recently that requests may be duplicates.
     pub(super) fn has_just_resumed(&self, now: Micros) -> bool {
         self.resumed_at.is_some_and(|at| now - at < CATCH_UP_TIME)
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The proxy program: its configuration, its start, the broker that owns the routing state, and the log.
+//! The proxy program: its configuration, startup, the broker that owns the routing state, and the log.
 
 mod activity_counts;
 mod broker;
--- a/crates/proxy/src/log/budgets.rs
+++ b/crates/proxy/src/log/budgets.rs
@@ -5,12 +5,13 @@
 use wharfplank_routing::Micros;
 use wharfplank_transport::budgets::{BudgetLogEvent, BudgetUsage};
 
-/// The socket of the budgets is bound; `is_allocator` says whether this proxy leases budgets to others.
+/// Logs that the budgets' socket is bound; `is_allocator` is whether this proxy leases budgets to others.
 pub fn budgets_started(listen: SocketAddrV4, advertise: SocketAddrV4, is_allocator: bool) {
     info!(listen = %listen, advertise = %advertise, bank = is_allocator, "budgets_started");
 }
 
-/// What the budgets' thread did. `skew` is how far the budgets' clock is ahead of the true one, by which times are logged.
+/// Logs an event of the budgets' thread. Times are logged by the true clock; `skew` is the lead of the
+/// budgets' clock over it.
 pub fn budget_event(event: BudgetLogEvent<'_>, skew: Micros) {
     match event {
         BudgetLogEvent::Status { reachable_allocators, worker } => {
--- a/crates/proxy/src/log/format.rs
+++ b/crates/proxy/src/log/format.rs
@@ -1,4 +1,4 @@
-//! The form of a log line: the event's name and its fields, as text or as JSON.
+//! The format of a log line: the event's name and its fields, as text or as JSON.
 
 use super::unix_ms;
 use std::fmt;
@@ -13,12 +13,12 @@
 /// The field under which `tracing` records the name of an event.
 const EVENT_FIELD: &str = "message";
 
-/// Formats events. A line also carries the number of lines that were dropped since the last one that was written.
+/// The formatter of events. A line also states the number of lines dropped since the last written line.
 pub(super) struct LineFormat {
     format: LogFormat,
     /// The number of lines dropped since the start.
     dropped_lines: Box<dyn Fn() -> usize + Send + Sync>,
-    /// How many of them a line has reported.
+    /// The number of dropped lines that have been reported.
     reported_drops: AtomicUsize,
 }
 
@@ -27,7 +27,7 @@
         LineFormat { format, dropped_lines: Box::new(dropped_lines), reported_drops: AtomicUsize::new(0) }
     }
 
-    /// The number of lines that were dropped and not yet reported.
+    /// Returns the number of dropped lines that have not been reported, and marks them as reported.
     fn take_unreported_drops(&self) -> usize {
         let dropped = (self.dropped_lines)();
         let reported = self.reported_drops.swap(dropped, Ordering::Relaxed);
@@ -35,7 +35,7 @@
     }
 }
 
-/// The fields of an event in their order, with the event's name among them.
+/// The fields of an event in order, including the event's name.
 #[derive(Default)]
 struct Fields(Vec<(&'static str, serde_json::Value)>);
 
--- a/crates/proxy/src/log/gossip.rs
+++ b/crates/proxy/src/log/gossip.rs
@@ -7,24 +7,30 @@
 use wharfplank_gossip::MembershipEvent;
 use wharfplank_transport::gossip::GossipLogEvent;
 
-/// The gossip socket is bound; other proxies send to `advertise`.
+/// Logs that the gossip socket is bound; other proxies send to `advertise`.
 pub fn gossip_started(listen: SocketAddrV4, advertise: SocketAddrV4) {
     info!(listen = %listen, advertise = %advertise, "peers_started");
 }
 
-/// What the gossip thread did.
+/// Logs an event of the gossip thread.
 pub fn gossip_event(event: GossipLogEvent<'_>) {
     match event {
-        GossipLogEvent::Started(me) => {
-            info!(addr = %me.addr, zone = me.zone.as_str(), generation = me.generation, "peer_me");
+        GossipLogEvent::Started(local) => {
+            info!(addr = %local.addr, zone = local.zone.as_str(), generation = local.generation, "peer_me");
         }
         GossipLogEvent::PeerChanged(change) => {
-            let (how, peer) = match change {
+            let (kind, peer) = match change {
                 MembershipEvent::Up(peer) => ("up", peer),
                 MembershipEvent::Down(peer) => ("down", peer),
                 MembershipEvent::Rejoined(peer) => ("renewed", peer),
             };
-            info!(change = how, addr = %peer.addr, zone = peer.zone.as_str(), generation = peer.generation, "peer");
+            info!(
+                change = kind,
+                addr = %peer.addr,
+                zone = peer.zone.as_str(),
+                generation = peer.generation,
+                "peer"
+            );
         }
         GossipLogEvent::ZoneChanged { zone, state, share, live_peers, is_isolated } => {
             let (standing, since) = match state {
@@ -74,7 +80,7 @@
             );
         }
         GossipLogEvent::WorkerFailed => {
-            error!(what = "the fleet's thread failed; this proxy goes on alone", "peers_failed");
+            error!(what = "the gossip thread failed; this proxy continues without peers", "peers_failed");
         }
         GossipLogEvent::Traffic { membership: peers, observations_dropped, updates_dropped } => {
             let notes = peers.notes();
@@ -95,7 +101,7 @@
     }
 }
 
-/// The snapshot of the shared state was read, or could not be read or written.
+/// Logs that the snapshot of the shared state was restored, or could not be read or written.
 pub fn snapshot_event(what: &str) {
     warn!(what, "replica_snapshot");
 }
--- a/crates/proxy/src/log/mod.rs
+++ b/crates/proxy/src/log/mod.rs
@@ -1,7 +1,7 @@
 //! The log on standard error: one line for each event, as text or as JSON.
 //!
-//! Each function writes one line, or the lines of one component; the names of events and fields are described in the
-//! README under "The log".
+//! Each function writes one line, or the lines of one component. The names of events and fields are described
+//! in the README under "The log".
 
 mod budgets;
 mod format;
@@ -27,7 +27,7 @@
 
 use std::time::SystemTime;
 
-/// The time of day, in milliseconds of Unix time: what lines of several machines are put in order by.
+/// Returns the time of day in Unix milliseconds, by which lines of several machines are ordered.
 fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since_epoch.map_or(0, |time| time.as_millis() as u64)
--- a/crates/proxy/src/log/negative_cache.rs
+++ b/crates/proxy/src/log/negative_cache.rs
@@ -3,7 +3,7 @@
 use tracing::info;
 use wharfplank_transport::negative_cache::NegativeCacheStatus;
 
-/// What was answered from the negative cache so far, and how far its entries lag behind now.
+/// Logs the totals of the negative cache and the current lag of its entries.
 pub fn negative_cache_stats(status: NegativeCacheStatus<'_>) {
     let NegativeCacheStatus { node, now, dropped_datagrams } = status;
     let stats = node.stats();
--- a/crates/proxy/src/log/requests.rs
+++ b/crates/proxy/src/log/requests.rs
@@ -4,7 +4,7 @@
 use tracing::{debug, info};
 use wharfplank_transport::ConnectionEnd;
 
-/// A connection has ended.
+/// Logs the end of a connection.
 pub fn connection_ended(end: &ConnectionEnd<'_>) {
     let name = end.remote.member_name().filter(|name| !name.is_empty()).unwrap_or("-");
     let age_ms = end.started_at.elapsed().as_millis() as u64;
@@ -20,22 +20,23 @@
     );
 }
 
-/// What this proxy did in the second before `at_ms`, as [`crate::activity_counts`] writes it.
+/// Logs the activity of this proxy in the second before `at_ms`, in the format of [`crate::activity_counts`].
 pub fn activity_counts(at_ms: u64, counts: &str) {
     debug!(at_ms, what = counts, "counts");
 }
 
 /// A request that was rejected or failed.
 pub struct UnservedRequest<'a> {
-    /// The id that the client gave the request, by which it can be followed through the logs of all proxies.
+    /// The id that the client assigned to the request, by which it can be traced through the logs of all
+    /// proxies.
     pub id: &'a str,
     /// The name of its class.
     pub class: &'a str,
     /// Its group.
     pub group: u64,
-    /// How it was answered.
+    /// The kind of its final response.
     pub disposition: &'a str,
-    /// Why.
+    /// The reason.
     pub reason: &'a str,
     /// The time since its arrival, in milliseconds.
     pub took_ms: i64,
@@ -43,7 +44,7 @@
     pub outcomes: &'a str,
 }
 
-/// A request was rejected or has failed.
+/// Logs a request that was rejected or has failed.
 pub fn request_unserved(request: &UnservedRequest<'_>) {
     let outcomes = if request.outcomes.is_empty() { "-" } else { request.outcomes };
     debug!(
--- a/crates/proxy/src/log/rollout.rs
+++ b/crates/proxy/src/log/rollout.rs
@@ -7,12 +7,12 @@
 use wharfplank_rollout::{ControllerAction, NodeId, Phase, ServiceEvent, UpgradeState};
 use wharfplank_transport::rollout::RolloutLogEvent;
 
-/// The datagram socket of rollouts is bound.
+/// Logs that the datagram socket of rollouts is bound.
 pub fn rollout_started(listen: SocketAddr) {
     info!(listen = %listen, "release_started");
 }
 
-/// What the rollout service did; `names` are those of the inventory.
+/// Logs an event of the rollout service; `names` are those of the inventory.
 pub fn rollout_event(names: &BTreeMap<NodeId, String>, event: &RolloutLogEvent<'_>) {
     match event {
         RolloutLogEvent::FileFailed { path, error } => {
@@ -47,7 +47,8 @@
     }
 }
 
-/// An action as the log and records name it: what was done, to which member, and the incarnation, wave or reason.
+/// Returns the representation of an action in the log and records: the action, the member, and the
+/// incarnation, wave or reason.
 pub fn describe_action<'a>(
     names: &'a BTreeMap<NodeId, String>,
     action: &ControllerAction,
--- a/crates/proxy/src/log/slow_start.rs
+++ b/crates/proxy/src/log/slow_start.rs
@@ -4,14 +4,14 @@
 use tracing::{debug, info};
 use wharfplank_routing::SlowStartView;
 
-/// How far a member's slow start has come.
+/// The stage of a member's slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlowStartStage {
-    /// The proxy was notified of the start.
+    /// The slow start has been detected since the last log line.
     Began,
-    /// It was logged before.
+    /// The slow start was logged before.
     Continued,
-    /// The member has its full capacity again, or has left the list.
+    /// The member has its full capacity again, or has been removed from the list.
     Ended,
 }
 
@@ -25,8 +25,9 @@
     }
 }
 
-/// A member in slow start: its age, the part of its capacity that it has at least, what this proxy may send it per
-/// second, and what it has sent since the notification. Its beginning and its end are logged at level `info`.
+/// Logs a member in slow start: its age, its minimum fraction of full capacity, the rate at which this proxy
+/// may send to it, and what has been sent since the notification of the start. The start and the end are
+/// logged at level `info`, the progress at `debug`.
 pub fn slow_start(stage: SlowStartStage, member: &str, view: &SlowStartView) {
     let age_ms = view.age / 1000;
     let capacity = format_args!("{:.2}", view.capacity).to_string();
--- a/crates/proxy/src/log/writer.rs
+++ b/crates/proxy/src/log/writer.rs
@@ -6,19 +6,19 @@
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use wharfplank_settings::{LogLevel, LogSettings};
 
-/// Lines that may wait to be written; further ones are counted and dropped.
+/// The maximum number of lines that wait to be written; further ones are counted and dropped.
 const QUEUED_LINES: usize = 1024;
 
-/// Why the log cannot be started.
+/// An error on starting the log.
 #[derive(Debug, Error)]
 #[error("log: {0}")]
 pub struct LogError(#[from] SetGlobalDefaultError);
 
-/// Starts the writer to standard error on a thread of its own, so that a slow reader does not stall serving. Lines that
-/// wait are written when the returned guard is dropped.
+/// Starts the writer to standard error on its own thread, so that a slow reader does not stall serving.
+/// Queued lines are written when the returned guard is dropped.
 ///
 /// # Errors
-/// Fails where the process has a log already.
+/// Fails if the process already has a log.
 pub fn start(settings: &LogSettings) -> Result<WorkerGuard, LogError> {
     let builder =
         NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUED_LINES).thread_name("log");
--- a/crates/proxy/src/negative_cache_client/member_positions.rs
+++ b/crates/proxy/src/negative_cache_client/member_positions.rs
@@ -1,11 +1,11 @@
-//! The newest log position that each member has reported, and the primary of each group.
+//! The newest log position reported by each member, and the primary of each group.
 
 use std::collections::HashMap;
 use wharfplank_protocol::endpoint_list::EndpointRecord;
 use wharfplank_routing::{GroupId, HostId, Micros};
 use wharfplank_shared_state::hash_name;
 
-/// A position counts for one incarnation of a member: a restarted one may have lost data.
+/// The position of one incarnation of a member; a restarted member may have lost data.
 struct MemberPosition {
     started_at_ms: i64,
     /// 0 until the member reports one.
@@ -18,7 +18,7 @@
     }
 }
 
-/// What the endpoint list and answers say about members. Bounded as the broker's table of endpoints is.
+/// Member data from the endpoint list and from responses; bounded by the broker's endpoint table.
 #[derive(Default)]
 pub(super) struct MemberPositions {
     positions: HashMap<HostId, MemberPosition>,
@@ -27,7 +27,7 @@
 }
 
 impl MemberPositions {
-    /// The endpoint list names a member.
+    /// Adds or updates a member from its record in the endpoint list.
     pub(super) fn on_endpoint(&mut self, host: HostId, endpoint: &EndpointRecord) {
         let started_at_ms = endpoint.started_at_ms;
         let known = self.positions.entry(host).or_insert_with(|| MemberPosition::unknown(started_at_ms));
@@ -40,14 +40,14 @@
         }
     }
 
-    /// A member has reported its position.
+    /// Handles a position reported by a member.
     pub(super) fn on_position(&mut self, host: HostId, position: Micros) {
         if let Some(known) = self.positions.get_mut(&host) {
             known.position = known.position.max(position);
         }
     }
 
-    /// The newest position that a member has reported since its start.
+    /// Returns the newest position that a member has reported since its start.
     pub(super) fn position(&self, host: HostId) -> Option<Micros> {
         self.positions.get(&host).map(|known| known.position).filter(|position| *position > 0)
     }
@@ -56,7 +56,7 @@
         self.primaries.get(&group).copied()
     }
 
-    /// Whether this is still the primary of some group.
+    /// Returns whether this is still the primary of any group.
     pub(super) fn is_primary(&self, primary: u32) -> bool {
         self.primaries.values().any(|listed| *listed == primary)
     }
--- a/crates/proxy/src/negative_cache_client/mod.rs
+++ b/crates/proxy/src/negative_cache_client/mod.rs
@@ -1,5 +1,6 @@
-//! The broker's link to the negative cache: which reads it may answer, which writes it tracks, and the positions that
-//! members have reported. Does nothing where the settings ask for no negative cache.
+//! The broker's interface to the negative cache. Determines which reads it may answer and which writes it
+//! tracks, and stores the positions that members have reported. Does nothing if the settings enable no
+//! negative cache.
 
 mod member_positions;
 mod request_kind;
@@ -24,30 +25,30 @@
 use wharfplank_transport::socket::open;
 use wharfplank_transport::{Now, Statement};
 
-/// Why an attempt of a write must not be sent.
+/// The reason for which an attempt of a write must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WriteDenied {
     /// This process holds no write lease.
     #[error("no write lease is held")]
     NoLease,
-    /// The table of writes under way is full.
-    #[error("too many writes are under way")]
+    /// The table of writes in flight is full.
+    #[error("too many writes are in flight")]
     TooManyWrites,
 }
 
-/// The cache where it is on.
+/// The state of an enabled cache.
 struct ActiveCache {
     node: Rc<RefCell<Node>>,
     hasher: KeyHasher,
     request_kinds: RequestKinds,
 }
 
-/// The broker's link to the negative cache.
+/// The broker's interface to the negative cache.
 #[derive(Default)]
 pub struct NegativeCacheClient {
     cache: Option<ActiveCache>,
     members: MemberPositions,
-    /// Attempts of writes in flight; bounded as attempts are.
+    /// Attempts of writes in flight; bounded by the number of attempts.
     writes: HashMap<(RequestId, u32), WriteId>,
 }
 
@@ -70,7 +71,7 @@
         };
         let now = clock.now();
         let hasher = KeyHasher::from_passphrase(&settings.secret);
-        // The id of the process is unique: it is made of its address and of when it started.
+        // The holder id must be unique, so it is derived from the address and the start time.
         let holder = hash_name(&format!("{address} {now} {}", std::process::id()));
         let node = Node::new(cache_config, hasher.clone(), address, settings.lease_servers(), holder, now);
         let node = Rc::new(RefCell::new(node));
@@ -86,7 +87,7 @@
         self.cache.as_ref().map_or(RequestKind::Other, |cache| cache.request_kinds.of(class))
     }
 
-    /// The key that a request reads or writes, where it matters to the cache.
+    /// Returns the key that a request reads or writes, if it is relevant to the cache.
     pub fn lookup_for(
         &self,
         class: ClassId,
@@ -110,8 +111,8 @@
         }
     }
 
-    /// The cached answer to a read whose key is known to be missing, as fresh as the read requires. `min_position_ms` is
-    /// the position of its session, in Unix milliseconds.
+    /// Returns the cached response to a read of a key that is known to be missing, if it is as fresh as the
+    /// read requires. `min_position_ms` is the position of its session, in Unix milliseconds.
     pub fn answer(
         &self,
         now: Micros,
@@ -131,14 +132,15 @@
         Some(answer.to_vec())
     }
 
-    /// Whether a request of this class may be sent now: writes need a lease.
+    /// Returns whether a request of this class may be sent now: writes need a lease.
     pub fn may_send(&self, now: Micros, class: ClassId) -> bool {
         let Some(cache) = &self.cache else { return true };
         let is_write = matches!(self.request_kind(class), RequestKind::Write { .. });
         !is_write || cache.node.borrow().write_leases.can_write(now)
     }
 
-    /// An attempt is about to be sent. Returns the time by which its last byte must be out, where that is bounded.
+    /// Registers an attempt that is about to be sent. Returns the time by which its last byte must be
+    /// written, if there is such a limit.
     pub fn begin_attempt(
         &mut self,
         now: Micros,
@@ -159,7 +161,7 @@
         Ok(Some(lease_end))
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub fn on_attempt_finished(&mut self, now: Micros, attempt: (RequestId, u32), outcome: AttemptOutcome) {
         let (Some(cache), Some(write)) = (&self.cache, self.writes.remove(&attempt)) else { return };
         let writes = &mut cache.node.borrow_mut().writes;
@@ -168,7 +170,7 @@
                 writes.on_answered(now, write);
             }
             AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => writes.on_not_executed(write),
-            // An error may be an answer that could not be read, from a member that still works on it.
+            // An error may be an unreadable response from a member that is still executing the write.
             AttemptOutcome::Error
             | AttemptOutcome::Timeout
             | AttemptOutcome::Reset
@@ -176,7 +178,7 @@
         }
     }
 
-    /// A member that had reported `position` before a read was sent has answered the read.
+    /// Handles the response to a read from a member that had reported `position` before the read was sent.
     pub fn on_read_answered(
         &self,
         now: Micros,
@@ -195,31 +197,31 @@
         }
     }
 
-    /// A member has reported its position, or answered without one.
+    /// Handles a response from a member with its position, or without one.
     pub fn on_position(&mut self, host: HostId, position: Option<Micros>) {
         if let Some(position) = position {
             self.members.on_position(host, position);
         }
     }
 
-    /// The newest position that a member has reported since its start.
+    /// Returns the newest position that a member has reported since its start.
     pub fn position(&self, host: HostId) -> Option<Micros> {
         self.members.position(host)
     }
 
-    /// The endpoint list names a member.
+    /// Adds or updates a member from its record in the endpoint list.
     pub fn on_endpoint(&mut self, host: HostId, endpoint: &EndpointRecord) {
         if self.cache.is_some() {
             self.members.on_endpoint(host, endpoint);
         }
     }
 
-    /// Forgets members that the broker has forgotten.
+    /// Removes the members for which `is_known` returns false.
     pub fn retain(&mut self, is_known: impl Fn(&HostId) -> bool) {
         self.members.retain(is_known);
     }
 
-    /// No write begins any more: the lease servers are told not to wait for this process.
+    /// Ends the use of write leases: notifies the lease servers that they need not wait for this process.
     pub fn shut_down(&self) {
         if let Some(cache) = &self.cache {
             cache.node.borrow_mut().write_leases.shut_down();
--- a/crates/proxy/src/negative_cache_client/request_kind.rs
+++ b/crates/proxy/src/negative_cache_client/request_kind.rs
@@ -1,17 +1,17 @@
-//! What the requests of each class mean to the negative cache.
+//! Classifies request classes by their treatment in the negative cache.
 
 use crate::config::Config;
 use wharfplank_routing::{ClassId, Consistency};
 use wharfplank_settings::NegativeCacheSettings;
 
-/// What a request means to the negative cache.
+/// The treatment of a request by the negative cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestKind {
-    /// Nothing.
+    /// The request is not relevant to the cache.
     Other,
-    /// It reads one key with this consistency.
+    /// The request reads one key with this consistency.
     Read(Consistency),
-    /// It writes one key where `is_keyed`, and otherwise any keys of its group.
+    /// The request writes one key if `is_keyed`, and otherwise any keys of its group.
     Write { is_keyed: bool },
 }
 
@@ -22,8 +22,8 @@
     pub(super) fn new(settings: &NegativeCacheSettings, config: &Config) -> Self {
         let classes = config.parameters.class_names.iter().zip(&config.settings.classes);
         let kinds = classes.map(|(name, class)| match class.consistency {
-            Consistency::Write => RequestKind::Write { is_keyed: lists(&settings.write_classes, name) },
-            consistency if lists(&settings.read_classes, name) => RequestKind::Read(consistency),
+            Consistency::Write => RequestKind::Write { is_keyed: includes(&settings.write_classes, name) },
+            consistency if includes(&settings.read_classes, name) => RequestKind::Read(consistency),
             _ => RequestKind::Other,
         });
         RequestKinds(kinds.collect())
@@ -34,7 +34,7 @@
     }
 }
 
-/// Whether a list of names, separated by spaces, has this one.
-fn lists(names: &str, name: &str) -> bool {
+/// Returns whether a space-separated list contains the name.
+fn includes(names: &str, name: &str) -> bool {
     names.split(' ').any(|listed| listed == name)
 }
--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -1,4 +1,5 @@
-//! Turns what the broker decides and observes into records. Does nothing where the settings ask for no records.
+//! Converts the broker's decisions and observations to records. Does nothing if the settings enable no
+//! records.
 
 use crate::clock::Clock;
 use crate::config::Config;
@@ -15,11 +16,11 @@
 use wharfplank_settings::RecordSettings;
 
 const MICROS_PER_DAY: Micros = 86_400_000_000;
-/// Latency relative to the usual one is recorded in hundredths.
-const SLOWNESS_SCALE: f64 = 100.0;
-const MAX_RECORDED_SLOWNESS: f64 = 1e6;
+/// The factor that converts relative latency to the recorded percentage.
+const RELATIVE_LATENCY_SCALE: f64 = 100.0;
+const MAX_RELATIVE_LATENCY_PERCENT: f64 = 1e6;
 
-/// Records what one process decides and observes.
+/// Records the decisions and observations of one process.
 pub struct DecisionRecorder {
     recorder: Option<Recorder>,
     /// The latency objective of each class.
@@ -28,22 +29,22 @@
     recorded_endpoints: HashMap<HostId, (EndpointHealth, i64)>,
 }
 
-/// What is known of a request when it has been answered.
+/// The data of a request that has been answered.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSummary {
     /// Its class.
     pub class: ClassId,
     /// Its group.
     pub group: GroupId,
-    /// The member that served it, if one did.
+    /// The member that served it, if any.
     pub member: Option<HostId>,
-    /// The number of attempts that were sent.
+    /// The number of its attempts.
     pub attempts: u32,
     /// The time since its last byte arrived.
     pub took: Micros,
 }
 
-/// The reason of the routing policy as records and the log's counts name it.
+/// Converts a reason of the routing policy to the one that records and the log's counters use.
 pub fn record_reason(reason: RejectReason) -> FailureReason {
     match reason {
         RejectReason::TooStale { .. } => FailureReason::TooStale,
@@ -61,7 +62,7 @@
 }
 
 impl DecisionRecorder {
-    /// Starts the recorder that the settings ask for, and records the zone and the classes of this process.
+    /// Starts the recorder if the settings enable it, and records the zone and the classes of this process.
     pub fn start(
         settings: Option<&RecordSettings>,
         config: &Config,
@@ -89,19 +90,19 @@
         }
     }
 
-    /// Whether anything is recorded.
+    /// Returns whether recording is enabled.
     pub fn is_enabled(&self) -> bool {
         self.recorder.is_some()
     }
 
-    /// Hands the records since the last call to the writer; called at a steady pace.
+    /// Passes the records since the last call to the writer; called at regular intervals.
     pub fn flush(&self) {
         if let Some(recorder) = &self.recorder {
             recorder.submit();
         }
     }
 
-    /// A member was listed for the first time: its id in later records stands for this name and zone.
+    /// Records the name and zone of a newly listed member, to which its id in later records refers.
     pub fn record_member_name(&self, member: HostId, endpoint: &EndpointRecord) {
         self.record(|| Record::Member {
             member: member.0,
@@ -110,7 +111,7 @@
         });
     }
 
-    /// The endpoint list of this version names a member; recorded where its health or start time has changed.
+    /// Records a member of the endpoint list of this version if its health or start time has changed.
     pub fn record_endpoint(&mut self, version: u64, member: HostId, endpoint: &EndpointRecord) {
         if !self.is_enabled() {
             return;
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The staleness of the endpoint list has changed, or an answer of discovery is suspect.
+    /// Records a change of the endpoint list's staleness, or a suspect response of discovery.
     pub fn record_list_state(&self, staleness: Option<&str>, suspect: Option<&str>) {
         self.record(|| Record::EndpointListState {
             staleness: staleness.map(str::to_string),
@@ -138,7 +139,7 @@
         });
     }
 
-    /// A request was served.
+    /// Records a request that was served.
     pub fn record_served(&self, request: RequestSummary) {
         let objective = self.latency_objectives.get(request.class.0);
         let is_late = objective.is_some_and(|objective| request.took > *objective);
@@ -146,12 +147,12 @@
         self.record_answer(request, outcome, None);
     }
 
-    /// A request was rejected.
+    /// Records a request that was rejected.
     pub fn record_rejected(&self, request: RequestSummary, reason: RejectReason) {
         self.record_answer(request, Outcome::Rejected(record_reason(reason)), staleness_gap(reason));
     }
 
-    /// A request has failed.
+    /// Records a request that has failed.
     pub fn record_failed(&self, request: RequestSummary, reason: RejectReason) {
         self.record_answer(request, Outcome::Failed(record_reason(reason)), staleness_gap(reason));
     }
@@ -168,7 +169,7 @@
         });
     }
 
-    /// A member as the router sees it.
+    /// Records the router's view of a member.
     pub fn record_member_state(&self, view: &MemberView) {
         self.record(|| {
             Record::MemberState(MemberState {
@@ -180,23 +181,24 @@
                 position_seen_at: view.position_seen_at,
                 suspected_since: view.suspected_since,
                 in_flight: view.in_flight as u32,
-                relative_latency_percent: (view.traits.relative_latency * SLOWNESS_SCALE)
-                    .clamp(0.0, MAX_RECORDED_SLOWNESS) as u32,
+                relative_latency_percent: (view.traits.relative_latency * RELATIVE_LATENCY_SCALE)
+                    .clamp(0.0, MAX_RELATIVE_LATENCY_PERCENT)
+                    as u32,
             })
         });
     }
 
-    /// A health check of a member has ended.
+    /// Records the result of a member's health check.
     pub fn record_health_check(&self, member: HostId, answered: bool) {
         self.record(|| Record::HealthCheck { member: member.0, answered });
     }
 
-    /// The configuration was read again, successfully or not.
+    /// Records a reload of the configuration and whether it was applied.
     pub fn record_reload(&self, is_applied: bool) {
         self.record(|| Record::Reload { applied: is_applied });
     }
 
-    /// Something was done in a rollout that this proxy drives.
+    /// Records an action in a rollout that this proxy leads.
     pub fn record_rollout_action(&self, event: &ServiceEvent, names: &BTreeMap<u64, String>) {
         let ServiceEvent::Action(rollout, action) = event else { return };
         self.record(|| {
@@ -210,7 +212,7 @@
         });
     }
 
-    /// The process was asked to end.
+    /// Records that a shutdown was requested.
     pub fn record_shutdown(&self) {
         self.record(|| Record::ShuttingDown);
     }
@@ -233,7 +235,7 @@
         .map_err(StartError::component_start(Component::Records))
 }
 
-/// The name of a health in records.
+/// Returns the name of a health state in records.
 fn recorded_health(health: EndpointHealth) -> &'static str {
     match health {
         EndpointHealth::Active => "active",
@@ -242,7 +244,7 @@
     }
 }
 
-/// The needed and the known log position, where a request failed for staleness.
+/// Returns the needed and the known log position if a request failed because of staleness.
 fn staleness_gap(reason: RejectReason) -> Option<Staleness> {
     match reason {
         RejectReason::TooStale { needed, known } => Some(Staleness { needed, known }),
--- a/crates/proxy/src/rollout/mod.rs
+++ b/crates/proxy/src/rollout/mod.rs
@@ -1,6 +1,6 @@
-//! The broker's link to the rollout service, which runs on a thread of its own: once a second the broker reports what it
-//! observes of members, without waiting, and takes what was done in rollouts for the records. Does nothing where the
-//! settings ask for no rollouts.
+//! The broker's interface to the rollout service, which runs on its own thread. Once a second the broker
+//! reports its observations of members without blocking, and receives the events of rollouts for the records.
+//! Does nothing if the settings enable no rollouts.
 
 pub mod observation;
 mod setup;
@@ -21,19 +21,20 @@
 use wharfplank_transport::socket::open;
 use wharfplank_transport::worker::{RingReceiver, RingSender};
 
-/// Members whose attempts are counted at most; past that those that are not in the inventory are forgotten.
+/// The maximum number of members whose attempts are counted. Above it members outside the inventory are
+/// removed.
 const MAX_COUNTED_MEMBERS: usize = 4096;
 
 /// The channels to and from the service.
 struct ServiceLink {
     views: RingSender<FleetView>,
     events: RingReceiver<ServiceEvent>,
-    /// The ids of the inventory's members by name, and the reverse.
+    /// The ids of the inventory's members by name, and the names by id.
     node_ids: BTreeMap<String, NodeId>,
     node_names: BTreeMap<NodeId, String>,
 }
 
-/// The broker's link to the rollout service.
+/// The broker's interface to the rollout service.
 #[derive(Default)]
 pub struct RolloutReporter {
     service: Option<ServiceLink>,
@@ -42,7 +43,7 @@
     attempts: HashMap<HostId, AttemptCounts>,
 }
 
-/// What the broker knows of members.
+/// The broker's observations of members.
 pub struct MemberObservations<'a, Views> {
     /// The endpoint list, by name.
     pub endpoints: &'a BTreeMap<String, EndpointRecord>,
@@ -50,12 +51,12 @@
     pub cordons: &'a Cordons,
     /// The router's ids of members, by name.
     pub host_ids: &'a HashMap<String, HostId>,
-    /// The members as the router sees them.
+    /// The router's views of members.
     pub views: Views,
 }
 
 impl RolloutReporter {
-    /// Binds the datagram socket and starts the service's thread.
+    /// Binds the datagram socket and starts the thread of the service.
     pub fn start(settings: &RolloutSettings, config: &Config, clock: Clock) -> Result<Self, StartError> {
         let address = settings.listen();
         let socket =
@@ -83,7 +84,7 @@
         })
     }
 
-    /// An attempt of a class at a member ended `took` after it was sent.
+    /// Handles an attempt of a class to a member, which ended `took` after it was sent.
     pub fn on_attempt_finished(
         &mut self,
         host: HostId,
@@ -101,8 +102,8 @@
         *sum = sum.plus(&counts);
     }
 
-    /// Reports the members to the service, and passes what was done in rollouts since the last call to `on_event`, with
-    /// the names of the inventory's members.
+    /// Reports the members to the service, and passes the events since the last call to `on_event`, with the
+    /// names of the inventory's members.
     pub fn exchange<Views: Iterator<Item = routing::MemberView>>(
         &mut self,
         now: Micros,
@@ -132,7 +133,7 @@
     }
 }
 
-/// The path that the settings give, or `None` where they say `no`.
+/// Returns the path from the settings, or `None` for the value `no`.
 fn optional_path(text: &str) -> Option<PathBuf> {
     (text != "no").then(|| PathBuf::from(text))
 }
--- a/crates/proxy/src/rollout/observation.rs
+++ b/crates/proxy/src/rollout/observation.rs
@@ -1,11 +1,11 @@
-//! What the broker observes of members, in the form in which the rollout service judges them.
+//! Converts the broker's observations of members to the input of the rollout service.
 
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointRecord};
 use wharfplank_rollout::{AttemptCounts, MemberView};
 use wharfplank_routing::{self as routing, AttemptOutcome};
 
-/// What the outcome of one attempt says about its member; `None` for an attempt that this proxy ended itself.
-/// `is_late` says whether the attempt exceeded its class's latency objective.
+/// Returns the counts for the outcome of one attempt, or `None` if this proxy ended the attempt itself.
+/// `is_late` is whether the attempt exceeded the latency objective of its class.
 pub fn attempt_counts(outcome: AttemptOutcome, is_late: bool) -> Option<AttemptCounts> {
     let (failed, late) = match outcome {
         AttemptOutcome::Ok => (false, is_late),
@@ -20,8 +20,8 @@
     Some(AttemptCounts { answered: 1, failed: failed.into(), late: late.into() })
 }
 
-/// A listed member, as the endpoint list, the router and operators see it. The incarnation is that of the list, not the
-/// later one that a member has in the router's eyes after it was uncordoned.
+/// Combines the endpoint list's, the router's and the operators' view of a listed member. The incarnation is
+/// the one in the list, not the later one that the router assigns when the member is uncordoned.
 pub fn member_view(
     endpoint: &EndpointRecord,
     view: Option<&routing::MemberView>,
--- a/crates/proxy/src/rollout/setup.rs
+++ b/crates/proxy/src/rollout/setup.rs
@@ -1,4 +1,4 @@
-//! The rollout service as the settings ask for it.
+//! Converts the settings to the setup of the rollout service.
 
 use crate::clock::Clock;
 use std::collections::BTreeMap;
@@ -10,12 +10,12 @@
 
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// The ids of the members that rollouts may restart, by their names.
+/// Returns the ids, by name, of the members that rollouts may restart.
 pub(super) fn node_ids(settings: &RolloutSettings) -> BTreeMap<String, NodeId> {
     settings.members.iter().map(|member| (member.name.clone(), hash_name(&member.name))).collect()
 }
 
-/// What the service is made of.
+/// Returns the setup of the service.
 pub(super) fn service_setup(
     settings: &RolloutSettings,
     node_ids: &BTreeMap<String, NodeId>,
@@ -32,7 +32,8 @@
     }
 }
 
-/// The id of the process is unique: it is made of its address, its rank and when it started.
+/// Returns the identity of this process. Its id must be unique, so it is derived from the
+/// address, the rank and the start time.
 fn identity(settings: &RolloutSettings, clock: Clock) -> PeerIdentity {
     let started_at = clock.now();
     let process =
