--- a/crates/proxy/tests/rollout_observation.rs
+++ b/crates/proxy/tests/rollout_observation.rs
@@ -51,9 +51,7 @@
 
 #[test]
 fn attempts_ended_by_proxy_are_not_counted() {
-    let counts_of = |outcome, late| {
-        attempt_counts(outcome, late).map(|counts| (counts.answered, counts.failed, counts.late))
-    };
+    let counts_of = |outcome, late| attempt_counts(outcome, late).map(|c| (c.answered, c.failed, c.late));
     assert_eq!(counts_of(AttemptOutcome::Ok, false), Some((1, 0, 0)));
     assert_eq!(counts_of(AttemptOutcome::Ok, true), Some((1, 0, 1)));
     assert_eq!(counts_of(AttemptOutcome::Timeout, true), Some((1, 1, 0)));
