--- a/crates/proxy/src/broker/handover/mod.rs
+++ b/crates/proxy/src/broker/handover/mod.rs
@@ -124,7 +124,7 @@
     /// Adopts the state of the process that this one replaces.
     fn take_over(&mut self, handover: &mut HandoverController, inherited: Inherited) {
         let state = inherited.state.clone();
-        log::handover_step("taking over from the running process", state.cordoned.len());
+        log::handover_step("replaces another", state.cordoned.len());
         self.endpoints.cordons = Cordons::restore(state.cordoned, state.uncordoned_at);
         handover.inherited_observations = state.members;
         handover.state = Handover::successor_of(state.connections);
@@ -136,10 +136,7 @@
         match RendezvousSocket::bind(path) {
             Ok(socket) => Some(self.pools.executor.spawn(socket.accept_requests(self.events.clone()))),
             Err(error) => {
-                log::handover_step(
-                    &format!("cannot listen for a successor on {}: {error}", path.display()),
-                    0,
-                );
+                log::handover_step(&format!("cannot be replaced: {}: {error}", path.display()), 0);
                 None
             }
         }
--- a/crates/proxy/src/broker/handover/peer.rs
+++ b/crates/proxy/src/broker/handover/peer.rs
@@ -33,7 +33,7 @@
             return self.pools.executor.spawn(handover_socket::reject(stream)).detach();
         }
         let state = self.handover_state(held);
-        log::handover_step("handing over to a new process", state.cordoned.len());
+        log::handover_step("is being replaced", state.cordoned.len());
         let link = HandoverLink::accept(&self.pools.executor, stream, listener, &state, self.events.clone());
         if let Some(handover) = &mut self.handover {
             handover.link = Some(link);
@@ -44,7 +44,7 @@
         let Some(handover) = &mut self.handover else { return };
         match message {
             HandoverMessage::Serving => {
-                log::handover_step("the new process is serving", 0);
+                log::handover_step("the other serves", 0);
                 handover.state.on_successor_serving();
             }
             HandoverMessage::Connections(counts) => handover.state.on_predecessor_connections(counts),
@@ -71,7 +71,7 @@
     }
 
     fn on_peer_lost(&mut self) {
-        log::handover_step("lost the connection to the other process", 0);
+        log::handover_step("the other is gone", 0);
         self.report_peer_sessions(self.clock.now());
         let Some(handover) = &mut self.handover else { return };
         handover.link = None;
