--- a/crates/discovery/src/event.rs
+++ b/crates/discovery/src/event.rs
@@ -1,19 +1,19 @@
-//! What the tracker reports to its caller.
+//! The events that the tracker reports to its caller.
 
 use wharfplank_protocol::endpoint_list::EndpointList;
 use wharfplank_routing::Micros;
 
-/// Why an answer is suspect and has to be confirmed by another one before it is accepted.
+/// The reason why an answer is suspect and is not accepted until another answer confirms it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectReason {
     /// Its version is older than one already received from this address.
     OlderVersion,
-    /// It is a complete list that lacks half of the active endpoints or more.
+    /// It is a complete list that lacks at least half of the active endpoints.
     MissingEndpoints,
 }
 
 impl SuspectReason {
-    /// The reason's code in the log and in records.
+    /// Returns the code used in the log and in records.
     pub fn as_str(self) -> &'static str {
         match self {
             SuspectReason::OlderVersion => "back",
@@ -22,22 +22,22 @@
     }
 }
 
-/// How stale the endpoint list is, by the time since discovery last answered.
+/// The staleness of the endpoint list, by the time since discovery last answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Staleness {
-    /// Discovery has not answered since the start or since its address changed.
+    /// Discovery has not answered since the start or a change of its address, and the list is not stale yet.
     Unconfirmed,
     /// Discovery answered in time.
     Fresh,
-    /// A poll is overdue, but no change can have taken effect unseen.
+    /// An answer is overdue, but no change can have taken effect without being received.
     Overdue,
-    /// Changes may have taken effect unseen. Listed endpoints are still used: they reject work themselves while they
-    /// drain, and a proxy that stopped using all of them would serve nobody.
+    /// Changes may have taken effect without being received. Listed endpoints remain in use: draining
+    /// endpoints reject work themselves, and a proxy that used no endpoint could serve no request.
     Stale,
 }
 
 impl Staleness {
-    /// The code in the log and in records.
+    /// Returns the code used in the log and in records.
     pub fn as_str(self) -> &'static str {
         match self {
             Staleness::Unconfirmed => "unheard",
@@ -48,7 +48,7 @@
     }
 }
 
-/// Until when an endpoint that a suspect answer takes out of use may still be sent requests.
+/// The deadline for sending requests to an endpoint that a suspect answer removes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendDeadline {
     /// The endpoint's name.
@@ -57,19 +57,19 @@
     pub until: Micros,
 }
 
-/// What an answer or the passing of time changed. The default value says that nothing did.
+/// The changes caused by an answer or an expired deadline. The default value states that nothing changed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct WatchEvent {
     /// The accepted change: the complete list, or the entries that changed.
     pub update: Option<EndpointList>,
-    /// The deadlines of the endpoints that suspect answers take out of use.
+    /// The deadlines of the endpoints that suspect answers remove.
     pub deadlines: Vec<SendDeadline>,
-    /// Why the newest answer was not accepted.
+    /// The reason why the answer was not accepted.
     pub suspect: Option<SuspectReason>,
 }
 
 impl WatchEvent {
-    /// Whether there is nothing to act on.
+    /// Returns whether there is nothing to act on.
     pub fn is_empty(&self) -> bool {
         *self == WatchEvent::default()
     }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,11 +1,11 @@
-//! Service discovery without I/O: which answer to accept, how stale the endpoint list is, when to poll again, and
-//! until when an endpoint may still be sent requests.
+//! Service discovery without I/O. Decides which answers to accept, how stale the endpoint list is, when to
+//! poll next, and until when requests may still be sent to an endpoint.
 //!
-//! The caller passes answers and the time in, and gets the next poll and the accepted changes out. Which endpoint
-//! serves a request is decided in `routing`, which only ever sees accepted changes.
+//! The caller passes in answers and the current time, and receives the next poll and the accepted changes.
+//! The `routing` crate decides which endpoint serves a request; it receives accepted changes only.
 //!
 //! - [`PollSchedule`]: the time limits of polls, derived from the settings.
-//! - [`EndpointTracker`]: the accepted endpoint list, suspect answers, and the next poll.
+//! - [`EndpointTracker`]: the accepted endpoint list, suspect answers and the next poll.
 //!
 //! ```
 //! use wharfplank_discovery::{EndpointTracker, PollKind, PollSchedule};
--- a/crates/discovery/src/request.rs
+++ b/crates/discovery/src/request.rs
@@ -7,14 +7,14 @@
 pub enum PollKind {
     /// The complete endpoint list, answered at once.
     FullList,
-    /// A long poll for changes after a version, answered as soon as there are any or the wait is over.
+    /// A long poll for changes after a version, answered when there are changes or the wait is over.
     Watch {
-        /// The last version that the caller has seen.
+        /// The last version that the caller has received.
         version: u64,
     },
 }
 
-/// The next poll. Points in time are on the caller's clock; all spans are microseconds.
+/// A poll to make. Times are on the caller's clock; all durations are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollRequest {
     /// What to request.
@@ -25,24 +25,24 @@
     pub start_at: Micros,
     /// The limit for opening a new connection.
     pub connect_timeout: Micros,
-    /// The limit from the start to the first byte of the response. Once the response has begun, the gap between two of
-    /// its bytes may not exceed this less [`PollRequest::wait`].
+    /// The limit from the start to the first byte of the response. Once the response has begun, the gap
+    /// between two bytes may not exceed this limit minus [`PollRequest::wait`].
     pub response_timeout: Micros,
-    /// The second poll, made on a connection of its own if the first one stays silent.
+    /// The second poll, made on a separate connection if the first one gets no response.
     pub hedge: HedgedPoll,
-    /// The limit from the start for both polls together while bytes of a response keep arriving.
+    /// The limit from the start for both polls while bytes of a response keep arriving.
     pub total_timeout: Micros,
 }
 
-/// The hedged poll beside a [`PollRequest`] that stays silent.
+/// The hedged poll for a [`PollRequest`] that gets no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HedgedPoll {
-    /// How long the first poll may stay silent before this one starts.
+    /// The time without a response to the first poll after which this one starts.
     pub after: Micros,
     /// What to request.
     pub kind: PollKind,
     /// The long-poll wait to request.
     pub wait: Micros,
-    /// The limit from its own start to the first byte of the response, including the connect.
+    /// The limit from the start of the hedged poll to the first byte of its response, including the connect.
     pub timeout: Micros,
 }
--- a/crates/discovery/src/schedule.rs
+++ b/crates/discovery/src/schedule.rs
@@ -2,64 +2,67 @@
 
 use wharfplank_routing::Micros;
 
-/// A change takes effect for a proxy at the latest this long after discovery had it and could be reached, whether the
-/// proxy received it or not (the platform's protocol, 'Figures').
+/// The longest time after which a change takes effect for a proxy, counted from when discovery has it and is
+/// reachable, whether the proxy received it or not (the platform's protocol, 'Figures').
 pub const EFFECTIVE_WITHIN: Micros = 6_000_000;
 
-/// All limits are multiples of a unit; this many units make up [`EFFECTIVE_WITHIN`] and the drain grace together.
+/// The number of units that [`EFFECTIVE_WITHIN`] and the drain grace are divided into; all limits are
+/// multiples of a unit.
 const UNITS: Micros = 14;
-/// The longest drain grace; a longer one counts as this.
+/// The longest drain grace; longer values are reduced to it.
 const MAX_DRAIN_GRACE: Micros = 3_600_000_000;
-/// Backoffs stop doubling after this many steps.
+/// The greatest number of times that a backoff is doubled.
 const MAX_DOUBLINGS: u32 = 10;
 
-/// The time limits of polls. All spans are microseconds.
+/// The time limits of polls. All durations are in microseconds.
 ///
-/// A change takes effect [`EFFECTIVE_WITHIN`] after discovery had it and could be reached, whatever polls met before
-/// (refused, reset, silent, timed out), and requests to a draining endpoint must end [`PollSchedule::drain_grace`]
-/// later. A fourteenth of both together is the unit, 0.5 s on the platform, from which all limits are made:
+/// A change takes effect [`EFFECTIVE_WITHIN`] after discovery has it and is reachable, however earlier polls
+/// failed (refused, reset, silent or timed out), and requests to a draining endpoint must end
+/// [`PollSchedule::drain_grace`] later. The unit of all limits is one fourteenth of the sum of both, 0.5 s on
+/// the platform:
 ///
-/// | units | a local agent that is pushed the list | a shared service that is polled |
+/// | in units | local agent that receives pushed lists | shared service that is polled |
 /// | --- | --- | --- |
 /// | wait of a watch | 4 | 4 |
-/// | connect, and response beyond the wait | 1, and a quarter of `drain_grace` at most | 1 |
-/// | time in the service's queue | none | 5, for the full list too |
-/// | start of the hedged poll beside a watch | half a response timeout late | 4.5 |
-/// | timeout of the hedged poll | a connect and a response | 8 |
-/// | start of the poll after a failed one started | a backoff of an eighth of `drain_grace` | 8.5 at most |
-/// | response to that poll | at once | 5 later at most |
+/// | connect, and response after the wait | 1, at most a quarter of `drain_grace` | 1 |
+/// | time in the service's queue | none | 5, also for the full list |
+/// | start of the hedged poll of a watch | half a response timeout after the wait | 4.5 |
+/// | timeout of the hedged poll | a connect and a response | at 8 |
+/// | start of the poll after a failed one started | backoff of an eighth of `drain_grace` | at most 8.5 |
+/// | response to that poll | at once | at most 5 later |
 ///
-/// [`PollSchedule::max_recovery`] adds them up: 13.5 units of 14 for a shared service, however late the response. A
-/// watch that falls silent and is refused twice when opened anew (at 5 units, and after a backoff of 3.5) comes to the
-/// same. A local agent is on the proxy's own machine, and what it received when discovery recovered takes effect at
-/// once: a poll that hung and the backoff after it have to fit into `drain_grace` alone.
+/// [`PollSchedule::max_recovery`] is the sum: 13.5 of 14 units for a shared service, with the latest possible
+/// response. A watch that falls silent and is refused twice when reopened (at 5 units, and after a backoff of
+/// 3.5) takes the same time. A local agent runs on the proxy's machine, and what it received when discovery
+/// recovered takes effect at once, so a poll that hung and the backoff after it must fit into `drain_grace`
+/// alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollSchedule {
-    /// Requests to an endpoint must end this long after it is notified to drain or removed.
+    /// The time within which requests to an endpoint must end after it is told to drain or is removed.
     pub drain_grace: Micros,
     /// The long-poll wait that a watch requests.
     pub watch_wait: Micros,
     /// The limit for opening a connection.
     pub connect_timeout: Micros,
-    /// The limit for a response beyond the wait that was requested.
+    /// The limit for a response after the requested wait.
     pub response_timeout: Micros,
-    /// How late a response may be before a hedged poll is made.
+    /// How late a response may be before the hedged poll starts.
     pub hedge_after: Micros,
-    /// Set where discovery is one service that every proxy polls.
+    /// Set if discovery is one service that every proxy polls.
     pub shared: Option<SharedDiscovery>,
 }
 
-/// Discovery as one service of fixed capacity that all proxies poll.
+/// A discovery service of fixed capacity that all proxies poll.
 ///
-/// It refuses polls while its queue is full and lets others time out, so proxies that start together, or retry at a
-/// fixed interval, can keep it from answering any.
+/// It refuses polls while its queue is full and lets queued ones time out, so proxies that start together, or
+/// retry at a fixed interval, can overload it until it answers no poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedDiscovery {
     /// The seed of this proxy's jitter.
     pub seed: u64,
-    /// The platform's interval between polls (its `Rules.AskEveryUs`).
+    /// The platform's interval between polls (`Rules.AskEveryUs`).
     pub poll_interval: Micros,
-    /// How many proxies poll.
+    /// The number of proxies that poll.
     pub proxies: u32,
 }
 
@@ -73,27 +76,29 @@
 }
 
 impl PollSchedule {
-    /// The shortest interval between two polls, however they end: an agent that answers a watch at once must not be
-    /// polled in a busy loop. The service continues a watch if the next poll comes within 200 ms.
+    /// The shortest interval between two polls, however they end, so that an agent that answers a watch at
+    /// once is not polled in a busy loop. The service continues a watch if the next poll arrives within
+    /// 200 ms.
     pub const MIN_INTERVAL: Micros = 20_000;
-    /// The longest backoff after empty responses that come at once: still within those 200 ms.
+    /// The longest backoff after early empty responses; it stays within those 200 ms.
     pub const MAX_IDLE_BACKOFF: Micros = 150_000;
-    /// The shortest timeout for a connect or a response: the proxy itself may stall for a while.
+    /// The shortest timeout for a connect or a response, because the proxy itself may stall briefly.
     pub const MIN_TIMEOUT: Micros = 100_000;
     /// The longest backoff after failed polls of a local agent.
     pub const MAX_FAILURE_BACKOFF: Micros = 1_000_000;
-    /// Polls of a shared service are spread over this much time for each proxy, as far as the limits allow.
+    /// The time per proxy over which polls of a shared service are spread, as far as the limits allow.
     pub const SPREAD_PER_PROXY: Micros = 25_000;
-    /// A small fleet requests the full list from a shared service again after this many failures in a row.
+    /// The number of consecutive failures after which a small fleet requests the full list from a shared
+    /// service.
     pub const FULL_LIST_AFTER_SMALL_FLEET: u32 = 4;
-    /// A large fleet does so after this many: each line of the full list is work for the service.
+    /// The same number for a large fleet. It is higher because each entry of the full list costs the service
+    /// work.
     pub const FULL_LIST_AFTER_LARGE_FLEET: u32 = 16;
-    /// Full-list polls that the proxies of a large fleet make without having been notified of a change are spread over
-    /// this much time for each proxy.
+    /// The time per proxy over which a large fleet spreads full-list polls that no notified change caused.
     pub const FULL_LIST_SPREAD_PER_PROXY: Micros = 400_000;
 
-    /// The limits for a local agent, where requests must end `drain_grace` after a drain notification (0 to 1 h; more
-    /// counts as 1 h).
+    /// Creates the limits for a local agent, where requests must end `drain_grace` after a drain
+    /// notification. Values outside 0 to 1 h are clamped.
     pub fn new(drain_grace: Micros) -> Self {
         let drain_grace = drain_grace.clamp(0, MAX_DRAIN_GRACE);
         let unit = (EFFECTIVE_WITHIN + drain_grace.min(EFFECTIVE_WITHIN)) / UNITS;
@@ -109,7 +114,7 @@
         }
     }
 
-    /// The limits for one service of fixed capacity that every proxy polls.
+    /// Returns the limits for one service of fixed capacity that every proxy polls.
     pub fn with_shared(self, shared: SharedDiscovery) -> Self {
         let unit = self.unit();
         PollSchedule {
@@ -125,14 +130,14 @@
         self.watch_wait / 4
     }
 
-    /// The timeout from the start of a poll that requests this wait. A shared service queues polls, those for the full
-    /// list as well: abandoned sooner, they would have cost it their work for nothing.
+    /// Returns the timeout from the start of a poll that requests this wait. A shared service queues polls,
+    /// including those for the full list, so an earlier timeout would waste the work that it does for them.
     pub fn total_response_timeout(&self, wait: Micros) -> Micros {
         self.response_timeout + if self.shared.is_some() { self.watch_wait } else { wait }
     }
 
-    /// The limits of the hedged poll beside a watch. A shared service is asked for changes once more, and may queue the
-    /// poll; a local agent is asked for the full list.
+    /// Returns the limits of the hedged poll for a watch. It requests changes again from a shared service,
+    /// which may queue it, and the full list from a local agent.
     pub fn hedge_limits(&self) -> HedgeLimits {
         match self.shared {
             Some(_) => HedgeLimits { wait: self.unit() * 3, timeout: self.unit() * 7 / 2 },
@@ -140,24 +145,27 @@
         }
     }
 
-    /// The limit for a poll while bytes of its response keep arriving.
+    /// Returns the limit for a poll while bytes of its response keep arriving.
     pub fn total_timeout(&self) -> Micros {
         self.unit() * 8
     }
 
-    /// For a shared service, the longest time from the start of a failed poll to the start of the next one.
+    /// Returns the longest time from the start of a failed poll of a shared service to the start of the next
+    /// one.
     pub fn max_retry_interval(&self) -> Micros {
         self.unit() * 17 / 2
     }
 
-    /// The first poll of a shared service, at the start or at a new address, is made within this span.
+    /// Returns the time within which the first poll of a shared service is made, at the start or at a new
+    /// address.
     pub fn initial_spread(&self, shared: &SharedDiscovery) -> Micros {
         let spread = Micros::from(shared.proxies) * Self::SPREAD_PER_PROXY;
         spread.min(shared.poll_interval / 4).min(self.unit() * 5).max(1)
     }
 
-    /// The longest backoff after this many failures in a row of polls of a shared service: the spread of all proxies,
-    /// doubled each time, as far as the limits allow. A silent watch may precede the first failure.
+    /// Returns the longest backoff after this many consecutive failed polls of a shared service: the spread
+    /// of all proxies, doubled with each failure, as far as the limits allow. The limit is lower for the
+    /// first failure because a silent watch may precede it.
     pub fn max_shared_backoff(&self, shared: &SharedDiscovery, failures: u32) -> Micros {
         let limit = if failures <= 1 { self.unit() * 7 / 2 } else { self.max_retry_interval() };
         let spread = (Micros::from(shared.proxies) * Self::SPREAD_PER_PROXY).max(Self::MIN_TIMEOUT);
@@ -165,24 +173,26 @@
         doubled.min(shared.poll_interval.max(Self::MIN_TIMEOUT)).min(limit)
     }
 
-    /// The backoff after this many failures in a row (at least one) of polls of a local agent.
+    /// Returns the backoff after this many consecutive failed polls (at least one) of a local agent.
     pub fn local_backoff(&self, failures: u32) -> Micros {
         let doubled = Self::MIN_INTERVAL << (failures - 1).min(MAX_DOUBLINGS);
         doubled.min(self.max_local_backoff())
     }
 
-    /// The backoff after this many empty responses in a row that came at once.
+    /// Returns the backoff after this many consecutive early empty responses.
     pub fn idle_backoff(&self, idle_responses: u32) -> Micros {
         (Self::MIN_INTERVAL << idle_responses.min(MAX_DOUBLINGS)).min(Self::MAX_IDLE_BACKOFF)
     }
 
-    /// Whether so few proxies share discovery that all may request the full list within the time of one poll.
+    /// Returns whether the fleet is small enough for all proxies to request the full list within the timeout
+    /// of one poll.
     pub fn is_small_fleet(&self, shared: &SharedDiscovery) -> bool {
         let mean_spread = Micros::from(shared.proxies) * Self::FULL_LIST_SPREAD_PER_PROXY / 2;
         mean_spread <= self.total_response_timeout(self.watch_wait)
     }
 
-    /// After this many failures in a row the full list is requested from a shared service.
+    /// Returns the number of consecutive failures after which the full list is requested from a shared
+    /// service.
     pub fn full_list_after(&self, shared: &SharedDiscovery) -> u32 {
         if self.is_small_fleet(shared) {
             Self::FULL_LIST_AFTER_SMALL_FLEET
@@ -191,15 +201,17 @@
         }
     }
 
-    /// The longest backoff after failed polls of a local agent. What the agent received when discovery recovered takes
-    /// effect at once, so a poll that hung until then and this backoff must fit into the drain grace.
+    /// Returns the longest backoff after failed polls of a local agent. What the agent received when
+    /// discovery recovered takes effect at once, so a poll that hung until then and this backoff must fit
+    /// into the drain grace.
     pub fn max_local_backoff(&self) -> Micros {
         (self.drain_grace / 8).clamp(Self::MIN_INTERVAL, Self::MAX_FAILURE_BACKOFF)
     }
 
-    /// The longest time from the moment from which discovery can be reached to its response, whatever polls met before:
-    /// one that started just before and failed, and the next one. A local agent answers at once; a shared service may
-    /// queue the poll. [`PollSchedule::allowed_recovery`] is never less for a drain grace of 0.4 s and more.
+    /// Returns the longest time from when discovery becomes reachable to its response. The worst case is a
+    /// poll that started just before and failed, followed by the next one. A local agent answers at once; a
+    /// shared service may queue the poll. For a drain grace of at least 0.4 s,
+    /// [`PollSchedule::allowed_recovery`] is never less.
     pub fn max_recovery(&self) -> Micros {
         match self.shared {
             Some(_) => self.max_retry_interval() + self.total_response_timeout(self.watch_wait),
@@ -209,7 +221,7 @@
         }
     }
 
-    /// The limit of [`PollSchedule::max_recovery`].
+    /// Returns the limit for [`PollSchedule::max_recovery`].
     pub fn allowed_recovery(&self) -> Micros {
         match self.shared {
             Some(_) => EFFECTIVE_WITHIN + self.drain_grace.min(EFFECTIVE_WITHIN),
@@ -217,7 +229,8 @@
         }
     }
 
-    /// The longest time from the start of a watch that falls silent to the response to the second poll after it.
+    /// Returns the longest time from the start of a watch that falls silent to the response to the second
+    /// poll after it.
     pub fn max_silent_watch(&self) -> Micros {
         let hedge = self.hedge_limits();
         let next_response = match self.shared {
@@ -227,7 +240,7 @@
         self.watch_wait + self.hedge_after + hedge.timeout + 2 * Self::MIN_INTERVAL + next_response
     }
 
-    /// Past this age of the list, changes may have taken effect unseen.
+    /// Returns the age of the list beyond which changes may have taken effect without being received.
     pub fn stale_after(&self) -> Micros {
         EFFECTIVE_WITHIN + self.drain_grace
     }
--- a/crates/discovery/src/tracker.rs
+++ b/crates/discovery/src/tracker.rs
@@ -1,4 +1,4 @@
-//! The tracker: joins the accepted endpoint list with the state of polling.
+//! The endpoint tracker: combines the accepted endpoint list with the state of polling.
 
 mod list;
 mod poll;
@@ -18,17 +18,18 @@
 }
 
 impl EndpointTracker {
-    /// Starts at `now` with the endpoint list as it was last known.
+    /// Creates a tracker that starts at `now` with the last known endpoint list.
     pub fn new(schedule: PollSchedule, known: &EndpointList, now: Micros) -> Self {
         EndpointTracker { list: AcceptedList::new(&schedule, known), poll: PollState::new(schedule, now) }
     }
 
-    /// Discovery has a new address from now on. The versions of the old one may mean nothing there, so the full list
-    /// is requested. Suspect answers are checked anew, and their deadlines stand.
+    /// Handles a new discovery address. Versions of the former address may not be valid there, so the full
+    /// list is requested. Suspect answers are evaluated anew, and existing deadlines remain.
     ///
-    /// The proxies of a large fleet that share discovery would keep it from answering any with their polls for the full
-    /// list. They resume from their version, as a new process does from the list it knows; an older version from there
-    /// is suspect and has the full list requested; and each requests that once anyway, with a jitter that suits the size
+    /// If all proxies of a large fleet polled a shared service for the full list at once, it could answer
+    /// none of them. They resume from their version instead, as a new process does from its last known list.
+    /// If the new address answers with an older version, the answer is suspect and the full list is
+    /// requested. Each proxy also requests the full list once, after a random delay that grows with the size
     /// of the fleet.
     pub fn on_address_changed(&mut self, now: Micros) {
         let resumes =
@@ -41,13 +42,13 @@
         }
     }
 
-    /// The next poll.
+    /// Returns the next poll and records it as started.
     pub fn next_poll(&mut self, now: Micros) -> PollRequest {
         let kind = self.poll.next_kind(now, self.list.watch_version());
         self.poll.start(now, kind)
     }
 
-    /// Takes a response and returns what it changed.
+    /// Handles a response and returns what it changed.
     pub fn on_response(&mut self, now: Micros, answer: EndpointList) -> WatchEvent {
         self.poll.on_response(now, self.list.is_unchanged_by(&answer));
         if answer.complete {
@@ -58,27 +59,29 @@
         event
     }
 
-    /// A poll failed, or its response could not be read. The list stays and is requested in full; from a shared service
-    /// changes are requested, and the full list only after several failures.
+    /// Handles a failed poll or an unreadable response. The endpoint list is kept. The next poll requests the
+    /// full list from a local agent; a shared service is asked for changes, and for the full list only after
+    /// several failures.
     pub fn on_failure(&mut self, now: Micros) {
         self.poll.on_failure(now, self.list.watch_version());
     }
 
-    /// When [`EndpointTracker::expire_deadlines`] is next due.
+    /// Returns the time at which [`EndpointTracker::expire_deadlines`] is next due.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.list.next_deadline()
     }
 
-    /// Takes endpoints out of use whose deadline has passed: what a suspect answer said of them counts unless another
-    /// answer has contradicted it by then.
+    /// Removes the endpoints whose deadline has passed. A suspect answer takes effect at the deadline unless
+    /// another answer has contradicted it by then.
     ///
-    /// Where that would leave no endpoint at all, those stay that only an older version removed, and if there is none,
-    /// all stay: removed endpoints reject work themselves, and an unconfirmed answer is no reason to serve nobody.
+    /// If this would leave no endpoint, the endpoints that only an older version removed are kept, or all of
+    /// them if there is none. Endpoints that are really removed reject work themselves, and an unconfirmed
+    /// answer must not stop all service.
     pub fn expire_deadlines(&mut self, now: Micros) -> WatchEvent {
         self.list.expire_deadlines(now)
     }
 
-    /// How stale the endpoint list is.
+    /// Returns how stale the endpoint list is.
     pub fn staleness(&self, now: Micros) -> Staleness {
         self.poll.staleness(now)
     }
--- a/crates/discovery/src/tracker/list.rs
+++ b/crates/discovery/src/tracker/list.rs
@@ -1,40 +1,41 @@
-//! The accepted endpoint list, and the deadlines of endpoints that suspect answers take out of use.
+//! The accepted endpoint list, and the deadlines of endpoints that suspect answers remove.
 
 use crate::{PollSchedule, SendDeadline, SuspectReason, WatchEvent};
 use std::collections::BTreeMap;
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 use wharfplank_routing::Micros;
 
-/// An endpoint's deadline is this much earlier than the drain grace allows: checking it takes a moment.
+/// The margin by which a deadline precedes the end of the drain grace, because it is not checked immediately.
 const DEADLINE_MARGIN: Micros = 20_000;
-/// All machines read one clock, so a start further ahead of it than this cannot be true.
+/// A start time further in the future than this is invalid, as all machines use the same clock.
 const MAX_CLOCK_SKEW: Micros = 50_000;
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// The endpoint list as far as it is accepted.
+/// The accepted endpoint list.
 #[derive(Debug)]
 pub(super) struct AcceptedList {
     drain_grace: Micros,
     /// The accepted entries by name.
     pub(super) entries: BTreeMap<String, EndpointRecord>,
-    /// The newest version accepted from this address.
+    /// The version of the last answer accepted from this address.
     pub(super) version: Option<u64>,
-    /// A version from before this address was first polled, from which a watch may resume.
+    /// A version known before this address was first polled, from which a watch may resume.
     pub(super) resume_version: Option<u64>,
-    /// The newest complete answer that is suspect.
+    /// The latest complete answer that is suspect and unconfirmed.
     pub(super) pending: Option<PendingAnswer>,
-    /// The endpoints that suspect answers take out of use, until another answer contradicts them, by name.
+    /// The removal deadlines of endpoints, by name. They are cancelled if another answer contradicts the
+    /// suspect one.
     deadlines: BTreeMap<String, RemovalDeadline>,
 }
 
-/// A complete answer that waits for its confirmation by another one.
+/// A complete answer that is accepted only once another answer confirms it.
 #[derive(Debug)]
 pub(super) struct PendingAnswer {
     pub(super) reason: SuspectReason,
     pub(super) list: EndpointList,
 }
 
-/// When an endpoint goes out of use because of a suspect answer.
+/// The time at which a suspect answer takes an endpoint out of use.
 #[derive(Clone, Copy, Debug)]
 struct RemovalDeadline {
     until: Micros,
@@ -54,29 +55,29 @@
         }
     }
 
-    /// The version from which a watch goes on.
+    /// Returns the version from which a watch continues.
     pub(super) fn watch_version(&self) -> Option<u64> {
         self.version.or(self.resume_version)
     }
 
-    /// Versions come from another address from now on; `resumes` says whether a watch goes on from the one of the
-    /// former address.
+    /// Resets the version for a new address. If `resumes`, a watch continues from the version of the former
+    /// address.
     pub(super) fn reset_version(&mut self, resumes: bool) {
         self.resume_version = self.watch_version().filter(|_| resumes);
         self.version = None;
     }
 
-    /// Whether an answer says that nothing changed.
+    /// Returns whether an answer reports no change.
     pub(super) fn is_unchanged_by(&self, answer: &EndpointList) -> bool {
         !answer.complete && answer.endpoints.is_empty() && self.version == Some(answer.version)
     }
 
-    /// Whether a suspect answer waits for its confirmation.
+    /// Returns whether a suspect answer is waiting for confirmation.
     pub(super) fn has_pending(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// Accepts an answer, or keeps it as suspect.
+    /// Accepts an answer, or holds it back if it is suspect and unconfirmed.
     pub(super) fn on_answer(&mut self, now: Micros, answer: EndpointList) -> WatchEvent {
         let suspect = self.inspect(&answer).filter(|reason| !self.is_confirmed_by(*reason, &answer));
         match suspect {
@@ -85,11 +86,13 @@
         }
     }
 
-    /// Keeps a suspect answer for its confirmation and sets the deadlines that it gives rise to.
+    /// Holds back a suspect answer until it is confirmed, and sets the deadlines of the endpoints that it
+    /// removes.
     fn hold_back(&mut self, now: Micros, reason: SuspectReason, answer: EndpointList) -> WatchEvent {
         self.add_deadlines(now, reason, &answer);
         if reason == SuspectReason::MissingEndpoints {
-            // A newer version restores what an earlier suspect one left out; an older one does not.
+            // Endpoints that are active in a newer version lose their deadlines; an older version cancels
+            // none.
             self.cancel_deadlines_of_active(&answer);
         }
         if answer.complete {
@@ -101,7 +104,7 @@
     fn add_deadlines(&mut self, now: Micros, reason: SuspectReason, answer: &EndpointList) {
         let until = now + (self.drain_grace - DEADLINE_MARGIN).max(0);
         for name in self.removed_by(answer) {
-            // A second suspect answer does not move the deadlines of the first.
+            // A second suspect answer does not postpone the deadlines of the first one.
             let deadline = self.deadlines.entry(name).or_insert(RemovalDeadline { until, reason });
             if reason == SuspectReason::MissingEndpoints {
                 deadline.reason = reason;
@@ -127,14 +130,14 @@
         self.deadlines.iter().map(deadline).collect()
     }
 
-    /// Merges an answer into the list. The event has no update where the answer says nothing.
+    /// Merges an answer into the list. The event has no update if the answer contains no change.
     fn accept(&mut self, now: Micros, mut answer: EndpointList) -> WatchEvent {
         for record in &mut answer.endpoints {
             self.correct_start(now, record);
         }
         self.version = Some(answer.version);
         if answer.complete {
-            // A change settles nothing about a suspect complete list; another complete list does.
+            // Only another complete list resolves a suspect complete list; an incremental change does not.
             self.pending = None;
             self.entries.clear();
             self.deadlines.clear();
@@ -142,11 +145,11 @@
         for record in &answer.endpoints {
             self.merge(record);
         }
-        let says_something = answer.complete || !answer.endpoints.is_empty();
-        WatchEvent { update: says_something.then_some(answer), ..WatchEvent::default() }
+        let has_content = answer.complete || !answer.endpoints.is_empty();
+        WatchEvent { update: has_content.then_some(answer), ..WatchEvent::default() }
     }
 
-    /// Corrects the time of an endpoint's last start: it is not in the future, and does not go back.
+    /// Corrects an endpoint's start time, so that it is neither in the future nor before the accepted one.
     fn correct_start(&self, now: Micros, record: &mut EndpointRecord) {
         if record.started_at_ms > (now + MAX_CLOCK_SKEW) / MICROS_PER_MILLI {
             record.started_at_ms = now / MICROS_PER_MILLI;
@@ -165,12 +168,12 @@
         }
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline.
     pub(super) fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.values().map(|deadline| deadline.until).min()
     }
 
-    /// Takes endpoints out of use whose deadline has passed, see `EndpointTracker::expire_deadlines`.
+    /// Removes the endpoints whose deadline has passed; see `EndpointTracker::expire_deadlines`.
     pub(super) fn expire_deadlines(&mut self, now: Micros) -> WatchEvent {
         let expired = self.take_expired(now);
         if expired.is_empty() {
@@ -181,8 +184,8 @@
             expired.iter().all(|(_, deadline)| deadline.reason == SuspectReason::MissingEndpoints);
         let mut records = Vec::new();
         for (name, deadline) in expired {
-            let is_weak = all_missing || deadline.reason == SuspectReason::OlderVersion;
-            if would_remove_all && is_weak {
+            let may_be_kept = all_missing || deadline.reason == SuspectReason::OlderVersion;
+            if would_remove_all && may_be_kept {
                 records.extend(self.entries.get(&name).cloned());
             } else if let Some(record) = self.entries.remove(&name) {
                 records.push(EndpointRecord { health: EndpointHealth::Removed, ..record });
@@ -200,7 +203,7 @@
         expired
     }
 
-    /// The endpoints in use.
+    /// Returns the active endpoints.
     pub(super) fn active(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.entries.values().filter(|record| record.health == EndpointHealth::Active)
     }
--- a/crates/discovery/src/tracker/poll.rs
+++ b/crates/discovery/src/tracker/poll.rs
@@ -1,11 +1,12 @@
-//! When to poll, for what, and with which limits.
+//! The schedule of polls: when to poll, what to request, and the time limits.
 
 use crate::{HedgedPoll, PollKind, PollRequest, PollSchedule, SharedDiscovery, Staleness};
 use fastrand::Rng;
 use wharfplank_routing::Micros;
 
-/// An empty response to a watch that came before this part (one in this many) of its wait was over came early.
-const EARLY_RESPONSE_PART: Micros = 2;
+/// An empty response to a watch is early if it came before `1 / EARLY_RESPONSE_DIVISOR` of the wait had
+/// passed.
+const EARLY_RESPONSE_DIVISOR: Micros = 2;
 
 /// The state of polling one discovery address.
 #[derive(Debug)]
@@ -20,11 +21,11 @@
     failures: u32,
     /// Empty responses in a row that came early.
     idle_responses: u32,
-    /// Whether the last poll was a watch that failed only when its wait was over.
+    /// Whether the last poll was a watch of a shared service that failed only after its wait was over.
     watch_timed_out: bool,
     /// Whether the next poll requests the full list.
     full_list_needed: bool,
-    /// When the full list is requested once more without a particular cause.
+    /// The time at which the full list is requested once regardless of failures or suspect answers.
     full_list_at: Option<Micros>,
 }
 
@@ -48,7 +49,8 @@
         &self.schedule
     }
 
-    /// Forgets the responses and polls of the former address. What to request first is set separately.
+    /// Resets the state for a new address. The caller decides separately whether to request the full list
+    /// first.
     pub(super) fn reset(&mut self, now: Micros) {
         self.started_at = now;
         self.responded_at = None;
@@ -60,13 +62,13 @@
         self.full_list_at = None;
     }
 
-    /// The next poll requests the full list.
+    /// Makes the next poll request the full list.
     pub(super) fn request_full_list(&mut self) {
         self.full_list_needed = true;
     }
 
-    /// The full list is requested once at a random time that suits the size of the fleet, after the watches that all
-    /// proxies open first.
+    /// Schedules one request for the full list at a random time within a span proportional to the size of the
+    /// fleet, after the watches that all proxies open first.
     pub(super) fn schedule_full_list(&mut self, now: Micros, shared: &SharedDiscovery) {
         let span = Micros::from(shared.proxies) * PollSchedule::FULL_LIST_SPREAD_PER_PROXY;
         self.full_list_at = Some(now + span + self.jitter.i64(0..span));
@@ -80,7 +82,7 @@
         self.full_list_needed = needed;
     }
 
-    /// What the next poll requests, where a watch may go on from `version`.
+    /// Returns what the next poll requests; a watch continues from `version`.
     pub(super) fn next_kind(&mut self, now: Micros, version: Option<u64>) -> PollKind {
         let is_due = self.full_list_at.is_some_and(|at| now >= at);
         if is_due && self.failures == 0 && !self.watch_timed_out {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// The next poll, which counts as made.
+    /// Returns the next poll and records its start.
     pub(super) fn start(&mut self, now: Micros, kind: PollKind) -> PollRequest {
         let start_at = self.next_start(now);
         self.polled_at = Some(start_at);
@@ -112,7 +114,7 @@
     fn next_start(&mut self, now: Micros) -> Micros {
         let backoff = self.backoff(now);
         match self.polled_at {
-            // A watch that lasted is continued at once.
+            // The interval counts from the start of the last poll, so a long watch is continued at once.
             Some(polled_at) if self.failures == 0 && self.idle_responses == 0 => now.max(polled_at + backoff),
             Some(_) => now + backoff,
             None => now + self.initial_jitter(),
@@ -124,8 +126,9 @@
         self.jitter.i64(0..self.schedule.initial_spread(&shared))
     }
 
-    /// The hedged poll. A shared service that is late is not polled twice at a time, so that the hedge never starts;
-    /// a watch that the service granted and that fell silent is hedged.
+    /// Returns the hedged poll. While a shared service is late, and for the full list, the hedge is set so
+    /// that it never starts, to avoid two concurrent polls. A watch that the service granted and that then
+    /// falls silent is hedged.
     fn hedge(&self, kind: PollKind, wait: Micros, response_timeout: Micros) -> HedgedPoll {
         let is_shared = self.schedule.shared.is_some();
         let is_late = self.failures > 0 || self.watch_timed_out || self.responded_at.is_none();
@@ -139,7 +142,7 @@
         }
     }
 
-    /// The time between the last poll and the next one.
+    /// Returns the minimum time between the last poll and the next one.
     fn backoff(&mut self, now: Micros) -> Micros {
         if self.watch_timed_out {
             return PollSchedule::MIN_INTERVAL;
@@ -153,9 +156,10 @@
         }
     }
 
-    /// A random part, at least half, of the longest backoff after failed polls of a shared service.
+    /// Returns a random backoff after failed polls of a shared service: between half of the longest backoff
+    /// and all of it.
     fn shared_backoff(&mut self, now: Micros, shared: &SharedDiscovery) -> Micros {
-        // The duration of the failed poll counts as well.
+        // The interval is limited from the start of the failed poll, so its duration is subtracted.
         let time_left =
             self.polled_at.map_or(0, |polled_at| polled_at + self.schedule.max_retry_interval() - now);
         let longest = self.schedule.max_shared_backoff(shared, self.failures).min(time_left);
@@ -163,11 +167,11 @@
         longest / 2 + self.jitter.i64(0..longest / 2)
     }
 
-    /// Counts a response; `is_unchanged` says that it had nothing new.
+    /// Records a response; `is_unchanged` states that it reported no change.
     pub(super) fn on_response(&mut self, now: Micros, is_unchanged: bool) {
         let came_early = self
             .polled_at
-            .is_some_and(|polled_at| now - polled_at < self.schedule.watch_wait / EARLY_RESPONSE_PART);
+            .is_some_and(|polled_at| now - polled_at < self.schedule.watch_wait / EARLY_RESPONSE_DIVISOR);
         let is_idle = is_unchanged && came_early && !self.full_list_needed;
         self.idle_responses = if is_idle { self.idle_responses.saturating_add(1) } else { 0 };
         self.responded_at = Some(now);
@@ -175,8 +179,9 @@
         self.watch_timed_out = false;
     }
 
-    /// Counts a failed poll. A watch of a shared service that failed only when its wait was over is still in the
-    /// service's queue: continued at once it keeps its place, while a later poll goes to the end of the queue.
+    /// Records a failed poll. A watch of a shared service that failed only after its wait was over is still
+    /// in the service's queue. It is continued at once to keep its place, as a later poll would go to the end
+    /// of the queue; it does not count as a failure.
     pub(super) fn on_failure(&mut self, now: Micros, version: Option<u64>) {
         let was_shared_watch = self.schedule.shared.is_some() && !self.full_list_needed;
         let wait_was_over =
@@ -186,11 +191,11 @@
             return;
         }
         self.failures = self.failures.saturating_add(1);
-        self.full_list_needed = version.is_none() || self.is_full_list_turn();
+        self.full_list_needed = version.is_none() || self.is_full_list_due();
     }
 
-    /// Whether the poll after this many failures requests the full list.
-    fn is_full_list_turn(&self) -> bool {
+    /// Returns whether the poll after the current number of failures requests the full list.
+    fn is_full_list_due(&self) -> bool {
         self.schedule
             .shared
             .is_none_or(|shared| self.failures.is_multiple_of(self.schedule.full_list_after(&shared)))
--- a/crates/discovery/src/tracker/suspect.rs
+++ b/crates/discovery/src/tracker/suspect.rs
@@ -1,13 +1,14 @@
-//! Which answers are suspect, and what confirms them.
+//! Detection and confirmation of suspect answers.
 
 use super::list::AcceptedList;
 use crate::SuspectReason;
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
 
 impl AcceptedList {
-    /// Why an answer is suspect, if it is.
+    /// Returns the reason why an answer is suspect, if it is.
     pub(super) fn inspect(&self, answer: &EndpointList) -> Option<SuspectReason> {
-        // Until the first answer, a change older than the requested version says nothing about the complete list.
+        // Until an answer is accepted from this address, the version to resume from applies to changes only:
+        // a change older than the requested version does not establish the complete list.
         let newest = self.version.or(self.resume_version.filter(|_| !answer.complete));
         if newest.is_some_and(|version| answer.version < version) {
             return Some(SuspectReason::OlderVersion);
@@ -15,29 +16,30 @@
         self.lacks_half(answer).then_some(SuspectReason::MissingEndpoints)
     }
 
-    /// Whether a complete list lacks half of the active endpoints or more. One that it lists as leaving is not missing.
+    /// Returns whether a complete list lacks at least half of the active endpoints. An endpoint that is
+    /// listed as draining or removed is not missing.
     fn lacks_half(&self, answer: &EndpointList) -> bool {
         let active = self.active().count();
         let missing = self.active().filter(|record| find(answer, &record.name).is_none()).count();
         answer.complete && missing > 0 && missing * 2 >= active
     }
 
-    /// Whether an answer that is suspect for this reason repeats the pending one.
+    /// Returns whether an answer that is suspect for this reason confirms the pending one.
     pub(super) fn is_confirmed_by(&self, reason: SuspectReason, answer: &EndpointList) -> bool {
         let Some(pending) = &self.pending else { return false };
         if pending.reason != reason || !answer.complete || answer.version < pending.list.version {
             return false;
         }
-        // A restarted agent counts its versions anew, and may list more endpoints by its second answer.
+        // A restarted agent restarts its version numbers, and its second answer may list more endpoints.
         let is_restart = reason == SuspectReason::OlderVersion && !self.lacks_half(answer);
         is_restart || sorted_names(answer) == sorted_names(&pending.list)
     }
 
-    /// The active endpoints that an answer takes out of use; none if it would take out all of them.
+    /// Returns the active endpoints that an answer removes, or none if it would remove all of them.
     pub(super) fn removed_by(&self, answer: &EndpointList) -> Vec<String> {
         let active = self.active().map(|record| record.name.as_str());
         let removed: Vec<String> =
-            active.filter(|name| !stays_active(answer, name)).map(str::to_string).collect();
+            active.filter(|name| !remains_active(answer, name)).map(str::to_string).collect();
         if removed.len() == self.active().count() {
             Vec::new()
         } else {
@@ -46,8 +48,8 @@
     }
 }
 
-/// Whether an active endpoint stays active by an answer.
-fn stays_active(answer: &EndpointList, name: &str) -> bool {
+/// Returns whether an active endpoint remains active according to an answer.
+fn remains_active(answer: &EndpointList, name: &str) -> bool {
     match find(answer, name) {
         Some(record) => record.health == EndpointHealth::Active,
         None => !answer.complete,
--- a/crates/discovery/tests/endpoint_list.rs
+++ b/crates/discovery/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Properties of the endpoint tracker, for any answers of discovery at any time.
+//! Property tests of the endpoint tracker with arbitrary answers of discovery at arbitrary times.
 
 mod support;
 
@@ -14,7 +14,7 @@
 const START: i64 = 1_800_000_000 * SECOND;
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-/// What happens to the tracker.
+/// One input to the tracker.
 #[derive(Clone, Debug)]
 enum Step {
     /// Discovery answers a poll.
@@ -23,16 +23,16 @@
     Failure,
     /// Discovery has a new address.
     AddressChange,
-    /// Time passes in one leap, so that the tracker expires its deadlines late.
-    Leap(i64),
+    /// Time advances at once, so that the tracker expires its deadlines late.
+    TimeJump(i64),
 }
 
 #[derive(Clone, Debug)]
 struct Answer {
-    /// How far its version is ahead of the newest.
+    /// The difference between its version and the newest one.
     versions_ahead: i64,
     is_complete: bool,
-    /// The health of each endpoint; `None` leaves it out.
+    /// The health of each endpoint; `None` omits it from the answer.
     healths: Vec<Option<EndpointHealth>>,
 }
 
@@ -59,17 +59,17 @@
         6 => answer().prop_map(Step::Answer),
         2 => Just(Step::Failure),
         1 => Just(Step::AddressChange),
-        3 => (0..3 * SECOND).prop_map(Step::Leap),
+        3 => (0..3 * SECOND).prop_map(Step::TimeJump),
     ]
 }
 
 impl Answer {
-    /// The endpoints with their health.
+    /// Returns the endpoints with their health.
     fn endpoints(&self) -> impl Iterator<Item = (&'static str, Option<EndpointHealth>)> + '_ {
         NAMES.into_iter().zip(self.healths.iter().copied())
     }
 
-    /// Whether it takes an endpoint of this health out of use.
+    /// Returns whether the answer removes an endpoint of this health from use.
     fn removes(&self, health: Option<EndpointHealth>) -> bool {
         match health {
             Some(health) => health != EndpointHealth::Active,
@@ -83,7 +83,8 @@
     }
 }
 
-/// The broker's view of the events, and the removals that discovery announced, kept apart from the tracker.
+/// A reference model: the state that a broker derives from the events, and the removals that discovery
+/// announced.
 struct Model {
     tracker: EndpointTracker,
     now: i64,
@@ -91,7 +92,7 @@
     active: BTreeSet<String>,
     until: BTreeMap<String, i64>,
     removed_at: BTreeMap<String, i64>,
-    empties: u32,
+    consecutive_empty_lists: u32,
     polls: Vec<i64>,
 }
 
@@ -101,17 +102,26 @@
         let active = NAMES.iter().map(|n| n.to_string()).collect();
         let tracker = EndpointTracker::new(PollSchedule::new(SECOND), &known, START);
         let (until, removed_at) = Default::default();
-        Model { tracker, now: START, newest: 0, active, until, removed_at, empties: 0, polls: vec![] }
+        Model {
+            tracker,
+            now: START,
+            newest: 0,
+            active,
+            until,
+            removed_at,
+            consecutive_empty_lists: 0,
+            polls: vec![],
+        }
     }
 
-    fn take(&mut self, event: WatchEvent) {
+    fn apply_event(&mut self, event: WatchEvent) {
         for deadline in event.deadlines {
             self.until.insert(deadline.endpoint, deadline.until);
         }
         let Some(list) = event.update else { return };
         assert!(
-            !list.complete || !list.endpoints.is_empty() || self.empties > 1,
-            "empty by one answer alone"
+            !list.complete || !list.endpoints.is_empty() || self.consecutive_empty_lists > 1,
+            "a single empty answer was accepted"
         );
         if list.complete {
             self.active.clear();
@@ -125,7 +135,7 @@
         }
     }
 
-    /// Whether the endpoint may be sent a request now.
+    /// Returns whether requests may be sent to the endpoint now.
     fn permits(&self, name: &str) -> bool {
         self.active.contains(name) && self.until.get(name).is_none_or(|until| self.now < *until)
     }
@@ -133,27 +143,28 @@
     fn answer(&mut self, answer: &Answer) {
         let version = self.newest.saturating_add_signed(answer.versions_ahead);
         let list = answer.to_list(version);
-        self.empties = if list.complete && list.endpoints.is_empty() { self.empties + 1 } else { 0 };
+        self.consecutive_empty_lists =
+            if list.complete && list.endpoints.is_empty() { self.consecutive_empty_lists + 1 } else { 0 };
         self.expect_removals(answer);
         self.newest = self.newest.max(version);
         let event = self.tracker.on_response(self.now, list);
-        self.take(event);
+        self.apply_event(event);
     }
 
-    /// Notes the endpoints that must not be sent requests past the drain grace from now on.
+    /// Records the endpoints to which no requests may be sent once the drain grace from now has passed.
     fn expect_removals(&mut self, answer: &Answer) {
         let removes_all = self
             .active
             .iter()
             .all(|active| answer.endpoints().any(|(name, health)| name == active && answer.removes(health)));
-        // A newer version takes effect from now on, unless it would leave no endpoint at all.
+        // A newer version takes effect now, unless it would leave no endpoint.
         let takes_effect = answer.versions_ahead >= 0 && (!answer.is_complete || !removes_all);
         for (name, health) in answer.endpoints() {
             if takes_effect && answer.removes(health) && self.active.contains(name) {
                 self.removed_at.entry(name.to_string()).or_insert(self.now);
             } else if health == Some(EndpointHealth::Active) {
-                // Where the answer has no effect, the tracker need not act on it alone, and earlier removals of the
-                // endpoints that it lists as active are void.
+                // If the answer takes no effect, the tracker need not act on it alone, and earlier removals
+                // of the endpoints that it lists as active no longer apply.
                 self.removed_at.remove(name);
             }
         }
@@ -167,7 +178,7 @@
                 && poll.hedge.after < poll.response_timeout
         );
         if let PollKind::Watch { version } = poll.kind {
-            assert!(version <= self.newest, "a version that no answer had");
+            assert!(version <= self.newest, "a version that no answer contained");
         }
         self.now = poll.start_at;
         self.polls.push(poll.start_at);
@@ -188,13 +199,13 @@
                 (self.newest, self.polls) = (0, vec![]);
                 self.removed_at.clear();
             }
-            Step::Leap(span) => {
+            Step::TimeJump(span) => {
                 self.now += span;
-                // A request may be about to be sent before the tracker expires its deadlines.
+                // A request may be sent before the tracker expires its deadlines.
                 self.check();
                 if self.tracker.next_deadline().is_some_and(|due| self.now >= due) {
                     let event = self.tracker.expire_deadlines(self.now);
-                    self.take(event);
+                    self.apply_event(event);
                 }
             }
         }
@@ -202,11 +213,14 @@
     }
 
     fn check(&self) {
-        let late = |name: &str| self.removed_at.get(name).is_some_and(|at| self.now > at + SECOND);
-        // Where unconfirmed answers removed all endpoints that are left, they stay.
-        if !self.active.iter().all(|name| late(name)) {
+        let is_past_grace = |name: &str| self.removed_at.get(name).is_some_and(|at| self.now > at + SECOND);
+        // If unconfirmed answers removed all remaining endpoints, the endpoints stay in use.
+        if !self.active.iter().all(|name| is_past_grace(name)) {
             for name in self.removed_at.keys() {
-                assert!(!late(name) || !self.permits(name), "{name} may be sent to past its deadline");
+                assert!(
+                    !is_past_grace(name) || !self.permits(name),
+                    "{name} still accepts requests after its deadline"
+                );
             }
         }
         for pair in self.polls.windows(2) {
@@ -218,15 +232,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against a request past a drain's deadline, an empty list by one bad answer, and polls in a busy loop, for
-    /// any order of answers, failures, versions and leaps of the clock.
+    /// Guards against requests after a drain deadline, an empty list caused by one bad answer, and polls in a
+    /// busy loop, for any order of answers, failures, versions and time jumps.
     #[test]
-    fn any_sequence_of_answers_keeps_deadlines_and_intervals(steps in prop::collection::vec(step(), 1..60)) {
+    fn any_sequence_of_answers_respects_deadlines_and_intervals(steps in prop::collection::vec(step(), 1..60)) {
         let mut model = Model::new();
         steps.iter().for_each(|step| model.step(step));
     }
 
-    /// Guards against limits of polls that do not fit into the time that the drain grace leaves.
+    /// Guards against poll limits that exceed the time until the list counts as stale.
     #[test]
     fn a_silent_watch_is_replaced_in_time(drain_grace in 0..20 * SECOND) {
         let schedule = PollSchedule::new(drain_grace);
@@ -237,31 +251,33 @@
         prop_assert!(shared.max_silent_watch() <= shared.stale_after() && shared.hedge_after < shared.response_timeout);
     }
 
-    /// Guards against a proxy that learns too late what the agent got when discovery came back: that takes effect
-    /// at once, so the first answer after an outage of any length must leave time to stop.
+    /// Guards against a proxy that receives too late what the agent received when discovery recovered. That
+    /// takes effect at once, so the first poll after an outage of any length must come within the drain
+    /// grace.
     #[test]
-    fn an_outage_ends_in_time_to_stop(drain_grace in 400_000..20 * SECOND, down in 0..60 * SECOND) {
+    fn polling_resumes_within_the_drain_grace_after_an_outage(drain_grace in 400_000..20 * SECOND, down in 0..60 * SECOND) {
         let schedule = PollSchedule::new(drain_grace);
         let mut tracker = EndpointTracker::new(schedule, &full_list(0, &NAMES), START);
         let mut now = START;
-        let back = START + down;
+        let recovered_at = START + down;
         loop {
             let poll = tracker.next_poll(now);
             now = poll.start_at;
-            if now >= back {
+            if now >= recovered_at {
                 break;
             }
-            // The poll and the hedged one hang: the agent may have recovered meanwhile.
+            // The poll and its hedged poll hang, and the agent may recover in the meantime.
             now += (poll.hedge.after + poll.connect_timeout + poll.response_timeout - poll.wait).max(poll.response_timeout);
             tracker.on_failure(now);
         }
-        prop_assert!(now - back < drain_grace, "asked {} us after the return", now - back);
+        prop_assert!(now - recovered_at < drain_grace, "polled {} us after the recovery", now - recovered_at);
     }
 }
 
-/// Guards against a list that lacks half of the endpoints and takes them out of use before a second answer confirms it.
+/// Guards against a list that lacks half of the endpoints and removes them before a second answer confirms
+/// it.
 #[test]
-fn a_list_that_lacks_half_counts_once_it_is_confirmed() {
+fn a_list_that_lacks_half_is_accepted_once_confirmed() {
     let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
     tracker.next_poll(START);
     assert!(tracker.on_response(START, full_list(5, &NAMES)).update.is_some());
@@ -278,14 +294,14 @@
         Some(3)
     );
     assert_eq!(tracker.next_deadline(), None);
-    // An unconfirmed one takes effect at its deadline; one that would leave no endpoint never does alone.
+    // An unconfirmed list takes effect at its deadline, unless it would leave no endpoint.
     assert_eq!(
         tracker.on_response(START + 40, full_list(7, &["a"])).suspect,
         Some(SuspectReason::MissingEndpoints)
     );
     let due = tracker.next_deadline().unwrap();
     assert_eq!(tracker.expire_deadlines(due - 1), WatchEvent::default());
-    let left: Vec<_> = tracker
+    let removed: Vec<_> = tracker
         .expire_deadlines(due)
         .update
         .unwrap()
@@ -294,7 +310,7 @@
         .map(|h| (h.name, h.health))
         .collect();
     assert_eq!(
-        left,
+        removed,
         [("b".to_string(), EndpointHealth::Removed), ("c".to_string(), EndpointHealth::Removed)]
     );
     let empty = tracker.on_response(due + 10, full_list(8, &[]));
@@ -305,10 +321,10 @@
     assert_eq!(tracker.expire_deadlines(due + 2 * SECOND), WatchEvent::default());
 }
 
-/// Guards against an older list that brings a drained endpoint back, and against a restarted agent whose answers are
-/// never accepted again.
+/// Guards against an older list that restores a drained endpoint, and against a restarted agent whose answers
+/// are never accepted.
 #[test]
-fn an_older_version_counts_once_it_is_confirmed() {
+fn an_older_version_is_accepted_once_confirmed() {
     let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
     tracker.on_response(START, full_list(9, &["a", "b", "c"]));
     tracker.on_response(START, full_list(9, &["a", "b", "c"]));
@@ -326,28 +342,29 @@
         Some(6)
     );
     assert_eq!(tracker.next_poll(START + 5).kind, PollKind::Watch { version: 4 });
-    // A change of an older version is not accepted, and the full list is requested.
+    // A change with an older version is not accepted, and the full list is requested.
     assert_eq!(tracker.on_response(START + 6, change(2, &["z"])).suspect, Some(SuspectReason::OlderVersion));
     assert_eq!(tracker.next_poll(START + 7).kind, PollKind::FullList);
 }
 
-/// Guards against a start time that goes back, which would end the slow start of an endpoint, or lies ahead of the clock.
+/// Guards against a start time that moves back, which would end an endpoint's slow start early, or that lies
+/// in the future.
 #[test]
-fn the_start_of_an_endpoint_does_not_go_back() {
+fn the_start_time_of_an_endpoint_does_not_move_back() {
     let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &EndpointList::default(), START);
-    let born = |ms| EndpointList {
+    let list_started_at = |ms| EndpointList {
         version: 1,
         complete: true,
         endpoints: vec![EndpointRecord { started_at_ms: ms, ..endpoint("a", EndpointHealth::Active) }],
     };
     let mut accepted_start =
-        |ms| tracker.on_response(START, born(ms)).update.unwrap().endpoints[0].started_at_ms;
+        |ms| tracker.on_response(START, list_started_at(ms)).update.unwrap().endpoints[0].started_at_ms;
     assert_eq!(accepted_start(START / 1000 - 500), START / 1000 - 500);
     assert_eq!(accepted_start(0), START / 1000 - 500);
     assert_eq!(accepted_start(START / 1000 + 60_000), START / 1000);
 }
 
-/// Guards against a list whose staleness is not reported.
+/// Guards against staleness that is not reported, or is reported as the wrong level.
 #[test]
 fn staleness_has_four_levels() {
     let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
@@ -365,8 +382,8 @@
     assert_eq!(tracker.staleness(START + 9 * SECOND), Staleness::Unconfirmed);
 }
 
-/// Guards against an agent that answers every watch at once with nothing new: it is polled with a backoff, and still
-/// often enough for its watch to be continued (200 ms).
+/// Guards against a busy loop with an agent that answers every watch at once without changes. It is polled
+/// with a backoff, but often enough for its watch to be continued (200 ms).
 #[test]
 fn an_agent_with_empty_early_responses_is_polled_with_backoff() {
     let mut tracker = EndpointTracker::new(PollSchedule::new(SECOND), &full_list(0, &NAMES), START);
--- a/crates/discovery/tests/recovery_times.rs
+++ b/crates/discovery/tests/recovery_times.rs
@@ -1,4 +1,5 @@
-//! How soon a proxy acts on a change after discovery recovers, whatever its polls met before and whenever an outage ends.
+//! Bounds on the time from the recovery of discovery to the proxy acting on a change, for any failures of
+//! earlier polls and any end of an outage.
 
 mod support;
 
@@ -10,22 +11,22 @@
 
 const START: i64 = 1_800_000_000 * SECOND;
 const NAMES: [&str; 2] = ["a", "b"];
-/// A change takes effect this long after discovery had it and could be reached.
+/// The time after which a change takes effect once discovery has it and is reachable.
 const EFFECTIVE_WITHIN: i64 = 6 * SECOND;
-/// The same after SIGHUP, for a local agent.
+/// The same time after SIGHUP, for a local agent.
 const RELOAD_EFFECTIVE_WITHIN: i64 = 4 * SECOND;
-/// The broker's part of the time: from the last byte of the answer to the last request that is still sent.
+/// The time that the broker needs from the last byte of the answer to the last request that it still sends.
 const BROKER_TIME: i64 = 20_000;
 
-/// The outcome of a poll that starts before discovery can be reached. Parts are thousandths.
+/// The outcome of a poll that starts before discovery is reachable. Fractions are in thousandths.
 #[derive(Clone, Copy, Debug)]
 enum PollOutcome {
     Refused,
-    /// Reset, or answered with something malformed, after this part of its timeout.
+    /// Reset, or answered with a malformed response, after this fraction of its timeout.
     BreaksAfter(i64),
-    /// Neither it nor the hedged poll is answered.
+    /// Neither the poll nor its hedged poll is answered.
     Hangs,
-    /// Answered after this part of the time to the hedged poll, with nothing new.
+    /// Answered without changes after this fraction of the time until the hedged poll starts.
     AnsweredAfter(i64),
 }
 
@@ -38,16 +39,16 @@
     ]
 }
 
-/// When a poll that hangs and the hedged one have timed out.
+/// Returns when a poll that hangs and its hedged poll have timed out.
 fn timed_out_at(poll: &PollRequest) -> i64 {
     let is_hedged = poll.hedge.after < poll.response_timeout;
     let hedge_timeout = poll.hedge.after + poll.hedge.timeout;
     poll.start_at + if is_hedged { hedge_timeout.max(poll.response_timeout) } else { poll.response_timeout }
 }
 
-/// When a poll fails whose connection breaks; the hedged one hangs.
-fn fails_at(poll: &PollRequest, part: i64) -> i64 {
-    let at = poll.response_timeout * part / 1000;
+/// Returns when a poll fails whose connection breaks; its hedged poll hangs.
+fn fails_at(poll: &PollRequest, fraction: i64) -> i64 {
+    let at = poll.response_timeout * fraction / 1000;
     if at < poll.hedge.after {
         poll.start_at + at
     } else {
@@ -55,14 +56,14 @@
     }
 }
 
-/// When the response to the first poll that started after discovery could be reached came, and when the last SIGHUP was.
-/// `late` is the part of its timeout that this response takes.
+/// Returns when the response to the first poll that started after the recovery came, and the time of the last
+/// SIGHUP. `delay` is the fraction of its timeout that this response takes.
 fn first_response(
     tracker: &mut EndpointTracker,
     recovered_at: i64,
     reloads: &[i64],
     outcomes: &[PollOutcome],
-    late: i64,
+    delay: i64,
 ) -> (i64, i64) {
     let (mut now, mut version, mut reloaded_at) = (START, 1, START);
     let mut reloads = reloads.iter().copied().peekable();
@@ -73,13 +74,13 @@
         let is_reached = poll.start_at >= recovered_at;
         let outcome = outcomes.next().unwrap_or(PollOutcome::Hangs);
         let end = match outcome {
-            _ if is_reached => poll.start_at + poll.response_timeout * late / 1000,
+            _ if is_reached => poll.start_at + poll.response_timeout * delay / 1000,
             PollOutcome::Refused => poll.start_at + 1_000,
-            PollOutcome::BreaksAfter(part) => fails_at(&poll, part),
+            PollOutcome::BreaksAfter(fraction) => fails_at(&poll, fraction),
             PollOutcome::Hangs => timed_out_at(&poll),
-            PollOutcome::AnsweredAfter(part) => poll.start_at + poll.hedge.after * part / 1000,
+            PollOutcome::AnsweredAfter(fraction) => poll.start_at + poll.hedge.after * fraction / 1000,
         };
-        // A signal drops the poll, whether it waits for its start or for its response.
+        // SIGHUP cancels the poll, whether it has started or not.
         if let Some(at) = reloads.next_if(|at| *at <= end) {
             (now, reloaded_at) = (now.max(at), now.max(at));
             tracker.on_address_changed(now);
@@ -104,13 +105,13 @@
 }
 
 prop_compose! {
-    /// Outages that end at any moment, signals near the end, and the outcomes of polls until then.
+    /// Outages that end at any time, SIGHUPs near the end, and the outcomes of polls until then.
     fn outage()(
         recovered_at in 0..40 * SECOND,
-        near in prop::collection::vec(-8 * SECOND..8 * SECOND, 0..3),
+        reload_offsets in prop::collection::vec(-8 * SECOND..8 * SECOND, 0..3),
         outcomes in prop::collection::vec(poll_outcome(), 1..12),
     ) -> (i64, Vec<i64>, Vec<PollOutcome>) {
-        let mut reloads: Vec<i64> = near.iter().map(|at| START + (recovered_at + at).max(0)).collect();
+        let mut reloads: Vec<i64> = reload_offsets.iter().map(|at| START + (recovered_at + at).max(0)).collect();
         reloads.sort_unstable();
         (START + recovered_at, reloads, outcomes)
     }
@@ -121,34 +122,34 @@
         cases: 4000, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Guards against a proxy that polls a shared service and acts on a change later than 6 s and the drain grace after
-    /// discovery could be reached, with the response as late as its timeout allows.
+    /// Guards against a proxy that polls a shared service and acts on a change later than 6 s plus the drain
+    /// grace after discovery became reachable, with a response as late as its timeout allows.
     #[test]
-    fn a_polled_list_is_acted_on_in_time(
+    fn a_polled_list_takes_effect_in_time(
         drain_grace in 0..20 * SECOND,
         shared in shared(),
         outage in outage(),
-        late in 0..1000_i64,
+        delay in 0..1000_i64,
         restarted in any::<bool>(),
     ) {
         let (recovered_at, reloads, outcomes) = outage;
         let known = if restarted { EndpointList::default() } else { full_list(1, &NAMES) };
         let schedule = PollSchedule::new(drain_grace).with_shared(shared);
         let mut tracker = EndpointTracker::new(schedule, &known, START);
-        let (responded_at, reloaded_at) = first_response(&mut tracker, recovered_at, &reloads, &outcomes, late);
+        let (responded_at, reloaded_at) = first_response(&mut tracker, recovered_at, &reloads, &outcomes, delay);
         let allowed = EFFECTIVE_WITHIN + drain_grace.min(EFFECTIVE_WITHIN) - BROKER_TIME;
         let elapsed = responded_at - recovered_at.max(reloaded_at);
         prop_assert!(elapsed <= allowed, "{elapsed} of {allowed} us");
-        // The derived limit holds, and is low enough.
+        // The limit derived by the schedule holds, and is within the allowed time.
         prop_assert!(elapsed <= schedule.max_recovery() && schedule.max_recovery() <= schedule.allowed_recovery() - BROKER_TIME, "{elapsed}: {schedule:?}");
     }
 
-    /// Guards against a list of a local agent that is acted on later than the drain grace after the agent had it, or,
-    /// after SIGHUP, 4 s and the drain grace later. The agent answers at once.
+    /// Guards against a list of a local agent that takes effect later than the drain grace after the agent
+    /// had it, or, after SIGHUP, later than 4 s plus the drain grace. The agent answers at once.
     #[test]
-    fn a_pushed_list_is_acted_on_in_time(drain_grace in 400_000..20 * SECOND, outage in outage()) {
+    fn a_pushed_list_takes_effect_in_time(drain_grace in 400_000..20 * SECOND, outage in outage()) {
         let (recovered_at, reloads, outcomes) = outage;
-        // An open watch that hangs has fallen silent, and other limits hold for it: see below.
+        // An established watch that hangs is subject to other limits; see the tests of silent watches below.
         let outcomes = outcomes.into_iter().filter(|f| !matches!(f, PollOutcome::AnsweredAfter(_)));
         let outcomes: Vec<PollOutcome> = outcomes.chain([PollOutcome::Hangs]).collect();
         let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace), &full_list(1, &NAMES), START);
@@ -160,16 +161,17 @@
         prop_assert!(responded_at <= allowed, "{} us too late", responded_at - allowed);
     }
 
-    /// Guards against a watch that falls silent and costs more than 6 s: the hedged poll is refused or hangs, and so does
-    /// the next poll, and the third is answered as late as its timeout allows.
+    /// Guards against a watch that falls silent and delays a change by more than 6 s plus the drain grace:
+    /// either its hedged poll hangs, or the hedged poll and the next poll are refused. The last poll is
+    /// answered as late as its timeout allows.
     #[test]
-    fn a_silent_watch_may_be_refused_twice(
-        drain_grace in 0..20 * SECOND, shared in shared(), late in 0..1000_i64, hangs in any::<bool>(),
+    fn a_silent_watch_refused_twice_recovers_in_time(
+        drain_grace in 0..20 * SECOND, shared in shared(), delay in 0..1000_i64, hangs in any::<bool>(),
     ) {
         let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace).with_shared(shared), &full_list(1, &NAMES), START);
         let mut now = tracker.next_poll(START).start_at;
         tracker.on_response(now, change(2, &[]));
-        // It falls silent as it starts, with a change that is not delivered.
+        // The watch falls silent as it starts, so a change is not delivered.
         let poll = tracker.next_poll(now);
         let silent_since = poll.start_at;
         now = if hangs { timed_out_at(&poll) } else { poll.start_at + poll.response_timeout };
@@ -179,15 +181,16 @@
             tracker.on_failure(poll.start_at + 1_000);
             poll = tracker.next_poll(poll.start_at + 1_000);
         }
-        let elapsed = poll.start_at + poll.response_timeout * late / 1000 - silent_since;
+        let elapsed = poll.start_at + poll.response_timeout * delay / 1000 - silent_since;
         let allowed = EFFECTIVE_WITHIN + drain_grace.min(EFFECTIVE_WITHIN) - BROKER_TIME;
         prop_assert!(elapsed <= allowed, "{elapsed} of {allowed} us");
     }
 
-    /// Guards against a silent watch of a local agent that SIGHUP, with the same address, leaves as it is: what it missed
-    /// takes effect 6 s after it fell silent, and what the agent has 4 s after the signal.
+    /// Guards against a silent watch of a local agent that is not replaced in time. SIGHUP with an unchanged
+    /// address does not restart it: what it missed takes effect 6 s after it fell silent, and what the agent
+    /// has 4 s after the signal.
     #[test]
-    fn a_silent_pushed_watch_needs_no_help_of_a_signal(drain_grace in 0..20 * SECOND) {
+    fn a_silent_pushed_watch_recovers_without_a_reload(drain_grace in 0..20 * SECOND) {
         let mut tracker = EndpointTracker::new(PollSchedule::new(drain_grace), &full_list(1, &NAMES), START);
         let now = tracker.next_poll(START).start_at;
         tracker.on_response(now, full_list(2, &NAMES));
@@ -200,8 +203,9 @@
     }
 }
 
-/// Guards against a large fleet that requests the full list from a shared service all at once at a new address, and
-/// against one that never requests it there: an older version, or some time, has it requested.
+/// Guards against a large fleet whose proxies all request the full list at once from a new address of a
+/// shared service, and against one that never requests it there. An older version, or the scheduled time,
+/// triggers the request.
 #[test]
 fn a_large_fleet_resumes_from_its_version_at_a_new_address() {
     let tracker = |proxies| {
@@ -214,21 +218,21 @@
         tracker.on_address_changed(now);
         (tracker, now)
     };
-    let (mut few, now) = tracker(10);
-    assert_eq!(few.next_poll(now).kind, PollKind::FullList);
-    let (mut many, now) = tracker(300);
-    let poll = many.next_poll(now);
+    let (mut small, now) = tracker(10);
+    assert_eq!(small.next_poll(now).kind, PollKind::FullList);
+    let (mut large, now) = tracker(300);
+    let poll = large.next_poll(now);
     assert_eq!(poll.kind, PollKind::Watch { version: 7 });
-    assert!(many.on_response(poll.start_at, change(3, &[])).update.is_none());
-    assert_eq!(many.next_poll(poll.start_at).kind, PollKind::FullList);
-    let (mut many, mut now) = tracker(300);
+    assert!(large.on_response(poll.start_at, change(3, &[])).update.is_none());
+    assert_eq!(large.next_poll(poll.start_at).kind, PollKind::FullList);
+    let (mut large, mut now) = tracker(300);
     let end = now + 2 * 300 * PollSchedule::FULL_LIST_SPREAD_PER_PROXY + 10 * SECOND;
     let mut full_lists = 0;
     while now < end {
-        let poll = many.next_poll(now);
+        let poll = large.next_poll(now);
         full_lists += u32::from(poll.kind == PollKind::FullList);
         now = poll.start_at + poll.wait;
-        many.on_response(now, unchanged(poll.kind, 7, &NAMES));
+        large.on_response(now, unchanged(poll.kind, 7, &NAMES));
     }
     assert_eq!(full_lists, 1);
 }
--- a/crates/discovery/tests/shared_service/service.rs
+++ b/crates/discovery/tests/shared_service/service.rs
@@ -1,4 +1,4 @@
-//! Discovery as one service that answers polls one after the other.
+//! A simulated discovery service that answers polls one by one.
 
 use std::collections::VecDeque;
 
@@ -8,21 +8,21 @@
 const MAX_QUEUE_TIME: i64 = 2_300 * MS;
 /// A watch keeps its place in the queue if it is continued within this time.
 const CONTINUE_WITHIN: i64 = 200 * MS;
-/// The full list takes this many turns.
-const FULL_LIST_TURNS: i64 = 4;
-/// What refusing a poll costs the service.
+/// The full list takes this many times the service time of a watch.
+const FULL_LIST_COST_FACTOR: i64 = 4;
+/// The service time of refusing a poll.
 const REFUSAL_COST: i64 = MS;
 
 pub struct QueuedPoll {
     proxy: usize,
     queued_at: i64,
     is_full_list: bool,
-    /// Until when the poll waits.
+    /// The time until which the client waits for the response.
     until: i64,
 }
 
 pub struct Service {
-    pub turn: i64,
+    pub service_time: i64,
     pub queue: VecDeque<QueuedPoll>,
     pub busy_until: i64,
     pub refused: usize,
@@ -30,7 +30,7 @@
 }
 
 impl Service {
-    /// Queues a poll; false where it is refused.
+    /// Queues a poll. Returns false if it is refused.
     pub fn enqueue(&mut self, proxy: usize, now: i64, is_full_list: bool, until: i64) -> bool {
         if let Some(queued) = self
             .queue
@@ -42,7 +42,7 @@
                 return true;
             }
         }
-        if (self.queue.len() as i64) * self.turn >= MAX_QUEUE_TIME {
+        if (self.queue.len() as i64) * self.service_time >= MAX_QUEUE_TIME {
             self.refused += 1;
             self.busy_until = self.busy_until.max(now) + REFUSAL_COST;
             return false;
@@ -51,14 +51,15 @@
         true
     }
 
-    /// The proxy that is answered now, and whether with the full list. A poll that has timed out costs its work all the
-    /// same.
+    /// Returns the proxy that is answered now, and whether with the full list. A poll that has timed out
+    /// still takes its service time.
     pub fn tick(&mut self, now: i64) -> Option<(usize, bool)> {
         if now < self.busy_until {
             return None;
         }
         let queued = self.queue.pop_front()?;
-        self.busy_until = now + self.turn * if queued.is_full_list { FULL_LIST_TURNS } else { 1 };
+        self.busy_until =
+            now + self.service_time * if queued.is_full_list { FULL_LIST_COST_FACTOR } else { 1 };
         let is_in_time = now <= queued.until && now - queued.queued_at <= MAX_QUEUE_TIME;
         self.wasted += usize::from(!is_in_time);
         is_in_time.then_some((queued.proxy, queued.is_full_list))
--- a/crates/discovery/tests/subscription.rs
+++ b/crates/discovery/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! Many proxies that subscribe to one discovery service, in virtual time. Events are counted, nothing is timed.
+//! Many proxies that subscribe to one discovery service, simulated in virtual time.
 
 use std::collections::VecDeque;
 use wharfplank_discovery::{EndpointTracker, PollKind, PollRequest, PollSchedule, SharedDiscovery};
@@ -8,8 +8,9 @@
 const SECOND: i64 = 1_000 * MS;
 const PROXIES: usize = 100;
 
-/// Discovery as one service: it answers one poll each 50 ms, in turn, queues a poll for 2.3 s and has a queue of 46. What
-/// it grants is a subscription, which costs nothing from then on. A poll for the full list takes four turns.
+/// A simulated discovery service that answers one poll every 50 ms, queues a poll for at most 2.3 s and has a
+/// queue of 46. It grants subscriptions, which cost nothing afterwards. A poll for the full list takes four
+/// times as long.
 #[derive(Default)]
 struct Service {
     queue: VecDeque<(usize, i64, i64)>,
@@ -18,25 +19,25 @@
 }
 
 impl Service {
-    /// Queues a poll; false where it is refused.
-    fn enqueue(&mut self, proxy: usize, now: i64, work: i64) -> bool {
+    /// Queues a poll. Returns false if it is refused.
+    fn enqueue(&mut self, proxy: usize, now: i64, service_time: i64) -> bool {
         self.polled_at.push(now);
         let has_room = self.queue.len() < 46;
         if has_room {
-            self.queue.push_back((proxy, now, work));
+            self.queue.push_back((proxy, now, service_time));
         }
         has_room
     }
 
-    /// The proxy that is answered now, and whether it is granted a subscription. A poll that has timed out costs its work
-    /// all the same.
+    /// Returns the proxy that is answered now, and whether it is granted a subscription. A poll that has
+    /// timed out still takes its service time.
     fn tick(&mut self, now: i64) -> Option<(usize, bool)> {
         if now < self.busy_until {
             return None;
         }
-        let (proxy, since, work) = self.queue.pop_front()?;
-        self.busy_until = now + work;
-        Some((proxy, now - since <= 2300 * MS))
+        let (proxy, queued_at, service_time) = self.queue.pop_front()?;
+        self.busy_until = now + service_time;
+        Some((proxy, now - queued_at <= 2300 * MS))
     }
 }
 
@@ -45,8 +46,8 @@
     Waiting { until: i64, is_watch: bool },
 }
 
-/// How many proxies are subscribed after this many seconds, and the service.
-fn play(schedule: impl Fn(u64) -> PollSchedule, seconds: i64) -> (usize, Service) {
+/// Runs the simulation for this many seconds. Returns the number of subscribed proxies and the service.
+fn simulate(schedule: impl Fn(u64) -> PollSchedule, seconds: i64) -> (usize, Service) {
     let known = br#"{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]}"#;
     let known = parse(known).unwrap();
     let mut service = Service::default();
@@ -61,27 +62,28 @@
     for now in (0..seconds * SECOND).step_by(MS as usize) {
         let answered = service.tick(now);
         for (proxy, (tracker, state)) in fleet.iter_mut().enumerate() {
-            let refused = match state {
+            let is_refused = match state {
                 PollState::Scheduled(poll) if now >= poll.start_at => {
                     let is_full_list = poll.kind == PollKind::FullList;
-                    let work = if is_full_list { 200 * MS } else { 50 * MS };
-                    let free = !is_full_list && subscribed[proxy];
+                    let service_time = if is_full_list { 200 * MS } else { 50 * MS };
+                    let costs_nothing = !is_full_list && subscribed[proxy];
                     let is_queued = !is_full_list && service.queue.iter().any(|(p, ..)| *p == proxy);
-                    let refused = !free && !is_queued && !service.enqueue(proxy, now, work);
+                    let is_refused =
+                        !costs_nothing && !is_queued && !service.enqueue(proxy, now, service_time);
                     let span = if is_full_list { poll.response_timeout } else { poll.wait };
                     *state = PollState::Waiting { until: now + span, is_watch: !is_full_list };
-                    refused
+                    is_refused
                 }
                 _ => false,
             };
             let PollState::Waiting { until, is_watch } = *state else { continue };
-            let mine = answered.filter(|(p, _)| *p == proxy).map(|(_, granted)| granted);
-            if mine == Some(true) && is_watch {
+            let own_answer = answered.filter(|(p, _)| *p == proxy).map(|(_, granted)| granted);
+            if own_answer == Some(true) && is_watch {
                 subscribed[proxy] = true;
             }
-            if refused || mine == Some(false) || (now >= until && !subscribed[proxy]) {
+            if is_refused || own_answer == Some(false) || (now >= until && !subscribed[proxy]) {
                 tracker.on_failure(now);
-            } else if now >= until || (mine == Some(true) && !is_watch) {
+            } else if now >= until || (own_answer == Some(true) && !is_watch) {
                 tracker.on_response(
                     now,
                     EndpointList { version: 1, complete: !is_watch, endpoints: known.endpoints.clone() },
@@ -104,17 +106,17 @@
             proxies: PROXIES as u32,
         })
     };
-    let (subscribed, service) = play(shared, 15);
+    let (subscribed, service) = simulate(shared, 15);
     assert_eq!(subscribed, PROXIES);
     assert!(service.polled_at.len() <= 3 * PROXIES, "{} polls", service.polled_at.len());
-    // Once all are subscribed, nobody polls.
+    // Once all proxies are subscribed, no proxy polls.
     assert!(service.polled_at.iter().all(|at| *at < 14 * SECOND));
 }
 
-/// What jitter and backoff are for: the same proxies with the schedule that suits a local agent.
+/// Shows that jitter and backoff are needed: the same proxies with the schedule for a local agent.
 #[test]
-fn without_jitter_most_of_them_never_do() {
-    let (subscribed, service) = play(|_| PollSchedule::new(SECOND), 15);
+fn without_jitter_most_proxies_do_not_subscribe() {
+    let (subscribed, service) = simulate(|_| PollSchedule::new(SECOND), 15);
     assert!(subscribed < PROXIES / 2, "{subscribed} subscribed");
     assert!(service.polled_at.len() > 6 * PROXIES, "{} polls", service.polled_at.len());
 }
--- a/crates/discovery/tests/support/mod.rs
+++ b/crates/discovery/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Endpoint lists for the tests of the tracker.
+//! Endpoint lists for the tracker tests.
 
-#![allow(dead_code)] // Each test file uses its own part.
+#![allow(dead_code)] // Each test file uses only some of these items.
 
 use wharfplank_discovery::PollKind;
 use wharfplank_protocol::endpoint_list::{EndpointHealth, EndpointList, EndpointRecord};
@@ -8,7 +8,7 @@
 /// One second in microseconds.
 pub const SECOND: i64 = 1_000_000;
 
-/// An endpoint of this name and health.
+/// Returns an endpoint of this name and health.
 pub fn endpoint(name: &str, health: EndpointHealth) -> EndpointRecord {
     EndpointRecord {
         name: name.into(),
@@ -25,17 +25,17 @@
     names.iter().map(|name| endpoint(name, EndpointHealth::Active)).collect()
 }
 
-/// The complete list with these active endpoints.
+/// Returns a complete list with these active endpoints.
 pub fn full_list(version: u64, names: &[&str]) -> EndpointList {
     EndpointList { version, complete: true, endpoints: active_endpoints(names) }
 }
 
-/// A change that adds these active endpoints.
+/// Returns a change that adds these active endpoints.
 pub fn change(version: u64, names: &[&str]) -> EndpointList {
     EndpointList { version, complete: false, endpoints: active_endpoints(names) }
 }
 
-/// The answer to a poll of this kind where nothing but the version changed.
+/// Returns the answer to a poll of this kind if only the version changed.
 pub fn unchanged(kind: PollKind, version: u64, names: &[&str]) -> EndpointList {
     match kind {
         PollKind::FullList => full_list(version, names),
