--- a/crates/health/src/baseline.rs
+++ b/crates/health/src/baseline.rs
@@ -1,15 +1,17 @@
-//! The usual latency of each class of requests.
+//! The baseline latency of each request class.
 
 use crate::window::{LOG_RATIO_SCALE, MAX_LOG_RATIO};
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// The baseline is the mean of so many first answers. They are so few that a member which turns slow soon after the
-/// start does not make its own latency usual: a primary of three has a third of all writes.
+/// The number of first answers whose mean is the initial baseline. It is small so that a member that becomes
+/// slow soon after the start does not shift the baseline to its own latency: one of three primaries gets a
+/// third of all writes.
 const WARM_UP_ANSWERS: f64 = 32.0;
-/// The weight of each later answer in the moving average: slower than any fault.
+/// The weight of each later answer in the moving average. It is low so that the baseline changes more slowly
+/// than any fault develops.
 const SMOOTHING: f64 = 0.002;
-/// The number of classes that have a baseline.
+/// The maximum number of classes with a baseline.
 const MAX_CLASSES: usize = 64;
 
 #[derive(Clone, Debug)]
@@ -18,15 +20,15 @@
     answers: f64,
 }
 
-/// The usual latency of each class, as the mean logarithm.
+/// The baseline latency of each class, as the mean of logarithms.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassBaselines {
     classes: BTreeMap<usize, Baseline>,
 }
 
 impl ClassBaselines {
-    /// Compares a latency with its class's baseline, which it moves a little. Returns the logarithm of the ratio in units
-    /// of 1/64; none for a class that has no baseline.
+    /// Updates the baseline of a class with a latency and returns the logarithm of their ratio in units of
+    /// 1/64, or none if the class has no baseline.
     pub(crate) fn log_ratio(&mut self, class: usize, latency: Micros) -> Option<i64> {
         if class >= MAX_CLASSES {
             return None;
--- a/crates/health/src/detector.rs
+++ b/crates/health/src/detector.rs
@@ -1,10 +1,11 @@
-//! Combines the observations of all reporters to a score and a verdict for each member.
+//! Combines the observations of all reporters into a score and a verdict for each member.
 //!
-//! What bounds the influence of a report: a member's score is the median of its reporters' scores, weighted by their
-//! samples, with no weight above the median weight. So a report that claims many samples weighs no more than most, and
-//! moving the score past everything that the others report takes half of the weight, not one loud proxy nor a tenth of
-//! them. Where only three to five of more reporters have seen enough to report, one that lies is a fifth or a third of
-//! them: the worst of such few reports is dropped.
+//! The influence of a single report is bounded. A member's score is the median of its reporters' scores,
+//! weighted by their samples, with each weight capped at the median weight. A report that claims many samples
+//! therefore weighs no more than most, and moving the score beyond all other reports takes half of the total
+//! weight; one faulty proxy, or a tenth of them, is not enough. If only three to five of a larger set of
+//! reporters have enough samples to report, a single false report would be a fifth to a third of them, so the
+//! worst report is dropped.
 
 use crate::ejection::{EjectionLimit, Verdict, DEGRADED_LATENCY_FACTOR, OUT_LATENCY_FACTOR};
 use crate::median::WeightedScore;
@@ -18,21 +19,22 @@
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// How often the driver evaluates: once in each window.
+/// The interval at which the driver evaluates the observations: once per window.
 pub const EVALUATION_INTERVAL: Micros = WINDOW_LENGTH;
-/// The number of members that are tracked; further ones have no verdict.
+/// The maximum number of tracked members; other members have no verdict.
 pub const MAX_MEMBERS: usize = 1024;
-/// An observation counts while its newest window is no older than this.
+/// The maximum age of the newest window of an observation that counts.
 const MAX_OBSERVATION_AGE: Micros = 3_000_000;
-/// An observation counts if its newest window is no further ahead than this: clocks differ.
+/// The maximum time by which the newest window of an observation may be in the future, because clocks differ.
 const MAX_CLOCK_SKEW: Micros = 2_000_000;
-/// The greatest weight of one report, whatever the others are.
+/// The maximum weight of one report, independent of the other reports.
 const MAX_WEIGHT: u64 = 64;
-/// One in so many of the members may be ejected at once: more of them point to load or the network, not to members.
-const EJECTED_ONE_IN: usize = 3;
-/// A proxy that reports on at least so many members, and sees more than half of them bad, is not counted.
+/// At most `1 / MAX_EJECTED_DIVISOR` of the members may be ejected at once: more outliers indicate a problem
+/// of load or the network rather than of members.
+const MAX_EJECTED_DIVISOR: usize = 3;
+/// A reporter of at least this many members is ignored if it reports more than half of them as bad.
 const MIN_ASSIGNMENTS: usize = 3;
-/// At least so many proxies use a member on probation.
+/// The minimum number of proxies that use a member on probation.
 const MIN_PROBATION_PROXIES: usize = 2;
 
 /// A reporter's observation of a member.
@@ -42,25 +44,25 @@
     pub member: u64,
     /// The proxy that observed it.
     pub reporter: u64,
-    /// What it observed.
+    /// The observation.
     pub observation: HealthObservation,
 }
 
-/// [`MAX_MEMBERS`] members are tracked already.
+/// The error that [`MAX_MEMBERS`] members are already tracked.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("{MAX_MEMBERS} members are tracked already")]
+#[error("the maximum of {MAX_MEMBERS} members is already tracked")]
 pub struct TooManyMembers;
 
 /// The score of a member, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberScore {
-    /// The score; none if there were too few reports.
+    /// The score, or none if there were too few reports.
     pub score: Option<f64>,
     /// The number of reports that counted.
     pub reports: usize,
 }
 
-/// One proxy's verdicts on all members.
+/// Computes the verdicts on all members at one proxy.
 #[derive(Default)]
 pub struct OutlierDetector {
     proxy: u64,
@@ -70,7 +72,7 @@
     assignments: BTreeMap<u64, usize>,
 }
 
-/// The observations that count, by member.
+/// The observations that count, by member, each with its reporter.
 type CurrentReports = BTreeMap<u64, Vec<(u64, HealthObservation)>>;
 
 impl OutlierDetector {
@@ -92,12 +94,12 @@
         self.count_assignments();
     }
 
-    /// Tracks a member as the endpoint list has it. Another incarnation of it is sound until there is evidence against
-    /// it.
+    /// Tracks a member with the zone and incarnation from the endpoint list. A new incarnation is healthy
+    /// until there is evidence against it.
     ///
     /// # Errors
     ///
-    /// If there is no room for it.
+    /// Returns an error if [`MAX_MEMBERS`] other members are tracked.
     pub fn track_member(
         &mut self,
         member: u64,
@@ -118,7 +120,7 @@
         Ok(())
     }
 
-    /// Forgets the members that are no longer on the endpoint list.
+    /// Removes the members that are no longer on the endpoint list.
     pub fn retain(&mut self, is_listed: impl Fn(u64) -> bool) {
         self.members.retain(|member, _| is_listed(*member));
         self.count_assignments();
@@ -131,12 +133,13 @@
         }
     }
 
-    /// Whether this proxy reports on a member.
+    /// Returns whether this proxy is a reporter of a member.
     pub fn is_reporter_of(&self, member: u64) -> bool {
         self.members.get(&member).is_some_and(|member| member.reporters.contains(&self.proxy))
     }
 
-    /// Whether a reporter sees a member bad, or it is not sound: its reporters are to publish their observations.
+    /// Returns whether the reporters of a member should publish their observations: one of them reports it as
+    /// bad, or its verdict is not healthy.
     pub fn is_in_question(&self, member: u64) -> bool {
         self.members.get(&member).is_some_and(TrackedMember::is_in_question)
     }
@@ -145,22 +148,22 @@
     pub fn evaluate(&mut self, now: Micros, observations: impl Iterator<Item = ReportedObservation>) -> bool {
         let reports = self.current_reports(now, observations);
         let unreliable = self.unreliable_reporters(&reports);
-        let max_ejected = (self.members.len() / EJECTED_ONE_IN).max(1);
+        let max_ejected = (self.members.len() / MAX_EJECTED_DIVISOR).max(1);
         let mut ejected = self.members.values().filter(|member| !member.ejection.is_sound()).count();
         let mut has_changed = false;
         for (id, member) in &mut self.members {
             let scores = reliable_scores(reports.get(id), &unreliable);
             let limit = if ejected < max_ejected { EjectionLimit::Available } else { EjectionLimit::Reached };
-            let was_sound = member.ejection.is_sound();
+            let was_healthy = member.ejection.is_sound();
             has_changed |= member.evaluate(now, scores, limit);
-            if was_sound && !member.ejection.is_sound() {
+            if was_healthy && !member.ejection.is_sound() {
                 ejected += 1;
             }
         }
         has_changed
     }
 
-    /// The observations that count.
+    /// Returns the observations that count.
     fn current_reports(
         &self,
         now: Micros,
@@ -169,16 +172,16 @@
         let windows = current_windows(now);
         let mut reports = CurrentReports::new();
         for ReportedObservation { member, reporter, observation } in observations {
-            if self.counts(member, reporter, &observation, &windows) {
+            if self.is_valid(member, reporter, &observation, &windows) {
                 reports.entry(member).or_default().push((reporter, observation));
             }
         }
         reports
     }
 
-    /// Whether an observation is of the current incarnation, recent, based on enough samples, and by one of the member's
-    /// reporters.
-    fn counts(
+    /// Returns whether an observation counts: it is of the current incarnation, recent, based on enough
+    /// samples, and from one of the member's reporters.
+    fn is_valid(
         &self,
         member: u64,
         reporter: u64,
@@ -193,7 +196,8 @@
         })
     }
 
-    /// The reporters that see most of their members bad: they see them over a bad link, or lie.
+    /// Returns the reporters that report most of their members as bad, because of a bad link or because they
+    /// are faulty.
     fn unreliable_reporters(&self, reports: &CurrentReports) -> BTreeSet<u64> {
         let mut bad_reports: BTreeMap<u64, usize> = BTreeMap::new();
         for (reporter, observation) in reports.values().flatten() {
@@ -208,12 +212,12 @@
         bad_reports.into_iter().filter(is_unreliable).map(|(reporter, _)| reporter).collect()
     }
 
-    /// The fleet's verdict on a member.
+    /// Returns the fleet's verdict on a member.
     pub fn verdict(&self, member: u64) -> Verdict {
         self.members.get(&member).map_or(Verdict::Sound, |member| member.ejection.verdict())
     }
 
-    /// The score of a member at the last evaluation.
+    /// Returns the score of a member at the last evaluation.
     pub fn score(&self, member: u64) -> MemberScore {
         match self.members.get(&member) {
             Some(member) => MemberScore { score: member.score, reports: member.reports },
@@ -221,8 +225,9 @@
         }
     }
 
-    /// The latency factor for each member that is not as good as the others at this proxy. A member on probation has none
-    /// at the fraction of the proxies that its step of the recovery ramp gives, its reporters first of all.
+    /// Returns the latency factor of each member that is an outlier for this proxy. A member on probation has
+    /// no factor at the fraction of the proxies given by its step of the recovery ramp; its reporters come
+    /// first.
     pub fn latency_factors(&self) -> Vec<(u64, f64)> {
         let mut factors = Vec::new();
         for (id, member) in &self.members {
@@ -238,7 +243,7 @@
         factors
     }
 
-    /// Whether this proxy is one of those that use a member on probation.
+    /// Returns whether this proxy is one of those that use a member on probation.
     fn uses_on_probation(&self, id: u64, member: &TrackedMember) -> bool {
         if !member.ejection.is_on_probation() {
             return false;
@@ -247,7 +252,8 @@
         self.probation_position(id, member) < proxies.max(MIN_PROBATION_PROXIES)
     }
 
-    /// This proxy's position in the order in which proxies use a member again: its reporters first, then the others.
+    /// Returns this proxy's position in the order in which proxies resume using a member: its reporters
+    /// first, then the others.
     fn probation_position(&self, id: u64, member: &TrackedMember) -> usize {
         if let Some(position) = member.reporters.iter().position(|reporter| *reporter == self.proxy) {
             return position;
@@ -259,14 +265,14 @@
     }
 }
 
-/// The newest windows that an observation may have to count at a time.
+/// Returns the range in which the newest window of an observation must be for it to count.
 fn current_windows(now: Micros) -> RangeInclusive<i64> {
     let oldest = MemberSummary::window_at(now - MAX_OBSERVATION_AGE);
     let newest = MemberSummary::window_at(now + MAX_CLOCK_SKEW) + 1;
     oldest..=newest
 }
 
-/// The scores of a member's reports, without those of unreliable reporters.
+/// Returns the scores of a member's reports, without those of unreliable reporters.
 fn reliable_scores(
     reports: Option<&Vec<(u64, HealthObservation)>>,
     unreliable: &BTreeSet<u64>,
--- a/crates/health/src/ejection.rs
+++ b/crates/health/src/ejection.rs
@@ -1,43 +1,47 @@
-//! The state machine of one member's ejection: it is marked bad once the evidence has been consistent for a while, put
-//! on probation once there is no more evidence against it, and taken back by a recovery ramp, by more and more proxies.
+//! The state machine of a member's ejection. A member is ejected once the evidence against it is consistent,
+//! put on probation once the evidence ends, and restored by a recovery ramp that increases the number of
+//! proxies that use it.
 
 use crate::Micros;
 use std::fmt;
 
-/// The score (the logarithm of latencies in usual latencies, less a margin for chance) from which a member is degraded:
-/// about twice its usual latency, as scores are drawn towards none.
+/// The score (the logarithm of the ratio of latency to baseline, minus a margin for chance) from which a
+/// member is degraded. It corresponds to about twice the baseline latency, as scores are shrunk towards zero.
 const DEGRADED_SCORE: f64 = 0.36;
-/// The score from which a member is out.
-const OUT_SCORE: f64 = 1.1;
+/// The score from which a member is unhealthy.
+const UNHEALTHY_SCORE: f64 = 1.1;
 /// The score below which a member may recover.
-const CLEAR_SCORE: f64 = 0.1;
+const RECOVERY_SCORE: f64 = 0.1;
 /// The number of consecutive evaluations that must agree before a verdict changes for the worse.
 const MIN_STREAK: u32 = 2;
-/// The time from the last evidence against a member to its probation. It doubles with each recovery that fails.
+/// The time from the last evidence against a member to its probation. It doubles with each failed recovery.
 const BASE_EJECTION_TIME: Micros = 2_000_000;
 /// The longest ejection time.
 const MAX_EJECTION_TIME: Micros = 32_000_000;
-/// A member that was sound for so long starts at the base ejection time again.
-const STABLE_TIME: Micros = 60_000_000;
-/// The fractions of the proxies that use a member, from its ejection through the steps of the recovery ramp.
+/// The time after which the ejection time of a healthy member is reset to the base.
+const EJECTION_TIME_RESET_AFTER: Micros = 60_000_000;
+/// The fractions of the proxies that use a member: during its ejection, then at each step of the recovery
+/// ramp.
 const RAMP: [f64; 4] = [0.0, 0.125, 0.25, 0.5];
-/// The time of each step of the recovery ramp: as long as a summary takes to forget.
+/// The duration of each step of the recovery ramp. It is long enough for earlier outcomes to leave the
+/// summaries.
 const RAMP_STEP_TIME: Micros = 2_000_000;
 
-/// The router multiplies the latency of a degraded member by this: it is used where no other can serve.
+/// The factor by which the router multiplies the latency of a degraded member, so that it is used only if no
+/// other member can serve.
 pub const DEGRADED_LATENCY_FACTOR: f64 = 3.0;
-/// The router multiplies the latency of a member that is out by this: it is not used at all.
+/// The factor by which the router multiplies the latency of an unhealthy member, so that it is not used.
 pub const OUT_LATENCY_FACTOR: f64 = f64::INFINITY;
 
-/// The fleet's verdict on a member. The order is that of severity.
+/// The fleet's verdict on a member, ordered by severity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// As good as the others, as far as is known.
+    /// There is no evidence against the member.
     #[default]
     Sound,
-    /// It takes about twice as long as usual, or longer: reads prefer others.
+    /// Its latency is at least about twice the baseline; reads prefer other members.
     Degraded,
-    /// It fails or does not answer: it is ejected but for probation.
+    /// It fails or does not answer; it is not used except on probation.
     Out,
 }
 
@@ -54,19 +58,19 @@
 impl Verdict {
     fn of_score(score: Option<f64>) -> Verdict {
         match score {
-            Some(score) if score >= OUT_SCORE => Verdict::Out,
+            Some(score) if score >= UNHEALTHY_SCORE => Verdict::Out,
             Some(score) if score >= DEGRADED_SCORE => Verdict::Degraded,
             _ => Verdict::Sound,
         }
     }
 }
 
-/// Whether the limit on ejected members leaves room for one more.
+/// Whether the limit on ejected members allows another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionLimit {
-    /// One more member may be ejected.
+    /// Another member may be ejected.
     Available,
-    /// As many members are ejected as may be.
+    /// The maximum number of members is ejected.
     Reached,
 }
 
@@ -78,10 +82,10 @@
     streak: u32,
     /// The index into [`RAMP`].
     ramp_step: usize,
-    /// When the step began, or when there was last evidence against the member in it.
+    /// The time at which the step began, or of the last evidence against the member since then.
     step_began_at: Micros,
     ejection_time: Micros,
-    /// When the member was last taken back completely; 0: never.
+    /// The time at which the member last became healthy again; 0 if never.
     recovered_at: Micros,
 }
 
@@ -99,17 +103,17 @@
 }
 
 impl EjectionState {
-    /// The current verdict.
+    /// Returns the current verdict.
     pub fn verdict(&self) -> Verdict {
         self.verdict
     }
 
-    /// Whether the verdict is sound.
+    /// Returns whether the verdict is healthy.
     pub fn is_sound(&self) -> bool {
         self.verdict == Verdict::Sound
     }
 
-    /// The fraction of the proxies that use the member as if it were sound.
+    /// Returns the fraction of the proxies that use the member as if it were healthy.
     pub fn usage_fraction(&self) -> f64 {
         if self.is_sound() {
             1.0
@@ -118,13 +122,13 @@
         }
     }
 
-    /// Whether some proxies use the member as if it were sound, to see whether it has recovered.
+    /// Returns whether some proxies use the member as if it were healthy, to test whether it has recovered.
     pub fn is_on_probation(&self) -> bool {
         !self.is_sound() && self.ramp_step > 0
     }
 
-    /// Takes in the current score; none if there are too few observations. Returns whether the verdict or the step of the
-    /// recovery ramp changed.
+    /// Updates the state with the current score, or none if there are too few observations. Returns whether
+    /// the verdict or the step of the recovery ramp changed.
     pub fn evaluate(&mut self, now: Micros, score: Option<f64>, limit: EjectionLimit) -> bool {
         let before = (self.verdict, self.ramp_step);
         let indicated = Verdict::of_score(score);
@@ -135,9 +139,9 @@
                 self.eject(now, indicated);
             }
         } else if is_consistent {
-            self.eject_again(now, indicated);
-        } else if score.is_some_and(|score| score >= CLEAR_SCORE) {
-            // Between the two thresholds nothing changes: such evidence allows no step of recovery.
+            self.extend_ejection(now, indicated);
+        } else if score.is_some_and(|score| score >= RECOVERY_SCORE) {
+            // A score between the two thresholds delays recovery without changing the verdict.
             self.step_began_at = now;
         } else {
             self.recover(now);
@@ -145,9 +149,10 @@
         before != (self.verdict, self.ramp_step)
     }
 
-    /// Ejects a sound member. One that was taken back a short time ago flaps: it stays out longer than the last time.
+    /// Ejects a healthy member. If it recovered only recently it is flapping, so it stays ejected longer than
+    /// the last time.
     fn eject(&mut self, now: Micros, verdict: Verdict) {
-        let was_stable = self.recovered_at == 0 || now - self.recovered_at > STABLE_TIME;
+        let was_stable = self.recovered_at == 0 || now - self.recovered_at > EJECTION_TIME_RESET_AFTER;
         if was_stable {
             self.ejection_time = BASE_EJECTION_TIME;
         } else {
@@ -156,8 +161,8 @@
         self.begin_ejection(now, verdict);
     }
 
-    /// Takes in further evidence against a member that is not sound, which ends its probation.
-    fn eject_again(&mut self, now: Micros, verdict: Verdict) {
+    /// Handles further evidence against an ejected member, which ends its probation.
+    fn extend_ejection(&mut self, now: Micros, verdict: Verdict) {
         if self.ramp_step > 0 {
             self.back_off();
         }
@@ -174,7 +179,7 @@
         self.ejection_time = (self.ejection_time * 2).min(MAX_EJECTION_TIME);
     }
 
-    /// Goes one step up the recovery ramp once the current one is over. After the last the member is sound.
+    /// Advances the recovery ramp once the current step is over. After the last step the member is healthy.
     fn recover(&mut self, now: Micros) {
         let step_time = if self.ramp_step == 0 { self.ejection_time } else { RAMP_STEP_TIME };
         if now - self.step_began_at < step_time {
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -1,13 +1,16 @@
-//! Outlier detection by the whole fleet. What each proxy sees of a member becomes a summary by windows of time. A few
-//! sampled reporters publish theirs as observations, and every proxy combines the observations to the same outlier score
-//! and verdict. The crate does no I/O: outcomes of attempts, observations of others and the time go in; observations to
-//! publish and a latency factor for each member come out. Which member serves a request stays the router's decision.
+//! Fleet-wide outlier detection. Each proxy summarizes the outcomes of its attempts at a member in time
+//! windows. A sample of the proxies, the reporters, publish their summaries as observations, and every proxy
+//! combines the observations into the same outlier score and verdict. The crate does no I/O: the caller passes
+//! in outcomes of attempts, observations of other proxies and the current time, and receives observations to
+//! publish and a latency factor for each outlier. The router decides which member serves a request.
 //!
-//! - [`WindowCounts`], [`MemberSummary`]: what was seen of a member in a window, and in the last of them; both merge.
-//! - [`ObservationLog`]: this proxy's own view of the members, and its [`HealthObservation`] of each.
-//! - [`sample_reporters`]: which proxies report on a member, the same on all proxies.
-//! - [`OutlierDetector`]: combines observations to scores and verdicts, with hysteresis, probation and a recovery ramp.
-//! - [`HealthMonitor`]: all of it, as the driver uses it.
+//! - [`WindowCounts`], [`MemberSummary`]: the outcomes at a member in one window, and in the latest windows;
+//!   both can be merged.
+//! - [`ObservationLog`]: this proxy's own summaries of the members, and its [`HealthObservation`] of each.
+//! - [`sample_reporters`]: the proxies that report on a member; all proxies choose the same ones.
+//! - [`OutlierDetector`]: combines observations into scores and verdicts, with hysteresis, probation and a
+//!   recovery ramp.
+//! - [`HealthMonitor`]: combines all of these for the driver.
 //!
 //! ```
 //! use wharfplank_health::{HealthMonitor, Outcome, Proxy, ReportedObservation, Verdict};
@@ -22,7 +25,7 @@
 //!         let latency = if member == 0 && now > 3_000_000 { 60_000 } else { 20_000 };
 //!         monitor.record(now, member, Outcome::Answered { class: 0, latency });
 //!     }
-//!     // Another proxy sees the same: its observations are as this one's.
+//! // Another proxy makes the same observations.
 //!     for (member, observation) in monitor.take_observations(now) {
 //!         published.push(ReportedObservation { member, reporter: 1, observation });
 //!         published.push(ReportedObservation { member, reporter: 2, observation });
@@ -58,5 +61,5 @@
 pub use reporters::{rendezvous_hash, sample_reporters, Proxy, MAX_REPORTERS};
 pub use window::{MemberSummary, WindowCounts, WINDOW_COUNT, WINDOW_LENGTH};
 
-/// A time or a span of time in microseconds.
+/// A point in time or a duration in microseconds.
 pub type Micros = i64;
--- a/crates/health/src/monitor.rs
+++ b/crates/health/src/monitor.rs
@@ -1,4 +1,4 @@
-//! One proxy's part in outlier detection: its own observations, which of them it publishes and when, and the verdicts.
+//! Outlier detection at one proxy: its own observations, their publication, and the verdicts.
 
 use crate::detector::{OutlierDetector, ReportedObservation};
 use crate::observation::{HealthObservation, Outcome};
@@ -8,20 +8,22 @@
 use crate::{Micros, Verdict};
 use std::collections::BTreeMap;
 
-/// An observation is published again early once its log ratio has changed by this.
+/// The change of the log ratio from which an observation is published again before the refresh interval has
+/// passed.
 const SIGNIFICANT_CHANGE: f64 = 0.05;
-/// The shortest time between two observations of a member.
+/// The minimum interval between two published observations of a member.
 const MIN_PUBLISH_INTERVAL: Micros = 250_000;
-/// While its member is in question, an observation is published this often, before the others drop it as too old.
+/// The interval at which an observation is published while its member is in question, so that it does not
+/// expire at other proxies.
 const REFRESH_INTERVAL: Micros = 1_000_000;
 
-/// The last observation of a member that was published.
+/// The last published observation of a member.
 struct Published {
     at: Micros,
     log_ratio: i16,
 }
 
-/// One proxy's part in outlier detection.
+/// Outlier detection at one proxy.
 pub struct HealthMonitor {
     log: ObservationLog,
     detector: OutlierDetector,
@@ -29,7 +31,7 @@
 }
 
 impl HealthMonitor {
-    /// Creates the part of the proxy with this id.
+    /// Creates the monitor of the proxy with this id.
     pub fn new(proxy: u64) -> HealthMonitor {
         HealthMonitor {
             log: ObservationLog::default(),
@@ -43,14 +45,14 @@
         self.detector.set_proxies(proxies);
     }
 
-    /// Tracks a member as the endpoint list has it.
+    /// Tracks a member with the zone and incarnation from the endpoint list.
     pub fn track_member(&mut self, member: u64, zone: u64, incarnation_ms: i64) {
         if self.detector.track_member(member, zone, incarnation_ms).is_ok() {
             self.log.track_member(member, incarnation_ms);
         }
     }
 
-    /// Forgets the members that are no longer on the endpoint list.
+    /// Removes the members that are no longer on the endpoint list.
     pub fn retain(&mut self, is_listed: impl Fn(u64) -> bool) {
         self.log.retain(&is_listed);
         self.detector.retain(&is_listed);
@@ -62,18 +64,18 @@
         self.log.record(now, member, outcome);
     }
 
-    /// Records how far a member's log is behind.
+    /// Records a member's replication lag.
     pub fn record_lag(&mut self, now: Micros, member: u64, lag: Micros) {
         self.log.record_lag(now, member, lag);
     }
 
-    /// The observations to publish now: of members that this proxy reports on, if it sees them bad or another reporter
-    /// did. Of members without any evidence against them nothing is published.
+    /// Returns the observations to publish now: those of members that this proxy reports on, if it or another
+    /// reporter observed them as bad. Nothing is published about members without evidence against them.
     pub fn take_observations(&mut self, now: Micros) -> Vec<(u64, HealthObservation)> {
         let mut due = Vec::new();
         for (member, observation) in self.log.observations(now) {
-            let is_wanted = observation.is_questionable() || self.detector.is_in_question(member);
-            if !is_wanted || !self.detector.is_reporter_of(member) {
+            let is_of_interest = observation.is_questionable() || self.detector.is_in_question(member);
+            if !is_of_interest || !self.detector.is_reporter_of(member) {
                 continue;
             }
             if self.is_due(now, member, &observation) {
@@ -92,27 +94,28 @@
         now - last.at >= interval
     }
 
-    /// Combines all current observations, this proxy's own among them. Returns whether a verdict changed.
+    /// Evaluates all current observations, including this proxy's own. Returns whether a verdict or a step of
+    /// a recovery ramp changed.
     pub fn evaluate(&mut self, now: Micros, observations: impl Iterator<Item = ReportedObservation>) -> bool {
         self.detector.evaluate(now, observations)
     }
 
-    /// The fleet's verdict on a member.
+    /// Returns the fleet's verdict on a member.
     pub fn verdict(&self, member: u64) -> Verdict {
         self.detector.verdict(member)
     }
 
-    /// See [`OutlierDetector::latency_factors`].
+    /// Returns the latency factors of outliers, see [`OutlierDetector::latency_factors`].
     pub fn latency_factors(&self) -> Vec<(u64, f64)> {
         self.detector.latency_factors()
     }
 
-    /// This proxy's own view of the members.
+    /// Returns this proxy's own summaries of the members.
     pub fn log(&self) -> &ObservationLog {
         &self.log
     }
 
-    /// The verdicts.
+    /// Returns the detector, which holds the verdicts.
     pub fn detector(&self) -> &OutlierDetector {
         &self.detector
     }
--- a/crates/health/src/observation_log.rs
+++ b/crates/health/src/observation_log.rs
@@ -1,4 +1,4 @@
-//! What this proxy saw of the members itself, and its own observation of each.
+//! This proxy's own summaries and observations of the members.
 
 use crate::baseline::ClassBaselines;
 use crate::median::median;
@@ -7,22 +7,22 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// An observation is based on at least so many outcomes: fewer are chance.
+/// The minimum number of outcomes that an observation is based on; fewer are not significant.
 pub(crate) const MIN_SAMPLES: u32 = 4;
-/// A proxy at which the median member takes more than this (twice the usual latency) has a bad link, or stood still: it
-/// reports on no member.
+/// The score of the median member (twice the baseline latency) above which a proxy reports on no member: its
+/// own link is bad, or it stalled.
 const BAD_LINK_SCORE: f64 = 0.69;
-/// From so many members on the median of a proxy's members is subtracted from its observation of each.
+/// The minimum number of members for which the median over the members is subtracted from each observation.
 const MIN_MEMBERS_FOR_MEDIAN: usize = 3;
 
-/// This proxy's own view of the members.
+/// This proxy's own summaries of the members.
 #[derive(Clone, Debug, Default)]
 pub struct ObservationLog {
     members: BTreeMap<u64, MemberSummary>,
     baselines: ClassBaselines,
 }
 
-/// A member that was seen often enough to report on it.
+/// A member with enough outcomes to report on it.
 struct SampledMember<'a> {
     id: u64,
     summary: &'a MemberSummary,
@@ -30,8 +30,8 @@
 }
 
 impl ObservationLog {
-    /// Tracks a member as the endpoint list has it; another incarnation starts with nothing. The caller bounds the number
-    /// of members.
+    /// Tracks a member with the incarnation from the endpoint list; a new incarnation starts with an empty
+    /// summary. The caller bounds the number of members.
     pub fn track_member(&mut self, member: u64, incarnation_ms: i64) {
         let summary = self.members.entry(member).or_insert(MemberSummary::new(incarnation_ms));
         if summary.incarnation_ms != incarnation_ms {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Forgets the members that are no longer on the endpoint list.
+    /// Removes the members that are no longer on the endpoint list.
     pub fn retain(&mut self, is_listed: impl Fn(u64) -> bool) {
         self.members.retain(|member, _| is_listed(*member));
     }
@@ -58,7 +58,7 @@
         self.add(now, member, &counts);
     }
 
-    /// Records how far a member's log is behind.
+    /// Records a member's replication lag.
     pub fn record_lag(&mut self, now: Micros, member: u64, lag: Micros) {
         let max_lag_ms = u32::try_from((lag / 1000).max(0)).unwrap_or(u32::MAX);
         self.add(now, member, &WindowCounts { max_lag_ms, ..WindowCounts::default() });
@@ -70,13 +70,13 @@
         }
     }
 
-    /// What was seen of a member.
+    /// Returns the summary of a member.
     pub fn summary(&self, member: u64) -> Option<&MemberSummary> {
         self.members.get(&member)
     }
 
-    /// This proxy's observation of each member of which it saw enough. There are none if it sees most members bad: that
-    /// is evidence against its own link, not against them.
+    /// Returns this proxy's observation of each member with enough outcomes. There are none if most members
+    /// appear bad, as that is evidence against this proxy's own link rather than against the members.
     pub fn observations(&self, now: Micros) -> BTreeMap<u64, HealthObservation> {
         let sampled = self.sampled_members(now);
         let median = median_score(&sampled);
@@ -95,7 +95,7 @@
     }
 }
 
-/// The score of the median member; none if there are too few members.
+/// Returns the score of the median member, or 0 if there are too few members.
 fn median_score(members: &[SampledMember<'_>]) -> f64 {
     if members.len() < MIN_MEMBERS_FOR_MEDIAN {
         return 0.0;
--- a/crates/health/src/reporters.rs
+++ b/crates/health/src/reporters.rs
@@ -1,30 +1,32 @@
-//! Which proxies report on a member, by rendezvous hashing. All proxies make the same choice from the proxies that are
-//! alive, so that the observations of a member do not grow with the fleet, and a proxy that is not chosen is not heard.
+//! The choice of the proxies that report on a member, by rendezvous hashing. All proxies choose the same
+//! reporters from the proxies that are alive, so the number of observations of a member does not grow with
+//! the fleet, and observations of other proxies are ignored.
 
 use std::collections::BTreeSet;
 use twox_hash::XxHash3_64;
 
-/// The number of proxies that report on one member.
+/// The maximum number of proxies that report on one member.
 pub const MAX_REPORTERS: usize = 16;
-/// So many of them are taken from the member's own zone, whose proxies use it most, if there are as many.
+/// The maximum number of reporters that are preferred from the member's own zone, whose proxies use it most.
 const MAX_LOCAL_REPORTERS: usize = 12;
 
 /// A proxy that may report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proxy {
-    /// Its id.
+    /// The id of the proxy.
     pub id: u64,
     /// The id of its zone.
     pub zone: u64,
 }
 
-/// The position of a proxy in a member's own order of proxies.
+/// Returns the hash by which a member orders the proxies.
 pub fn rendezvous_hash(member: u64, proxy: u64) -> u64 {
     let bytes = [member.to_le_bytes(), proxy.to_le_bytes()].concat();
     XxHash3_64::oneshot(&bytes)
 }
 
-/// The reporters of a member in its order of proxies. In a fleet of no more than [`MAX_REPORTERS`] proxies all report.
+/// Returns the reporters of a member, ordered by their hash. In a fleet of at most [`MAX_REPORTERS`] proxies
+/// all are reporters.
 pub fn sample_reporters(member: u64, zone: u64, proxies: &BTreeSet<Proxy>) -> Vec<u64> {
     let position = |proxy: &Proxy| (rendezvous_hash(member, proxy.id), proxy.id);
     let (mut local, mut remote): (Vec<Proxy>, Vec<Proxy>) =
--- a/crates/health/src/tracked_member.rs
+++ b/crates/health/src/tracked_member.rs
@@ -1,4 +1,4 @@
-//! One member in the outlier detector: its reporters, its score and its ejection.
+//! The state of one member in the outlier detector: its reporters, its score and its ejection.
 
 use crate::ejection::{EjectionLimit, EjectionState};
 use crate::median::{weighted_median, WeightedScore};
@@ -6,27 +6,28 @@
 use crate::Micros;
 use std::ops::Range;
 
-/// The number of samples that the observations of a member must be based on together.
+/// The minimum total number of samples in the observations of a member.
 const MIN_TOTAL_SAMPLES: u64 = 12;
-/// A member is evaluated if one in so many of its reporters report, and at least [`MIN_REPORTS`].
-const QUORUM_ONE_IN: usize = 3;
-/// The least number of reports.
+/// A member is evaluated if at least `1 / QUORUM_DIVISOR` of its reporters, and at least [`MIN_REPORTS`],
+/// report.
+const QUORUM_DIVISOR: usize = 3;
+/// The minimum number of reports.
 const MIN_REPORTS: usize = 2;
-/// A sound member is in question for so long before it is ejected, unless all reporters have reported: the first reports
-/// do not decide while the others are on their way.
+/// The minimum time for which a healthy member is in question before it is ejected, unless all reporters have
+/// reported. It prevents the first reports from deciding while others are in transit.
 const SETTLING_TIME: Micros = 500_000;
-/// If there are so few reports, and more reporters, the worst one is dropped: one that lies would be a third or a fifth
-/// of them.
+/// The numbers of reports for which the worst report is dropped if there are more reporters, as a single
+/// false report would be a fifth to a third of them.
 const FEW_REPORTS: Range<usize> = 3..6;
 
-/// A member in the outlier detector.
+/// The state of one member in the outlier detector.
 pub(crate) struct TrackedMember {
     pub(crate) zone: u64,
     pub(crate) incarnation_ms: i64,
-    /// The proxies that report on it, in its order of proxies.
+    /// The proxies that report on it, ordered by their hash.
     pub(crate) reporters: Vec<u64>,
     pub(crate) ejection: EjectionState,
-    /// Since when a reporter sees it bad.
+    /// The time since which a reporter has reported it as bad.
     in_question_since: Option<Micros>,
     pub(crate) score: Option<f64>,
     /// The number of reports that the score is based on.
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Whether its reporters are to publish their observations: one of them sees it bad, or it is not sound.
+    /// Returns whether its reporters should publish their observations: one of them reports it as bad, or it
+    /// is not healthy.
     pub(crate) fn is_in_question(&self) -> bool {
         self.in_question_since.is_some() || !self.ejection.is_sound()
     }
@@ -69,7 +71,7 @@
         self.ejection.evaluate(now, self.score.filter(|_| !is_premature), limit)
     }
 
-    /// The score of all reports; none if there are too few.
+    /// Returns the combined score of all reports, or none if there are too few.
     fn combine(&self, mut reports: Vec<WeightedScore>, is_complete: bool) -> Option<f64> {
         if !self.has_quorum(&reports) {
             return None;
@@ -81,11 +83,11 @@
     }
 
     fn has_quorum(&self, reports: &[WeightedScore]) -> bool {
-        // Few proxies use a member on probation: those that do are enough.
+        // Only few proxies use a member on probation, so their reports are sufficient.
         let min_reports = if self.ejection.is_on_probation() {
             MIN_REPORTS
         } else {
-            self.reporters.len().div_ceil(QUORUM_ONE_IN).max(MIN_REPORTS)
+            self.reporters.len().div_ceil(QUORUM_DIVISOR).max(MIN_REPORTS)
         };
         reports.len() >= min_reports && total_weight(reports) >= MIN_TOTAL_SAMPLES
     }
@@ -100,7 +102,8 @@
     reports.pop();
 }
 
-/// The margin that is subtracted from the median of reports with so many samples together: a few may be off by chance.
+/// Returns the margin for chance that is subtracted from the median; it decreases with the total number of
+/// samples.
 fn chance_margin(samples: u64) -> f64 {
     0.9 / (samples.max(1) as f64).sqrt()
 }
--- a/crates/health/src/window.rs
+++ b/crates/health/src/window.rs
@@ -1,27 +1,27 @@
-//! What one proxy saw of one member, counted by windows of time. Counts merge by addition, so that the counts of several
-//! proxies, or of several windows, become one. A newer incarnation of the member replaces the one before.
+//! Counts of the outcomes of one proxy's attempts at one member, by time window. Counts are merged by
+//! addition, across windows or proxies. A newer incarnation of the member replaces the previous one.
 
 use crate::Micros;
 use std::cmp::Ordering;
 
 /// The length of a window.
 pub const WINDOW_LENGTH: Micros = 250_000;
-/// The number of windows that are kept.
+/// The number of retained windows.
 pub const WINDOW_COUNT: usize = 24;
-/// So many of the newest windows always count: those of the last second.
+/// The number of newest windows that always count, those of the last second.
 const RECENT_WINDOWS: usize = 4;
-/// Older windows count until there are so many outcomes: a proxy whose router avoids a slow member by itself still gets
-/// an answer of it now and then.
+/// Older windows count until there are this many outcomes, because a proxy whose router already avoids a slow
+/// member receives an answer from it only occasionally.
 const SUFFICIENT_SAMPLES: u32 = 6;
-/// Log ratios are natural logarithms of latencies in usual latencies, in units of one in so many.
+/// The scale of log ratios: natural logarithms of the ratio of latency to baseline, in units of 1/64.
 pub(crate) const LOG_RATIO_SCALE: f64 = 64.0;
-/// The limit of one outcome's log ratio either way: eight usual latencies. An answer that took a minute is no stronger
-/// evidence.
+/// The limit of the absolute log ratio of one outcome, eight times the baseline latency, so that a single
+/// very slow answer does not dominate.
 pub(crate) const MAX_LOG_RATIO: i64 = 133;
-/// An error or a rejection counts as this log ratio: three usual latencies.
+/// The log ratio that an error or a rejection counts as, three times the baseline latency.
 const FAILURE_LOG_RATIO: f64 = 1.1;
 
-/// Counts of outcomes in a span of time.
+/// The counts of outcomes in a time window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WindowCounts {
     /// The number of answers.
@@ -49,13 +49,14 @@
         self.max_lag_ms = self.max_lag_ms.max(other.max_lag_ms);
     }
 
-    /// The number of outcomes: the weight of the evidence.
+    /// Returns the number of outcomes, which is the weight of the evidence.
     pub fn samples(&self) -> u32 {
         let failed = self.errors.saturating_add(self.rejections).saturating_add(self.unreachable);
         self.answers.saturating_add(failed)
     }
 
-    /// The mean log ratio of all outcomes. An attempt without an answer counts as the greatest log ratio.
+    /// Returns the mean log ratio of all outcomes. An attempt without an answer counts as the greatest log
+    /// ratio.
     pub fn mean_log_ratio(&self) -> f64 {
         let failed = FAILURE_LOG_RATIO * (f64::from(self.errors) + f64::from(self.rejections));
         let unreachable = MAX_LOG_RATIO as f64 / LOG_RATIO_SCALE * f64::from(self.unreachable);
@@ -64,29 +65,29 @@
     }
 }
 
-/// What was seen of one incarnation of a member in the last windows.
+/// The outcomes at one incarnation of a member in the latest windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberSummary {
-    /// The incarnation: when the member's process started, in Unix milliseconds, as the endpoint list has it.
+    /// The incarnation: the start time of the member's process in Unix milliseconds, as in the endpoint list.
     pub incarnation_ms: i64,
-    /// The number of the newest window, counted from the start of the clock.
+    /// The number of the newest window, counted from time 0.
     pub newest_window: i64,
-    /// The newest first.
+    /// The counts by window, newest first.
     windows: [WindowCounts; WINDOW_COUNT],
 }
 
 impl MemberSummary {
-    /// Creates the summary of an incarnation of which nothing was seen yet.
+    /// Creates an empty summary of an incarnation.
     pub fn new(incarnation_ms: i64) -> MemberSummary {
         MemberSummary { incarnation_ms, ..MemberSummary::default() }
     }
 
-    /// The number of the window that a time falls into.
+    /// Returns the number of the window that contains a time.
     pub fn window_at(now: Micros) -> i64 {
         now.div_euclid(WINDOW_LENGTH)
     }
 
-    /// Starts windows up to this one, if it is newer than the newest.
+    /// Advances to a window if it is newer than the newest, and clears the windows up to it.
     fn advance_to(&mut self, window: i64) {
         let steps = (window - self.newest_window).max(0);
         let steps = usize::try_from(steps).unwrap_or(WINDOW_COUNT).min(WINDOW_COUNT);
@@ -95,7 +96,7 @@
         self.newest_window = self.newest_window.max(window);
     }
 
-    /// Adds counts to the window of a time; those that are older than all windows are dropped.
+    /// Adds counts to the window of a time. Counts older than all retained windows are dropped.
     pub fn add(&mut self, now: Micros, counts: &WindowCounts) {
         let window = MemberSummary::window_at(now);
         self.advance_to(window);
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Adds another proxy's summary of the member. One of a newer incarnation replaces this one, and one of an older
-    /// incarnation is ignored.
+    /// Merges another proxy's summary of the member. A summary of a newer incarnation replaces this one; one
+    /// of an older incarnation is ignored.
     pub fn merge(&mut self, other: &MemberSummary) {
         match other.incarnation_ms.cmp(&self.incarnation_ms) {
             Ordering::Less => {}
@@ -127,7 +128,7 @@
         }
     }
 
-    /// The total of the windows that count at a time.
+    /// Returns the total of the windows that count at a time.
     pub fn total(&self, now: Micros) -> WindowCounts {
         let offset = usize::try_from(MemberSummary::window_at(now) - self.newest_window).unwrap_or(0);
         let mut total = WindowCounts::default();
--- a/crates/health/tests/common/mod.rs
+++ b/crates/health/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Proxies that judge members together in virtual time: what each one sees is drawn from a seed, and what it publishes
-//! reaches each other one after a delay, or is lost.
+//! A simulated fleet of proxies with outlier detection, in virtual time. Latencies are random with a fixed
+//! seed, and published observations reach the other proxies after a delay or are lost.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -10,24 +10,24 @@
 
 pub const SECOND: Micros = 1_000_000;
 const STEP: Micros = 50_000;
-/// The usual latencies of reads, reports and writes.
+/// The baseline latencies of reads, reports and writes, by class.
 const LATENCIES: [f64; 3] = [20_000.0, 300_000.0, 20_000.0];
-/// The fraction of reports.
-const REPORTS: f64 = 0.05;
+/// The fraction of requests that are reports.
+const REPORT_FRACTION: f64 = 0.05;
 const WRITE_CLASS: usize = 2;
-/// One in so many members is a primary.
+/// The number of members of a group; the first one is the primary.
 const GROUP_SIZE: usize = 4;
 
 /// A proxy that publishes false observations.
 #[derive(Clone, Copy)]
-pub struct Liar {
-    /// The member that it lies about; none: about all.
+pub struct FaultyReporter {
+    /// The member that it reports falsely on; none stands for all members.
     pub about: Option<u64>,
     /// The log ratio that it claims, with the greatest weight.
     pub log_ratio: i16,
 }
 
-/// An observation on its way to a proxy.
+/// An observation in transit to a proxy.
 struct InFlight {
     at: Micros,
     to: usize,
@@ -41,20 +41,21 @@
     /// Requests a second at each proxy.
     pub rate: f64,
     pub loss: f64,
-    /// What each member's latencies are multiplied by; an infinite one does not answer.
-    pub slowness: Vec<f64>,
-    /// What each proxy's link multiplies the latencies by.
-    pub link: Vec<f64>,
-    pub liars: BTreeMap<usize, Liar>,
+    /// The factors by which each member's latencies are multiplied. A member with an infinite factor does not
+    /// answer.
+    pub member_latency_factors: Vec<f64>,
+    /// The factors by which each proxy's link multiplies the latencies.
+    pub link_factors: Vec<f64>,
+    pub faulty_reporters: BTreeMap<usize, FaultyReporter>,
     pub incarnation_ms: i64,
     /// Whether proxies send no reads to members that have a latency factor.
     pub avoids_outliers: bool,
-    /// The fraction of writes, which go to primaries.
-    pub writes: f64,
-    /// A member that reads avoid by themselves.
-    pub avoided: Option<usize>,
-    /// What the network adds to each latency.
-    pub network: Micros,
+    /// The fraction of requests that are writes, which go to primaries.
+    pub write_fraction: f64,
+    /// A member to which no reads are sent, independent of its verdict.
+    pub avoided_by_reads: Option<usize>,
+    /// The time that the network adds to each latency.
+    pub network_latency: Micros,
     received: Vec<BTreeMap<(u64, u64), HealthObservation>>,
     in_flight: Vec<InFlight>,
     rng: SmallRng,
@@ -79,21 +80,21 @@
             members,
             rate: 30.0,
             loss: 0.0,
-            slowness: vec![1.0; members],
-            link: vec![1.0; proxies],
-            liars: BTreeMap::new(),
+            member_latency_factors: vec![1.0; members],
+            link_factors: vec![1.0; proxies],
+            faulty_reporters: BTreeMap::new(),
             incarnation_ms: 1,
             avoids_outliers: false,
-            writes: 0.0,
-            avoided: None,
-            network: 0,
+            write_fraction: 0.0,
+            avoided_by_reads: None,
+            network_latency: 0,
             received: vec![BTreeMap::new(); proxies],
             in_flight: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Runs for a time; `after_step` looks on after each step.
+    /// Runs the simulation for a time and calls `after_step` after each step.
     pub fn run(&mut self, span: Micros, mut after_step: impl FnMut(&Fleet)) {
         let until = self.now + span;
         while self.now < until {
@@ -118,36 +119,36 @@
         }
     }
 
-    /// Sends a proxy's requests of one step.
+    /// Sends the requests of a proxy for one step.
     fn serve(&mut self, proxy: usize) {
         let outliers = self.proxies[proxy].latency_factors();
         let mut next = exponential(&mut self.rng) / self.rate;
         while next < STEP as f64 / 1e6 {
             next += exponential(&mut self.rng) / self.rate;
             let mut member = self.rng.random_range(0..self.members);
-            let mut class = usize::from(self.rng.random::<f64>() < REPORTS);
-            let is_write = self.writes > 0.0 && self.rng.random::<f64>() < self.writes;
+            let mut class = usize::from(self.rng.random::<f64>() < REPORT_FRACTION);
+            let is_write = self.write_fraction > 0.0 && self.rng.random::<f64>() < self.write_fraction;
             if is_write {
                 member = member / GROUP_SIZE * GROUP_SIZE;
                 class = WRITE_CLASS;
             }
-            let work = LATENCIES[class]
+            let latency = LATENCIES[class]
                 * (0.3 + 0.7 * exponential(&mut self.rng))
-                * self.slowness[member]
-                * self.link[proxy];
+                * self.member_latency_factors[member]
+                * self.link_factors[proxy];
             let is_outlier = self.avoids_outliers && outliers.iter().any(|(id, _)| *id == member as u64);
-            if is_write || !(is_outlier || self.avoided == Some(member)) {
-                let outcome = if self.slowness[member].is_infinite() {
+            if is_write || !(is_outlier || self.avoided_by_reads == Some(member)) {
+                let outcome = if self.member_latency_factors[member].is_infinite() {
                     Outcome::Unreachable
                 } else {
-                    Outcome::Answered { class, latency: work as Micros + self.network }
+                    Outcome::Answered { class, latency: latency as Micros + self.network_latency }
                 };
                 self.proxies[proxy].record(self.now, member as u64, outcome);
             }
         }
     }
 
-    /// Publishes the proxies' observations, and delivers those that are due.
+    /// Publishes the proxies' observations and delivers those that are due.
     fn exchange(&mut self) {
         for reporter in 0..self.proxies.len() {
             for (member, observation) in self.published_by(reporter) {
@@ -156,7 +157,7 @@
             }
         }
         let now = self.now;
-        for InFlight { to, report, .. } in self.in_flight.extract_if(.., |flight| flight.at <= now) {
+        for InFlight { to, report, .. } in self.in_flight.extract_if(.., |message| message.at <= now) {
             let ReportedObservation { member, reporter, observation } = report;
             let newest = self.received[to].entry((member, reporter)).or_insert(observation);
             *newest = observation.max(*newest);
@@ -164,23 +165,24 @@
     }
 
     fn published_by(&mut self, proxy: usize) -> Vec<(u64, HealthObservation)> {
-        match self.liars.get(&proxy) {
-            Some(liar) if self.now % 500_000 == 0 => self.lies(*liar),
+        match self.faulty_reporters.get(&proxy) {
+            Some(faulty_reporter) if self.now % 500_000 == 0 => self.false_observations(*faulty_reporter),
             Some(_) => Vec::new(),
             None => self.proxies[proxy].take_observations(self.now),
         }
     }
 
-    fn lies(&self, liar: Liar) -> Vec<(u64, HealthObservation)> {
-        let lie = HealthObservation {
+    fn false_observations(&self, faulty_reporter: FaultyReporter) -> Vec<(u64, HealthObservation)> {
+        let observation = HealthObservation {
             incarnation_ms: self.incarnation_ms,
             newest_window: MemberSummary::window_at(self.now),
-            log_ratio: liar.log_ratio,
+            log_ratio: faulty_reporter.log_ratio,
             samples: u16::MAX,
             ..HealthObservation::default()
         };
-        let members = (0..self.members as u64).filter(|id| liar.about.is_none_or(|about| about == *id));
-        members.map(|member| (member, lie)).collect()
+        let members =
+            (0..self.members as u64).filter(|id| faulty_reporter.about.is_none_or(|about| about == *id));
+        members.map(|member| (member, observation)).collect()
     }
 
     /// Sends an observation to all proxies.
@@ -194,13 +196,13 @@
         }
     }
 
-    /// How many proxies have a verdict on a member other than that it is sound.
-    pub fn naming(&self, member: u64) -> usize {
+    /// Returns the number of proxies whose verdict on a member is not healthy.
+    pub fn flagging_proxies(&self, member: u64) -> usize {
         self.proxies.iter().filter(|proxy| proxy.verdict(member) != Verdict::Sound).count()
     }
 
-    /// The number of members, without this one, on which any proxy has a verdict other than that they are sound.
-    pub fn wrongly_named(&self, except: Option<u64>) -> usize {
-        (0..self.members as u64).filter(|id| Some(*id) != except && self.naming(*id) > 0).count()
+    /// Returns the number of members, except this one, on which the verdict of any proxy is not healthy.
+    pub fn wrongly_flagged_members(&self, except: Option<u64>) -> usize {
+        (0..self.members as u64).filter(|id| Some(*id) != except && self.flagging_proxies(*id) > 0).count()
     }
 }
--- a/crates/health/tests/faults.rs
+++ b/crates/health/tests/faults.rs
@@ -1,78 +1,104 @@
-//! Faults around a verdict: liars, bad links, replays, restarts, members that flap or get no traffic.
+//! Faults that affect verdicts: false reports, slow links, outdated observations, restarts, and members that
+//! flap or get no traffic.
 
 mod common;
-use common::{Fleet, Liar, SECOND};
+use common::{FaultyReporter, Fleet, SECOND};
 use wharfplank_health::{
     weighted_median, HealthMonitor, HealthObservation, MemberSummary, Outcome, Proxy, ReportedObservation,
     Verdict, WeightedScore,
 };
 
-/// The log ratios that a liar claims: the worst and the best.
-const BAD: i16 = i16::MAX;
-const GOOD: i16 = i16::MIN;
+/// The log ratios that a faulty reporter claims: the worst and the best.
+const WORST_LOG_RATIO: i16 = i16::MAX;
+const BEST_LOG_RATIO: i16 = i16::MIN;
 
 #[test]
-fn a_slow_member_is_named_by_all_and_a_silent_one_is_out() {
+fn all_proxies_flag_slow_and_unresponsive_members() {
     for proxies in [3, 30] {
         let mut fleet = Fleet::new(proxies, 8, 1);
         fleet.run(6 * SECOND, |_| {});
-        fleet.slowness[2] = 3.0;
-        fleet.slowness[5] = f64::INFINITY;
+        fleet.member_latency_factors[2] = 3.0;
+        fleet.member_latency_factors[5] = f64::INFINITY;
         fleet.run(6 * SECOND, |_| {});
-        assert_eq!((fleet.naming(2), fleet.naming(5)), (proxies, proxies));
+        assert_eq!((fleet.flagging_proxies(2), fleet.flagging_proxies(5)), (proxies, proxies));
         assert!(fleet
             .proxies
             .iter()
             .all(|proxy| proxy.verdict(5) == Verdict::Out && proxy.verdict(2) == Verdict::Degraded));
-        fleet.slowness[2] = 1.0;
+        fleet.member_latency_factors[2] = 1.0;
         fleet.run(20 * SECOND, |_| {});
-        assert_eq!((fleet.naming(2), fleet.naming(5)), (0, proxies), "one is well again, the other is not");
+        assert_eq!(
+            (fleet.flagging_proxies(2), fleet.flagging_proxies(5)),
+            (0, proxies),
+            "the slow member has recovered, the unresponsive one has not"
+        );
     }
 }
 
 #[test]
-fn a_liar_or_a_tenth_of_the_proxies_moves_no_verdict() {
-    for (proxies, liars) in [(3, 1), (30, 3), (100, 10)] {
-        for (about, log_ratio) in [(Some(1), BAD), (None, BAD), (Some(2), GOOD), (None, GOOD)] {
+fn false_reports_of_a_tenth_of_the_proxies_change_no_verdict() {
+    for (proxies, faulty_reporters) in [(3, 1), (30, 3), (100, 10)] {
+        for (about, log_ratio) in [
+            (Some(1), WORST_LOG_RATIO),
+            (None, WORST_LOG_RATIO),
+            (Some(2), BEST_LOG_RATIO),
+            (None, BEST_LOG_RATIO),
+        ] {
             let mut fleet = Fleet::new(proxies, 8, 7);
-            fleet.liars = (0..liars).map(|n| (n * 7 % proxies, Liar { about, log_ratio })).collect();
+            fleet.faulty_reporters = (0..faulty_reporters)
+                .map(|n| (n * 7 % proxies, FaultyReporter { about, log_ratio }))
+                .collect();
             fleet.run(6 * SECOND, |_| {});
-            assert_eq!(fleet.wrongly_named(None), 0, "{liars} of {proxies} named a sound member");
-            fleet.slowness[2] = 3.0;
-            // One of three delays the milder of two reports for some evaluations; it does not prevent the verdict.
+            assert_eq!(
+                fleet.wrongly_flagged_members(None),
+                0,
+                "{faulty_reporters} of {proxies} flagged a healthy member"
+            );
+            fleet.member_latency_factors[2] = 3.0;
+            // With three proxies, a false report delays the verdict by some evaluations but does not prevent
+            // it.
             fleet.run(10 * SECOND, |_| {});
-            assert_eq!(fleet.wrongly_named(Some(2)), 0, "{liars} of {proxies} named a sound member");
-            assert_eq!(fleet.naming(2), proxies, "{liars} of {proxies} kept a slow member from being named");
+            assert_eq!(
+                fleet.wrongly_flagged_members(Some(2)),
+                0,
+                "{faulty_reporters} of {proxies} flagged a healthy member"
+            );
+            assert_eq!(
+                fleet.flagging_proxies(2),
+                proxies,
+                "{faulty_reporters} of {proxies} prevented a slow member from being flagged"
+            );
         }
     }
 }
 
 #[test]
-fn no_claimed_weight_counts_for_more_than_the_median_one() {
+fn claimed_weights_are_capped_at_the_median_weight() {
     let median = |scores: &[(f64, u64)]| {
         let scores: Vec<WeightedScore> =
             scores.iter().map(|(score, weight)| WeightedScore { score: *score, weight: *weight }).collect();
         weighted_median(&scores)
     };
     assert_eq!(median(&[(2.0, 60_000), (0.0, 5), (0.1, 7)]), Some(0.1));
-    assert_eq!(median(&[(2.0, 60_000), (0.0, 5)]), Some(0.0), "of two the milder one");
+    assert_eq!(median(&[(2.0, 60_000), (0.0, 5)]), Some(0.0), "the lower of two scores");
     assert_eq!(median(&[]), None);
 }
 
 #[test]
-fn a_reporter_with_a_bad_link_is_not_counted() {
+fn a_reporter_with_a_slow_link_is_ignored() {
     let mut fleet = Fleet::new(3, 8, 3);
     fleet.run(6 * SECOND, |_| {});
-    fleet.link[1] = 6.0;
-    fleet.run(10 * SECOND, |f| assert_eq!(f.wrongly_named(None), 0));
-    // Even two of three that report every member as bad are not believed.
-    fleet.link[1] = 1.0;
-    fleet.liars = [0, 1].map(|proxy| (proxy, Liar { about: None, log_ratio: BAD })).into();
-    fleet.run(10 * SECOND, |f| assert_eq!(f.wrongly_named(None), 0));
+    fleet.link_factors[1] = 6.0;
+    fleet.run(10 * SECOND, |f| assert_eq!(f.wrongly_flagged_members(None), 0));
+    // Two of three proxies that report every member as bad are ignored as well.
+    fleet.link_factors[1] = 1.0;
+    fleet.faulty_reporters =
+        [0, 1].map(|proxy| (proxy, FaultyReporter { about: None, log_ratio: WORST_LOG_RATIO })).into();
+    fleet.run(10 * SECOND, |f| assert_eq!(f.wrongly_flagged_members(None), 0));
 }
 
 #[test]
-fn evidence_of_another_incarnation_or_of_old_windows_does_not_count() {
+fn observations_of_other_incarnations_or_times_are_ignored() {
     let now = 1_000 * SECOND;
     let observed = |incarnation_ms, at| HealthObservation {
         incarnation_ms,
@@ -94,19 +120,19 @@
     assert_eq!(
         evaluated(7, observed(7, now)).verdict(0),
         Verdict::Out,
-        "what is new and of this incarnation counts"
+        "a recent observation of this incarnation counts"
     );
-    assert_eq!(evaluated(8, observed(7, now)).verdict(0), Verdict::Sound, "of the process before");
-    assert_eq!(evaluated(7, observed(7, now - 10 * SECOND)).verdict(0), Verdict::Sound, "of long before");
+    assert_eq!(evaluated(8, observed(7, now)).verdict(0), Verdict::Sound, "of the previous incarnation");
+    assert_eq!(evaluated(7, observed(7, now - 10 * SECOND)).verdict(0), Verdict::Sound, "too old");
     assert_eq!(
         evaluated(7, observed(7, now + 10 * SECOND)).verdict(0),
         Verdict::Sound,
-        "from further ahead than clocks differ"
+        "further in the future than clocks may differ"
     );
     let mut monitor = evaluated(7, observed(7, now));
     monitor.track_member(0, 0, 9);
-    assert_eq!(monitor.verdict(0), Verdict::Sound, "a verdict outlived the process it was about");
-    // Nor does what this proxy saw of the old process count for the new one.
+    assert_eq!(monitor.verdict(0), Verdict::Sound, "the verdict of the previous incarnation was kept");
+    // This proxy's own observations of the previous incarnation do not count for the new one either.
     (0..40).for_each(|_| monitor.record(now, 1, Outcome::Unreachable));
     assert!(monitor.log().observations(now).contains_key(&1));
     monitor.track_member(1, 0, 9);
@@ -114,42 +140,52 @@
 }
 
 #[test]
-fn a_member_that_flaps_is_named_less_and_less_often() {
+fn a_flapping_member_changes_its_verdict_less_often() {
     let mut fleet = Fleet::new(12, 8, 5);
     fleet.avoids_outliers = true;
     fleet.run(6 * SECOND, |_| {});
-    let mut at = Vec::new();
+    let mut was_flagged = Vec::new();
     for n in 0..30 {
-        fleet.slowness[4] = if n % 2 == 0 { 3.0 } else { 1.0 };
+        fleet.member_latency_factors[4] = if n % 2 == 0 { 3.0 } else { 1.0 };
         fleet.run(4 * SECOND, |f| {
             if f.now % 250_000 == 0 {
-                at.push(f.naming(4) == 12);
+                was_flagged.push(f.flagging_proxies(4) == 12);
             }
         });
     }
-    let turns = at.windows(2).filter(|pair| pair[0] != pair[1]).count();
-    assert!((1..=12).contains(&turns), "30 changes of its latency made {turns} of its verdict");
-    assert_eq!(fleet.wrongly_named(Some(4)), 0);
+    let verdict_changes = was_flagged.windows(2).filter(|pair| pair[0] != pair[1]).count();
+    assert!(
+        (1..=12).contains(&verdict_changes),
+        "30 changes of its latency caused {verdict_changes} changes of its verdict"
+    );
+    assert_eq!(fleet.wrongly_flagged_members(Some(4)), 0);
 }
 
 #[test]
-fn a_verdict_without_traffic_leads_to_probation_and_a_recovery_ramp() {
+fn an_ejected_member_without_traffic_recovers_by_probation() {
     let mut fleet = Fleet::new(40, 8, 9);
     fleet.avoids_outliers = true;
     fleet.run(6 * SECOND, |_| {});
-    fleet.slowness[4] = 3.0;
+    fleet.member_latency_factors[4] = 3.0;
     fleet.run(5 * SECOND, |_| {});
-    assert_eq!(fleet.naming(4), 40);
-    // Only the proxies that have it on probation use it now, and find it well: more of them with each step.
-    fleet.slowness[4] = 1.0;
-    let mut using = Vec::new();
+    assert_eq!(fleet.flagging_proxies(4), 40);
+    // Only the proxies that use it on probation send requests to it now and find it healthy; their number
+    // grows with each step.
+    fleet.member_latency_factors[4] = 1.0;
+    let mut proxies_using = Vec::new();
     fleet.run(25 * SECOND, |f| {
-        using.push(f.proxies.iter().filter(|proxy| proxy.latency_factors().is_empty()).count());
+        proxies_using.push(f.proxies.iter().filter(|proxy| proxy.latency_factors().is_empty()).count());
     });
-    using.dedup();
-    let near = |a: usize, b: usize| a.abs_diff(b) <= 1;
+    proxies_using.dedup();
+    let is_near = |a: usize, b: usize| a.abs_diff(b) <= 1;
     for step in [5, 10, 20, 40] {
-        assert!(using.iter().any(|n| near(*n, step)), "{step} of 40 never used it: {using:?}");
+        assert!(
+            proxies_using.iter().any(|n| is_near(*n, step)),
+            "no step with {step} of 40 proxies: {proxies_using:?}"
+        );
     }
-    assert!(using.windows(2).all(|pair| pair[0] <= pair[1]), "it was not taken back step by step: {using:?}");
+    assert!(
+        proxies_using.windows(2).all(|pair| pair[0] <= pair[1]),
+        "the number of proxies decreased during recovery: {proxies_using:?}"
+    );
 }
--- a/crates/health/tests/merge_laws.rs
+++ b/crates/health/tests/merge_laws.rs
@@ -1,4 +1,4 @@
-//! The laws of merging summaries: order and grouping do not matter, and nothing grows without bound.
+//! Properties of merging summaries: it is commutative and associative, and old counts expire.
 
 use proptest::prelude::*;
 use wharfplank_health::{MemberSummary, Micros, WindowCounts, WINDOW_COUNT, WINDOW_LENGTH};
@@ -16,21 +16,21 @@
     )
 }
 
-fn seen() -> impl Strategy<Value = Vec<(Micros, WindowCounts)>> {
+fn timed_counts() -> impl Strategy<Value = Vec<(Micros, WindowCounts)>> {
     proptest::collection::vec((0..WINDOW_LENGTH * 3 * WINDOW_COUNT as Micros, counts()), 0..12)
 }
 
 fn summary() -> impl Strategy<Value = MemberSummary> {
-    (0_i64..3, seen()).prop_map(|(incarnation_ms, seen)| {
+    (0_i64..3, timed_counts()).prop_map(|(incarnation_ms, timed_counts)| {
         let mut summary = MemberSummary::new(incarnation_ms);
-        seen.iter().for_each(|(at, counts)| summary.add(*at, counts));
+        timed_counts.iter().for_each(|(at, counts)| summary.add(*at, counts));
         summary
     })
 }
 
-fn merged(one: &MemberSummary, other: &MemberSummary) -> MemberSummary {
-    let mut merged = *one;
-    merged.merge(other);
+fn merged(left: &MemberSummary, right: &MemberSummary) -> MemberSummary {
+    let mut merged = *left;
+    merged.merge(right);
     merged
 }
 
@@ -43,18 +43,18 @@
     }
 
     #[test]
-    fn two_partial_summaries_merge_to_the_complete_one(mut all in seen(), cut in 0_usize..12) {
-        let of = |seen: &[(Micros, WindowCounts)]| {
+    fn partial_summaries_merge_to_a_complete_one(mut all_counts in timed_counts(), split_at in 0_usize..12) {
+        let summarize = |timed_counts: &[(Micros, WindowCounts)]| {
             let mut summary = MemberSummary::new(1);
-            seen.iter().for_each(|(at, counts)| summary.add(*at, counts));
+            timed_counts.iter().for_each(|(at, counts)| summary.add(*at, counts));
             summary
         };
-        let cut = cut.min(all.len());
-        let apart = merged(&of(&all[..cut]), &of(&all[cut..]));
-        prop_assert_eq!(apart, of(&all));
-        all.reverse();
-        prop_assert_eq!(apart, of(&all));
+        let split_at = split_at.min(all_counts.len());
+        let merged_parts = merged(&summarize(&all_counts[..split_at]), &summarize(&all_counts[split_at..]));
+        prop_assert_eq!(merged_parts, summarize(&all_counts));
+        all_counts.reverse();
+        prop_assert_eq!(merged_parts, summarize(&all_counts));
         let now = WINDOW_LENGTH * 10 * WINDOW_COUNT as Micros;
-        prop_assert_eq!(apart.total(now), WindowCounts::default(), "what is old does not count");
+        prop_assert_eq!(merged_parts.total(now), WindowCounts::default(), "expired windows do not count");
     }
 }
