--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -1,8 +1,9 @@
 //! Fleet-wide outlier detection. Each proxy summarizes the outcomes of its attempts at a member in time
 //! windows. A sample of the proxies, the reporters, publish their summaries as observations, and every proxy
-//! combines the observations into the same outlier score and verdict. The crate does no I/O: the caller passes
-//! in outcomes of attempts, observations of other proxies and the current time, and receives observations to
-//! publish and a latency factor for each outlier. The router decides which member serves a request.
+//! combines the observations into the same outlier score and verdict. The crate does no I/O: the caller
+//! passes in outcomes of attempts, observations of other proxies and the current time, and receives
+//! observations to publish and a latency factor for each outlier. The router decides which member serves a
+//! request.
 //!
 //! - [`WindowCounts`], [`MemberSummary`]: the outcomes at a member in one window, and in the latest windows;
 //!   both can be merged.
--- a/crates/health/tests/common/mod.rs
+++ b/crates/health/tests/common/mod.rs
@@ -132,7 +132,7 @@
                 member = member / GROUP_SIZE * GROUP_SIZE;
                 class = WRITE_CLASS;
             }
-            let latency = LATENCIES[class]
+            let processing_time = LATENCIES[class]
                 * (0.3 + 0.7 * exponential(&mut self.rng))
                 * self.member_latency_factors[member]
                 * self.link_factors[proxy];
@@ -141,7 +141,7 @@
                 let outcome = if self.member_latency_factors[member].is_infinite() {
                     Outcome::Unreachable
                 } else {
-                    Outcome::Answered { class, latency: latency as Micros + self.network_latency }
+                    Outcome::Answered { class, latency: processing_time as Micros + self.network_latency }
                 };
                 self.proxies[proxy].record(self.now, member as u64, outcome);
             }
@@ -173,7 +173,7 @@
     }
 
     fn false_observations(&self, faulty_reporter: FaultyReporter) -> Vec<(u64, HealthObservation)> {
-        let observation = HealthObservation {
+        let false_observation = HealthObservation {
             incarnation_ms: self.incarnation_ms,
             newest_window: MemberSummary::window_at(self.now),
             log_ratio: faulty_reporter.log_ratio,
@@ -182,7 +182,7 @@
         };
         let members =
             (0..self.members as u64).filter(|id| faulty_reporter.about.is_none_or(|about| about == *id));
-        members.map(|member| (member, observation)).collect()
+        members.map(|member| (member, false_observation)).collect()
     }
 
     /// Sends an observation to all proxies.
