--- a/crates/pool-policy/src/connection_demand.rs
+++ b/crates/pool-policy/src/connection_demand.rs
@@ -1,18 +1,18 @@
-//! How often the connections to one member are used, and how many spare ones that justifies.
+//! The rate at which connections to one member are used, and the resulting number of spare connections.
 
 use wharfplank_routing::Micros;
 
-/// The most spare connections that are kept ready to one member.
+/// The maximum number of spare connections to one member.
 pub const MAX_SPARE_CONNECTIONS: usize = 2;
 
 /// The time constant of the moving average of uses, in microseconds.
 const AVERAGING_TIME: f64 = 5e6;
 
-/// One spare connection is kept for each use that is expected within this time, in microseconds. A spare that waits
-/// longer is seldom there when it is needed, and every proxy pays for it all the same.
+/// One spare connection is kept for each use expected within this time, in microseconds. A spare connection
+/// that is used less often seldom helps, but still occupies a slot at the member for each proxy.
 const LOOKAHEAD: f64 = 0.5e6;
 
-/// A moving average of how often requests and health checks take a connection to one member.
+/// A moving average of the rate at which requests and health checks take a connection to one member.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionDemand {
     /// Uses per microsecond at `updated_at`.
@@ -27,8 +27,8 @@
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// The number of connections to keep ready at `now` beside those that requests are queued for: at most
-    /// [`MAX_SPARE_CONNECTIONS`].
+    /// Returns the number of spare connections to keep at `now` in addition to those that requests are queued
+    /// for: at most [`MAX_SPARE_CONNECTIONS`].
     pub fn spare_connections(&self, now: Micros) -> usize {
         let expected_uses = self.rate_at(now) * LOOKAHEAD;
         (expected_uses as usize).min(MAX_SPARE_CONNECTIONS)
--- a/crates/pool-policy/src/lib.rs
+++ b/crates/pool-policy/src/lib.rs
@@ -1,12 +1,13 @@
-//! The policy of the connection pools: how many connections are kept ready to a member, and which member a starting
-//! proxy connects to first.
+//! The policy of the connection pools: how many spare connections to keep to a member, and which member a
+//! starting proxy connects to first.
 //!
-//! A connection costs the member work when it is opened and a slot while it lasts, and members have few slots for many
-//! proxies. What is kept ready follows from how often this proxy uses the member, not from how many members there are.
-//! The crate does no I/O: uses and the current time are passed in.
+//! Opening a connection costs the member work, and an open connection occupies one of the few slots that many
+//! proxies share. The number of spare connections therefore depends on how often this proxy uses the member,
+//! not on the number of members. The crate does no I/O: uses and the current time are passed in.
 //!
-//! - [`ConnectionDemand`]: how often one member's connections are used, and the spare ones that this justifies.
-//! - [`StartupConnectOrder`]: which member a starting proxy connects to first.
+//! - [`ConnectionDemand`]: the rate at which one member's connections are used, and the resulting number of
+//!   spare ones.
+//! - [`StartupConnectOrder`]: the order in which a starting proxy connects to members.
 //!
 //! ```
 //! use wharfplank_pool_policy::ConnectionDemand;
--- a/crates/pool-policy/src/startup_connect_order.rs
+++ b/crates/pool-policy/src/startup_connect_order.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeSet;
 use wharfplank_routing::{HostId, Micros};
 
-/// Chooses which member a starting proxy connects to first, to show that it reaches one; where that fails, the next is
-/// tried after the connect timeout.
+/// Chooses the member that a starting proxy connects to first, to verify that it can reach one. If that
+/// fails, it tries the next one after the connect timeout.
 ///
-/// The order is a permutation that the seed determines: proxies that start together must not all connect to the same
-/// member.
+/// The order is a permutation determined by the seed, so that proxies that start together do not all connect
+/// to the same member.
 #[derive(Clone, Debug)]
 pub struct StartupConnectOrder {
     seed: u64,
@@ -18,8 +18,8 @@
 }
 
 impl StartupConnectOrder {
-    /// Creates an order of which no member has been tried. `connect_timeout` is how long a connection may take to come
-    /// up, in microseconds.
+    /// Creates an order in which no member has been tried. `connect_timeout` is the time limit for opening a
+    /// connection, in microseconds.
     pub fn new(seed: u64, connect_timeout: Micros) -> Self {
         StartupConnectOrder {
             seed,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// The member to connect to at `now`, out of `members`; `None` before the last one's connect timeout has passed.
-    /// Once all members have been tried the order starts over.
+    /// Returns which of `members` to connect to at `now`, or `None` until the connect timeout of the last
+    /// attempt has passed. Once all members have been tried, the order starts over.
     pub fn next_member(&mut self, now: Micros, members: impl Iterator<Item = HostId>) -> Option<HostId> {
         if now < self.next_attempt_at {
             return None;
@@ -46,7 +46,7 @@
         Some(next)
     }
 
-    /// The member's random place in the order.
+    /// Returns the member's pseudorandom rank in the order.
     fn rank(&self, member: HostId) -> u64 {
         Rng::with_seed(self.seed ^ u64::from(member.0)).u64(..)
     }
--- a/crates/pool-policy/tests/connection_demand.rs
+++ b/crates/pool-policy/tests/connection_demand.rs
@@ -1,12 +1,13 @@
-//! Spare connections follow how often a member is used.
+//! The number of spare connections depends on how often a member is used.
 
 use wharfplank_pool_policy::ConnectionDemand;
 use wharfplank_routing::Micros;
 
 const MINUTE: Micros = 60_000_000;
 
-/// The most spare connections that are wanted at any time while a member is used at a steady interval for a minute.
-fn most_spares(interval: Micros) -> usize {
+/// Returns the greatest number of spare connections while a member is used at a constant interval for a
+/// minute.
+fn max_spares(interval: Micros) -> usize {
     let mut demand = ConnectionDemand::default();
     let spares = |n: Micros| {
         demand.record_use(n * interval);
@@ -16,16 +17,16 @@
 }
 
 #[test]
-fn spares_follow_use() {
-    // Three proxies before twelve members, and a hundred before sixty.
-    assert_eq!(most_spares(140_000), 2);
-    assert_eq!(most_spares(3_000_000), 0);
+fn spare_connections_depend_on_use() {
+    // The intervals in a fleet of 3 proxies and 12 members, and in one of 100 proxies and 60 members.
+    assert_eq!(max_spares(140_000), 2);
+    assert_eq!(max_spares(3_000_000), 0);
 }
 
-/// A hundred proxies that send each request to any of sixty members: all spares together stay below what each
-/// member holds for the requests themselves.
+/// Guards against spare connections that exceed the connections used for requests: with 100 proxies that send
+/// each request to a random one of 60 members, there are fewer spare connections than members.
 #[test]
-fn a_fleet_that_meets_most_members_seldom_keeps_no_spares() {
+fn proxies_that_rarely_use_members_keep_few_spares() {
     let (proxies, members) = (100_u64, 60_u64);
     let mut demands = vec![ConnectionDemand::default(); (proxies * members) as usize];
     let mut state = 7_u64;
--- a/crates/pool-policy/tests/startup_connect_order.rs
+++ b/crates/pool-policy/tests/startup_connect_order.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn each_is_tried_once_at_the_connect_timeout() {
+fn each_member_is_tried_once_per_connect_timeout() {
     let mut order = StartupConnectOrder::new(3, CONNECT_TIMEOUT);
     let mut tried = BTreeSet::new();
     for n in 0..Micros::from(MEMBERS) {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn proxies_that_start_together_spread() {
+fn proxies_that_start_together_choose_different_members() {
     let mut counts = vec![0; MEMBERS as usize];
     for seed in 0..100 {
         let first = StartupConnectOrder::new(seed, 1).next_member(0, members()).unwrap();
