--- a/crates/settings/src/budgets.rs
+++ b/crates/settings/src/budgets.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
-/// Budgets of the whole fleet, divided among its proxies. A figure of 0 states that there is no such budget.
+/// Fleet-wide budgets, divided among the proxies. A value of 0 disables a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetSettings {
@@ -14,44 +14,45 @@
     /// The address that other proxies send to; `0.0.0.0:0` stands for the listening address.
     #[serde(default = "no_advertised_address", rename = "@advertise")]
     pub advertise: String,
-    /// The lease allocators, separated by spaces, in the same order at all proxies; `none` if budgets are divided
-    /// evenly without leases.
+    /// The addresses of the lease allocators, separated by spaces, in the same order at all proxies; `none`
+    /// if budgets are divided evenly without leases.
     #[serde(default = "empty_list", rename = "@banks")]
     pub allocators: String,
-    /// Those of `allocators` that an operator declared permanently removed.
+    /// The allocators that an operator declared permanently removed, a subset of `allocators`.
     #[serde(default = "empty_list", rename = "@gone")]
     pub removed_allocators: String,
-    /// The version of the set of allocators: one more each time that `allocators` or `removed_allocators` change.
+    /// The version of the set of allocators. It must be increased by one with each change of `allocators` or
+    /// `removed_allocators`.
     #[serde(default = "default_allocator_set_version", rename = "@set")]
     pub allocator_set_version: u64,
-    /// The most proxies that ever run at a time.
+    /// The maximum number of proxies that run at the same time.
     #[serde(default = "default_max_proxies", rename = "@proxies")]
     pub max_proxies: u64,
-    /// The per cent of each budget that is divided evenly among `max_proxies`, without leases.
+    /// The percentage of each budget that is divided evenly among `max_proxies`, without leases.
     #[serde(default = "default_even_percent", rename = "@even")]
     pub even_percent: u64,
-    /// Requests a second in total.
+    /// Requests per second in total.
     #[serde(default, rename = "@requests")]
     pub requests: u64,
-    /// Requests a second by tenant: a group and its figure, as `3=200`, separated by spaces.
+    /// Requests per second by tenant: pairs of a group and its budget, such as `3=200`, separated by spaces.
     #[serde(default = "empty_list", rename = "@tenants")]
     pub tenants: String,
-    /// Retries a second.
+    /// Retries per second.
     #[serde(default, rename = "@retries")]
     pub retries: u64,
-    /// Health checks a second of each member.
+    /// Health checks of each member per second.
     #[serde(default, rename = "@probes")]
     pub health_checks: u64,
-    /// New connections a second to each member.
+    /// New connections to each member per second.
     #[serde(default, rename = "@connects")]
     pub new_connections: u64,
-    /// Open connections to each member.
+    /// Concurrent connections to each member.
     #[serde(default, rename = "@held")]
     pub open_connections: u64,
-    /// Polls of service discovery a second.
+    /// Polls of service discovery per second.
     #[serde(default, rename = "@discovery")]
     pub discovery_polls: u64,
-    /// Milliseconds added to the clock of the budgets, for tests of clocks that differ.
+    /// Milliseconds added to the clock of the budgets, for tests with clock skew.
     #[serde(default, rename = "@clock-skew-ms")]
     pub clock_skew_ms: i64,
 }
@@ -61,7 +62,7 @@
 pub struct TenantBudget {
     /// The replicated group of the tenant.
     pub group: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub requests: u64,
 }
 
@@ -73,49 +74,49 @@
 }
 
 impl BudgetSettings {
-    /// The address to listen on.
+    /// Returns the address to listen on.
     pub fn listen(&self) -> SocketAddrV4 {
         parse_address(&self.listen)
     }
 
-    /// The address that other proxies send to, if it is not the listening address.
+    /// Returns the address that other proxies send to, if it is not the listening address.
     pub fn advertise(&self) -> Option<SocketAddrV4> {
         parse_advertised_address(&self.advertise)
     }
 
-    /// The lease allocators.
+    /// Returns the lease allocators.
     pub fn allocators(&self) -> Vec<SocketAddrV4> {
         parse_addresses(&self.allocators)
     }
 
-    /// The allocators that are permanently removed.
+    /// Returns the allocators that are permanently removed.
     pub fn removed_allocators(&self) -> Vec<SocketAddrV4> {
         parse_addresses(&self.removed_allocators)
     }
 
-    /// The tenants with a budget of their own.
+    /// Returns the tenants that have a budget of their own.
     pub fn tenants(&self) -> Vec<TenantBudget> {
         self.tenants.split(' ').filter_map(TenantBudget::parse).collect()
     }
 
-    /// The first fault that the schema cannot express.
+    /// Returns the first fault that the schema cannot express.
     pub(crate) fn consistency_fault(&self) -> Option<String> {
         let allocators = self.allocators();
         let removed = self.removed_allocators();
         if let Some(unknown) = removed.iter().find(|address| !allocators.contains(address)) {
             return Some(format!(
-                "'{unknown}' cannot be gone; allowed is one of the banks: {}",
+                "'{unknown}' in @gone is not listed in @banks; expected one of: {}",
                 self.allocators
             ));
         }
         if !allocators.is_empty() && removed.len() == allocators.len() {
-            let message = "all banks are gone; allowed is at least one that is not, or banks='none'";
+            let message = "@gone lists all allocators of @banks; keep at least one, or set banks='none'";
             return Some(message.to_string());
         }
         let is_repeated =
             |address: &&SocketAddrV4| allocators.iter().filter(|other| other == address).count() > 1;
         let repeated = allocators.iter().find(is_repeated)?;
-        Some(format!("the bank '{repeated}' is named twice; allowed is each bank once"))
+        Some(format!("'{repeated}' is listed more than once in @banks"))
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! The settings of the program: one XML file, checked against `deploy/settings.xsd` and read into [`Settings`].
+//! The settings of the program: an XML file that is validated against `deploy/settings.xsd` and parsed into
+//! [`Settings`].
 //!
-//! The schema is part of the program, so that the check and the documentation cannot differ. All faults of a file are
-//! reported together, each with its line, its element and the allowed values. The names of elements and attributes
-//! belong to the file's format; the names of types and fields are the program's own.
+//! The schema is embedded in the program, so that validation and documentation cannot diverge. All faults of
+//! a file are reported together, each with its line, its element and the allowed values. Elements and
+//! attributes are named by the file format, independent of the names of types and fields.
 
 mod budgets;
 mod gossip;
@@ -30,7 +31,7 @@
 /// The text of the schema.
 pub const SCHEMA: &str = include_str!("../../../deploy/settings.xsd");
 
-/// The settings. A part whose element is absent is off.
+/// The settings. A feature whose element is absent is disabled.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename = "wharfplank", deny_unknown_fields)]
 pub struct Settings {
@@ -57,34 +58,34 @@
     pub budgets: Option<BudgetSettings>,
 }
 
-/// Parses an address. The pattern of the schema has checked it before, so the fallback is never used.
+/// Parses an address. The schema has validated it already, so the fallback is never used.
 fn parse_address(text: &str) -> SocketAddrV4 {
     text.parse().unwrap_or(SocketAddrV4::new([127, 0, 0, 1].into(), 0))
 }
 
-/// Parses addresses that are separated by spaces; what is no address, as `none`, is left out.
+/// Parses addresses separated by spaces. Other words, such as `none`, are ignored.
 fn parse_addresses(text: &str) -> Vec<SocketAddrV4> {
     text.split(' ').filter_map(|address| address.parse().ok()).collect()
 }
 
-/// Parses an address to advertise; port 0 states that there is none.
+/// Parses an address to advertise. Port 0 means that there is none.
 fn parse_advertised_address(text: &str) -> Option<SocketAddrV4> {
     text.parse().ok().filter(|address: &SocketAddrV4| address.port() != 0)
 }
 
-/// The value of `@advertise` that stands for the listening address.
+/// Returns the value of `@advertise` that stands for the listening address.
 fn no_advertised_address() -> String {
     "0.0.0.0:0".to_string()
 }
 
-/// The value of an attribute for a file that is not set.
+/// The value of a file attribute that means that there is no file.
 const NO_FILE: &str = "no";
 
 fn no_file() -> String {
     NO_FILE.to_string()
 }
 
-/// The value of an attribute for an empty list.
+/// Returns the value of an attribute that means an empty list.
 fn empty_list() -> String {
     "none".to_string()
 }
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a settings file.
+//! Loading and validating a settings file.
 
 use crate::schema::Schema;
 use crate::{xml_tree, Settings, SCHEMA};
@@ -6,19 +6,19 @@
 use std::sync::OnceLock;
 use thiserror::Error;
 
-/// What is wrong at one place of a settings file.
+/// A fault at one place of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("line {line}: {place}: {message}")]
 pub struct SettingsFault {
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The element and the attribute, as in `records/@queue`.
+    /// The path of the element or attribute, such as `records/@queue`.
     pub place: String,
-    /// What is wrong, and what is allowed.
+    /// A description of the fault and of the allowed values.
     pub message: String,
 }
 
-/// Why a settings file cannot be used.
+/// The reason why a settings file cannot be used.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// The file cannot be read.
@@ -26,10 +26,10 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         error: std::io::Error,
     },
-    /// A value or an element is wrong.
+    /// A value or an element is invalid.
     #[error("{path}: {fault}", path = path.display())]
     Fault {
         /// The file.
@@ -37,12 +37,12 @@
         /// The fault and its place.
         fault: SettingsFault,
     },
-    /// An element needs another one that is absent.
+    /// An element requires another one that is absent.
     #[error("{path}: {requirement}", path = path.display())]
     MissingElement {
         /// The file.
         path: PathBuf,
-        /// What the element needs.
+        /// A description of the requirement.
         requirement: &'static str,
     },
 }
@@ -68,9 +68,9 @@
     Ok(settings)
 }
 
-/// Parses the text of a settings file after checking it against the schema.
+/// Parses the text of a settings file after validating it against the schema.
 pub fn parse(text: &str) -> Result<Settings, Vec<SettingsFault>> {
-    // The patterns of the schema are long, so they are compiled only once.
+    // The patterns of the schema are large, so they are compiled only once.
     static SETTINGS_SCHEMA: OnceLock<Result<Schema, Vec<SettingsFault>>> = OnceLock::new();
     let schema = SETTINGS_SCHEMA.get_or_init(|| Schema::parse(SCHEMA));
     check_against(schema.as_ref().map_err(Clone::clone)?, text)?;
@@ -79,7 +79,7 @@
     })
 }
 
-/// Checks a text against a schema of the same form as the schema of the settings, see [`crate::schema`].
+/// Validates a text against a schema that uses the supported subset of XML Schema, see [`crate::schema`].
 pub fn check(schema: &str, text: &str) -> Result<(), Vec<SettingsFault>> {
     check_against(&Schema::parse(schema)?, text)
 }
@@ -93,20 +93,20 @@
     }
 }
 
-/// Finds values that do not fit each other although each of them is allowed.
+/// Returns the faults of values that are valid individually but not in combination.
 pub fn consistency_faults(text: &str, settings: &Settings) -> Vec<SettingsFault> {
     let Some(rollout) = &settings.rollout else { return Vec::new() };
     let Ok(root) = xml_tree::parse(text) else { return Vec::new() };
     root.child("release").map(|element| rollout.consistency_faults(element)).unwrap_or_default()
 }
 
-/// The element that another element needs and that is absent.
+/// Returns a description of the first required element that is absent.
 fn missing_requirement(settings: &Settings) -> Option<&'static str> {
     if settings.shared_state.is_some() && settings.gossip.is_none() {
-        return Some("replica rides on the talk between proxies: give a <peers> element beside it");
+        return Some("<replica> is replicated over gossip and requires a <peers> element");
     }
     if settings.health.is_some() && settings.shared_state.is_none() {
-        return Some("health is told as replicated state: give a <replica> element beside it");
+        return Some("<health> uses replicated state and requires a <replica> element");
     }
     None
 }
--- a/crates/settings/src/log.rs
+++ b/crates/settings/src/log.rs
@@ -6,36 +6,36 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// The format of a line.
+    /// The format of a log line.
     #[serde(default, rename = "@format")]
     pub format: LogFormat,
-    /// The least severe level that is written.
+    /// The minimum level that is logged.
     #[serde(default, rename = "@level")]
     pub level: LogLevel,
 }
 
-/// The format of a line of the log.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// Words and `name=value` pairs.
+    /// Plain text with `name=value` pairs.
     #[default]
     Text,
     /// A JSON object.
     Json,
 }
 
-/// The severity of an event.
+/// The severity level of an event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// The program cannot do something.
+    /// An operation failed.
     Error,
-    /// An operator should look at it.
+    /// A condition that an operator should examine.
     Warn,
-    /// Ordinary events.
+    /// Normal events.
     #[default]
     Info,
-    /// Counts by the second.
+    /// Counters logged every second.
     Debug,
 }
--- a/crates/settings/src/negative_cache.rs
+++ b/crates/settings/src/negative_cache.rs
@@ -4,11 +4,12 @@
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
-/// The negative cache: keys known to be missing, shared by the proxies.
+/// The negative cache: keys known not to exist, shared by the proxies.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NegativeCacheSettings {
-    /// The address at which datagrams are received. If it is among `lease_servers`, this process is that server.
+    /// The address at which datagrams are received. If it is among `lease_servers`, this process is that
+    /// server.
     #[serde(rename = "@listen")]
     pub listen: String,
     /// The servers of write leases, separated by spaces, in the same order at all proxies.
@@ -17,31 +18,31 @@
     /// The secret with which all proxies hash keys.
     #[serde(rename = "@secret")]
     pub secret: String,
-    /// Read classes, separated by spaces, whose first quoted value is the one key that they read.
+    /// The read classes, separated by spaces, whose first quoted value is the only key that they read.
     #[serde(rename = "@reads")]
     pub read_classes: String,
-    /// Write classes, separated by spaces, whose first quoted value is the one key that they write. Other writes
-    /// count as writing every key.
+    /// The write classes, separated by spaces, whose first quoted value is the only key that they write.
+    /// Other writes are assumed to write every key.
     #[serde(default = "empty_list", rename = "@writes")]
     pub write_classes: String,
-    /// Milliseconds by which any two clocks may differ, those of members included.
+    /// The maximum difference in milliseconds between any two clocks, including those of members.
     #[serde(default = "default_max_clock_skew_ms", rename = "@apart-ms")]
     pub max_clock_skew_ms: i64,
-    /// Milliseconds after its first byte within which a write commits, if it does at all.
+    /// The maximum time in milliseconds from the first byte of a write to its commit, if it commits.
     #[serde(default = "default_max_commit_delay_ms", rename = "@late-ms")]
     pub max_commit_delay_ms: i64,
-    /// How many entries that were asked for twice may be cached.
+    /// The maximum number of cached entries that were looked up more than once.
     #[serde(default = "default_max_entries", rename = "@facts")]
     pub max_entries: usize,
 }
 
 impl NegativeCacheSettings {
-    /// The address to listen on.
+    /// Returns the address to listen on.
     pub fn listen(&self) -> SocketAddrV4 {
         parse_address(&self.listen)
     }
 
-    /// The servers of write leases.
+    /// Returns the servers of write leases.
     pub fn lease_servers(&self) -> Vec<SocketAddrV4> {
         parse_addresses(&self.lease_servers)
     }
--- a/crates/settings/src/rollout.rs
+++ b/crates/settings/src/rollout.rs
@@ -7,50 +7,50 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// The most members of a rollout: its state is one datagram.
+/// The maximum number of members of a rollout, whose state must fit into one datagram.
 pub const MAX_ROLLOUT_MEMBERS: usize = 1500;
 
 /// Rollouts and drains within a disruption budget.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutSettings {
-    /// The address at which datagrams of other proxies and responses of agents are received.
+    /// The address at which datagrams from other proxies and responses of agents are received.
     #[serde(rename = "@listen")]
     pub listen: String,
-    /// The rank of this proxy among `proxies`, from 1.
+    /// The rank of this proxy in `proxies`, starting at 1.
     #[serde(rename = "@rank")]
     pub rank: u32,
-    /// How many proxies grant permits: those of the lowest ranks.
+    /// The number of proxies that grant permits: those with the lowest ranks.
     #[serde(default = "default_permit_servers", rename = "@banks")]
     pub permit_servers: u32,
-    /// How many members of a group may be out at once.
+    /// The maximum number of members of a group that may be out of service at once.
     #[serde(default = "default_max_out_per_group", rename = "@group")]
     pub max_out_per_group: u32,
-    /// How many members of a zone may be out at once.
+    /// The maximum number of members of a zone that may be out of service at once.
     #[serde(default = "default_max_out_per_zone", rename = "@zone")]
     pub max_out_per_zone: u32,
-    /// How many members of the fleet may be out at once.
+    /// The maximum number of members of the fleet that may be out of service at once.
     #[serde(default = "default_max_out_per_fleet", rename = "@fleet")]
     pub max_out_per_fleet: u32,
-    /// The file in which a permit server keeps its grants; `no` for none.
+    /// The file in which a permit server stores its grants; `no` for none.
     #[serde(default = "no_file", rename = "@ledger")]
     pub ledger: String,
     /// The file through which operators control rollouts; `no` for none.
     #[serde(default = "no_file", rename = "@signal")]
     pub signal: String,
-    /// Seconds after its order by which a member must be back and healthy.
+    /// Seconds after its order within which a member must be in service and healthy again.
     #[serde(default = "default_ready_within_s", rename = "@ready-within-s")]
     pub ready_within_s: i64,
-    /// Seconds for which a wave is observed at most before the next one.
+    /// The maximum number of seconds for which a wave is observed before the next one.
     #[serde(default = "default_soak_s", rename = "@watch-s")]
     pub soak_s: i64,
     /// Whether a rollout that is halted by its health evidence is rolled back automatically.
     #[serde(default, rename = "@undo")]
     pub automatic_rollback: AutomaticRollback,
-    /// How often a member is ordered to leave at most.
+    /// The maximum number of times that a member is ordered to leave.
     #[serde(default = "default_max_attempts", rename = "@tries")]
     pub max_attempts: u32,
-    /// The proxies, by rank.
+    /// The proxies, ordered by rank.
     #[serde(default, rename = "proxy")]
     pub proxies: Vec<RolloutProxy>,
     /// The members, the same at all proxies.
@@ -89,30 +89,30 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AutomaticRollback {
-    /// It is.
+    /// The rollout is rolled back automatically.
     #[default]
     Yes,
-    /// It waits for an operator.
+    /// The rollout waits for an operator.
     No,
 }
 
 impl RolloutSettings {
-    /// The address to listen on.
+    /// Returns the address to listen on.
     pub fn listen(&self) -> SocketAddrV4 {
         parse_address(&self.listen)
     }
 
-    /// The addresses of the proxies, by rank from 1.
+    /// Returns the addresses of the proxies, ordered by rank.
     pub fn proxies(&self) -> Vec<SocketAddrV4> {
         self.proxies.iter().map(|proxy| parse_address(&proxy.address)).collect()
     }
 
-    /// The index of this proxy among the permit servers, if it is one.
+    /// Returns the index of this proxy among the permit servers, if it is one.
     pub fn permit_server_index(&self) -> Option<u32> {
         (self.rank <= self.permit_servers).then(|| self.rank.saturating_sub(1))
     }
 
-    /// The faults that the schema cannot express.
+    /// Returns the faults that the schema cannot express.
     pub(crate) fn consistency_faults(&self, element: &Element) -> Vec<SettingsFault> {
         let mut faults = Vec::new();
         self.check_ranks(element, &mut faults);
@@ -126,17 +126,21 @@
         let proxies = self.proxies.len();
         for (place, value) in [("/@rank", self.rank), ("/@banks", self.permit_servers)] {
             if value as usize > proxies {
-                let message =
-                    format!("'{value}' cannot be; allowed is 1 to the number of <proxy> elements, {proxies}");
+                let message = format!(
+                    "invalid value '{value}'; expected 1 to {proxies}, the number of <proxy> elements"
+                );
                 faults.push(rollout_fault(element.line, place, message));
             }
         }
     }
 
-    /// A permit server without a ledger would forget its grants when it restarts.
+    /// Checks that a permit server has a ledger; without one it would lose its grants at a restart.
     fn check_ledger(&self, element: &Element, faults: &mut Vec<SettingsFault>) {
         if self.permit_server_index().is_some() && self.ledger == NO_FILE {
-            let message = format!("'no' cannot be: rank {} is a bank; allowed is a file's path", self.rank);
+            let message = format!(
+                "invalid value 'no': the proxy of rank {} is a permit server; expected a file path",
+                self.rank
+            );
             faults.push(rollout_fault(element.line, "/@ledger", message));
         }
     }
@@ -144,7 +148,7 @@
     fn check_member_count(&self, element: &Element, faults: &mut Vec<SettingsFault>) {
         let members = self.members.len();
         if members == 0 || members > MAX_ROLLOUT_MEMBERS {
-            let message = format!("{members} elements; allowed are 1 to {MAX_ROLLOUT_MEMBERS}");
+            let message = format!("{members} elements; expected 1 to {MAX_ROLLOUT_MEMBERS}");
             faults.push(rollout_fault(element.line, "/member", message));
         }
     }
@@ -156,12 +160,13 @@
         for (member, member_element) in self.members.iter().zip(elements) {
             let line = member_element.line;
             if !names.insert(&member.name) {
-                let message = format!("'{}' is there twice; once is allowed", member.name);
+                let message = format!("duplicate name '{}'", member.name);
                 faults.push(rollout_fault(line, "/member/@name", message));
             }
             let is_proxy = self.proxies.iter().any(|proxy| proxy.address == member.agent);
             if !agents.insert(&member.agent) || is_proxy {
-                let message = format!("'{}' is another's; allowed is an address of its own", member.agent);
+                let message =
+                    format!("address '{}' is already used by another member or a proxy", member.agent);
                 faults.push(rollout_fault(line, "/member/@agent", message));
             }
         }
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,42 +1,42 @@
-//! The part of XML Schema that the settings use: elements with attributes and children (`xs:all`), and simple types
-//! restricted by enumeration, by bounds of an integer, by length and by pattern.
+//! The subset of XML Schema that the settings use: elements with attributes and children (`xs:all`), and
+//! simple types restricted by enumeration, integer bounds, length and pattern.
 
 use super::xml_tree::{self, Element};
 use super::SettingsFault;
 use std::collections::BTreeMap;
 
-/// The values that an attribute may have.
+/// A simple type: the values that an attribute may have.
 #[derive(Debug, Default)]
 pub struct SimpleType {
     /// Whether the value is an integer.
     pub is_integer: bool,
-    /// The allowed values; if empty, there is no enumeration.
+    /// The allowed values, empty if the type is not an enumeration.
     pub values: Vec<String>,
-    /// The lowest integer.
+    /// The minimum of an integer.
     pub min: Option<i64>,
-    /// The highest integer.
+    /// The maximum of an integer.
     pub max: Option<i64>,
-    /// The least number of characters.
+    /// The minimum number of characters.
     pub min_length: usize,
-    /// The greatest number of characters.
+    /// The maximum number of characters.
     pub max_length: Option<usize>,
-    /// The pattern that the whole value matches.
+    /// The pattern that the whole value must match.
     pub pattern: Option<Pattern>,
-    /// How the schema describes the allowed values to people (`wp:shown`).
+    /// The description of the allowed values for error messages (`wp:shown`).
     pub description: Option<String>,
 }
 
 /// A pattern of the schema.
 #[derive(Debug)]
 pub struct Pattern {
-    /// The pattern as it stands in the schema.
+    /// The pattern as written in the schema.
     pub source: String,
     /// The compiled pattern, anchored at both ends.
     pub regex: regex::Regex,
 }
 
 impl Pattern {
-    /// Compiles a pattern of XML Schema, which matches the whole value.
+    /// Compiles a pattern of XML Schema, which must match the whole value.
     fn new(source: &str) -> Option<Self> {
         let regex = regex::Regex::new(&format!("^(?:{source})$")).ok()?;
         Some(Pattern { source: source.to_string(), regex })
@@ -80,7 +80,7 @@
         self.min.is_none_or(|min| number >= min) && self.max.is_none_or(|max| number <= max)
     }
 
-    /// Describes the allowed values to people.
+    /// Returns a description of the allowed values for error messages.
     fn describe(&self) -> String {
         if !self.values.is_empty() {
             return format!("one of {}", self.values.join(", "));
@@ -109,29 +109,29 @@
 pub struct Attribute {
     /// The name of its simple type.
     pub type_name: String,
-    /// Whether it must be given.
+    /// Whether the attribute is required.
     pub is_required: bool,
-    /// The value that stands for an absent attribute.
+    /// The default value of an absent attribute.
     pub default: Option<String>,
 }
 
-/// How often an element may occur.
+/// The number of times that an element may occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Occurrence {
     /// At most once.
     Optional,
-    /// Just once.
+    /// Exactly once.
     Once,
     /// Any number of times.
     Unbounded,
 }
 
-/// A child in the type of an element.
+/// A child element in the type of an element.
 #[derive(Debug)]
 pub struct ChildElement {
     /// The type of the child.
     pub element_type: ElementType,
-    /// How often it may occur.
+    /// The number of times that the child may occur.
     pub occurrence: Occurrence,
 }
 
@@ -210,19 +210,19 @@
         })
     }
 
-    /// Checks a document and returns all of its faults.
+    /// Validates a document and returns all of its faults.
     pub fn check(&self, root: &Element) -> Vec<SettingsFault> {
         let mut faults = Vec::new();
         if root.name == self.root_name {
             self.check_element(root, &self.root_type, "", &mut faults);
         } else {
-            let message = format!("is not the settings' element; allowed is {}", self.root_name);
+            let message = format!("unexpected root element; expected {}", self.root_name);
             faults.push(SettingsFault { line: root.line, place: root.name.clone(), message });
         }
         faults
     }
 
-    /// Checks an element and its children. `parent_path` ends with a slash unless it is empty.
+    /// Validates an element and its children. `parent_path` ends with a slash unless it is empty.
     fn check_element(
         &self,
         element: &Element,
@@ -234,14 +234,13 @@
         self.check_attributes(element, element_type, &path, faults);
         self.check_required_attributes(element, element_type, &path, faults);
         if element.has_text {
-            let message = "holds text; only elements and attributes are allowed".to_string();
+            let message = "contains text; only elements and attributes are allowed".to_string();
             faults.push(SettingsFault { line: element.line, place: path.clone(), message });
         }
         check_occurrences(element, element_type, &path, faults);
         for child in &element.children {
             let Some(expected) = element_type.children.get(&child.name) else {
-                let message =
-                    format!("is no element of it; {}", describe_names(element_type.children.keys()));
+                let message = format!("unknown element; {}", describe_names(element_type.children.keys()));
                 let place = format!("{path}/{}", child.name);
                 faults.push(SettingsFault { line: child.line, place, message });
                 continue;
@@ -250,7 +249,7 @@
         }
     }
 
-    /// Checks the attributes that are given.
+    /// Validates the attributes that are present.
     fn check_attributes(
         &self,
         element: &Element,
@@ -265,12 +264,12 @@
             };
             let Some(attribute) = element_type.attributes.get(name) else {
                 let allowed = describe_names(element_type.attributes.keys());
-                add_fault(format!("is no attribute of it; {allowed}"));
+                add_fault(format!("unknown attribute; {allowed}"));
                 continue;
             };
             let simple_type = self.simple_types.get(&attribute.type_name);
             if let Some(simple_type) = simple_type.filter(|simple_type| !simple_type.accepts(value)) {
-                add_fault(format!("'{value}' cannot be; allowed is {}", simple_type.describe()));
+                add_fault(format!("invalid value '{value}'; expected {}", simple_type.describe()));
             }
         }
     }
@@ -288,13 +287,13 @@
             }
             let simple_type = self.simple_types.get(&attribute.type_name);
             let allowed = simple_type.map(SimpleType::describe).unwrap_or_default();
-            let message = format!("is missing; allowed is {allowed}");
+            let message = format!("required attribute is missing; expected {allowed}");
             faults.push(SettingsFault { line: element.line, place: format!("{path}/@{name}"), message });
         }
     }
 }
 
-/// Checks how often each child occurs.
+/// Validates the number of occurrences of each child.
 fn check_occurrences(
     element: &Element,
     element_type: &ElementType,
@@ -308,11 +307,11 @@
             faults.push(SettingsFault { line, place, message: message.to_string() });
         };
         if occurrences.next().is_none() && child.occurrence == Occurrence::Once {
-            add_fault(element.line, "is missing");
+            add_fault(element.line, "required element is missing");
         }
         if child.occurrence != Occurrence::Unbounded {
             for repeated in occurrences {
-                add_fault(repeated.line, "is there twice; once is allowed");
+                add_fault(repeated.line, "occurs more than once");
             }
         }
     }
@@ -323,5 +322,5 @@
     if names.is_empty() {
         return "none is allowed here".to_string();
     }
-    format!("allowed are {}", names.join(", "))
+    format!("expected one of {}", names.join(", "))
 }
--- a/crates/settings/src/xml_tree.rs
+++ b/crates/settings/src/xml_tree.rs
@@ -1,44 +1,44 @@
-//! XML as a tree whose elements know their lines.
+//! An XML tree whose elements carry their line numbers.
 
 use super::SettingsFault;
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::Reader;
 
-/// Elements nested deeper, or a text longer in bytes, than any settings need.
+/// The limits on the depth of nested elements and on the size of a text; no settings file needs more.
 const MAX_DEPTH: usize = 16;
 const MAX_TEXT_BYTES: usize = 1024 * 1024;
 
-/// The place of a fault that belongs to no element.
+/// The place of a fault that does not belong to an element.
 const WHOLE_FILE: &str = "the file";
 
 /// An element.
 #[derive(Debug)]
 pub struct Element {
-    /// The name with its prefix.
+    /// The qualified name, with its prefix.
     pub name: String,
-    /// The line at which it starts, from 1.
+    /// The line at which it starts, counted from 1.
     pub line: usize,
-    /// The attributes with their values, in their order.
+    /// The attributes with their values, in document order.
     pub attributes: Vec<(String, String)>,
-    /// The child elements, in their order.
+    /// The child elements, in document order.
     pub children: Vec<Element>,
     /// Whether it holds text other than white space.
     pub has_text: bool,
 }
 
 impl Element {
-    /// The value of an attribute.
+    /// Returns the value of an attribute.
     pub fn attribute(&self, name: &str) -> Option<&str> {
         self.attributes.iter().find(|(other, _)| other == name).map(|(_, value)| &**value)
     }
 
-    /// The first child of a name.
+    /// Returns the first child with a name.
     pub fn child(&self, name: &str) -> Option<&Element> {
         self.children.iter().find(|child| child.name == name)
     }
 }
 
-/// The elements of a text that have been read so far.
+/// The elements that have been read so far: those still open, and the root.
 #[derive(Default)]
 struct TreeBuilder {
     open: Vec<Element>,
@@ -53,17 +53,17 @@
             return Ok(());
         }
         if self.root.is_some() {
-            return Err(fault(line, &element.name, "stands after the end".to_string()));
+            return Err(fault(line, &element.name, "element after the end of the root element".to_string()));
         }
         self.root = Some(element);
         Ok(())
     }
 }
 
-/// Parses a text. The first part that is not well-formed ends the parsing, so there is one such fault at most.
+/// Parses a text. Parsing stops at the first part that is not well-formed, so at most one fault is returned.
 pub fn parse(text: &str) -> Result<Element, Vec<SettingsFault>> {
     if text.len() > MAX_TEXT_BYTES {
-        return Err(fault(1, WHOLE_FILE, format!("is longer than {MAX_TEXT_BYTES} bytes")));
+        return Err(fault(1, WHOLE_FILE, format!("longer than {MAX_TEXT_BYTES} bytes")));
     }
     let mut reader = Reader::from_str(text);
     let mut tree = TreeBuilder::default();
@@ -71,11 +71,11 @@
         let line = line_at(text, reader.buffer_position());
         let event = reader.read_event().map_err(|error| {
             let line = line_at(text, reader.error_position());
-            fault(line, WHOLE_FILE, format!("is not XML: {error}"))
+            fault(line, WHOLE_FILE, format!("invalid XML: {error}"))
         })?;
         match event {
             Event::Start(_) if tree.open.len() >= MAX_DEPTH => {
-                return Err(fault(line, WHOLE_FILE, "nests too deep".to_string()));
+                return Err(fault(line, WHOLE_FILE, "elements are nested too deeply".to_string()));
             }
             Event::Start(start) => tree.open.push(parse_element(&start, line)?),
             Event::Empty(start) => tree.close(parse_element(&start, line)?, line)?,
@@ -93,22 +93,22 @@
                 tree.open.iter_mut().for_each(|element| element.has_text = true);
             }
             Event::DocType(_) => {
-                let message = "has a DOCTYPE, which is not allowed".to_string();
+                let message = "a DOCTYPE is not allowed".to_string();
                 return Err(fault(line, WHOLE_FILE, message));
             }
             Event::Eof => {
                 if let Some(element) = tree.open.last() {
-                    return Err(fault(line, &element.name, "is not closed".to_string()));
+                    return Err(fault(line, &element.name, "element is not closed".to_string()));
                 }
                 break;
             }
             _ => {}
         }
     }
-    tree.root.ok_or_else(|| fault(1, WHOLE_FILE, "has no element".to_string()))
+    tree.root.ok_or_else(|| fault(1, WHOLE_FILE, "no root element".to_string()))
 }
 
-/// The line of a byte, from 1.
+/// Returns the line of a byte, counted from 1.
 fn line_at(text: &str, position: u64) -> usize {
     let end = (position as usize).min(text.len());
     text.as_bytes()[..end].iter().filter(|byte| **byte == b'\n').count() + 1
@@ -119,9 +119,10 @@
     let mut attributes = Vec::new();
     for attribute in start.attributes() {
         let attribute =
-            attribute.map_err(|error| fault(line, &name, format!("has a broken attribute: {error}")))?;
+            attribute.map_err(|error| fault(line, &name, format!("malformed attribute: {error}")))?;
         let value = attribute.normalized_value(quick_xml::XmlVersion::Implicit1_0);
-        let value = value.map_err(|error| fault(line, &name, format!("has a broken value: {error}")))?;
+        let value =
+            value.map_err(|error| fault(line, &name, format!("malformed attribute value: {error}")))?;
         let key = attribute.key.as_ref().to_string();
         attributes.push((key, value.into_owned()));
     }
--- a/crates/settings/tests/settings_file.rs
+++ b/crates/settings/tests/settings_file.rs
@@ -1,61 +1,71 @@
-//! Settings files: what the schema accepts, what is read of it, and how faults are reported.
+//! Tests of settings files: what the schema accepts, how values are parsed, and how faults are reported.
 
 use wharfplank_settings::schema::{ElementType, Schema, SimpleType};
 use wharfplank_settings::{consistency_faults, load, parse, xml_tree, Settings, SCHEMA};
 
 const EXAMPLE: &str = include_str!("../../../deploy/settings.example.xml");
 
-fn places(text: &str) -> Vec<(usize, String)> {
+fn fault_places(text: &str) -> Vec<(usize, String)> {
     parse(text).unwrap_err().into_iter().map(|fault| (fault.line, fault.place)).collect()
 }
 
-/// Values at the edges of what a type allows, and values just past them.
-fn edges(kind: &SimpleType) -> (Vec<String>, Vec<String>) {
+/// Returns values at the boundaries of a type, and values just outside of them.
+fn boundary_values(kind: &SimpleType) -> (Vec<String>, Vec<String>) {
     let text = |length: usize| "x".repeat(length);
-    let (mut good, mut bad) = (kind.values.clone(), vec![]);
+    let (mut valid, mut invalid) = (kind.values.clone(), vec![]);
     if let Some(pattern) = kind.pattern.as_ref().filter(|pattern| !pattern.regex.is_match("127.0.0.1:7001")) {
-        // The only pattern that is not of addresses is of tenants.
+        // The only pattern that is not for addresses is the one for tenants.
         assert!(pattern.regex.is_match("0=1"));
-        good.extend(["0=1", "none", "12=100 99999999=9999999"].map(String::from));
-        bad.extend(["x", "", "1", "1=", "=1", "1=2  3=4", "-1=2", "1=2.5", "1=2,3=4"].map(String::from));
+        valid.extend(["0=1", "none", "12=100 99999999=9999999"].map(String::from));
+        invalid.extend(["x", "", "1", "1=", "=1", "1=2  3=4", "-1=2", "1=2.5", "1=2,3=4"].map(String::from));
     } else if kind.pattern.is_some() {
-        good.extend(["127.0.0.1:7001".to_string(), "10.0.0.4:0".to_string()]);
-        bad.extend(["x".to_string(), String::new(), "1.2.3.4".to_string(), "127.0.0.1:70010".to_string()]);
+        valid.extend(["127.0.0.1:7001".to_string(), "10.0.0.4:0".to_string()]);
+        invalid.extend([
+            "x".to_string(),
+            String::new(),
+            "1.2.3.4".to_string(),
+            "127.0.0.1:70010".to_string(),
+        ]);
     } else if !kind.values.is_empty() {
-        bad.extend(["other".to_string(), String::new()]);
+        invalid.extend(["other".to_string(), String::new()]);
     } else if kind.is_integer {
-        let (least, most) = (kind.min.expect("a bound"), kind.max.expect("a bound"));
-        good.extend([least, most].map(|n| n.to_string()));
-        bad.extend([least - 1, most + 1].map(|n| n.to_string()));
-        bad.extend([String::new(), "1.5".to_string(), "ten".to_string()]);
+        let (min, max) = (kind.min.expect("a bound"), kind.max.expect("a bound"));
+        valid.extend([min, max].map(|n| n.to_string()));
+        invalid.extend([min - 1, max + 1].map(|n| n.to_string()));
+        invalid.extend([String::new(), "1.5".to_string(), "ten".to_string()]);
     } else {
-        let longest = kind.max_length.expect("a bound");
-        good.extend([text(kind.min_length), text(longest)]);
-        bad.extend([text(kind.min_length - 1), text(longest + 1)]);
+        let max_length = kind.max_length.expect("a bound");
+        valid.extend([text(kind.min_length), text(max_length)]);
+        invalid.extend([text(kind.min_length - 1), text(max_length + 1)]);
     }
-    (good, bad)
+    (valid, invalid)
 }
 
-/// One element with the required attributes of its shape, and one attribute set.
-fn element(schema: &Schema, path: &str, shape: &ElementType, set: Option<(&str, &str)>) -> String {
+/// Returns a document with one element that has its required attributes, and optionally one attribute set to
+/// a value.
+fn element(schema: &Schema, path: &str, element_type: &ElementType, set: Option<(&str, &str)>) -> String {
     let (outer, name) = path.split_once('/').unwrap_or(("", path));
-    let required =
-        shape.attributes.iter().filter(|(n, a)| a.is_required && set.is_none_or(|(s, _)| s != n.as_str()));
-    let mut all: Vec<(String, String)> =
-        required.map(|(n, a)| (n.clone(), edges(&schema.simple_types[&a.type_name]).0.remove(0))).collect();
+    let required = element_type
+        .attributes
+        .iter()
+        .filter(|(n, a)| a.is_required && set.is_none_or(|(s, _)| s != n.as_str()));
+    let mut all: Vec<(String, String)> = required
+        .map(|(n, a)| (n.clone(), boundary_values(&schema.simple_types[&a.type_name]).0.remove(0)))
+        .collect();
     all.extend(set.map(|(n, v)| (n.to_string(), v.to_string())));
     let attributes: String = all.iter().map(|(n, v)| format!(" {n}=\"{v}\"")).collect();
     let inner = format!("<{name}{attributes}/>");
-    let Some(around) = schema.root_type.children.get(outer) else {
+    let Some(outer_element) = schema.root_type.children.get(outer) else {
         return format!("<wharfplank>{inner}</wharfplank>");
     };
-    // An element within another one: the outer one has its required attributes.
-    let whole = element(schema, outer, &around.element_type, None);
-    whole.replace("/></wharfplank>", &format!(">{inner}</{outer}></wharfplank>"))
+    // The element is nested in another one, which has its required attributes.
+    let document = element(schema, outer, &outer_element.element_type, None);
+    document.replace("/></wharfplank>", &format!(">{inner}</{outer}></wharfplank>"))
 }
 
-/// Guards against a schema, a reader and an example that drift apart: every attribute of the schema is read at the
-/// edges of its type and refused past them, its default is the reader's, and the example holds each of them.
+/// Guards against a schema, a parser and an example that diverge: every attribute of the schema is accepted
+/// at the boundaries of its type and rejected outside of them, the defaults of schema and parser agree, and
+/// the example contains each attribute.
 #[test]
 fn schema_reader_and_example_agree() {
     let schema = Schema::parse(SCHEMA).unwrap();
@@ -66,52 +76,58 @@
         let inner = child.element_type.children.iter();
         inner.map(move |(name, child)| (format!("{outer}/{name}"), &child.element_type))
     });
-    for (name, shape) in &outer.chain(inner).collect::<Vec<_>>() {
-        let plain = parse(&element(&schema, name, shape, None)).unwrap();
-        let shown = name.split('/').try_fold(&example, |at, name| at.child(name));
-        let shown = shown.unwrap_or_else(|| panic!("the example has no {name}"));
-        for (attribute, of) in &shape.attributes {
-            assert!(shown.attribute(attribute).is_some(), "the example has no {name}/@{attribute}");
-            let (good, bad) = edges(&schema.simple_types[&of.type_name]);
-            let set = |value: &str| parse(&element(&schema, name, shape, Some((attribute, value))));
-            for value in good {
-                // Reading what the schema takes must not fail, and must not be lost: another value reads otherwise.
+    for (name, element_type) in &outer.chain(inner).collect::<Vec<_>>() {
+        let required_only = parse(&element(&schema, name, element_type, None)).unwrap();
+        let example_element = name.split('/').try_fold(&example, |at, name| at.child(name));
+        let example_element = example_element.unwrap_or_else(|| panic!("the example has no {name}"));
+        for (attribute, definition) in &element_type.attributes {
+            assert!(example_element.attribute(attribute).is_some(), "the example has no {name}/@{attribute}");
+            let (valid, invalid) = boundary_values(&schema.simple_types[&definition.type_name]);
+            let set = |value: &str| parse(&element(&schema, name, element_type, Some((attribute, value))));
+            for value in valid {
+                // A value that the schema accepts must be parsed and must not be lost: a value other than the
+                // default changes the result.
                 let read = set(&value).unwrap_or_else(|f| panic!("{name}/@{attribute}='{value}': {f:?}"));
-                let same = of.default.as_deref() == Some(&*value) || (of.is_required && read == plain);
-                assert_eq!(read == plain, same, "{name}/@{attribute}='{value}' is not read");
+                let is_unchanged = definition.default.as_deref() == Some(&*value)
+                    || (definition.is_required && read == required_only);
+                assert_eq!(read == required_only, is_unchanged, "{name}/@{attribute}='{value}' is ignored");
             }
-            for value in bad {
-                assert!(set(&value).is_err(), "{name}/@{attribute}='{value}' is taken");
+            for value in invalid {
+                assert!(set(&value).is_err(), "{name}/@{attribute}='{value}' is accepted");
             }
-            if let Some(default) = &of.default {
-                assert_eq!(set(default), Ok(plain.clone()), "{name}/@{attribute}: the default differs");
+            if let Some(default) = &definition.default {
+                assert_eq!(
+                    set(default),
+                    Ok(required_only.clone()),
+                    "{name}/@{attribute}: the default differs"
+                );
             }
         }
     }
 }
 
-/// Guards against a file that is read in part, and against faults that come one at a time.
+/// Guards against a file that is accepted in part, and against faults that are reported one at a time.
 #[test]
-fn all_faults_are_named_with_their_lines() {
+fn all_faults_are_reported_with_their_lines() {
     let text = "<wharfplank>\n  <log format='xml'\n       colour='red'/>\n  <records queue='1'/>\n  <nothing/>\n</wharfplank>";
     let faults = parse(text).unwrap_err();
     assert_eq!(
         faults.iter().map(|f| f.to_string()).collect::<Vec<_>>(),
         [
-            "line 2: wharfplank/log/@format: 'xml' cannot be; allowed is one of text, json",
-            "line 2: wharfplank/log/@colour: is no attribute of it; allowed are format, level",
-            "line 4: wharfplank/records/@queue: '1' cannot be; allowed is a whole number from 16 to 1048576",
-            "line 4: wharfplank/records/@directory: is missing; allowed is text of 1 to 4096 characters",
-            "line 4: wharfplank/records/@proxy: is missing; allowed is text of 1 to 64 characters",
-            "line 5: wharfplank/nothing: is no element of it; allowed are budgets, health, log, missing, peers, records, release, replica",
+            "line 2: wharfplank/log/@format: invalid value 'xml'; expected one of text, json",
+            "line 2: wharfplank/log/@colour: unknown attribute; expected one of format, level",
+            "line 4: wharfplank/records/@queue: invalid value '1'; expected a whole number from 16 to 1048576",
+            "line 4: wharfplank/records/@directory: required attribute is missing; expected text of 1 to 4096 characters",
+            "line 4: wharfplank/records/@proxy: required attribute is missing; expected text of 1 to 64 characters",
+            "line 5: wharfplank/nothing: unknown element; expected one of budgets, health, log, missing, peers, records, release, replica",
         ]
     );
     let text = "<wharfplank>\n<peers listen='127.0.0.1' seeds='1.2.3.4:5  6.7.8.9:10'/>\n</wharfplank>";
     assert_eq!(
         parse(text).unwrap_err().iter().map(|f| f.to_string()).collect::<Vec<_>>(),
         [
-            "line 2: wharfplank/peers/@listen: '127.0.0.1' cannot be; allowed is an IPv4 address and a port, as 127.0.0.1:7001",
-            "line 2: wharfplank/peers/@seeds: '1.2.3.4:5  6.7.8.9:10' cannot be; allowed is 1 to 64 IPv4 addresses with ports, apart by single spaces",
+            "line 2: wharfplank/peers/@listen: invalid value '127.0.0.1'; expected an IPv4 address and a port, as 127.0.0.1:7001",
+            "line 2: wharfplank/peers/@seeds: invalid value '1.2.3.4:5  6.7.8.9:10'; expected 1 to 64 IPv4 addresses with ports, apart by single spaces",
         ]
     );
     let text =
@@ -119,29 +135,29 @@
     assert_eq!(
         parse(text).unwrap_err().iter().map(|f| f.to_string()).collect::<Vec<_>>(),
         [
-            "line 2: wharfplank/budgets/@banks: 'x' cannot be; allowed is none, or 1 to 9 IPv4 addresses with ports, apart by single spaces",
-            "line 2: wharfplank/budgets/@even: '101' cannot be; allowed is a whole number from 0 to 100",
-            "line 2: wharfplank/budgets/@tenants: '3:5' cannot be; allowed is none, or 1 to 256 groups with their requests a second, as 3=200, apart by single spaces",
+            "line 2: wharfplank/budgets/@banks: invalid value 'x'; expected none, or 1 to 9 IPv4 addresses with ports, apart by single spaces",
+            "line 2: wharfplank/budgets/@even: invalid value '101'; expected a whole number from 0 to 100",
+            "line 2: wharfplank/budgets/@tenants: invalid value '3:5'; expected none, or 1 to 256 groups with their requests a second, as 3=200, apart by single spaces",
         ]
     );
-    assert_eq!(places("<wharfplank><log/><log/></wharfplank>"), [(1, "wharfplank/log".to_string())]);
-    assert_eq!(places("<wharfplank>\nsome text</wharfplank>"), [(1, "wharfplank".to_string())]);
-    assert_eq!(places("<other/>"), [(1, "other".to_string())]);
+    assert_eq!(fault_places("<wharfplank><log/><log/></wharfplank>"), [(1, "wharfplank/log".to_string())]);
+    assert_eq!(fault_places("<wharfplank>\nsome text</wharfplank>"), [(1, "wharfplank".to_string())]);
+    assert_eq!(fault_places("<other/>"), [(1, "other".to_string())]);
 }
 
-/// Guards against what is not XML, or is made to be read for ever.
+/// Guards against files that are not well-formed, and against files built to exhaust the parser.
 #[test]
-fn broken_files_are_named() {
-    let deep = "<a>".repeat(40);
-    let long = " ".repeat(2_000_000);
+fn malformed_files_are_rejected() {
+    let deeply_nested = "<a>".repeat(40);
+    let too_long = " ".repeat(2_000_000);
     let cases = [
         "",
         "<wharfplank>",
         "<wharfplank",
         "<wharfplank></log>",
         "<!DOCTYPE a []><wharfplank/>",
-        &deep,
-        &long,
+        &deeply_nested,
+        &too_long,
     ];
     for text in cases {
         assert_eq!(parse(text).map_err(|faults| faults.len()), Err(1), "{}", &text[..text.len().min(40)]);
@@ -149,46 +165,46 @@
     assert_eq!(parse("<wharfplank/>"), Ok(Settings::default()));
 }
 
-/// Guards against settings of a release whose parts do not fit each other: a bank without a ledger, a rank that nobody
-/// has, and members that are one.
+/// Guards against inconsistent settings of a rollout: a permit server without a ledger, a rank beyond the
+/// number of proxies, and duplicate members.
 #[test]
-fn a_release_is_checked_as_a_whole() {
+fn rollout_settings_are_checked_for_consistency() {
     let member = |name: &str, port: u32| {
         format!("  <member name='{name}' group='0' zone='a' agent='127.0.0.1:{port}'/>\n")
     };
-    let text = |head: &str, members: &str| {
-        format!("<wharfplank>\n<release listen='127.0.0.1:1' {head}>\n  <proxy address='127.0.0.1:1'/>\n{members}</release></wharfplank>")
+    let text = |attributes: &str, members: &str| {
+        format!("<wharfplank>\n<release listen='127.0.0.1:1' {attributes}>\n  <proxy address='127.0.0.1:1'/>\n{members}</release></wharfplank>")
     };
     let faults = |text: &str| -> Vec<String> {
-        consistency_faults(text, &parse(text).expect("each value may be"))
+        consistency_faults(text, &parse(text).expect("each value is valid"))
             .iter()
             .map(|f| f.to_string())
             .collect()
     };
-    let good = text("rank='1' banks='1' ledger='l'", &(member("m0", 2) + &member("m1", 3)));
-    assert_eq!(faults(&good), Vec::<String>::new());
+    let valid = text("rank='1' banks='1' ledger='l'", &(member("m0", 2) + &member("m1", 3)));
+    assert_eq!(faults(&valid), Vec::<String>::new());
     assert_eq!(
         faults(&text("rank='2' banks='3'", "")),
         [
-            "line 2: wharfplank/release/@rank: '2' cannot be; allowed is 1 to the number of <proxy> elements, 1",
-            "line 2: wharfplank/release/@banks: '3' cannot be; allowed is 1 to the number of <proxy> elements, 1",
-            "line 2: wharfplank/release/@ledger: 'no' cannot be: rank 2 is a bank; allowed is a file's path",
-            "line 2: wharfplank/release/member: 0 elements; allowed are 1 to 1500",
+            "line 2: wharfplank/release/@rank: invalid value '2'; expected 1 to 1, the number of <proxy> elements",
+            "line 2: wharfplank/release/@banks: invalid value '3'; expected 1 to 1, the number of <proxy> elements",
+            "line 2: wharfplank/release/@ledger: invalid value 'no': the proxy of rank 2 is a permit server; expected a file path",
+            "line 2: wharfplank/release/member: 0 elements; expected 1 to 1500",
         ]
     );
     assert_eq!(
         faults(&text("rank='1' banks='1' ledger='l'", &(member("m0", 2) + &member("m0", 2) + &member("m1", 1)))),
         [
-            "line 5: wharfplank/release/member/@name: 'm0' is there twice; once is allowed",
-            "line 5: wharfplank/release/member/@agent: '127.0.0.1:2' is another's; allowed is an address of its own",
-            "line 6: wharfplank/release/member/@agent: '127.0.0.1:1' is another's; allowed is an address of its own",
+            "line 5: wharfplank/release/member/@name: duplicate name 'm0'",
+            "line 5: wharfplank/release/member/@agent: address '127.0.0.1:2' is already used by another member or a proxy",
+            "line 6: wharfplank/release/member/@agent: address '127.0.0.1:1' is already used by another member or a proxy",
         ]
     );
 }
 
-/// Guards against banks that are gone but were none, or are all gone.
+/// Guards against removed allocators that are not in the list, and against the removal of all allocators.
 #[test]
-fn faults_of_banks_are_named_with_their_line() {
+fn allocator_faults_are_reported_with_their_line() {
     let fault = |banks: &str, gone: &str| {
         let file = std::env::temp_dir().join(format!("wharfplank-settings-{}.xml", std::process::id()));
         let text = format!(
@@ -204,7 +220,7 @@
     assert_eq!(fault("10.0.0.1:1 10.0.0.2:1", "10.0.0.2:1"), None);
     assert!(fault("10.0.0.1:1", "10.0.0.2:1")
         .unwrap()
-        .contains("line 2: wharfplank/budgets: '10.0.0.2:1' cannot"));
-    assert!(fault("10.0.0.1:1", "10.0.0.1:1").unwrap().contains("all banks are gone"));
-    assert!(fault("10.0.0.1:1 10.0.0.1:1", "none").unwrap().contains("named twice"));
+        .contains("line 2: wharfplank/budgets: '10.0.0.2:1' in @gone is not listed"));
+    assert!(fault("10.0.0.1:1", "10.0.0.1:1").unwrap().contains("@gone lists all allocators"));
+    assert!(fault("10.0.0.1:1 10.0.0.1:1", "none").unwrap().contains("listed more than once in @banks"));
 }
