--- a/crates/settings/tests/settings_file.rs
+++ b/crates/settings/tests/settings_file.rs
@@ -29,23 +29,23 @@
     } else if !kind.values.is_empty() {
         invalid.extend(["other".to_string(), String::new()]);
     } else if kind.is_integer {
-        let (min, max) = (kind.min.expect("a bound"), kind.max.expect("a bound"));
-        valid.extend([min, max].map(|n| n.to_string()));
-        invalid.extend([min - 1, max + 1].map(|n| n.to_string()));
+        let (min_value, max_value) = (kind.min.expect("a bound"), kind.max.expect("a bound"));
+        valid.extend([min_value, max_value].map(|n| n.to_string()));
+        invalid.extend([min_value - 1, max_value + 1].map(|n| n.to_string()));
         invalid.extend([String::new(), "1.5".to_string(), "ten".to_string()]);
     } else {
-        let max_length = kind.max_length.expect("a bound");
-        valid.extend([text(kind.min_length), text(max_length)]);
-        invalid.extend([text(kind.min_length - 1), text(max_length + 1)]);
+        let max_chars = kind.max_length.expect("a bound");
+        valid.extend([text(kind.min_length), text(max_chars)]);
+        invalid.extend([text(kind.min_length - 1), text(max_chars + 1)]);
     }
     (valid, invalid)
 }
 
 /// Returns a document with one element that has its required attributes, and optionally one attribute set to
 /// a value.
-fn element(schema: &Schema, path: &str, element_type: &ElementType, set: Option<(&str, &str)>) -> String {
+fn element(schema: &Schema, path: &str, tested_type: &ElementType, set: Option<(&str, &str)>) -> String {
     let (outer, name) = path.split_once('/').unwrap_or(("", path));
-    let required = element_type
+    let required = tested_type
         .attributes
         .iter()
         .filter(|(n, a)| a.is_required && set.is_none_or(|(s, _)| s != n.as_str()));
@@ -76,14 +76,14 @@
         let inner = child.element_type.children.iter();
         inner.map(move |(name, child)| (format!("{outer}/{name}"), &child.element_type))
     });
-    for (name, element_type) in &outer.chain(inner).collect::<Vec<_>>() {
-        let required_only = parse(&element(&schema, name, element_type, None)).unwrap();
+    for (name, tested_type) in &outer.chain(inner).collect::<Vec<_>>() {
+        let required_only = parse(&element(&schema, name, tested_type, None)).unwrap();
         let example_element = name.split('/').try_fold(&example, |at, name| at.child(name));
         let example_element = example_element.unwrap_or_else(|| panic!("the example has no {name}"));
-        for (attribute, definition) in &element_type.attributes {
+        for (attribute, definition) in &tested_type.attributes {
             assert!(example_element.attribute(attribute).is_some(), "the example has no {name}/@{attribute}");
             let (valid, invalid) = boundary_values(&schema.simple_types[&definition.type_name]);
-            let set = |value: &str| parse(&element(&schema, name, element_type, Some((attribute, value))));
+            let set = |value: &str| parse(&element(&schema, name, tested_type, Some((attribute, value))));
             for value in valid {
                 // A value that the schema accepts must be parsed and must not be lost: a value other than the
                 // default changes the result.
@@ -172,8 +172,8 @@
     let member = |name: &str, port: u32| {
         format!("  <member name='{name}' group='0' zone='a' agent='127.0.0.1:{port}'/>\n")
     };
-    let text = |attributes: &str, members: &str| {
-        format!("<wharfplank>\n<release listen='127.0.0.1:1' {attributes}>\n  <proxy address='127.0.0.1:1'/>\n{members}</release></wharfplank>")
+    let text = |extra_attributes: &str, members: &str| {
+        format!("<wharfplank>\n<release listen='127.0.0.1:1' {extra_attributes}>\n  <proxy address='127.0.0.1:1'/>\n{members}</release></wharfplank>")
     };
     let faults = |text: &str| -> Vec<String> {
         consistency_faults(text, &parse(text).expect("each value is valid"))
