--- a/crates/proxy/src/gossip/config.rs
+++ b/crates/proxy/src/gossip/config.rs
@@ -36,8 +36,8 @@
 
 pub(super) fn isolation_policy(settings: &GossipSettings) -> IsolationPolicy {
     match settings.in_minority {
-        MinorityBehavior::Serve => IsolationPolicy::KeepServing,
-        MinorityBehavior::Own => IsolationPolicy::FollowOwnVote,
+        MinorityBehavior::KeepServing => IsolationPolicy::KeepServing,
+        MinorityBehavior::FollowOwnVote => IsolationPolicy::FollowOwnVote,
     }
 }
 
--- a/crates/settings/src/gossip.rs
+++ b/crates/settings/src/gossip.rs
@@ -46,9 +46,11 @@
 pub enum MinorityBehavior {
     /// It does not fail over from any zone, like a proxy without peers.
     #[default]
-    Serve,
+    #[serde(rename = "serve")]
+    KeepServing,
     /// It decides on failovers from its own view of the zones.
-    Own,
+    #[serde(rename = "own")]
+    FollowOwnVote,
 }
 
 impl GossipSettings {
