--- a/crates/health/src/detector.rs
+++ b/crates/health/src/detector.rs
@@ -7,7 +7,7 @@
 //! reporters have enough samples to report, a single false report would be a fifth to a third of them, so the
 //! worst report is dropped.
 
-use crate::ejection::{EjectionLimit, Verdict, DEGRADED_LATENCY_FACTOR, OUT_LATENCY_FACTOR};
+use crate::ejection::{EjectionLimit, Verdict, DEGRADED_LATENCY_FACTOR, UNHEALTHY_LATENCY_FACTOR};
 use crate::median::WeightedScore;
 use crate::observation::HealthObservation;
 use crate::observation_log::MIN_SAMPLES;
@@ -149,14 +149,14 @@
         let reports = self.current_reports(now, observations);
         let unreliable = self.unreliable_reporters(&reports);
         let max_ejected = (self.members.len() / MAX_EJECTED_DIVISOR).max(1);
-        let mut ejected = self.members.values().filter(|member| !member.ejection.is_sound()).count();
+        let mut ejected = self.members.values().filter(|member| !member.ejection.is_healthy()).count();
         let mut has_changed = false;
         for (id, member) in &mut self.members {
             let scores = reliable_scores(reports.get(id), &unreliable);
             let limit = if ejected < max_ejected { EjectionLimit::Available } else { EjectionLimit::Reached };
-            let was_healthy = member.ejection.is_sound();
+            let was_healthy = member.ejection.is_healthy();
             has_changed |= member.evaluate(now, scores, limit);
-            if was_healthy && !member.ejection.is_sound() {
+            if was_healthy && !member.ejection.is_healthy() {
                 ejected += 1;
             }
         }
@@ -214,7 +214,7 @@
 
     /// Returns the fleet's verdict on a member.
     pub fn verdict(&self, member: u64) -> Verdict {
-        self.members.get(&member).map_or(Verdict::Sound, |member| member.ejection.verdict())
+        self.members.get(&member).map_or(Verdict::Healthy, |member| member.ejection.verdict())
     }
 
     /// Returns the score of a member at the last evaluation.
@@ -232,9 +232,9 @@
         let mut factors = Vec::new();
         for (id, member) in &self.members {
             let factor = match member.ejection.verdict() {
-                Verdict::Sound => continue,
+                Verdict::Healthy => continue,
                 Verdict::Degraded => DEGRADED_LATENCY_FACTOR,
-                Verdict::Out => OUT_LATENCY_FACTOR,
+                Verdict::Unhealthy => UNHEALTHY_LATENCY_FACTOR,
             };
             if !self.uses_on_probation(*id, member) {
                 factors.push((*id, factor));
--- a/crates/health/src/ejection.rs
+++ b/crates/health/src/ejection.rs
@@ -31,26 +31,27 @@
 /// other member can serve.
 pub const DEGRADED_LATENCY_FACTOR: f64 = 3.0;
 /// The factor by which the router multiplies the latency of an unhealthy member, so that it is not used.
-pub const OUT_LATENCY_FACTOR: f64 = f64::INFINITY;
+pub const UNHEALTHY_LATENCY_FACTOR: f64 = f64::INFINITY;
 
 /// The fleet's verdict on a member, ordered by severity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
     /// There is no evidence against the member.
     #[default]
-    Sound,
+    Healthy,
     /// Its latency is at least about twice the baseline; reads prefer other members.
     Degraded,
     /// It fails or does not answer; it is not used except on probation.
-    Out,
+    Unhealthy,
 }
 
+/// Writes the code of the verdict that is used in the log.
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Verdict::Sound => "sound",
+            Verdict::Healthy => "sound",
             Verdict::Degraded => "degraded",
-            Verdict::Out => "out",
+            Verdict::Unhealthy => "out",
         })
     }
 }
@@ -58,9 +59,9 @@
 impl Verdict {
     fn of_score(score: Option<f64>) -> Verdict {
         match score {
-            Some(score) if score >= UNHEALTHY_SCORE => Verdict::Out,
+            Some(score) if score >= UNHEALTHY_SCORE => Verdict::Unhealthy,
             Some(score) if score >= DEGRADED_SCORE => Verdict::Degraded,
-            _ => Verdict::Sound,
+            _ => Verdict::Healthy,
         }
     }
 }
@@ -92,7 +93,7 @@
 impl Default for EjectionState {
     fn default() -> Self {
         EjectionState {
-            verdict: Verdict::Sound,
+            verdict: Verdict::Healthy,
             streak: 0,
             ramp_step: 0,
             step_began_at: 0,
@@ -109,13 +110,13 @@
     }
 
     /// Returns whether the verdict is healthy.
-    pub fn is_sound(&self) -> bool {
-        self.verdict == Verdict::Sound
+    pub fn is_healthy(&self) -> bool {
+        self.verdict == Verdict::Healthy
     }
 
     /// Returns the fraction of the proxies that use the member as if it were healthy.
     pub fn usage_fraction(&self) -> f64 {
-        if self.is_sound() {
+        if self.is_healthy() {
             1.0
         } else {
             RAMP[self.ramp_step]
@@ -124,7 +125,7 @@
 
     /// Returns whether some proxies use the member as if it were healthy, to test whether it has recovered.
     pub fn is_on_probation(&self) -> bool {
-        !self.is_sound() && self.ramp_step > 0
+        !self.is_healthy() && self.ramp_step > 0
     }
 
     /// Updates the state with the current score, or none if there are too few observations. Returns whether
@@ -132,9 +133,9 @@
     pub fn evaluate(&mut self, now: Micros, score: Option<f64>, limit: EjectionLimit) -> bool {
         let before = (self.verdict, self.ramp_step);
         let indicated = Verdict::of_score(score);
-        self.streak = if indicated == Verdict::Sound { 0 } else { self.streak + 1 };
+        self.streak = if indicated == Verdict::Healthy { 0 } else { self.streak + 1 };
         let is_consistent = self.streak >= MIN_STREAK;
-        if self.is_sound() {
+        if self.is_healthy() {
             if is_consistent && limit == EjectionLimit::Available {
                 self.eject(now, indicated);
             }
@@ -188,7 +189,7 @@
         self.ramp_step += 1;
         self.step_began_at = now;
         if self.ramp_step >= RAMP.len() {
-            self.verdict = Verdict::Sound;
+            self.verdict = Verdict::Healthy;
             self.ramp_step = 0;
             self.recovered_at = now;
         }
--- a/crates/health/src/lib.rs
+++ b/crates/health/src/lib.rs
@@ -54,7 +54,9 @@
 pub use detector::{
     MemberScore, OutlierDetector, ReportedObservation, TooManyMembers, EVALUATION_INTERVAL, MAX_MEMBERS,
 };
-pub use ejection::{EjectionLimit, EjectionState, Verdict, DEGRADED_LATENCY_FACTOR, OUT_LATENCY_FACTOR};
+pub use ejection::{
+    EjectionLimit, EjectionState, Verdict, DEGRADED_LATENCY_FACTOR, UNHEALTHY_LATENCY_FACTOR,
+};
 pub use median::{weighted_median, WeightedScore};
 pub use monitor::HealthMonitor;
 pub use observation::{HealthObservation, Outcome, QUESTIONABLE_SCORE};
--- a/crates/health/src/tracked_member.rs
+++ b/crates/health/src/tracked_member.rs
@@ -50,7 +50,7 @@
     /// Returns whether its reporters should publish their observations: one of them reports it as bad, or it
     /// is not healthy.
     pub(crate) fn is_in_question(&self) -> bool {
-        self.in_question_since.is_some() || !self.ejection.is_sound()
+        self.in_question_since.is_some() || !self.ejection.is_healthy()
     }
 
     /// Evaluates the current reports. Returns whether the verdict or the step of the recovery ramp changed.
@@ -67,7 +67,7 @@
         self.score = self.combine(reports, is_complete);
         let has_settled =
             is_complete || self.in_question_since.is_some_and(|since| now - since >= SETTLING_TIME);
-        let is_premature = !has_settled && self.ejection.is_sound();
+        let is_premature = !has_settled && self.ejection.is_healthy();
         self.ejection.evaluate(now, self.score.filter(|_| !is_premature), limit)
     }
 
--- a/crates/health/tests/common/mod.rs
+++ b/crates/health/tests/common/mod.rs
@@ -198,7 +198,7 @@
 
     /// Returns the number of proxies whose verdict on a member is not healthy.
     pub fn flagging_proxies(&self, member: u64) -> usize {
-        self.proxies.iter().filter(|proxy| proxy.verdict(member) != Verdict::Sound).count()
+        self.proxies.iter().filter(|proxy| proxy.verdict(member) != Verdict::Healthy).count()
     }
 
     /// Returns the number of members, except this one, on which the verdict of any proxy is not healthy.
--- a/crates/health/tests/faults.rs
+++ b/crates/health/tests/faults.rs
@@ -24,7 +24,7 @@
         assert!(fleet
             .proxies
             .iter()
-            .all(|proxy| proxy.verdict(5) == Verdict::Out && proxy.verdict(2) == Verdict::Degraded));
+            .all(|proxy| proxy.verdict(5) == Verdict::Unhealthy && proxy.verdict(2) == Verdict::Degraded));
         fleet.member_latency_factors[2] = 1.0;
         fleet.run(20 * SECOND, |_| {});
         assert_eq!(
@@ -119,19 +119,19 @@
     };
     assert_eq!(
         evaluated(7, observed(7, now)).verdict(0),
-        Verdict::Out,
+        Verdict::Unhealthy,
         "a recent observation of this incarnation counts"
     );
-    assert_eq!(evaluated(8, observed(7, now)).verdict(0), Verdict::Sound, "of the previous incarnation");
-    assert_eq!(evaluated(7, observed(7, now - 10 * SECOND)).verdict(0), Verdict::Sound, "too old");
+    assert_eq!(evaluated(8, observed(7, now)).verdict(0), Verdict::Healthy, "of the previous incarnation");
+    assert_eq!(evaluated(7, observed(7, now - 10 * SECOND)).verdict(0), Verdict::Healthy, "too old");
     assert_eq!(
         evaluated(7, observed(7, now + 10 * SECOND)).verdict(0),
-        Verdict::Sound,
+        Verdict::Healthy,
         "further in the future than clocks may differ"
     );
     let mut monitor = evaluated(7, observed(7, now));
     monitor.track_member(0, 0, 9);
-    assert_eq!(monitor.verdict(0), Verdict::Sound, "the verdict of the previous incarnation was kept");
+    assert_eq!(monitor.verdict(0), Verdict::Healthy, "the verdict of the previous incarnation was kept");
     // This proxy's own observations of the previous incarnation do not count for the new one either.
     (0..40).for_each(|_| monitor.record(now, 1, Outcome::Unreachable));
     assert!(monitor.log().observations(now).contains_key(&1));
--- a/crates/health/tests/sparse_traffic.rs
+++ b/crates/health/tests/sparse_traffic.rs
@@ -26,7 +26,7 @@
             let mut flagged = [false; 7];
             fleet.run(11 * SECOND, |f| {
                 for (flagged, proxy) in flagged.iter_mut().zip(&f.proxies) {
-                    *flagged |= proxy.verdict(0) != Verdict::Sound;
+                    *flagged |= proxy.verdict(0) != Verdict::Healthy;
                 }
                 assert_eq!(f.wrongly_flagged_members(Some(0)), 0);
             });
--- a/crates/shared-state/tests/health.rs
+++ b/crates/shared-state/tests/health.rs
@@ -105,7 +105,7 @@
                 .get(&SLOW_MEMBER)
                 .is_some_and(|seen| seen.score() >= QUESTIONABLE_SCORE)
         };
-        let is_degraded = |h: &HealthMonitor, m: u64| h.verdict(m) != Verdict::Sound;
+        let is_degraded = |h: &HealthMonitor, m: u64| h.verdict(m) != Verdict::Healthy;
         let false_verdicts = (0..MEMBERS)
             .filter(|m| *m != SLOW_MEMBER)
             .map(|m| all().filter(|h| is_degraded(h, m)).count())
