--- a/crates/proxy/src/gossip/config.rs
+++ b/crates/proxy/src/gossip/config.rs
@@ -36,8 +36,8 @@
 
 pub(super) fn isolation_policy(settings: &GossipSettings) -> IsolationPolicy {
     match settings.in_minority {
-        MinorityBehavior::KeepServing => IsolationPolicy::KeepServing,
-        MinorityBehavior::FollowOwnVote => IsolationPolicy::FollowOwnVote,
+        MinorityBehavior::NoFailover => IsolationPolicy::KeepServing,
+        MinorityBehavior::OwnView => IsolationPolicy::FollowOwnVote,
     }
 }
 
--- a/crates/settings/src/gossip.rs
+++ b/crates/settings/src/gossip.rs
@@ -47,10 +47,10 @@
     /// It does not fail over from any zone, like a proxy without peers.
     #[default]
     #[serde(rename = "serve")]
-    KeepServing,
+    NoFailover,
     /// It decides on failovers from its own view of the zones.
     #[serde(rename = "own")]
-    FollowOwnVote,
+    OwnView,
 }
 
 impl GossipSettings {
