--- a/crates/transport/src/client_connection.rs
+++ b/crates/transport/src/client_connection.rs
@@ -1,11 +1,11 @@
-//! One client connection: it reads commands, hands their requests to the broker at once, and writes the responses in
-//! the order of the commands.
+//! Client connections. A connection reads commands, sends their requests to the broker immediately and writes
+//! the responses in the order of the commands.
 //!
-//! - `commands`: from commands to requests.
-//! - `input` and `arrival_times`: what is read, and when.
-//! - `output` and `streaming`: what is written, in whole responses and in streamed ones.
-//! - `wait`: what a connection waits for in between, and the time limits.
-//! - [`ResponseWriter`]: the responses of one connection, between the broker and the connection.
+//! - `commands`: parses commands and dispatches requests.
+//! - `input` and `arrival_times`: reads input and records when it arrived.
+//! - `output` and `streaming`: write complete and streamed responses.
+//! - `wait`: waits for the next event and enforces the time limits.
+//! - [`ResponseWriter`]: passes responses from the broker to the connection.
 
 mod arrival_times;
 mod cancel_keys;
@@ -30,9 +30,9 @@
 use streaming::ActiveStream;
 use wharfplank_protocol::client_session::ClientSession;
 
-/// The connection of one client.
+/// A connection to one client.
 pub(crate) struct ClientConnection {
-    /// Shared with its own writes, during which it is read all the same.
+    /// Shared because the connection also reads while a write is in progress.
     stream: Rc<TcpConnection>,
     session: ClientSession,
     state: Rc<ConnectionState>,
@@ -41,19 +41,19 @@
     /// Whether the startup is complete.
     started: bool,
     requests: u64,
-    /// Since when a message has been incomplete.
-    message_begun_at: Option<Instant>,
-    /// Since when nothing is open and nothing has been read.
+    /// When the first byte of the currently incomplete message was seen.
+    message_started_at: Option<Instant>,
+    /// When the connection became idle: no open command and no unprocessed input.
     idle_since: Option<Instant>,
     arrival_times: ArrivalTimes,
-    /// Bytes that were read and discarded behind the last command that is accepted.
+    /// The number of bytes read and discarded after the last accepted command.
     discarded: usize,
-    /// The streamed response whose turn it is.
+    /// The streamed response that is being written.
     active_stream: Option<ActiveStream>,
 }
 
 impl ClientConnection {
-    /// Wraps a stream that was just accepted.
+    /// Creates the connection of a stream that was just accepted.
     pub(crate) fn new(stream: TcpConnection, state: Rc<ConnectionState>, accepted_at: Instant) -> Self {
         let stream = Rc::new(stream);
         state.response_writer.attach_socket(&stream);
@@ -65,7 +65,7 @@
             accepted_at,
             started: false,
             requests: 0,
-            message_begun_at: None,
+            message_started_at: None,
             idle_since: None,
             arrival_times: ArrivalTimes::default(),
             discarded: 0,
@@ -73,12 +73,12 @@
         }
     }
 
-    /// The number of requests that the connection carried.
+    /// Returns the number of requests received on the connection.
     pub(crate) fn requests(&self) -> u64 {
         self.requests
     }
 
-    /// Serves the connection to its end, and returns why it ended. Requests that are open then are abandoned.
+    /// Serves the connection until it ends and returns the reason. Reports open requests as disconnected.
     pub(crate) async fn serve(&mut self, listener: &ClientListener) -> CloseReason {
         let _ = self.stream.get_ref().set_nodelay(true);
         let reason = self.serve_until_error(listener).await;
@@ -96,15 +96,15 @@
         }
     }
 
-    /// Handles the commands that have arrived, writes the responses that are ready, and waits if there were none.
+    /// Handles received commands and writes the responses that are ready; waits if there were no responses.
     async fn serve_once(&mut self, listener: &ClientListener) -> Result<(), CloseReason> {
-        // Listening begins before the state is looked at, so that no wake is lost.
-        let woken = self.response_writer.listen();
+        // Registers before checking any state, so that no notification is missed.
+        let notified = self.response_writer.listen();
         self.dispatch_commands(listener).await?;
         if self.write_responses(listener).await? {
-            // There may be room for a further command now.
+            // Written responses may have freed capacity for further commands.
             return Ok(());
         }
-        self.wait(listener, woken).await
+        self.wait(listener, notified).await
     }
 }
--- a/crates/transport/src/client_connection/close_reason.rs
+++ b/crates/transport/src/client_connection/close_reason.rs
@@ -1,46 +1,46 @@
-//! Why client connections end.
+//! Reasons for the end of client connections.
 
 use wharfplank_protocol::client_session::ProtocolViolation;
 
-/// Why a client connection ended. The log shows its code.
+/// The reason why a client connection ended; logged as its code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// The client ended it in due form.
+    /// The client sent a Terminate message.
     Terminated,
-    /// It carried a cancel request.
+    /// The connection carried a cancel request.
     CancelRequest,
-    /// The client broke the protocol.
+    /// The client violated the protocol.
     ProtocolViolation,
-    /// The process shuts down.
+    /// The process is shutting down.
     Shutdown,
     /// The client disconnected while a request was open.
     ClientGone,
     /// The client disconnected while no request was open.
     ClientClosed,
-    /// The connection broke.
+    /// The connection was reset.
     ClientReset,
-    /// The client did not take what was written to it.
+    /// The client did not read the output in time.
     ClientStalled,
-    /// It made room for others.
+    /// The connection was evicted to make room for another one.
     Evicted,
-    /// The startup did not arrive in time.
+    /// The startup message was not received in time.
     StartupTimeout,
-    /// A message did not arrive in time.
+    /// A message was not received completely in time.
     RequestTimeout,
-    /// It was idle for too long.
+    /// The connection exceeded the idle timeout.
     IdleTimeout,
-    /// The memory budget has no room for its message.
+    /// The message did not fit in the memory budget.
     OutOfMemory,
-    /// A streamed response was cut off.
+    /// A streamed response ended before it was complete.
     StreamCutOff,
-    /// There was no place for it.
+    /// The connection limit was reached.
     TooManyConnections,
-    /// The reason of this code that its pipeline gave.
+    /// The pipeline closed the connection with this reason code.
     Pipeline(&'static str),
 }
 
 impl CloseReason {
-    /// The code in the log.
+    /// Returns the code used in the log.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             CloseReason::Terminated => "terminated",
@@ -62,15 +62,15 @@
         }
     }
 
-    /// The error that the client is sent where the connection ends for this reason, if any.
+    /// Returns the error sent to the client when the connection ends for this reason, if any.
     pub(super) fn violation(self) -> Option<ProtocolViolation> {
-        let (code, what) = match self {
+        let (code, text) = match self {
             CloseReason::OutOfMemory => ("53200", "no memory for the message"),
             CloseReason::StartupTimeout | CloseReason::RequestTimeout => {
                 ("57P05", "nothing whole was asked in time")
             }
             _ => return None,
         };
-        Some(ProtocolViolation { code, message: what })
+        Some(ProtocolViolation { code, message: text })
     }
 }
--- a/crates/transport/src/client_connection/commands.rs
+++ b/crates/transport/src/client_connection/commands.rs
@@ -1,4 +1,4 @@
-//! From a client's commands to requests for the broker.
+//! Parsing of client commands and dispatch of their requests to the broker.
 
 use super::{ClientConnection, CloseReason};
 use crate::client_listener::ClientListener;
@@ -9,23 +9,23 @@
 use wharfplank_protocol::pipeline::RequestNumber;
 use wharfplank_protocol::request_comment::{self, RequestComment};
 
-/// What stands at the front of the input.
+/// The next item in the input.
 enum Input {
-    /// A command that is not complete, or nothing.
+    /// No complete command.
     Incomplete,
-    /// The startup is complete.
+    /// The startup message.
     Started,
-    /// A query with nothing in it.
+    /// An empty query.
     EmptyQuery,
-    /// A request that is to be handed to the broker.
+    /// A request to send to the broker.
     Request(Box<ClientRequest>, StatementLength),
-    /// A query that is no valid request, and why.
+    /// A query that is not a valid request, with the error message.
     InvalidRequest(&'static str),
-    /// The client ends the connection.
+    /// A request to end the connection.
     Terminate,
-    /// A cancel request. It names nothing if it is malformed.
+    /// A cancel request; without a key if it is malformed.
     Cancel(Option<CancelKey>),
-    /// The client broke the protocol.
+    /// A protocol violation by the client.
     ProtocolViolation(ProtocolViolation),
 }
 
@@ -33,17 +33,17 @@
 struct StatementLength(usize);
 
 impl ClientConnection {
-    /// Handles the commands that have arrived, as far as there is room for their responses.
+    /// Handles received commands while there is capacity for their responses.
     pub(super) async fn dispatch_commands(&mut self, listener: &ClientListener) -> Result<(), CloseReason> {
         while self.response_writer.has_capacity() {
             match self.next_input(listener) {
                 Input::Incomplete => {
-                    self.note_incomplete_message();
+                    self.track_incomplete_message();
                     return Ok(());
                 }
                 Input::Started => {
                     self.started = true;
-                    self.message_begun_at = None;
+                    self.message_started_at = None;
                 }
                 Input::EmptyQuery => {
                     self.on_command(listener);
@@ -53,11 +53,11 @@
                     self.on_command(listener);
                     self.dispatch_request(listener, request, length).await?;
                 }
-                Input::InvalidRequest(what) => {
+                Input::InvalidRequest(message) => {
                     self.on_command(listener);
-                    self.response_writer.push_malformed(what);
+                    self.response_writer.push_malformed(message);
                 }
-                // Earlier requests are answered first.
+                // The connection closes after the responses to earlier requests.
                 Input::Terminate => {
                     self.response_writer.end(CloseReason::Terminated, None);
                     break;
@@ -74,11 +74,11 @@
                 }
             }
         }
-        self.message_begun_at = None;
+        self.message_started_at = None;
         Ok(())
     }
 
-    /// Takes the next command from the input.
+    /// Parses the next command from the input.
     fn next_input(&mut self, listener: &ClientListener) -> Input {
         let arrived_at = self.front_command_arrival();
         match self.session.advance() {
@@ -109,27 +109,27 @@
         }
     }
 
-    /// When the last byte of the complete command at the front of the buffer arrived.
+    /// Returns when the last byte of the next complete command in the buffer arrived.
     fn front_command_arrival(&mut self) -> Option<Instant> {
         let length = self.session.next_command_bytes()?;
         let buffered = self.session.buffer.unread().len();
         self.arrival_times.arrival_of(buffered, length)
     }
 
-    /// Notes since when a message has been incomplete.
-    fn note_incomplete_message(&mut self) {
-        self.message_begun_at = match self.session.buffer.unread() {
+    /// Records when the current incomplete message started.
+    fn track_incomplete_message(&mut self) {
+        self.message_started_at = match self.session.buffer.unread() {
             [] => None,
-            _ => self.message_begun_at.or(Some(Instant::now())),
+            _ => self.message_started_at.or(Some(Instant::now())),
         };
     }
 
     fn on_command(&mut self, listener: &ClientListener) {
-        self.message_begun_at = None;
+        self.message_started_at = None;
         listener.on_command(&self.state);
     }
 
-    /// Reserves the place of the response, and hands the request to the broker.
+    /// Reserves the position of the response in the output order and sends the request to the broker.
     async fn dispatch_request(
         &mut self,
         listener: &ClientListener,
@@ -144,7 +144,7 @@
     }
 }
 
-/// The statement of a query. It outlives the read buffer: attempts begin and end while the next query is read.
+/// Returns a query's statement as a copy, since attempts outlive the query's bytes in the read buffer.
 fn statement(query: &str, comment: &RequestComment<'_>) -> Rc<Statement> {
     Rc::new(Statement::new(query.as_bytes().to_vec(), comment.deadline_range.clone()))
 }
--- a/crates/transport/src/client_connection/input.rs
+++ b/crates/transport/src/client_connection/input.rs
@@ -1,8 +1,8 @@
-//! What is read from a client, and how its disconnect is seen, also while no further command is accepted.
+//! Reading client input and detecting disconnects, even while no further commands are accepted.
 //!
-//! The end of a connection lies behind all that the client sent, so whoever reads nothing sees no end. A client that
-//! has disconnected must not be served on: whatever the connection waits for, it reads on as far as there is room, and
-//! past that it looks for the end without reading.
+//! The end of the stream is only seen after all preceding input was read, and requests of a disconnected
+//! client must not be processed any further. So the connection keeps reading while it waits for other things,
+//! as far as buffer space allows; beyond that it polls the socket for the disconnect without reading.
 
 use super::{ClientConnection, CloseReason};
 use async_io::Timer;
@@ -10,30 +10,33 @@
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::time::Duration;
 
-/// Bytes that are read ahead while no further command is accepted, whatever others hold.
+/// The read-ahead, in bytes, that is allowed regardless of the memory budget while no further commands are
+/// accepted.
 const READ_AHEAD_MIN: usize = 16 * 1024;
-/// Bytes that are read ahead where there is memory for them. Past that the client waits, and its disconnect is seen
-/// only by polling: it lies behind what it sent.
+/// The maximum read-ahead, in bytes, if the memory budget allows. Beyond it the client is not read, and its
+/// disconnect is detected only by polling, because unread input precedes it.
 const READ_AHEAD_MAX: usize = 2 * 1024 * 1024;
-/// The interval of polls for the disconnect of a client that is not read.
+/// The interval at which a client that is not being read is polled for a disconnect.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Bytes that are read and discarded behind the last command that is accepted.
+/// The maximum number of bytes that are read and discarded after the last accepted command.
 const MAX_DISCARDED: usize = 16 * 1024 * 1024;
-/// The most reads in a row, so that a client that sends without end lets others run.
+/// The maximum number of consecutive reads, so that a client that sends continuously does not starve other
+/// tasks.
 const MAX_READS_IN_A_ROW: usize = 32;
 
-/// Why a connection reads.
+/// The purpose of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadMode {
-    /// The next message is awaited. It may grow to its limit, and without memory for it the connection ends.
+    /// Waits for the next message, which may grow to the size limit. Without memory for it the connection
+    /// ends.
     Message,
-    /// Requests are open: input is read ahead as far as there is room for it.
+    /// Reads ahead while requests are open, as far as memory allows.
     Ahead,
 }
 
 impl ClientConnection {
-    /// Reads what has arrived, and returns the number of bytes; 0 stands for the client's disconnect. If nothing may
-    /// be read it waits for that alone.
+    /// Reads available input and returns the number of bytes, or 0 if the client disconnected. If nothing may
+    /// be read, waits for the disconnect only.
     pub(super) async fn read_available(&mut self, mode: ReadMode) -> Result<usize, CloseReason> {
         if self.response_writer.is_closing() {
             return self.discard_input().await;
@@ -42,7 +45,7 @@
             return self.poll_for_disconnect().await;
         }
         let count = self.read_once(mode).await?;
-        // The disconnect may have come right behind it: requests before it are not served then.
+        // A disconnect may follow directly; in that case the requests before it are not processed.
         for _ in 1..MAX_READS_IN_A_ROW {
             if count == 0 || !self.may_read(ReadMode::Ahead) {
                 break;
@@ -56,7 +59,7 @@
         Ok(count)
     }
 
-    /// Whether more may be read now.
+    /// Returns whether more input may be read now.
     fn may_read(&self, mode: ReadMode) -> bool {
         if mode == ReadMode::Message {
             return true;
@@ -66,12 +69,12 @@
         if buffered < READ_AHEAD_MIN {
             return true;
         }
-        // An incomplete message goes on growing behind open requests where there is memory for it.
+        // An incomplete message may exceed the limit behind open requests if memory allows.
         let below_limit = buffered < READ_AHEAD_MAX || self.session.next_command_bytes().is_none();
         below_limit && self.response_writer.available_memory() >= buffer.capacity()
     }
 
-    /// Waits for input and reads it. A lack of memory is an error only in [`ReadMode::Message`].
+    /// Waits for input and reads it. Exceeding the memory budget is an error only in [`ReadMode::Message`].
     async fn read_once(&mut self, mode: ReadMode) -> Result<usize, CloseReason> {
         if !self.reserve_read_buffer() && mode == ReadMode::Message {
             return Err(CloseReason::OutOfMemory);
@@ -82,7 +85,7 @@
         Ok(count)
     }
 
-    /// Reads what has already arrived; `None` if nothing has.
+    /// Reads input that has already arrived; returns `None` if there is none.
     fn try_read(&mut self) -> Result<Option<usize>, CloseReason> {
         self.reserve_read_buffer();
         let read = self.stream.try_read(self.session.buffer.spare());
@@ -91,7 +94,7 @@
         Ok(count)
     }
 
-    /// Makes room to read into, and reserves its memory. Returns false if the budget is exceeded.
+    /// Provides buffer space to read into and reserves its memory. Returns false if the budget is exceeded.
     fn reserve_read_buffer(&mut self) -> bool {
         self.session.buffer.spare();
         self.response_writer.read_buffer_size.set(self.session.buffer.capacity());
@@ -103,7 +106,7 @@
         self.arrival_times.record(count);
     }
 
-    /// Reads and discards what comes behind the last command that is accepted, up to the disconnect.
+    /// Reads and discards input after the last accepted command until the client disconnects.
     async fn discard_input(&mut self) -> Result<usize, CloseReason> {
         let buffered = self.session.buffer.unread().len();
         self.session.buffer.consume(buffered);
@@ -120,7 +123,7 @@
         self.poll_for_disconnect().await
     }
 
-    /// Waits for the disconnect of a client that is not read.
+    /// Polls for the disconnect of a client that is not being read.
     async fn poll_for_disconnect(&self) -> Result<usize, CloseReason> {
         const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
         loop {
--- a/crates/transport/src/client_connection/output.rs
+++ b/crates/transport/src/client_connection/output.rs
@@ -1,4 +1,4 @@
-//! What a connection writes: responses in the order of their commands.
+//! Writing of responses in the order of their commands.
 
 use super::input::ReadMode;
 use super::streaming::StreamProgress;
@@ -12,29 +12,29 @@
 use wharfplank_protocol::client_session::ProtocolViolation;
 use wharfplank_protocol::pipeline::{Closing, NextWrite};
 
-/// For how long a client may take nothing of what is written to it.
+/// The maximum time without write progress, after which the client counts as stalled.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a client may take to take one flush.
+/// The maximum duration of one flush.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long the connection is kept open after an error that ends it, while what the client still sends is discarded.
+/// The time a connection stays open after a fatal error while further input is discarded.
 const LINGER_TIME: Duration = Duration::from_millis(500);
-/// The size of responses that are gathered before they are written.
+/// The output size in bytes at which buffered responses are flushed.
 pub(super) const FLUSH_SIZE: usize = 64 * 1024;
 
-/// What happened while output was flushed.
+/// An event during a flush.
 enum FlushEvent {
-    /// So many bytes were written; 0 if the connection broke.
+    /// The number of bytes written; 0 if the connection was reset.
     Written(usize),
-    /// So many bytes were read; 0 if the client disconnected.
+    /// The number of bytes read; 0 if the client disconnected.
     Read(Result<usize, CloseReason>),
 }
 
 impl ClientConnection {
-    /// Writes the responses that are ready, in order. Returns whether there was any.
+    /// Writes the responses that are ready, in order. Returns whether there were any.
     ///
     /// # Errors
     ///
-    /// Returns why the connection ends.
+    /// Returns the reason why the connection ends.
     pub(super) async fn write_responses(&mut self, listener: &ClientListener) -> Result<bool, CloseReason> {
         let mut wrote = false;
         loop {
@@ -72,8 +72,9 @@
         Ok(wrote)
     }
 
-    /// Whether an empty query is answered. It waits until the process is ready. If that will not come, since the
-    /// process was asked to shut down before, it is answered for the sake of the commands behind it.
+    /// Returns whether empty queries are answered now. They wait until the process is ready. If the process
+    /// shuts down before it becomes ready, an empty query is answered only if further commands follow, so
+    /// that it does not block them.
     pub(super) fn answers_empty_queries(&self, listener: &ClientListener) -> bool {
         if listener.ready.get() {
             return true;
@@ -84,8 +85,8 @@
         has_more && listener.drain_phase.get() != DrainPhase::Serving
     }
 
-    /// Tells the client why the connection ends, and waits a little until that has arrived, unless many connections
-    /// do.
+    /// Sends a fatal error and waits briefly for its delivery, unless too many connections are already
+    /// waiting.
     pub(crate) async fn send_fatal(&mut self, listener: &ClientListener, violation: ProtocolViolation) {
         self.session.write_fatal(violation);
         let lingers = listener.may_linger();
@@ -93,7 +94,7 @@
             return;
         }
         if !lingers {
-            // At least what has arrived already is discarded.
+            // Discards at least the input that has already arrived.
             future::poll_once(self.linger()).await;
             return;
         }
@@ -102,25 +103,25 @@
         listener.lingering.set(listener.lingering.get() - 1);
     }
 
-    /// Discards what the client still sends, for a moment: a connection that is closed over unread bytes is reset, and
-    /// the error would be lost with it.
+    /// Discards input for up to [`LINGER_TIME`]. Closing a socket with unread input resets the connection,
+    /// and the client could lose the error message.
     async fn linger(&mut self) {
         let mut sink = [0; 4096];
         let discard = async { while matches!((&*self.stream).read(&mut sink).await, Ok(1..)) {} };
         with_deadline(Instant::now() + LINGER_TIME, discard).await;
     }
 
-    /// Writes all output, and reads meanwhile: a client that disconnects while it takes nothing must not leave
-    /// requests behind.
+    /// Writes all output and reads at the same time, so that the requests of a client that disconnects
+    /// without reading its responses are abandoned.
     pub(super) async fn flush(&mut self) -> Result<(), CloseReason> {
         if self.session.output.is_empty() {
             return Ok(());
         }
-        // Large responses are rare, so the memory of the output is not reused.
+        // The output buffer is not reused, since large responses are rare.
         let output = std::mem::take(&mut self.session.output);
         let stream = Rc::clone(&self.stream);
         let mut written = 0;
-        let mut reads = true;
+        let mut is_reading = true;
         let flush_deadline = Instant::now() + FLUSH_TIMEOUT;
         let mut stall_deadline = Instant::now() + WRITE_STALL_TIMEOUT;
         while written < output.len() {
@@ -129,20 +130,20 @@
                 FlushEvent::Written(result.unwrap_or(0))
             };
             let read = async {
-                if !reads {
+                if !is_reading {
                     return future::pending().await;
                 }
                 FlushEvent::Read(self.read_available(ReadMode::Ahead).await)
             };
             match with_deadline(flush_deadline.min(stall_deadline), future::or(write, read)).await {
                 Some(FlushEvent::Written(0)) => return Err(CloseReason::ClientReset),
-                // Slow is not stalled: what the client takes shows that it still reads.
+                // Write progress shows that the client still reads, however slowly.
                 Some(FlushEvent::Written(count)) => {
                     written += count;
                     stall_deadline = Instant::now() + WRITE_STALL_TIMEOUT;
                 }
-                // A client that has only ended its sending still gets the rest.
-                Some(FlushEvent::Read(Ok(0))) if self.has_no_outstanding_requests() => reads = false,
+                // A client that has only shut down its sending side still receives the remaining output.
+                Some(FlushEvent::Read(Ok(0))) if self.has_no_outstanding_requests() => is_reading = false,
                 Some(FlushEvent::Read(Ok(0))) => return Err(CloseReason::ClientGone),
                 Some(FlushEvent::Read(Ok(_))) => {}
                 Some(FlushEvent::Read(Err(reason))) => return Err(reason),
@@ -152,7 +153,7 @@
         Ok(())
     }
 
-    /// Whether nothing that the client requested may still have to be forwarded.
+    /// Returns whether no request of the client is open or waiting to be parsed.
     fn has_no_outstanding_requests(&self) -> bool {
         let has_unread_command =
             !self.response_writer.is_closing() && self.session.next_command_bytes().is_some();
--- a/crates/transport/src/client_connection/response_writer.rs
+++ b/crates/transport/src/client_connection/response_writer.rs
@@ -1,4 +1,4 @@
-//! The responses of one client connection, between the broker and the connection.
+//! Hand-over of responses from the broker to a client connection.
 
 use super::CloseReason;
 use crate::response_stream::ResponseStream;
@@ -12,21 +12,21 @@
 use wharfplank_protocol::client_session::ProtocolViolation;
 use wharfplank_protocol::pipeline::{FinalResponse, NextWrite, Pipeline, RequestNumber};
 
-/// Takes the responses of one client connection from the broker, in any order. The connection writes them in the order
-/// of their requests.
+/// The responses of one client connection. The broker delivers them in any order; the connection writes them
+/// in the order of their requests.
 pub struct ResponseWriter {
     pipeline: RefCell<Pipeline>,
-    /// Wakes the connection.
-    woken: Event,
+    /// Wakes the connection task.
+    wake_event: Event,
     /// Whether the client has disconnected.
     disconnected: Cell<bool>,
     /// The client's socket, while the connection is served.
     socket: RefCell<Weak<TcpConnection>>,
     memory_budget: Rc<MemoryBudget>,
     reservation: RefCell<MemoryReservation>,
-    /// The size of the buffer that the connection reads into.
+    /// The capacity of the connection's read buffer.
     pub(super) read_buffer_size: Cell<usize>,
-    /// Streamed responses that wait for their turn.
+    /// Streamed responses that wait for earlier responses to be written.
     streams: RefCell<BTreeMap<RequestNumber, ResponseStream>>,
 }
 
@@ -37,11 +37,11 @@
 }
 
 impl ResponseWriter {
-    /// Creates the writer of a connection that has sent nothing yet.
+    /// Creates the writer of a new connection.
     pub fn new(memory_budget: &Rc<MemoryBudget>) -> Self {
         ResponseWriter {
             pipeline: RefCell::default(),
-            woken: Event::new(),
+            wake_event: Event::new(),
             disconnected: Cell::new(false),
             socket: RefCell::default(),
             memory_budget: Rc::clone(memory_budget),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes the final response of a request, and wakes the connection if it can be written now.
+    /// Stores the final response of a request and wakes the connection if the response can be written now.
     pub fn respond(&self, number: RequestNumber, response: FinalResponse) {
         let due = self.pipeline.borrow_mut().complete(number, response, self.available_memory());
         self.update_reservation();
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Takes the beginning of a request's final response; the rest follows in the stream. If nobody awaits it, the
-    /// stream is dropped, and the member's connection with it.
+    /// Stores the start of a streamed final response. If the request is no longer open, drops the stream,
+    /// which closes the member's connection.
     pub fn begin_stream(&self, number: RequestNumber, stream: ResponseStream) {
         let due = self.pipeline.borrow_mut().start_stream(number);
         self.update_reservation();
@@ -73,15 +73,15 @@
         }
     }
 
-    /// Whether the client still awaits the response to this request. It may have disconnected although the event that
-    /// says so is still queued.
+    /// Returns whether the client still waits for the response to this request. Detects a disconnect even
+    /// while its event is still queued for the broker.
     pub fn is_awaited(&self, number: RequestNumber) -> bool {
         !self.disconnected.get() && self.pipeline.borrow().is_open(number)
     }
 
-    /// Like [`ResponseWriter::is_awaited`], with a look at the socket. To be called just before an attempt's first
-    /// byte: what the attempt waited for and the client's disconnect may have come at the same moment, in either
-    /// order.
+    /// Like [`ResponseWriter::is_awaited`], but also checks the socket. Call this just before an attempt's
+    /// first byte is sent, since the client may have disconnected while the attempt waited for a connection,
+    /// without the disconnect having been processed yet.
     pub fn is_awaited_now(&self, number: RequestNumber) -> bool {
         let stream = self.socket.borrow().upgrade();
         if stream.is_some_and(|stream| peek::has_ended(stream.get_ref())) {
@@ -90,33 +90,33 @@
         self.is_awaited(number)
     }
 
-    /// Whether the client has disconnected.
+    /// Returns whether the client has disconnected.
     pub fn is_disconnected(&self) -> bool {
         self.disconnected.get()
     }
 
-    /// Wakes the connection.
+    /// Wakes the connection task.
     pub fn wake(&self) {
-        self.woken.notify(usize::MAX);
+        self.wake_event.notify(usize::MAX);
     }
 
-    /// Waits for the next [`ResponseWriter::wake`].
+    /// Returns a listener for the next [`ResponseWriter::wake`].
     pub(super) fn listen(&self) -> EventListener {
-        self.woken.listen()
+        self.wake_event.listen()
     }
 
-    /// Looks at this socket from now on to see the client's disconnect.
+    /// Sets the socket that is checked for the client's disconnect.
     pub(super) fn attach_socket(&self, socket: &Rc<TcpConnection>) {
         *self.socket.borrow_mut() = Rc::downgrade(socket);
     }
 
-    /// Notes that the client has disconnected, and returns the requests that were open.
+    /// Marks the client as disconnected and returns the open requests.
     pub(super) fn disconnect(&self) -> Vec<RequestNumber> {
         self.disconnected.set(true);
         self.pipeline.borrow().open_requests().collect()
     }
 
-    /// Cancels the open requests, and returns them.
+    /// Cancels the open requests and returns them.
     pub(super) fn cancel(&self) -> Vec<RequestNumber> {
         let cancelled = self.pipeline.borrow_mut().cancel_open();
         self.update_reservation();
@@ -124,18 +124,18 @@
         cancelled
     }
 
-    /// Gives a request the next place in the order of responses.
+    /// Adds a request at the end of the response order.
     pub(super) fn push_request(&self, number: RequestNumber, statement_bytes: usize) {
         self.pipeline.borrow_mut().push_request(number, statement_bytes);
         self.update_reservation();
     }
 
-    /// Gives an empty query the next place in the order of responses.
+    /// Adds an empty query at the end of the response order.
     pub(super) fn push_empty_query(&self) {
         self.pipeline.borrow_mut().push_empty_query();
     }
 
-    /// Gives a query that is no valid request the next place in the order of responses, with its error.
+    /// Adds the error of an invalid query at the end of the response order.
     pub(super) fn push_malformed(&self, message: &'static str) {
         self.pipeline.borrow_mut().push_malformed(message);
     }
@@ -145,60 +145,62 @@
         self.pipeline.borrow_mut().next_write(answers_empty_queries)
     }
 
-    /// Whether no further command is accepted.
+    /// Returns whether no further command is accepted.
     pub(super) fn is_closing(&self) -> bool {
         self.pipeline.borrow().is_closing()
     }
 
-    /// Whether an empty query at the front waits until the process is ready.
+    /// Returns whether the first command is an empty query that waits until the process is ready.
     pub(super) fn awaits_readiness(&self) -> bool {
         self.pipeline.borrow().awaits_readiness()
     }
 
-    /// Whether a command stands behind the one at the front.
+    /// Returns whether another command follows the first one.
     pub(super) fn has_following(&self) -> bool {
         self.pipeline.borrow().has_following()
     }
 
-    /// Whether any request waits for its response to begin.
+    /// Returns whether any request still waits for the start of its response.
     pub(super) fn has_open_request(&self) -> bool {
         self.pipeline.borrow().has_open_request()
     }
 
-    /// Ends the streamed response at the front.
+    /// Completes the streamed response that is first in order.
     pub(super) fn finish_stream(&self) {
         self.pipeline.borrow_mut().finish_stream();
     }
 
-    /// Hands over the streamed response of a request.
+    /// Removes and returns the streamed response of a request.
     pub(super) fn take_stream(&self, number: RequestNumber) -> Option<ResponseStream> {
         self.streams.borrow_mut().remove(&number)
     }
 
-    /// Bytes that all connections may still buffer.
+    /// Returns the number of bytes that are still available in the shared memory budget.
     pub(super) fn available_memory(&self) -> usize {
         self.memory_budget.available()
     }
 
-    /// Reserves the memory that the connection uses now. Returns false if it is large and the budget is exceeded.
+    /// Updates the reservation to the connection's current memory use. Returns false if the use is above the
+    /// free size per connection and the budget is exceeded.
     pub(super) fn update_reservation(&self) -> bool {
         let pipeline_size = self.pipeline.borrow().buffered_bytes();
         self.reservation.borrow_mut().resize(self.read_buffer_size.get() + pipeline_size)
     }
 
-    /// Whether a further command may be handled before those in hand are answered.
+    /// Returns whether another command may be handled before the pending ones are answered.
     pub(super) fn has_capacity(&self) -> bool {
         let pipeline = self.pipeline.borrow();
         pipeline.has_capacity()
             && (pipeline.is_empty() || pipeline.buffered_bytes() <= self.available_memory())
     }
 
-    /// Whether all commands have been answered.
+    /// Returns whether all commands have been answered.
     pub(super) fn is_empty(&self) -> bool {
         self.pipeline.borrow().is_empty()
     }
 
-    /// Ends the connection after the responses that are due, with this error if any. The first reason counts.
+    /// Closes the connection after the pending responses, with this error if any. Only the first call has an
+    /// effect.
     pub(super) fn end(&self, reason: CloseReason, violation: Option<ProtocolViolation>) {
         self.pipeline.borrow_mut().close(reason.as_str(), violation);
     }
--- a/crates/transport/src/client_connection/streaming.rs
+++ b/crates/transport/src/client_connection/streaming.rs
@@ -1,70 +1,72 @@
-//! Streamed responses: how their pieces reach the client, and what happens if they are cut off.
+//! Writing of streamed responses to the client, and handling of streams that are cut off.
 
 use super::output::FLUSH_SIZE;
 use super::{ClientConnection, CloseReason};
-use crate::response_stream::{ResponseStream, StreamPiece};
+use crate::response_stream::{ResponseStream, StreamChunk};
 use crate::socket::peek;
 use async_channel::{Receiver, TryRecvError};
 use wharfplank_protocol::pipeline::{FinalResponse, RequestNumber};
 
-/// The streamed response whose turn it is.
+/// The streamed response that is being written.
 pub(super) struct ActiveStream {
     stream: ResponseStream,
-    /// Whether the client was sent any of it.
-    begun: bool,
-    /// A piece that came while the connection waited.
-    pub(super) next_piece: Option<StreamPiece>,
+    /// Whether any of it was added to the output.
+    has_started: bool,
+    /// A chunk that was received while the connection waited.
+    pub(super) next_chunk: Option<StreamChunk>,
 }
 
-/// What there was of a streamed response.
+/// The result of advancing a streamed response.
 pub(super) enum StreamProgress {
-    /// Output, or its end.
+    /// Output was produced, or the stream is complete.
     Advanced,
-    /// Nothing yet.
+    /// No chunk is available yet.
     Pending,
-    /// It was cut off with so many bytes of its row missing, or before the client was sent any of it.
+    /// The stream was cut off with this many bytes of its row missing; `None` if none of it was sent to the
+    /// client.
     CutOff(Option<usize>),
 }
 
 impl ActiveStream {
-    /// The pieces, to wait for the next one.
-    pub(super) fn pieces(&self) -> Receiver<StreamPiece> {
-        self.stream.pieces()
+    /// Returns the queue of chunks, to wait for the next one.
+    pub(super) fn chunks(&self) -> Receiver<StreamChunk> {
+        self.stream.chunks()
     }
 
-    /// The next piece that has come.
-    fn try_next(&mut self) -> Result<StreamPiece, TryRecvError> {
-        match self.next_piece.take() {
-            Some(piece) => Ok(piece),
+    /// Returns the next chunk that is available.
+    fn try_next(&mut self) -> Result<StreamChunk, TryRecvError> {
+        match self.next_chunk.take() {
+            Some(chunk) => Ok(chunk),
             None => self.stream.try_next(),
         }
     }
 }
 
 impl ClientConnection {
-    /// Moves the next part of the streamed response of this request to the output.
+    /// Appends the next part of this request's streamed response to the output.
     pub(super) fn advance_stream(&mut self, number: RequestNumber) -> StreamProgress {
         if self.active_stream.is_none() {
             let stream = self.response_writer.take_stream(number);
-            self.active_stream = stream.map(|stream| ActiveStream { stream, begun: false, next_piece: None });
+            self.active_stream =
+                stream.map(|stream| ActiveStream { stream, has_started: false, next_chunk: None });
         }
         let Some(active) = &mut self.active_stream else { return StreamProgress::CutOff(None) };
         let output = &mut self.session.output;
-        if !active.begun {
+        if !active.has_started {
             if active.stream.is_cut_off() {
                 return StreamProgress::CutOff(None);
             }
-            active.begun = true;
+            active.has_started = true;
             output.append(&mut active.stream.first);
             return StreamProgress::Advanced;
         }
         match active.try_next() {
-            Ok(StreamPiece::Row(mut row)) => {
+            Ok(StreamChunk::Row(mut row)) => {
                 active.stream.remaining = active.stream.remaining.saturating_sub(row.bytes.len());
                 output.append(&mut row.bytes);
                 StreamProgress::Advanced
             }
-            Ok(StreamPiece::End(mut rest)) => {
+            Ok(StreamChunk::End(mut rest)) => {
                 output.append(&mut rest);
                 self.session.write_ready();
                 self.end_stream();
@@ -75,10 +77,10 @@
         }
     }
 
-    /// Handles a streamed response that was cut off: its request failed, and the client must be able to tell. A client
-    /// that has seen none of it gets an error. Otherwise the connection ends, unless other requests stand behind it,
-    /// which would be lost: then the row is padded, so that the error behind it can be read, and the connection goes
-    /// on.
+    /// Handles a streamed response that was cut off, so that the client can tell that its request failed. If
+    /// none of the response was sent, the client gets an error. Otherwise the connection is closed, unless
+    /// that would lose requests that follow: then the row is padded to its full length, so that the client
+    /// can parse the error after it, and the connection stays open.
     pub(super) async fn on_stream_cut_off(&mut self, remaining: Option<usize>) -> Result<(), CloseReason> {
         let has_more = self.has_further_input();
         let mut padding = match remaining {
@@ -100,7 +102,7 @@
         Ok(())
     }
 
-    /// Whether the client has sent anything behind the request whose response is streamed.
+    /// Returns whether the client has sent anything after the request whose response is streamed.
     fn has_further_input(&self) -> bool {
         self.response_writer.has_following()
             || !self.session.buffer.unread().is_empty()
--- a/crates/transport/src/client_connection/wait.rs
+++ b/crates/transport/src/client_connection/wait.rs
@@ -1,9 +1,9 @@
-//! What a connection waits for, and its time limits.
+//! Waiting for the next event of a connection, and its time limits.
 
 use super::input::ReadMode;
 use super::{ClientConnection, CloseReason};
 use crate::client_listener::{ClientListener, DrainPhase};
-use crate::response_stream::StreamPiece;
+use crate::response_stream::StreamChunk;
 use crate::socket::peek;
 use crate::with_deadline;
 use event_listener::EventListener;
@@ -11,52 +11,52 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// How long a client may take from the accept until its first command: within 3 s of connecting it is to be told what
-/// is wrong.
+/// The maximum time from accepting a connection to its first command. Clients must be told what is wrong
+/// within 3 s of connecting.
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// How long a client may take from the first byte of a message until it is complete.
+/// The maximum time from the first byte of a message until it is complete.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// How long a connection may be idle between requests. Clients hold a limited number of connections, and many send one
-/// request and keep theirs for good: those would leave none for the others.
+/// The maximum idle time between requests. The number of client connections is limited, and many clients send
+/// one request and never close their connection, which would leave none for other clients.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_100);
 
-/// Why a wait ended.
+/// The event that ended a wait.
 enum Wake {
-    /// So many bytes were read; 0 if the client disconnected.
+    /// The number of bytes read; 0 if the client disconnected.
     Read(usize),
-    /// A piece of the streamed response came.
-    Piece(StreamPiece),
+    /// A chunk of the streamed response was received.
+    Chunk(StreamChunk),
     /// The state of the connection or of the listener changed, or the connection is to close.
     Notified,
-    /// The time limit is over.
+    /// The time limit has passed.
     TimedOut,
 }
 
-/// What a wait depends on, as of its beginning.
+/// The conditions of a wait, determined when it starts.
 struct WaitPlan {
-    /// Whether any command waits for its response.
+    /// Whether any command is waiting for its response.
     has_open_commands: bool,
-    /// Why the connection closes unless something has arrived.
+    /// The reason to close the connection, unless input has arrived.
     close: Option<CloseReason>,
-    /// When the time limit is over.
+    /// The time limit of the wait.
     deadline: Option<Instant>,
-    /// The reason for the end of the connection at the time limit.
+    /// The close reason if the time limit passes.
     timeout_reason: CloseReason,
 }
 
 impl ClientConnection {
-    /// Waits until something was read, a response is ready or a time limit is over.
+    /// Waits until input was read, a response is ready or a time limit has passed.
     ///
     /// # Errors
     ///
-    /// Returns why the connection ends.
+    /// Returns the reason why the connection ends.
     pub(super) async fn wait(
         &mut self,
         listener: &ClientListener,
         woken: EventListener,
     ) -> Result<(), CloseReason> {
         let plan = self.plan_wait(listener);
-        if self.cannot_become_ready(listener) && self.close_if_quiet() {
+        if self.cannot_become_ready(listener) && self.close_if_idle() {
             return Err(CloseReason::Shutdown);
         }
         let wake = self.wait_for_wake(&plan, woken).await;
@@ -65,9 +65,9 @@
             Ok(Wake::Read(0)) if plan.has_open_commands => Err(CloseReason::ClientGone),
             Ok(Wake::Read(0)) => Err(CloseReason::ClientClosed),
             Ok(Wake::Read(_)) => Ok(()),
-            Ok(Wake::Piece(piece)) => {
+            Ok(Wake::Chunk(chunk)) => {
                 if let Some(active) = &mut self.active_stream {
-                    active.next_piece = Some(piece);
+                    active.next_chunk = Some(chunk);
                 }
                 Ok(())
             }
@@ -81,15 +81,15 @@
         }
     }
 
-    /// Decides what to wait for, and publishes since when the connection has been idle.
+    /// Determines what to wait for, and publishes the start of the connection's idle time for eviction.
     fn plan_wait(&mut self, listener: &ClientListener) -> WaitPlan {
         let now = Instant::now();
         let has_open_commands = !self.response_writer.is_empty();
         let idle = self.started && self.session.buffer.unread().is_empty() && !has_open_commands;
         self.idle_since = if idle { self.idle_since.or(Some(now)) } else { None };
         let before_first_command = !self.state.has_sent_command.get();
-        // A connection whose message is not complete yet holds a place all the same; until its first command it may
-        // have to give it up.
+        // A connection counts towards the limit even if its first message is incomplete. Until its first
+        // command it can be evicted at any time.
         self.state.idle_since.set(if before_first_command {
             Some(self.accepted_at)
         } else {
@@ -98,7 +98,7 @@
         let idle_deadline =
             (idle && !before_first_command).then(|| self.idle_since.unwrap_or(now) + IDLE_TIMEOUT);
         let first_deadline = before_first_command.then_some(self.accepted_at + FIRST_COMMAND_TIMEOUT);
-        let message_deadline = self.message_begun_at.map(|at| at + MESSAGE_TIMEOUT);
+        let message_deadline = self.message_started_at.map(|at| at + MESSAGE_TIMEOUT);
         WaitPlan {
             has_open_commands,
             close: self.pending_close(listener, idle),
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Why the connection closes unless something has arrived.
+    /// Returns the reason to close the connection, if any, unless input has arrived.
     fn pending_close(&self, listener: &ClientListener, idle: bool) -> Option<CloseReason> {
         let shuts_down = match listener.drain_phase.get() {
             DrainPhase::Serving => false,
@@ -125,7 +125,8 @@
         (evictable && self.state.evicted.get()).then_some(CloseReason::Evicted)
     }
 
-    /// Whether an empty query at the front waits for the process to be ready, which it will not be.
+    /// Returns whether the first command is an empty query that waits for a process that will not become
+    /// ready.
     fn cannot_become_ready(&self, listener: &ClientListener) -> bool {
         listener.drain_phase.get() != DrainPhase::Serving
             && self.response_writer.awaits_readiness()
@@ -139,18 +140,19 @@
             }
             Ok(Wake::Notified)
         };
-        let pieces = self.active_stream.as_ref().map(|active| active.pieces());
-        let piece = async {
-            match pieces {
-                // If the member's side was dropped, what there was has been written: the next look finds the end.
-                Some(pieces) => Ok(pieces.recv().await.map_or(Wake::Notified, Wake::Piece)),
+        let chunks = self.active_stream.as_ref().map(|active| active.chunks());
+        let chunk = async {
+            match chunks {
+                // If the sender was dropped, all queued chunks were written, and the next advance detects the
+                // end.
+                Some(chunks) => Ok(chunks.recv().await.map_or(Wake::Notified, Wake::Chunk)),
                 None => future::pending().await,
             }
         };
         let mode = if plan.has_open_commands { ReadMode::Ahead } else { ReadMode::Message };
         let read = async { self.read_available(mode).await.map(Wake::Read) };
-        // What has already arrived is read before the connection closes.
-        let work = future::or(read, future::or(piece, notified));
+        // Reading comes first, so that input that has already arrived is not lost when the connection closes.
+        let work = future::or(read, future::or(chunk, notified));
         match plan.deadline {
             Some(deadline) => with_deadline(deadline, work).await.unwrap_or(Ok(Wake::TimedOut)),
             None => work.await,
@@ -159,7 +161,7 @@
 
     fn on_notified(&self, plan: &WaitPlan) -> Result<(), CloseReason> {
         match plan.close {
-            Some(reason) if plan.has_open_commands || self.close_if_quiet() => Err(reason),
+            Some(reason) if plan.has_open_commands || self.close_if_idle() => Err(reason),
             _ => Ok(()),
         }
     }
@@ -169,23 +171,23 @@
             self.end_after_responses(reason);
             return Ok(());
         }
-        if self.close_if_quiet() {
+        if self.close_if_idle() {
             Err(CloseReason::IdleTimeout)
         } else {
             Ok(())
         }
     }
 
-    /// Accepts no further command, and ends the connection after the responses that are due.
+    /// Stops accepting commands and closes the connection after the pending responses.
     fn end_after_responses(&self, reason: CloseReason) {
         self.response_writer.end(reason, reason.violation());
     }
 
-    /// Closes a connection on which nothing is open, unless something has just arrived. A client that sends many
-    /// requests at once loses all but the first if its write crosses the close, and a process that must share its core
-    /// may be suspended between any two steps: so nothing lies between this look and the close.
-    fn close_if_quiet(&self) -> bool {
+    /// Closes an idle connection unless input has just arrived. A client that pipelines requests loses all
+    /// but the first if its write crosses the close, and the process may be suspended by the scheduler at any
+    /// point, so the shutdown directly follows the check.
+    fn close_if_idle(&self) -> bool {
         let stream = self.stream.get_ref();
-        peek::is_quiet(stream) && stream.shutdown(Shutdown::Both).is_ok()
+        peek::is_idle(stream) && stream.shutdown(Shutdown::Both).is_ok()
     }
 }
--- a/crates/transport/src/client_listener.rs
+++ b/crates/transport/src/client_listener.rs
@@ -1,4 +1,4 @@
-//! The listener for clients, and the table of their connections.
+//! The listener for client connections, and the table of open connections.
 
 mod admission;
 mod connection_state;
@@ -23,15 +23,15 @@
 use std::time::{Duration, Instant};
 use wharfplank_protocol::client_session::ProtocolViolation;
 
-/// The most connections that the operating system queues for the listener.
+/// The maximum number of connections accepted from the operating system's queue when the listener closes.
 const BACKLOG: usize = 4096;
-/// The pause after a connection could not be accepted for want of a resource.
+/// The delay before the next accept after one failed because a resource was exhausted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// What a client is told for whose connection there is no place.
+/// The error sent to clients when the connection limit is reached.
 const TOO_MANY_CONNECTIONS: ProtocolViolation =
     ProtocolViolation { code: "53300", message: "too many connections" };
 
-/// The listener for clients, with all their connections.
+/// The listener for client connections, with all open connections.
 pub struct ClientListener {
     executor: Rc<LocalExecutor<'static>>,
     pub(crate) events: Sender<ProxyEvent>,
@@ -39,31 +39,32 @@
     max_connections: Cell<usize>,
     /// Whether new connections are accepted.
     accepting: Cell<bool>,
-    /// What the messages of all clients may buffer. A message that does not fit ends its connection: it is not
-    /// complete, so no request is lost.
+    /// The memory budget for the messages of all clients. A connection is closed if its message does not fit;
+    /// the message is incomplete then, so no request is lost.
     memory_budget: Rc<MemoryBudget>,
-    /// Connections that wait until their last error has arrived. They hold descriptors, so their number is limited.
+    /// The number of connections that stay open for the delivery of a fatal error. They hold file
+    /// descriptors, so their number is limited.
     pub(crate) lingering: Cell<usize>,
-    /// Accepts that have failed in a row for want of a descriptor.
+    /// The number of consecutive accepts that failed for lack of file descriptors.
     failed_accepts: Cell<u32>,
-    /// Connections that have sent a command.
-    with_commands: Cell<usize>,
+    /// The number of connections that have sent a command.
+    connections_with_commands: Cell<usize>,
     connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
     next_number: Cell<u64>,
     cancel_keys: CancelKeys,
-    /// Whether queries can be served; an empty query waits until then.
+    /// Whether the process is ready to serve queries. Empty queries are not answered before.
     pub(crate) ready: Cell<bool>,
     pub(crate) drain_phase: Cell<DrainPhase>,
-    /// Whether the listener may still find connections that the operating system has queued.
+    /// Whether connections may still be accepted from the operating system's queue.
     listening: Cell<bool>,
-    /// Wakes the listener's task.
+    /// Notified when `accepting` or `drain_phase` changes.
     state_changed: Event,
 }
 
-/// How far the shutdown has come.
+/// The phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DrainPhase {
-    /// No shutdown was requested.
+    /// No shutdown has been requested.
     Serving,
     /// Idle connections are closed; new ones are still accepted.
     ClosingIdle,
@@ -72,7 +73,7 @@
 }
 
 impl ClientListener {
-    /// Creates a listener without connections that admits `max_connections` of them.
+    /// Creates a listener that admits up to `max_connections` connections.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         events: Sender<ProxyEvent>,
@@ -89,7 +90,7 @@
             memory_budget,
             lingering: Cell::new(0),
             failed_accepts: Cell::new(0),
-            with_commands: Cell::new(0),
+            connections_with_commands: Cell::new(0),
             connections: RefCell::default(),
             next_number: Cell::new(0),
             cancel_keys: CancelKeys::default(),
@@ -100,14 +101,14 @@
         })
     }
 
-    /// Answers empty queries from now on.
+    /// Marks the process as ready, so that empty queries are answered.
     pub fn set_ready(&self) {
         self.ready.set(true);
         self.wake_all();
     }
 
-    /// Closes idle connections from now on, and others after their response. New ones are still accepted, for one
-    /// response each.
+    /// Starts draining: closes idle connections, and other connections after their responses. New connections
+    /// are still accepted, for one response each.
     pub fn begin_draining(&self) {
         for state in self.connections.borrow().values() {
             state.closes_while_draining.set(true);
@@ -116,21 +117,21 @@
         self.wake_all();
     }
 
-    /// Accepts new connections from now on, or leaves them to another process that listens on the same socket.
+    /// Sets whether new connections are accepted, or left to another process that listens on the same socket.
     pub fn set_accepting(&self, accepting: bool) {
         if self.accepting.replace(accepting) != accepting {
             self.state_changed.notify(usize::MAX);
         }
     }
 
-    /// Accepts no new connections from now on, beyond those that the operating system has queued.
+    /// Stops accepting connections, except those already queued by the operating system.
     pub fn stop_accepting(&self) {
         self.drain_phase.set(DrainPhase::Closed);
         self.wake_all();
     }
 
-    /// Whether the shutdown is complete: no connection is open, and after [`ClientListener::stop_accepting`] none is
-    /// queued.
+    /// Returns whether the shutdown is complete: [`ClientListener::stop_accepting`] was called, the queue is
+    /// empty and no connection is open.
     pub fn is_finished(&self) -> bool {
         !self.listening.get() && self.open_connections() == 0
     }
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Accepts connections until [`ClientListener::stop_accepting`].
+    /// Accepts connections until [`ClientListener::stop_accepting`] is called.
     pub async fn listen(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
         loop {
             let state_change = self.state_changed.listen();
@@ -164,7 +165,7 @@
                 None => {}
                 Some(Ok((stream, address))) => {
                     self.admit(stream, address);
-                    // Many new connections at once must not keep those from closing that make room for them.
+                    // Lets evicted connections close even during a burst of new connections.
                     future::yield_now().await;
                 }
                 Some(Err(error)) => self.recover_from_failed_accept(&error).await,
@@ -172,26 +173,26 @@
         }
     }
 
-    /// Waits until a connection may be accepted again, and frees a descriptor if none was left.
+    /// Waits before the next accept. If file descriptors were exhausted, evicts a connection first.
     async fn recover_from_failed_accept(&self, error: &io::Error) {
-        if transient::lacks_descriptors(error) {
+        if transient::is_out_of_descriptors(error) {
             self.failed_accepts.set(self.failed_accepts.get().saturating_add(1));
             self.evict_for_descriptor(self.failed_accepts.get());
         }
         Timer::after(ACCEPT_BACKOFF).await;
     }
 
-    /// Accepts what the operating system has queued before the listener closes: closed with it, these connections
-    /// would be reset, and what was written to them lost. Nothing is accepted if another process has taken the
-    /// socket over.
+    /// Accepts the connections that the operating system has queued before the listener closes. Closing the
+    /// socket would reset them and lose what the clients have sent. Accepts nothing if another process has
+    /// taken over the socket.
     async fn accept_backlog(self: &Rc<Self>, listener: &Async<TcpListener>) {
         for _ in 0..BACKLOG {
             let accepted = async { self.accepting.get().then_some(open::accept(listener).await) };
             match future::poll_once(accepted).await {
                 Some(Some(Ok((stream, address)))) => {
                     self.admit(stream, address);
-                    // Those for which there is no place are told so, and closed, before the next is accepted: all at
-                    // once would hold more descriptors than there are.
+                    // Rejects and closes connections beyond the limit before the next accept. All of them at
+                    // once could exhaust the file descriptors.
                     future::yield_now().await;
                 }
                 Some(Some(Err(error))) => self.recover_from_failed_accept(&error).await,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Starts the task of a new connection, which is rejected if there is no place for it.
+    /// Starts the task of a new connection. The task rejects the connection if the limit is reached.
     fn admit(self: &Rc<Self>, stream: TcpConnection, address: SocketAddr) {
         self.failed_accepts.set(0);
         let number = self.next_number();
@@ -218,7 +219,7 @@
             } else {
                 connection.serve(&listener).await
             };
-            listener.forget(number, &state);
+            listener.remove_connection(number, &state);
             (listener.on_connection_end)(&ConnectionEnd {
                 remote: Remote::Client,
                 address,
@@ -230,15 +231,15 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Removes a connection that has ended from the table.
-    fn forget(&self, number: u64, state: &ConnectionState) {
+    /// Removes a closed connection from the table.
+    fn remove_connection(&self, number: u64, state: &ConnectionState) {
         self.connections.borrow_mut().remove(&number);
         if state.has_sent_command.get() {
-            self.with_commands.set(self.with_commands.get() - 1);
+            self.connections_with_commands.set(self.connections_with_commands.get() - 1);
         }
     }
 
-    /// A number for a connection or a request, unique in this process.
+    /// Returns a number for a connection or a request that is unique in this process.
     pub(crate) fn next_number(&self) -> u64 {
         self.next_number.replace(self.next_number.get() + 1)
     }
--- a/crates/transport/src/client_listener/admission.rs
+++ b/crates/transport/src/client_listener/admission.rs
@@ -1,39 +1,41 @@
-//! Admission of client connections: how many there may be, and which one is evicted to make room.
+//! Admission control for client connections: the connection limit and the choice of connections to evict.
 
 use super::{ClientListener, ConnectionState};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wharfplank_protocol::client_session::CancelKey;
 
-/// Connections that have sent no command for so long are evicted first: a client sends its startup at once.
+/// Connections without a command for this long after the accept are evicted first, since clients send their
+/// startup message immediately.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(20);
-/// Connections that have been idle for so long since their last response are evicted next.
+/// Connections that have been idle for this long since their last response are evicted next.
 const LONG_IDLE_TIME: Duration = Duration::from_secs(2);
-/// The least number of connections beyond the limit, for which the process keeps descriptors of its own.
+/// The minimum number of connections beyond the limit, which use file descriptors that the process keeps for
+/// itself.
 const MIN_OVERFLOW: usize = 2;
-/// The most connections that linger after an error are one in so many of the limit.
+/// At most `limit / LINGERING_DIVISOR` connections linger after a fatal error.
 const LINGERING_DIVISOR: usize = 4;
 
-/// Connections beyond the limit of `max_connections`, while they are rejected or while others still close for them.
-/// Their descriptors are reserved beside those of the limit.
+/// Returns the number of connections allowed beyond `max_connections` while they are being rejected or while
+/// evicted connections are closing. File descriptors are reserved for them in addition to the limit.
 pub fn overflow_connections(max_connections: usize) -> usize {
     max_connections / 10
 }
 
-/// Failed accepts in a row before connections are evicted that are likely to send another request: the descriptors of
-/// the machine may be short for a moment only.
-const MAX_PATIENT_FAILURES: u32 = 3;
+/// The number of consecutive failed accepts after which even recently used connections are evicted. Up to
+/// this number only idle ones are, since the shortage of file descriptors may be brief.
+const MAX_FAILURES_BEFORE_EVICTING_RECENT: u32 = 3;
 
-/// The order in which connections are evicted.
+/// The eviction priority of a connection; lower values are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionOrder {
-    /// It has sent no command for a while.
+    /// It has sent no command within [`FIRST_COMMAND_GRACE`].
     NoCommand,
-    /// It has been idle for long.
+    /// It has been idle for at least [`LONG_IDLE_TIME`].
     LongIdle,
-    /// It has sent no command, but was accepted just now.
+    /// It has sent no command but was just accepted.
     New,
-    /// It had a response lately, and is likely to send the next request.
+    /// It recently received a response and is likely to send another request.
     RecentlyUsed,
 }
 
@@ -49,18 +51,19 @@
 }
 
 impl ClientListener {
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Admits so many connections from now on.
+    /// Sets the maximum number of connections.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
     }
 
-    /// Whether there is no place for a connection that has been accepted. One that was evicted for it may have read a
-    /// request meanwhile and stay open, so beyond the overflow none is evicted.
+    /// Returns whether an accepted connection has to be rejected. At the limit it is admitted if another
+    /// connection can be evicted for it. An evicted connection stays open if it has just read a request, so
+    /// nothing is evicted once the overflow is used up.
     pub(super) fn is_full(&self) -> bool {
         let open = self.open_connections();
         let limit = self.max_connections.get();
@@ -70,40 +73,40 @@
         open >= limit + overflow_connections(limit) + MIN_OVERFLOW || !self.evict_one(|_| true)
     }
 
-    /// Whether a connection may be kept open until its last error has arrived.
+    /// Returns whether a connection may stay open for the delivery of a fatal error.
     pub(crate) fn may_linger(&self) -> bool {
         let limit = self.max_connections.get();
         self.lingering.get() < limit / LINGERING_DIVISOR
             && self.open_connections() <= limit + overflow_connections(limit)
     }
 
-    /// Counts a connection that sends a command. Clients share a limited number of connections: if more than two
-    /// fifths of the limit have sent one, the one that has been idle longest is evicted.
+    /// Counts a connection when it sends its first command. If more than two fifths of the limit have sent
+    /// one, evicts the one that has been idle longest, since clients share a limited number of connections.
     pub(crate) fn on_command(&self, state: &ConnectionState) {
         if state.has_sent_command.replace(true) {
             return;
         }
-        self.with_commands.set(self.with_commands.get() + 1);
-        if self.with_commands.get() > self.max_connections.get() * 2 / 5 {
+        self.connections_with_commands.set(self.connections_with_commands.get() + 1);
+        if self.connections_with_commands.get() > self.max_connections.get() * 2 / 5 {
             self.evict_one(|state| state.has_sent_command.get());
         }
     }
 
-    /// Asks a connection to close after so many accepts in a row failed for want of a descriptor.
+    /// Evicts a connection after `failures` consecutive accepts failed for lack of file descriptors.
     pub(super) fn evict_for_descriptor(&self, failures: u32) {
-        if failures > MAX_PATIENT_FAILURES {
+        if failures > MAX_FAILURES_BEFORE_EVICTING_RECENT {
             self.evict_one(|_| true);
         } else {
             self.evict_first(|order, _| order <= EvictionOrder::LongIdle);
         }
     }
 
-    /// Asks one of the `eligible` connections without an open request to close. Returns whether there is one.
+    /// Evicts one of the `eligible` connections without an open request. Returns whether there was one.
     pub(super) fn evict_one(&self, eligible: impl Fn(&ConnectionState) -> bool) -> bool {
         self.evict_first(|_, state| eligible(state))
     }
 
-    /// Asks the first `eligible` connection in the order of eviction to close. Returns whether there is one.
+    /// Evicts the first `eligible` connection in eviction order. Returns whether there was one.
     fn evict_first(&self, eligible: impl Fn(EvictionOrder, &ConnectionState) -> bool) -> bool {
         let connections = self.connections.borrow();
         let now = Instant::now();
@@ -120,7 +123,7 @@
         true
     }
 
-    /// The connection that this cancel key names, if any.
+    /// Returns the connection with this cancel key, if any.
     pub(crate) fn connection_with_key(&self, key: CancelKey) -> Option<Rc<ConnectionState>> {
         self.connections.borrow().values().find(|state| state.cancel_key == key).cloned()
     }
--- a/crates/transport/src/client_listener/connection_state.rs
+++ b/crates/transport/src/client_listener/connection_state.rs
@@ -1,4 +1,4 @@
-//! What the listener knows of one connection.
+//! The state of a client connection that is visible outside its task.
 
 use crate::client_connection::ResponseWriter;
 use std::cell::Cell;
@@ -6,26 +6,27 @@
 use std::time::Instant;
 use wharfplank_protocol::client_session::CancelKey;
 
-/// The state of a client connection that the listener and other connections see.
+/// The state of a client connection that the listener and other connections access.
 pub(crate) struct ConnectionState {
-    /// Its responses. It is woken by itself: one event for all would wake hundreds to close one.
+    /// The connection's responses. Each connection has its own wake event: a shared one would wake hundreds
+    /// of tasks to close one connection.
     pub(crate) response_writer: Rc<ResponseWriter>,
-    /// The key that a cancel request has to name.
+    /// The key that cancel requests for this connection must carry.
     pub(crate) cancel_key: CancelKey,
-    /// Since when it waits without an open request, while it does. Before its first command that is since it was
-    /// accepted.
+    /// When the connection became idle, set only while it waits without an open request. Before the first
+    /// command, the time of the accept.
     pub(crate) idle_since: Cell<Option<Instant>>,
-    /// Whether it has sent a command.
+    /// Whether the client has sent a command.
     pub(crate) has_sent_command: Cell<bool>,
-    /// Whether it was chosen to make room for others.
+    /// Whether the connection was selected for eviction.
     pub(crate) evicted: Cell<bool>,
-    /// Whether it is closed while the process drains once it is idle: it has had a response since then, or was open
-    /// before.
+    /// Whether the connection is closed when it becomes idle during a drain. True if it was open before the
+    /// drain started or has received a response since.
     pub(crate) closes_while_draining: Cell<bool>,
 }
 
 impl ConnectionState {
-    /// The state of a connection that has just been accepted.
+    /// Creates the state of a connection that was just accepted.
     pub(super) fn new(response_writer: Rc<ResponseWriter>, cancel_key: CancelKey) -> Self {
         ConnectionState {
             response_writer,
--- a/crates/transport/src/connection_end.rs
+++ b/crates/transport/src/connection_end.rs
@@ -1,22 +1,22 @@
-//! What is observed of connections that end.
+//! Reports of ended connections.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Who is at the other end of a connection.
+/// The kind of peer of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Remote<'a> {
     /// A client.
     Client,
-    /// The member of this name.
+    /// The member with this name.
     Member(&'a str),
     /// The discovery service.
     Discovery,
 }
 
 impl<'a> Remote<'a> {
-    /// The kind of the other end, as the log shows it.
+    /// Returns the kind of peer, as logged.
     pub fn kind(&self) -> &'static str {
         match self {
             Remote::Client => "client",
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The member's name, if it is a member.
+    /// Returns the member's name, if the peer is a member.
     pub fn member_name(&self) -> Option<&'a str> {
         match self {
             Remote::Member(name) => Some(name),
@@ -34,20 +34,20 @@
     }
 }
 
-/// A connection that ended, as it is logged.
+/// A connection that ended, as logged.
 #[derive(Debug)]
 pub struct ConnectionEnd<'a> {
-    /// Who was at the other end.
+    /// The peer of the connection.
     pub remote: Remote<'a>,
-    /// The address of the other end.
+    /// The address of the peer.
     pub address: SocketAddr,
-    /// The code of the reason why the connection ended.
+    /// The code of the end reason.
     pub reason: &'static str,
-    /// The number of requests that the connection carried.
+    /// The number of requests on the connection.
     pub requests: u64,
-    /// When the connection was established, or its opening began if it failed.
+    /// When the connection was established, or when the attempt to open it started if that failed.
     pub started_at: Instant,
 }
 
-/// Called with each connection that ended.
+/// A callback that is called for each connection that ended.
 pub type ConnectionEndObserver = Rc<dyn Fn(&ConnectionEnd<'_>)>;
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The driver of the discovery watch: makes the polls that [`EndpointTracker`] schedules, on one connection after the
-//! other, hedges polls that stay silent, and reports what changed as events for the broker.
+//! The discovery watch: sends the polls that [`EndpointTracker`] schedules, hedges polls that get no
+//! response, and reports changes to the broker as events.
 
 mod connection;
 mod poll;
@@ -19,25 +19,25 @@
 use wharfplank_discovery::{EndpointTracker, Staleness, WatchEvent};
 use wharfplank_routing::Micros;
 
-/// The delay after which a poll that the fleet's budget denied is tried again.
+/// The delay before a poll that the fleet-wide budget denied is tried again.
 const BUDGET_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What the watch needs of the process.
+/// The services that the watch uses.
 #[derive(Clone)]
 pub struct WatchContext {
-    /// Runs the watch.
+    /// The executor that runs the watch.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Takes the watch's events.
+    /// The channel to the broker.
     pub events: Sender<ProxyEvent>,
-    /// Logs the end of each connection.
+    /// Called for each connection that ended.
     pub ends: ConnectionEndObserver,
-    /// The clock of the tracker.
+    /// The clock used by the tracker.
     pub now: Now,
-    /// The fleet's budgets, which limit polls, if there are any.
+    /// The fleet-wide budgets, which limit polls, if configured.
     pub budgets: Option<Rc<Budgets>>,
 }
 
-/// A running watch on one discovery address at a time. It stops when it is dropped.
+/// A running watch of one discovery address at a time. Stops when dropped.
 pub struct DiscoveryWatch {
     poller: Poller,
     /// Dropping the task closes the connections.
@@ -48,9 +48,9 @@
 struct Poller {
     context: WatchContext,
     address: SocketAddr,
-    /// Only the task borrows it while it runs, and never across an await.
+    /// Borrowed only by the task while it runs, and never across an await.
     tracker: Rc<RefCell<EndpointTracker>>,
-    /// The reason that the log gets for connections that are dropped in use.
+    /// The reason that is logged for connections that are dropped while in use.
     drop_reason: Rc<Cell<CloseReason>>,
 }
 
@@ -66,7 +66,7 @@
         DiscoveryWatch { poller, _task }
     }
 
-    /// Watches the endpoint list at another address from now on.
+    /// Switches the watch to another address.
     pub fn set_address(&mut self, address: SocketAddr) {
         if address == self.poller.address {
             return;
@@ -74,7 +74,7 @@
         self.poller.drop_reason.set(CloseReason::Moved);
         self.poller.tracker.borrow_mut().on_address_changed(self.poller.now());
         let drop_reason = Poller::new_drop_reason();
-        // The assignment drops the former task, whatever it waits for, and its connections.
+        // The assignment drops the previous task, wherever it is suspended, and its connections.
         *self = Self::spawn(Poller { address, drop_reason, ..self.poller.clone() });
     }
 }
@@ -88,7 +88,7 @@
         (self.context.now)()
     }
 
-    /// Polls until nobody receives the events any more.
+    /// Polls until the receiver of the events is dropped.
     async fn run(self) {
         let mut idle_connection = None;
         let mut staleness = Staleness::Unconfirmed;
@@ -107,9 +107,9 @@
                     WatchEvent::default()
                 }
             };
-            let former_staleness = staleness;
+            let previous_staleness = staleness;
             staleness = self.tracker.borrow().staleness(self.now());
-            let changed_staleness = (staleness != former_staleness).then_some(staleness);
+            let changed_staleness = (staleness != previous_staleness).then_some(staleness);
             if event.is_empty() && changed_staleness.is_none() {
                 continue;
             }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes one poll from the fleet's budget; false where none is left.
+    /// Spends one poll of the fleet-wide budget. Returns false if none is left.
     fn try_spend_budget(&self) -> bool {
         self.context.budgets.as_ref().is_none_or(|budgets| budgets.try_spend_discovery_poll())
     }
@@ -145,7 +145,7 @@
         self.context.events.send(ProxyEvent::EndpointsChanged { event, staleness }).await
     }
 
-    /// Runs `work`, and meanwhile expires the tracker's deadlines when they are due.
+    /// Runs `work` while expiring the tracker's deadlines when they are due.
     async fn with_deadlines<T>(&self, work: impl Future<Output = T>) -> T {
         let mut work = pin!(work);
         loop {
@@ -157,7 +157,7 @@
             }
             let event = self.tracker.borrow_mut().expire_deadlines(self.now());
             if !event.is_empty() {
-                // Where nobody receives it, the next report ends the watch.
+                // If the receiver is gone, the next report ends the watch.
                 let _ = self.report(event, None).await;
             }
         }
--- a/crates/transport/src/discovery/connection.rs
+++ b/crates/transport/src/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to discovery, and its line in the log.
+//! Connections to discovery, and the reports of their ends.
 
 use super::poll::Limits;
 use crate::socket::stream::TcpConnection;
@@ -10,33 +10,33 @@
 use std::time::Instant;
 use wharfplank_protocol::http;
 
-/// Why a connection closed or a poll failed.
+/// The reason why a connection closed or a poll failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
     /// The connection could not be opened in time.
     ConnectFailed,
-    /// The response did not come in time.
+    /// The response was not received in time.
     Timeout,
-    /// The connection was reset, or another error of the socket.
+    /// The connection was reset, or another socket error occurred.
     Reset,
     /// Discovery closed the connection.
     ServerClosed,
     /// The response had a status other than 200.
     HttpStatus,
-    /// The response is not valid HTTP.
+    /// The response was not valid HTTP.
     MalformedHttp,
-    /// The body of the response is not a valid endpoint list.
+    /// The response body was not a valid endpoint list.
     MalformedList,
-    /// The hedged poll beside this one, or the one that it hedges, was answered first.
+    /// The other poll of a hedged pair was answered first.
     Superseded,
-    /// Discovery has another address.
+    /// The address of discovery changed.
     Moved,
-    /// The process ends.
+    /// The process is shutting down.
     Shutdown,
 }
 
 impl CloseReason {
-    /// The code in the log.
+    /// Returns the code used in the log.
     fn code(self) -> &'static str {
         match self {
             CloseReason::ConnectFailed => "connect_failed",
@@ -58,20 +58,20 @@
     pub(super) stream: TcpConnection,
     pub(super) reader: http::HttpResponseReader,
     pub(super) log_entry: LogEntry,
-    /// Whether a byte of the current response has arrived.
-    pub(super) response_begun: bool,
+    /// Whether any byte of the current response has arrived.
+    pub(super) response_started: bool,
 }
 
-/// The connection's line in the log, written when this is dropped.
+/// The report of a connection's end, made on drop.
 pub(super) struct LogEntry {
     pub(super) ends: ConnectionEndObserver,
     pub(super) peer: SocketAddr,
     pub(super) opened_at: Instant,
-    /// Polls that were answered.
+    /// The number of polls that were answered.
     pub(super) polls: u64,
-    /// Why the connection closed, where it was not just dropped.
+    /// The close reason; `None` if the connection is dropped while in use.
     pub(super) reason: Option<CloseReason>,
-    /// Why connections are dropped in use.
+    /// The close reason of connections that are dropped while in use.
     pub(super) drop_reason: Rc<Cell<CloseReason>>,
 }
 
@@ -96,7 +96,7 @@
         host: &str,
         limits: Limits,
     ) -> Result<http::HttpResponse, CloseReason> {
-        self.response_begun = false;
+        self.response_started = false;
         let request = http::get_request(target, host);
         let written = with_deadline(limits.first_byte_by, self.stream.write_all(&request)).await;
         written.ok_or(CloseReason::Timeout)?.map_err(|_| CloseReason::Reset)?;
@@ -115,13 +115,13 @@
                 return Err(CloseReason::ServerClosed);
             }
             let count = self.read_some(next_byte_by).await?;
-            self.response_begun |= count > 0;
+            self.response_started |= count > 0;
             at_end = count == 0;
             next_byte_by = next_byte_by.max(Instant::now() + limits.max_gap).min(limits.complete_by);
         }
     }
 
-    /// Reads into the buffer; 0 where discovery closed the connection.
+    /// Reads into the buffer. Returns 0 if discovery closed the connection.
     async fn read_some(&mut self, deadline: Instant) -> Result<usize, CloseReason> {
         let read = with_deadline(deadline, self.stream.read(self.reader.buffer.spare())).await;
         let count = read.ok_or(CloseReason::Timeout)?.map_err(|_| CloseReason::Reset)?;
--- a/crates/transport/src/discovery/poll.rs
+++ b/crates/transport/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! One poll of discovery, and the hedged poll beside it.
+//! Polls of discovery, with hedging.
 
 use super::connection::{CloseReason, Connection, LogEntry};
 use super::Poller;
@@ -19,24 +19,24 @@
 /// The response to a poll.
 pub(super) struct Response {
     pub(super) list: EndpointList,
-    /// The connection, where it can be used again.
+    /// The connection, if it can be reused.
     pub(super) connection: Option<Connection>,
 }
 
 type PollResult = Result<Response, CloseReason>;
 
-/// When a poll times out.
+/// The time limits of a poll.
 #[derive(Clone, Copy)]
 pub(super) struct Limits {
-    /// The limit for the first byte of the response.
+    /// The time by which the first byte of the response must arrive.
     pub(super) first_byte_by: Instant,
-    /// The longest gap between bytes of the response.
+    /// The maximum gap between bytes of the response.
     pub(super) max_gap: Duration,
-    /// The limit for the complete response.
+    /// The time by which the response must be complete.
     pub(super) complete_by: Instant,
 }
 
-/// A poll on one connection.
+/// A poll attempt on one connection.
 #[derive(Clone, Copy)]
 struct Attempt {
     kind: PollKind,
@@ -48,35 +48,35 @@
 /// A failed exchange on a connection.
 struct ExchangeError {
     reason: CloseReason,
-    /// Whether the connection closed before the first byte of a response.
+    /// Whether the connection was closed before the first byte of a response.
     closed_before_response: bool,
 }
 
-/// Which of two polls had the first response, or the last failure.
+/// The poll of a hedged pair that determined the result: with the first response, or the last failure.
 enum Winner {
     First,
     Hedge,
 }
 
 impl Attempt {
-    /// The first poll of a request that starts now.
+    /// Creates the first poll of a request that starts at `now`.
     fn first(request: &PollRequest, now: Instant) -> Self {
         let limits = Limits {
-            first_byte_by: now + span(request.response_timeout),
-            max_gap: span(request.response_timeout - request.wait),
-            complete_by: now + span(request.total_timeout),
+            first_byte_by: now + to_duration(request.response_timeout),
+            max_gap: to_duration(request.response_timeout - request.wait),
+            complete_by: now + to_duration(request.total_timeout),
         };
         Attempt {
             kind: request.kind,
             wait: request.wait,
-            connect_timeout: span(request.connect_timeout),
+            connect_timeout: to_duration(request.connect_timeout),
             limits,
         }
     }
 
-    /// The hedged poll beside this one that starts now.
+    /// Creates the hedged poll for this one that starts at `now`.
     fn hedge(self, request: &PollRequest, now: Instant) -> Self {
-        let limits = Limits { first_byte_by: now + span(request.hedge.timeout), ..self.limits };
+        let limits = Limits { first_byte_by: now + to_duration(request.hedge.timeout), ..self.limits };
         Attempt { kind: request.hedge.kind, wait: request.hedge.wait, limits, ..self }
     }
 
@@ -92,14 +92,14 @@
 }
 
 impl Poller {
-    /// Makes a poll, and a hedged one where the first stays silent. The first response counts; the poll fails once both
-    /// have failed.
+    /// Sends a poll, and a hedged one if the first gets no response in time. Returns the first response, and
+    /// fails only if both polls failed.
     pub(super) async fn poll(&self, idle: Option<Connection>, request: &PollRequest) -> PollResult {
         let started = Instant::now();
         let attempt = Attempt::first(request, started);
         let result = {
             let mut first = pin!(self.attempt(idle, attempt));
-            let hedge_at = started + span(request.hedge.after);
+            let hedge_at = started + to_duration(request.hedge.after);
             if let Some(result) = with_deadline(hedge_at, first.as_mut()).await {
                 return result;
             }
@@ -108,7 +108,8 @@
             }
             let mut hedge = pin!(self.attempt(None, attempt.hedge(request, Instant::now())));
             let (winner, result) = first_response(first.as_mut(), hedge.as_mut()).await;
-            // The log gets this reason for the other poll's connection, which is dropped with this block.
+            // The reason that is logged for the other poll's connection, which is dropped at the end of this
+            // block.
             self.drop_reason.set(match winner {
                 Winner::First => CloseReason::Superseded,
                 Winner::Hedge => CloseReason::Timeout,
@@ -119,8 +120,8 @@
         result
     }
 
-    /// Makes a poll on an idle connection or on a new one. If the idle one turns out to have been closed meanwhile, that
-    /// says nothing about discovery, and the poll is made on a new one.
+    /// Sends a poll on the idle connection, if any, or on a new one. If the idle connection turns out to be
+    /// closed already, this is not a failure of discovery, and the poll is sent on a new connection.
     async fn attempt(&self, idle: Option<Connection>, attempt: Attempt) -> PollResult {
         let target = attempt.target();
         if let Some(connection) = idle {
@@ -135,7 +136,7 @@
         self.exchange(connection, &target, attempt.limits).await.map_err(|error| error.reason)
     }
 
-    /// Makes a poll on this connection, which closes if the poll fails.
+    /// Sends a poll on this connection, and closes it if the poll fails.
     async fn exchange(
         &self,
         mut connection: Connection,
@@ -155,7 +156,10 @@
             Err(reason) => {
                 connection.log_entry.reason = Some(reason);
                 let is_closed = matches!(reason, CloseReason::Reset | CloseReason::ServerClosed);
-                Err(ExchangeError { reason, closed_before_response: is_closed && !connection.response_begun })
+                Err(ExchangeError {
+                    reason,
+                    closed_before_response: is_closed && !connection.response_started,
+                })
             }
         }
     }
@@ -171,13 +175,13 @@
         };
         match with_deadline(deadline, open::connect(self.address)).await {
             Some(Ok(stream)) => {
-                // Without the option polls are slower, and no less correct.
+                // The option only affects latency, so errors are ignored.
                 let _ = stream.get_ref().set_nodelay(true);
                 Ok(Connection {
                     stream,
                     reader: http::HttpResponseReader::default(),
                     log_entry,
-                    response_begun: false,
+                    response_started: false,
                 })
             }
             Some(Err(_)) | None => {
@@ -188,7 +192,7 @@
     }
 }
 
-/// The first response of two polls, or the later failure.
+/// Returns the first response of two polls, or the later failure.
 async fn first_response<First, Hedge>(
     mut first: Pin<&mut First>,
     mut hedge: Pin<&mut Hedge>,
@@ -206,7 +210,7 @@
     }
 }
 
-/// The list of a response, and whether its connection can be used again.
+/// Returns the endpoint list of a response, and whether its connection can be reused.
 fn read_list(response: http::HttpResponse) -> Result<(EndpointList, bool), CloseReason> {
     if response.status != STATUS_OK {
         return Err(CloseReason::HttpStatus);
@@ -215,11 +219,12 @@
     Ok((list, response.keep_alive))
 }
 
-/// Whether so little time has passed that an idle connection must have been closed before it was used.
+/// Returns whether the failure came so soon that the idle connection must have been closed before it was
+/// used.
 fn is_immediate(started: Instant) -> bool {
-    started.elapsed() < span(PollSchedule::MIN_TIMEOUT)
+    started.elapsed() < to_duration(PollSchedule::MIN_TIMEOUT)
 }
 
-fn span(micros: Micros) -> Duration {
+fn to_duration(micros: Micros) -> Duration {
     Duration::from_micros(micros.max(0) as u64)
 }
--- a/crates/transport/src/event.rs
+++ b/crates/transport/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that the drivers send to the broker.
+//! Events that the I/O tasks send to the broker.
 
 use crate::request::ClientRequest;
 use crate::{handover, member_pool};
@@ -7,16 +7,16 @@
 use wharfplank_routing::{HostId, RequestId};
 use wharfplank_shared_state::StateUpdate;
 
-/// Something that happened outside the broker and that the broker has to handle.
+/// An event that the broker has to handle.
 #[derive(Debug)]
 pub enum ProxyEvent {
     /// A client sent a request.
     RequestReceived(Box<ClientRequest>),
     /// A client disconnected while its request was open.
     ClientDisconnected(RequestNumber),
-    /// A client cancelled a request, which has been answered accordingly.
+    /// A client cancelled a request. The client has already been sent the response.
     RequestCancelled(RequestNumber),
-    /// An attempt finished, or its streamed response began.
+    /// An attempt finished, or its streamed response started.
     AttemptFinished {
         /// The request.
         id: RequestId,
@@ -48,13 +48,14 @@
         /// The staleness of the list, if it changed.
         staleness: Option<Staleness>,
     },
-    /// The share of reads that each named zone may take, as the fleet decided. Other zones take all.
+    /// The share of reads that each listed zone may receive, as agreed by the fleet. Zones not listed have no
+    /// limit.
     ZoneShares(Vec<(String, f64)>),
-    /// The latency factors of the members that the fleet judges unhealthy.
+    /// The latency factors of the members that the fleet considers unhealthy.
     MemberFactors(Vec<(u64, f64)>),
-    /// Observations that other proxies shared.
+    /// Observations shared by other proxies.
     StateUpdates(Vec<StateUpdate>),
-    /// An event on the link to the process that replaces this one, or that this one replaces.
+    /// An event on the handover link to the process that replaces this one, or that this one replaces.
     Handover(handover::HandoverEvent),
     /// The process was asked to reload its configuration.
     ReloadRequested,
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! Thin drivers between sockets and the state machines of `protocol`. They decide nothing about
-//! requests: what clients request and how attempts end goes to the broker as a [`ProxyEvent`].
+//! Socket I/O of the proxy: drives the protocol state machines of the `protocol` crate. Routing decisions are
+//! made by the broker, which receives client requests and attempt results as [`ProxyEvent`]s.
 
 pub mod admin;
 pub mod budgets;
@@ -31,5 +31,5 @@
 use std::rc::Rc;
 use wharfplank_routing::Micros;
 
-/// The caller's clock, in microseconds.
+/// A clock that returns the current time in microseconds.
 pub type Now = Rc<dyn Fn() -> Micros>;
--- a/crates/transport/src/member_pool.rs
+++ b/crates/transport/src/member_pool.rs
@@ -1,12 +1,13 @@
-//! Connection pools to members: one per member, with the attempts and health checks that use it.
+//! Connection pools, one per member, and the attempts and health checks that use them.
 //!
-//! A connection carries one query at a time. An attempt takes an idle connection or waits for one. Connections are
-//! opened apart from the attempts, in tasks of their own, and the pool keeps as many spare ones as its use justifies.
+//! A connection carries one query at a time. An attempt takes an idle connection or waits for one.
+//! Connections are opened in separate tasks, and the pool keeps a number of spare connections that depends on
+//! its use.
 //!
-//! - [`MemberPool`]: the connections to one member, and whether it is sent anything.
-//! - [`PoolContext`]: limits and services that all pools share.
+//! - [`MemberPool`]: the connections to one member, and whether the member receives traffic.
+//! - [`PoolContext`]: the limits and services shared by all pools.
 //! - [`AttemptReport`] and [`AttemptStage`]: the result and the progress of an attempt.
-//! - [`StreamForwarder`]: forwards a long response after its attempt was reported.
+//! - [`StreamForwarder`]: forwards the rest of a long response after its attempt was reported.
 
 mod attempt;
 mod checkout;
@@ -37,7 +38,7 @@
 use std::time::Instant;
 use wharfplank_pool_policy::ConnectionDemand;
 
-/// How a waiting attempt is handed a connection, or told that opening one failed.
+/// Passes a connection, or the failure to open one, to a waiting attempt.
 type ConnectionWaiter = Sender<Result<MemberConnection, OpenFailed>>;
 
 /// The connections to one member.
@@ -45,29 +46,30 @@
     context: Rc<PoolContext>,
     name: String,
     address: Cell<SocketAddr>,
-    /// Whether the endpoint list has the member take work.
+    /// Whether the member accepts work according to the endpoint list.
     active: Cell<bool>,
-    /// Until when sends may begin, where the member was removed from an endpoint list that is in doubt.
+    /// The time from which no send may start. Set if the member was removed from an endpoint list that is
+    /// suspect.
     send_until: Cell<Option<Instant>>,
-    /// Idle connections; the one used last is at the end.
+    /// Idle connections, the most recently used one last.
     idle: RefCell<Vec<MemberConnection>>,
-    /// Attempts that wait for a connection; the one that has waited longest is at the front.
+    /// Attempts that wait for a connection, in order of arrival.
     waiters: RefCell<VecDeque<ConnectionWaiter>>,
-    /// Connections that are being opened.
+    /// The number of connections that are being opened.
     opening: Cell<usize>,
-    /// Connections that are watched for unsolicited bytes after a response.
+    /// The number of connections that are watched for unsolicited bytes after a response.
     settling: Cell<usize>,
-    /// Connections that are established.
+    /// The number of established connections.
     open: Cell<usize>,
-    /// When the member last sent a response, or a part of one.
+    /// When the member last sent a response or a part of one.
     last_response: Cell<Instant>,
-    /// Until when no spare connection is opened, after opening one failed.
+    /// The end of the back-off after a failed open, during which no spare connections are opened.
     backoff_until: Cell<Option<Instant>>,
     demand: Cell<ConnectionDemand>,
 }
 
 impl MemberPool {
-    /// Creates the pool of a member. No connection is opened before [`MemberPool::activate`].
+    /// Creates the pool of a member. [`MemberPool::activate`] opens the first connections.
     pub fn new(context: Rc<PoolContext>, name: &str, address: SocketAddr) -> Rc<Self> {
         if let Some(budgets) = &context.budgets {
             budgets.add_member(name);
@@ -89,63 +91,63 @@
         })
     }
 
-    /// The member's name.
+    /// Returns the member's name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Whether the member takes work according to the endpoint list.
+    /// Returns whether the member accepts work according to the endpoint list.
     pub fn is_active(&self) -> bool {
         self.active.get()
     }
 
-    /// Whether an idle connection is ready.
+    /// Returns whether the pool has an idle connection.
     pub fn has_idle_connection(&self) -> bool {
         !self.idle.borrow().is_empty()
     }
 
-    /// Whether no connection is open or being opened.
+    /// Returns whether no connection is open or being opened.
     pub fn has_no_connections(&self) -> bool {
         self.open.get() == 0 && self.opening.get() == 0
     }
 
-    /// Lets nothing be sent from `until` on, unless [`MemberPool::activate`] or [`MemberPool::deactivate`] is called
-    /// before.
+    /// Stops sends from `until` on, unless [`MemberPool::activate`] or [`MemberPool::deactivate`] is called
+    /// before then.
     pub fn stop_sends_at(&self, until: Instant) {
         self.send_until.set(Some(until));
     }
 
-    /// Opens a connection if there is none, to show whether the member can be reached.
+    /// Opens a connection if there is none, to find out whether the member is reachable.
     pub fn connect_if_unused(self: &Rc<Self>) {
         if self.active.get() && self.has_no_connections() && self.reserve_connection() {
             self.start_opening();
         }
     }
 
-    /// Connects to this address from now on. Idle connections to a former address are closed.
+    /// Changes the member's address, and closes idle connections to the previous one.
     pub fn relocate(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.close_idle(EndReason::Relocated, |_| true);
         }
     }
 
-    /// Sends attempts to the member from now on, and keeps connections ready.
+    /// Allows sends to the member and opens spare connections.
     pub fn activate(self: &Rc<Self>) {
         self.active.set(true);
         self.send_until.set(None);
         self.open_missing_connections();
     }
 
-    /// Sends nothing to the member from now on, and closes its idle connections.
+    /// Stops sends to the member and closes its idle connections.
     pub fn deactivate(&self) {
         self.active.set(false);
         self.send_until.set(None);
         self.close_idle(EndReason::Deactivated, |_| true);
     }
 
-    /// Whether something may be sent to the member now. It is checked just before a first byte, which is what the
-    /// time limit of draining counts from: between the decision and the first byte lie a wait for a connection and a
-    /// check whether it still works.
+    /// Returns whether data may be sent to the member now. Checked just before the first byte, because the
+    /// drain time limit applies to the first byte, and the wait for a connection and its liveness check may
+    /// take a while after the routing decision.
     fn accepts_sends(&self) -> bool {
         self.active.get() && self.send_until.get().is_none_or(|until| Instant::now() < until)
     }
--- a/crates/transport/src/member_pool/attempt.rs
+++ b/crates/transport/src/member_pool/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: a query is sent on a connection, and the response is read.
+//! Attempts and health checks: sending a query on a connection and reading the response.
 
 use super::connection::MemberConnection;
 use super::end_reason::{EndReason, ReadError};
@@ -17,14 +17,14 @@
 /// The query for a member's load report.
 const LOAD_REPORT_QUERY: &[u8] = b"SHOW load";
 
-/// Why a query was not written completely. It never runs then.
+/// The reason why a query was not written completely, in which case it is never executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum SendError {
-    /// The connection broke.
-    #[error("the connection was reset before the last byte")]
+    /// The connection was reset.
+    #[error("connection reset before the query was written completely")]
     Reset,
-    /// The time to write it was over.
-    #[error("the query was not written in time")]
+    /// The time limit for writing passed.
+    #[error("query was not written within the time limit")]
     Expired,
 }
 
@@ -37,21 +37,21 @@
     }
 }
 
-/// Whose query an exchange sends.
+/// The origin of a query.
 #[derive(Clone, Copy)]
 enum Origin<'a> {
-    /// A client's, whose attempts are counted. It is not sent if the client does not await it any more.
+    /// A client request. Its attempts are counted, and it is not sent if the client no longer waits for it.
     Client { is_awaited: &'a dyn Fn() -> bool },
     /// A health check of this proxy.
     HealthCheck,
 }
 
 impl MemberPool {
-    /// Sends a statement and waits for its response. The member is told how much time is left until the deadline.
+    /// Sends a statement and waits for its response. The statement carries the time left until the deadline.
     ///
-    /// An attempt that is not written by `send_by`, or that `is_awaited` declines just before its first byte, ends as
-    /// never sent. A long response is reported as soon as it has begun, and the forwarder in the result has to be run
-    /// after the report.
+    /// The attempt ends as not sent if it is not written by `send_by`, or if `is_awaited` returns false just
+    /// before the first byte. A long response is reported as soon as it starts; the caller has to run the
+    /// forwarder in the result after the report.
     pub async fn attempt(
         self: Rc<Self>,
         statement: Rc<Statement>,
@@ -67,7 +67,7 @@
         self.exchange(write_query, &stage, limits, origin).await
     }
 
-    /// Requests the member's load report. Returns `None` if it does not come within `timeout`.
+    /// Requests the member's load report. Returns `None` if it does not arrive within `timeout`.
     pub async fn probe(self: Rc<Self>, timeout: Duration) -> Option<String> {
         let write_query = |out: &mut Vec<u8>| out.extend_from_slice(LOAD_REPORT_QUERY);
         let limits = AttemptLimits { deadline: Instant::now() + timeout, send_by: None };
@@ -111,18 +111,18 @@
             Some(Ok(ResponseEvent::StreamStarted { bytes: first, remaining })) => {
                 self.begin_stream(connection, first, remaining)
             }
-            // Nothing is streamed that has not begun.
+            // A chunk cannot precede the start of its stream.
             Some(Ok(ResponseEvent::StreamChunk(_))) => AttemptOutcome::Error.into(),
             Some(Err(error)) => self.on_read_failed(connection, error, idle_time),
             None => self.on_response_timeout(connection, started),
         }
     }
 
-    /// Takes a connection that can be sent on at once, by `send_until`.
+    /// Acquires a connection that is ready for sending, by `send_until`.
     ///
     /// # Errors
     ///
-    /// Returns how the attempt ends without a connection.
+    /// Returns the outcome of the attempt if no connection was acquired.
     async fn acquire_until(
         self: &Rc<Self>,
         started: Instant,
@@ -135,7 +135,7 @@
         let acquired = with_deadline(send_until.min(connect_until), self.acquire()).await;
         let connection = match acquired {
             Some(Ok(connection)) => connection,
-            // A failure says nothing of a member that takes no work any more.
+            // A failure is not evidence against a member that no longer accepts work.
             Some(Err(_)) if !self.accepts_sends() => return Err(AttemptOutcome::NotSent),
             Some(Err(_)) => return Err(AttemptOutcome::ConnectFailed),
             None if connect_until <= send_until && self.opening.get() > 0 => {
@@ -143,8 +143,8 @@
             }
             None => return Err(AttemptOutcome::NotSent),
         };
-        // A pause of the process between the decision and here ages the decision too, and the endpoint list may have
-        // changed.
+        // The process may have been suspended since the routing decision, so the limit may have passed and
+        // the endpoint list may have changed.
         if Instant::now() >= send_until || !self.accepts_sends() {
             self.release(connection);
             return Err(AttemptOutcome::NotSent);
@@ -152,7 +152,7 @@
         Ok(connection)
     }
 
-    /// Reports a long response that has begun, and prepares the forwarding of the rest.
+    /// Reports the start of a long response and prepares the forwarding of the rest.
     fn begin_stream(
         &self,
         connection: MemberConnection,
@@ -182,24 +182,24 @@
 
     fn on_response_timeout(&self, mut connection: MemberConnection, started: Instant) -> AttemptCompletion {
         connection.end_reason = EndReason::Timeout;
-        // A member that has sent nothing at all since then may be cut off: idle connections would be reset with the
-        // next request on them, while opening a new one shows it without harm.
+        // A member that has sent nothing since the attempt started may be unreachable. A request on an idle
+        // connection could be lost to a reset, while a failure to open a new connection loses nothing.
         if self.last_response.get() < started {
-            self.close_idle(EndReason::Silent, |_| true);
+            self.close_idle(EndReason::Unresponsive, |_| true);
         }
         AttemptOutcome::Timeout.into()
     }
 }
 
 impl MemberConnection {
-    /// Counts a request that is about to be sent. Returns for how long the connection was idle.
+    /// Counts a request that is about to be sent. Returns how long the connection was idle.
     fn begin_request(&mut self) -> Duration {
         self.end_reason = EndReason::Abandoned;
         self.requests += 1;
         self.last_used.elapsed()
     }
 
-    /// Writes a query by `send_until`.
+    /// Writes a query, with `send_until` as the time limit.
     async fn send_query(&mut self, message: Vec<u8>, send_until: Instant) -> Result<(), SendError> {
         match with_deadline(send_until, self.stream.write_all(&message)).await {
             Some(Ok(())) => Ok(()),
--- a/crates/transport/src/member_pool/checkout.rs
+++ b/crates/transport/src/member_pool/checkout.rs
@@ -1,4 +1,4 @@
-//! How connections are taken out of the pool and returned to it.
+//! Checkout of connections from the pool, and their return.
 
 use super::connection::{Liveness, MemberConnection};
 use super::end_reason::EndReason;
@@ -9,30 +9,30 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a connection is watched after a response before it carries the next request: a duplicate of the
-/// response, or noise behind it, would be read as the response to that request.
+/// How long a connection is watched for unsolicited bytes after a response. A duplicate response, or garbage
+/// after it, would otherwise be read as the response to the next request.
 const SETTLE_TIME: Duration = Duration::from_millis(3);
 
-/// Why no connection could be taken out of the pool.
+/// The reason why no connection could be acquired from the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AcquireError {
     /// No connection could be opened.
     #[error(transparent)]
     Open(#[from] OpenFailed),
-    /// The member closed the connection right after the startup. What would be written to it then may have run, for
-    /// all that can be known.
-    #[error("the member closed the new connection")]
+    /// The member closed the connection right after the startup. A query written to it would have to be
+    /// treated as possibly executed.
+    #[error("member closed the new connection")]
     Closed,
-    /// The member did not respond on an idle connection.
-    #[error("the member did not respond to a liveness check")]
-    Silent,
-    /// The member takes no work any more.
-    #[error("the member takes no work any more")]
+    /// The member did not respond to the liveness check of an idle connection.
+    #[error("member did not respond to the liveness check")]
+    Unresponsive,
+    /// The member no longer accepts work.
+    #[error("member no longer accepts work")]
     Inactive,
 }
 
 impl MemberPool {
-    /// Takes a connection out of the pool: an idle one that works, or else the next one that is opened or returned.
+    /// Acquires a connection: an idle one that works, or else the next one that is opened or returned.
     pub(super) async fn acquire(self: &Rc<Self>) -> Result<MemberConnection, AcquireError> {
         self.record_demand();
         while let Some(connection) = self.pop_idle() {
@@ -49,26 +49,27 @@
         self.demand.set(demand);
     }
 
-    /// The idle connection that was used last.
+    /// Removes and returns the most recently used idle connection.
     fn pop_idle(&self) -> Option<MemberConnection> {
         self.idle.borrow_mut().pop()
     }
 
-    /// Checks whether an idle connection can carry a request. Returns `None`, and closes it, if another one is to be
-    /// tried.
+    /// Checks whether an idle connection can carry a request. If not, closes it and returns `None`, and the
+    /// caller tries another one.
     async fn check_idle(
         self: &Rc<Self>,
         mut connection: MemberConnection,
     ) -> Result<Option<MemberConnection>, AcquireError> {
-        if !connection.is_quiet() {
+        if !connection.is_reusable() {
             connection.close(EndReason::MEMBER_CLOSED);
             return Ok(None);
         }
         let last_used = connection.last_used;
         let idle_time = last_used.elapsed();
-        // Pools are maintained only now and then, and a member may close the connection before the next time.
+        // Pool maintenance runs only periodically, and the member may close the connection before the next
+        // run.
         if idle_time >= self.context.idle_timeout {
-            connection.close(EndReason::Retired);
+            connection.close(EndReason::IdleTimeout);
             return Ok(None);
         }
         self.open_missing_connections();
@@ -85,38 +86,38 @@
             Liveness::Dead => {
                 connection.close(EndReason::Stale);
                 self.context.on_dead_connection(idle_time);
-                // Connections that have been idle for longer are no better.
+                // Connections that have been idle for longer are probably dead as well.
                 self.close_idle(EndReason::Stale, |other| other.last_used <= last_used);
                 Ok(None)
             }
-            Liveness::Silent => {
-                connection.close(EndReason::Silent);
-                self.close_idle(EndReason::Silent, |_| true);
-                Err(AcquireError::Silent)
+            Liveness::Unresponsive => {
+                connection.close(EndReason::Unresponsive);
+                self.close_idle(EndReason::Unresponsive, |_| true);
+                Err(AcquireError::Unresponsive)
             }
         }
     }
 
-    /// Waits for the next connection that is opened or returned.
+    /// Waits for the next connection that is opened or returned to the pool.
     async fn wait_for_connection(self: &Rc<Self>) -> Result<MemberConnection, AcquireError> {
-        let (waiter, handed_over) = bounded(1);
+        let (waiter, received) = bounded(1);
         self.waiters.borrow_mut().retain(|waiter| !waiter.is_closed());
         self.waiters.borrow_mut().push_back(waiter);
         self.open_missing_connections();
-        let connection = handed_over.recv().await.unwrap_or(Err(OpenFailed))?;
-        if !connection.is_quiet() {
+        let connection = received.recv().await.unwrap_or(Err(OpenFailed))?;
+        if !connection.is_reusable() {
             connection.close(EndReason::MEMBER_CLOSED);
             return Err(AcquireError::Closed);
         }
         Ok(connection)
     }
 
-    /// Returns a connection to the pool, or hands it to the attempt that has waited longest.
+    /// Returns a connection to the pool, or passes it to the attempt that has waited longest.
     pub(super) fn release(self: &Rc<Self>, connection: MemberConnection) {
         if self.excess().over_quota > 0 {
             return connection.close(EndReason::OverBudget);
         }
-        // The member was relocated meanwhile: another one may listen at the old address by now.
+        // The member's address has changed, and another member may use the old one by now.
         if connection.peer != self.address.get() {
             connection.close(EndReason::Relocated);
             return self.open_missing_connections();
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Hands a connection to the attempt that has waited longest. Returns it if no attempt waits.
+    /// Passes a connection to the attempt that has waited longest. Returns it if no attempt is waiting.
     fn hand_to_waiter(&self, connection: MemberConnection) -> Option<MemberConnection> {
         let mut offered = Ok(connection);
         loop {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Stores a connection as idle if the member takes work, and closes it otherwise.
+    /// Stores a connection as idle if the member accepts work, and closes it otherwise.
     fn store_idle(&self, mut connection: MemberConnection) {
         connection.reader.buffer.release_memory();
         if self.active.get() {
@@ -151,7 +152,8 @@
         }
     }
 
-    /// Watches a connection for a moment after a response, then returns it to the pool if nothing more came.
+    /// Watches a connection for [`SETTLE_TIME`] after a response and returns it to the pool if nothing more
+    /// was received.
     pub(super) fn settle_and_release(self: &Rc<Self>, connection: MemberConnection) {
         self.settling.set(self.settling.get() + 1);
         let pool = Rc::clone(self);
@@ -160,7 +162,7 @@
                 with_deadline(Instant::now() + SETTLE_TIME, connection.stream.as_async().readable()).await;
             }
             pool.settling.set(pool.settling.get() - 1);
-            if connection.is_quiet() {
+            if connection.is_reusable() {
                 return pool.release(connection);
             }
             let reason =
--- a/crates/transport/src/member_pool/connection.rs
+++ b/crates/transport/src/member_pool/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a member: its state, and reading what the member sends on it.
+//! A connection to a member, and reading of the member's responses.
 
 use super::end_reason::{EndReason, ReadError};
 use super::{AttemptReport, MemberPool};
@@ -15,38 +15,40 @@
 };
 use wharfplank_routing::AttemptOutcome;
 
-/// How long the response to an empty query may take; a member sends it at once.
+/// The time limit for the response to an empty query, which members send immediately.
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(100);
-/// A short response that has begun to arrive and pauses for so long is taken as broken off: another member may still
-/// serve its request. Slow members and split writes were seen to pause for less, silent members for more.
+/// The maximum pause within a short response, after which the attempt fails so that another member can still
+/// serve the request. Observed pauses of slow members and split writes were shorter, those of unresponsive
+/// members longer.
 const STALL_TIMEOUT: Duration = Duration::from_millis(150);
-/// A streamed row may pause for longer, since its request cannot be retried any more.
+/// The maximum pause within a streamed row; longer, since its request can no longer be retried.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The bytes of a streamed row that are read at a time, where there is memory for them.
+/// The read size for streamed rows, in bytes, if the memory budget allows.
 const STREAM_READ_SIZE: usize = 64 * 1024;
 
-/// Whether a connection that was idle still works.
+/// The result of a liveness check.
 pub(super) enum Liveness {
     /// The member responded to an empty query.
     Alive,
-    /// The connection is broken.
+    /// The connection failed, or the member sent something else.
     Dead,
     /// The member did not respond in time.
-    Silent,
+    Unresponsive,
 }
 
-/// An established connection to a member. Dropping it closes it, releases its place and reports its end.
+/// An established connection to a member. Dropping it closes it, releases its reservation and reports its
+/// end.
 pub(super) struct MemberConnection {
     pub(super) stream: TcpConnection,
     pub(super) reader: ResponseReader,
     pub(super) peer: SocketAddr,
     pub(super) pool: Rc<MemberPool>,
     pub(super) opened_at: Instant,
-    /// When a response was last complete, or the connection was opened.
+    /// When the last response was completed, or else when the connection was opened.
     pub(super) last_used: Instant,
     pub(super) requests: u64,
     pub(super) memory: MemoryReservation,
-    /// The reason that is reported if the connection is dropped now.
+    /// The end reason that is reported on drop.
     pub(super) end_reason: EndReason,
 }
 
@@ -65,7 +67,7 @@
 }
 
 impl MemberConnection {
-    /// Wraps an established stream and counts it in its pool.
+    /// Creates the connection of an established stream and counts it in its pool.
     pub(super) fn new(
         pool: Rc<MemberPool>,
         peer: SocketAddr,
@@ -88,36 +90,37 @@
         }
     }
 
-    /// Closes the connection for this reason.
+    /// Closes the connection and reports this reason.
     pub(super) fn close(mut self, reason: EndReason) {
         self.end_reason = reason;
     }
 
-    /// Whether the member has neither closed the connection nor sent anything without a request.
-    pub(super) fn is_quiet(&self) -> bool {
-        !self.reader.has_partial_response() && peek::is_quiet(self.stream.get_ref())
+    /// Returns whether the connection can carry another request: it is open, and no unsolicited bytes were
+    /// received.
+    pub(super) fn is_reusable(&self) -> bool {
+        !self.reader.has_partial_response() && peek::is_idle(self.stream.get_ref())
     }
 
-    /// Whether the member has sent something that was not consumed yet.
+    /// Returns whether the member has sent bytes that were not consumed yet.
     pub(super) fn has_unread_bytes(&self) -> bool {
         self.reader.has_partial_response() || peek::has_unread_bytes(self.stream.get_ref())
     }
 
-    /// Checks with an empty query whether the connection works.
+    /// Checks with an empty query whether the connection still works.
     pub(super) async fn check_liveness(&mut self) -> Liveness {
         let deadline = Instant::now() + LIVENESS_TIMEOUT;
         let Some(responded) = with_deadline(deadline, self.exchange_empty_query()).await else {
-            return Liveness::Silent;
+            return Liveness::Unresponsive;
         };
         self.last_used = Instant::now();
-        if responded && self.is_quiet() {
+        if responded && self.is_reusable() {
             Liveness::Alive
         } else {
             Liveness::Dead
         }
     }
 
-    /// Whether the member responds to an empty query as it should.
+    /// Sends an empty query and returns whether the member responds correctly.
     async fn exchange_empty_query(&mut self) -> bool {
         if self.stream.write_all(&member_request::query_message(|_| {})).await.is_err() {
             return false;
@@ -126,12 +129,12 @@
         matches!(response, Ok(ResponseEvent::Complete(response)) if response.kind == ResponseKind::Done)
     }
 
-    /// Reads the next part of a response, or all of it.
+    /// Reads the next part of a response, or all of a short one.
     ///
     /// # Errors
     ///
-    /// Returns why nothing more can be read. What the member sent completely before it closed the connection, or
-    /// before the connection broke, is returned first.
+    /// Returns the reason why nothing more can be read. Complete responses that arrived before the connection
+    /// was closed or reset are returned first.
     pub(super) async fn read_event(&mut self) -> Result<ResponseEvent, ReadError> {
         let mut ended: Option<ReadError> = None;
         loop {
@@ -150,7 +153,7 @@
             let min_capacity = self.min_read_capacity(streaming);
             let fits = self.memory.resize(self.reader.buffer.next_capacity(min_capacity));
             if !fits && !streaming {
-                // What there is of a row is streamed, so that no memory is needed for the rest.
+                // Streams the partial row, so that no memory is needed for the rest.
                 if !self.reader.stream_any_row() {
                     return Err(ReadError::OutOfMemory);
                 }
@@ -164,7 +167,7 @@
         }
     }
 
-    /// The least capacity of the buffer that is read into.
+    /// Returns the minimum capacity of the read buffer.
     fn min_read_capacity(&self, streaming: bool) -> usize {
         if streaming && self.memory.budget().available() >= STREAM_READ_SIZE {
             STREAM_READ_SIZE
@@ -173,12 +176,12 @@
         }
     }
 
-    /// Reads once. A response that has begun may pause only for a limited time.
+    /// Reads once, with a time limit if a response has started to arrive.
     async fn read_into_buffer(&mut self, streaming: bool, min_capacity: usize) -> Result<(), ReadError> {
         let stall_timeout = if streaming { STREAM_STALL_TIMEOUT } else { STALL_TIMEOUT };
-        let begun = self.reader.has_partial_response();
+        let has_started = self.reader.has_partial_response();
         let read = self.stream.read(self.reader.buffer.spare_with_capacity(min_capacity));
-        let result = if begun {
+        let result = if has_started {
             with_deadline(Instant::now() + stall_timeout, read).await.ok_or(ReadError::Stalled)?
         } else {
             read.await
@@ -193,7 +196,8 @@
         }
     }
 
-    /// Evaluates a complete response, and returns the connection to its pool if it is still usable.
+    /// Determines the outcome of a complete response, and returns the connection to its pool if it is still
+    /// usable.
     pub(super) fn complete(mut self, response: MemberResponse) -> AttemptReport {
         let now = Instant::now();
         self.pool.last_response.set(now);
--- a/crates/transport/src/member_pool/end_reason.rs
+++ b/crates/transport/src/member_pool/end_reason.rs
@@ -1,45 +1,45 @@
-//! Why connections to members end, and why reading from them fails.
+//! Reasons for the end of member connections and for read failures.
 
 use wharfplank_routing::AttemptOutcome;
 
-/// Why a connection to a member ended. The log shows its code.
+/// The reason why a member connection ended; logged as its code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndReason {
     /// The attempt that used it was dropped.
     Abandoned,
-    /// It was idle when the process ended.
+    /// The connection was idle when the process ended.
     Shutdown,
-    /// It could not be established.
+    /// The connection could not be established.
     ConnectFailed,
-    /// It was not established in time.
+    /// The connection was not established in time.
     ConnectTimeout,
-    /// Reading from it failed.
+    /// Reading from the connection failed.
     Read(ReadError),
-    /// No response came in time.
+    /// No response was received in time.
     Timeout,
-    /// The fleet's budget has no room for it any more.
+    /// The connection exceeds the fleet-wide budget.
     OverBudget,
-    /// The member has another address now.
+    /// The member's address has changed.
     Relocated,
-    /// The member takes no work any more.
+    /// The member no longer accepts work.
     Deactivated,
-    /// It was idle for too long.
-    Retired,
-    /// The member sent something without a request.
+    /// The connection exceeded the idle timeout.
+    IdleTimeout,
+    /// The member sent bytes without a request.
     Unsolicited,
-    /// A connection that had been idle for as long was found dead.
+    /// The connection was found dead by a liveness check, or had been idle for longer than one that was.
     Stale,
-    /// The member did not respond at all.
-    Silent,
+    /// The member sent nothing at all.
+    Unresponsive,
 }
 
 impl EndReason {
     /// The member closed the connection.
     pub(super) const MEMBER_CLOSED: EndReason = EndReason::Read(ReadError::Closed);
-    /// The connection broke.
+    /// The connection was reset.
     pub(super) const RESET: EndReason = EndReason::Read(ReadError::Reset);
 
-    /// The code in the log.
+    /// Returns the code used in the log.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             EndReason::Abandoned => "abandoned",
@@ -55,10 +55,10 @@
             EndReason::OverBudget => "over_budget",
             EndReason::Relocated => "moved",
             EndReason::Deactivated => "left",
-            EndReason::Retired => "retired",
+            EndReason::IdleTimeout => "retired",
             EndReason::Unsolicited => "unsolicited",
             EndReason::Stale => "stale",
-            EndReason::Silent => "silent",
+            EndReason::Unresponsive => "silent",
         }
     }
 }
@@ -69,31 +69,32 @@
     }
 }
 
-/// Why nothing more can be read from a connection to a member.
+/// The reason why nothing more can be read from a member connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ReadError {
-    /// The member broke the protocol.
-    #[error("the member broke the protocol")]
+    /// The member violated the protocol.
+    #[error("member violated the protocol")]
     Malformed,
-    /// The memory budget has no room for the rest of the response.
-    #[error("no memory for the rest of the response")]
+    /// The rest of the response does not fit in the memory budget.
+    #[error("rest of the response exceeds the memory budget")]
     OutOfMemory,
-    /// The response stopped half-way.
-    #[error("the response stalled")]
+    /// The response paused for too long after it had started.
+    #[error("response stalled before it was complete")]
     Stalled,
     /// The member closed the connection.
-    #[error("the member closed the connection")]
+    #[error("member closed the connection")]
     Closed,
-    /// The connection broke.
-    #[error("the connection was reset")]
+    /// The connection was reset.
+    #[error("connection was reset")]
     Reset,
 }
 
 impl ReadError {
-    /// The outcome of an attempt whose response could not be read for this reason.
+    /// Returns the outcome of an attempt whose response could not be read for this reason.
     pub(super) fn attempt_outcome(self) -> AttemptOutcome {
         match self {
-            // An unreadable response is a response all the same: the member works, and the request may have run.
+            // An unreadable response still shows that the member is running and may have executed the
+            // request.
             ReadError::Malformed | ReadError::Stalled | ReadError::OutOfMemory => AttemptOutcome::Error,
             ReadError::Closed | ReadError::Reset => AttemptOutcome::Reset,
         }
--- a/crates/transport/src/member_pool/forwarder.rs
+++ b/crates/transport/src/member_pool/forwarder.rs
@@ -1,4 +1,4 @@
-//! Forwarding of a long response, as it comes from the member and as its client takes it.
+//! Forwarding of long responses from a member to a client, at the pace at which the client reads.
 
 use super::connection::MemberConnection;
 use super::end_reason::ReadError;
@@ -9,10 +9,10 @@
 use wharfplank_protocol::member_response::{MemberResponse, ResponseEvent};
 use wharfplank_routing::AttemptOutcome;
 
-/// A streamed response is broken off after this time, however slowly it is sent and taken.
+/// The maximum duration of a streamed response, regardless of its progress.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The member's side of a streamed response.
+/// The member side of a streamed response.
 pub struct StreamForwarder {
     connection: MemberConnection,
     sender: ResponseStreamSender,
@@ -23,7 +23,8 @@
         StreamForwarder { connection, sender }
     }
 
-    /// Forwards the response to its end. Without a complete end the client's connection sees the stream cut off.
+    /// Forwards the response until it ends. If it ends incomplete, the client connection sees the stream as
+    /// cut off.
     pub async fn forward(mut self) -> AttemptReport {
         let deadline = Instant::now() + STREAM_TIMEOUT;
         loop {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Forwards what follows the row.
+    /// Forwards the messages after the row.
     async fn finish(self, response: MemberResponse) -> AttemptReport {
         let mut report = self.connection.complete(response);
         let rest = report.response.as_mut().map(|response| std::mem::take(&mut response.messages));
--- a/crates/transport/src/member_pool/limits.rs
+++ b/crates/transport/src/member_pool/limits.rs
@@ -1,19 +1,20 @@
-//! The time limits of an attempt.
+//! Time limits of an attempt.
 
 use std::time::Instant;
 
-/// The points in time that limit an attempt. They count from the decision, however late the attempt starts or finds a
-/// connection.
+/// The time limits of an attempt. They are relative to the routing decision, no matter how late the attempt
+/// starts or gets a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptLimits {
-    /// Until when the response must come. For a streamed response that is its first bytes.
+    /// The time by which the response must arrive; for a streamed response, its first bytes.
     pub deadline: Instant,
-    /// Until when the statement must be written, if that is sooner: later the reason for the attempt holds no more.
+    /// The time by which the statement must be written, if earlier than the deadline. After that, the
+    /// conditions under which the attempt was decided no longer hold.
     pub send_by: Option<Instant>,
 }
 
 impl AttemptLimits {
-    /// Until when the statement must be written.
+    /// Returns the time by which the statement must be written.
     pub(super) fn send_until(&self) -> Instant {
         self.send_by.map_or(self.deadline, |at| self.deadline.min(at))
     }
--- a/crates/transport/src/member_pool/opening.rs
+++ b/crates/transport/src/member_pool/opening.rs
@@ -1,4 +1,4 @@
-//! Opening of connections, apart from the attempts that wait for them.
+//! Opening of connections, independent of the attempts that wait for them.
 
 use super::connection::MemberConnection;
 use super::end_reason::EndReason;
@@ -13,33 +13,34 @@
 use wharfplank_protocol::member_request;
 use wharfplank_protocol::member_response::{ResponseEvent, ResponseKind, ResponseReader};
 
-/// The most connections to a member that are opened at the same time.
+/// The maximum number of connections to a member that are opened at the same time.
 const MAX_OPENING: usize = 6;
-/// No spare connection is opened for so long after a failure; attempts show whether the member works again.
+/// How long no spare connection is opened after a failure. Meanwhile, attempts show whether the member works
+/// again.
 const BACKOFF: Duration = Duration::from_millis(500);
 /// The user and the database of the startup message.
 const USER: &str = "web";
 const DATABASE: &str = "orders";
 
-/// No connection could be opened for an attempt that waited for one.
+/// The error that no connection could be opened for a waiting attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no connection could be opened")]
+#[error("could not open a connection to the member")]
 pub(super) struct OpenFailed;
 
-/// Why a connection could not be established.
+/// The reason why a connection could not be established.
 #[derive(Debug, thiserror::Error)]
 enum ConnectError {
-    /// The connection could not be made, or broke.
-    #[error("the connection failed: {0}")]
+    /// The connection could not be opened, or failed.
+    #[error("connection failed: {0}")]
     Io(#[from] io::Error),
     /// The member closed the connection before it was ready.
-    #[error("the member closed the connection during startup")]
+    #[error("member closed the connection during startup")]
     Closed,
-    /// The member did not accept the startup message.
-    #[error("the member did not accept the startup message")]
+    /// The member rejected the startup.
+    #[error("member rejected the startup")]
     Rejected,
     /// The member was not ready in time.
-    #[error("the connection was not established in time")]
+    #[error("connection was not established within the time limit")]
     Timeout,
 }
 
@@ -53,7 +54,7 @@
 }
 
 impl MemberPool {
-    /// Opens connections for the attempts that wait and as spares, as far as the limits allow.
+    /// Opens connections for waiting attempts and as spares, within the limits.
     pub(super) fn open_missing_connections(self: &Rc<Self>) {
         let missing = self.missing_connections();
         while self.opening.get() < missing && self.may_open_another() {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// How many connections should be in the process of being opened.
+    /// Returns the number of connections that should be in the process of being opened.
     fn missing_connections(&self) -> usize {
         let now = Instant::now();
         let in_backoff = self.backoff_until.get().is_some_and(|until| now < until);
@@ -75,14 +76,14 @@
         (waiting + spares).saturating_sub(available).min(MAX_OPENING)
     }
 
-    /// Whether the limits allow one more connection. If so, it is reserved in the fleet's budget.
+    /// Returns whether the limits allow another connection. If so, reserves it in the fleet-wide budget.
     fn may_open_another(&self) -> bool {
         self.open.get() + self.opening.get() < self.context.max_connections_per_member
             && self.context.open_connections.get() < self.context.max_connections.get()
             && self.reserve_connection()
     }
 
-    /// Starts a task that opens one connection, which has been reserved.
+    /// Starts a task that opens one connection. The connection must have been reserved.
     pub(super) fn start_opening(self: &Rc<Self>) {
         self.opening.set(self.opening.get() + 1);
         let open_connections = &self.context.open_connections;
@@ -91,7 +92,8 @@
         self.context.executor.spawn(async move { pool.open_connection().await }).detach();
     }
 
-    /// Opens one connection and hands it out. A failure is reported to the attempt that has waited longest.
+    /// Opens a connection and releases it to the pool. Reports a failure to the attempt that has waited
+    /// longest.
     async fn open_connection(self: Rc<Self>) {
         let peer = self.address.get();
         let started = Instant::now();
@@ -121,7 +123,7 @@
         self.open_missing_connections();
     }
 
-    /// Reports a failure to the attempt that has waited longest and still waits.
+    /// Reports a failure to the attempt that has waited longest, skipping those that no longer wait.
     fn fail_first_waiter(&self) {
         loop {
             let waiter = self.waiters.borrow_mut().pop_front();
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Connects and exchanges the startup messages.
+    /// Connects to the member and completes the startup.
     async fn connect(self: &Rc<Self>, peer: SocketAddr) -> Result<MemberConnection, ConnectError> {
         let mut stream = open::connect(peer).await?;
         let _ = stream.get_ref().set_nodelay(true);
--- a/crates/transport/src/member_pool/report.rs
+++ b/crates/transport/src/member_pool/report.rs
@@ -1,4 +1,4 @@
-//! The progress and the result of an attempt.
+//! Progress and result of an attempt.
 
 use super::StreamForwarder;
 use crate::response_stream::ResponseStream;
@@ -8,27 +8,27 @@
 /// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptReport {
-    /// The outcome as the router classifies it.
+    /// The outcome, as classified for the router.
     pub outcome: AttemptOutcome,
     /// The member's complete response, if it sent one.
     pub response: Option<MemberResponse>,
-    /// A successful response that has only begun. It is streamed to the client, and a second report follows at its
-    /// end.
+    /// A successful response that has started. It is streamed to the client, and a second report follows when
+    /// it ends.
     pub stream: Option<ResponseStream>,
 }
 
 impl AttemptReport {
-    /// The report of an attempt that ended without a response.
+    /// Creates the report of an attempt that ended without a response.
     pub fn without_response(outcome: AttemptOutcome) -> Self {
         AttemptReport { outcome, response: None, stream: None }
     }
 }
 
-/// What an attempt led to.
+/// The completion of an attempt, or the start of its streamed response.
 pub struct AttemptCompletion {
-    /// The result, or the beginning of a streamed response.
+    /// The result, or the start of a streamed response.
     pub report: AttemptReport,
-    /// Forwards the rest of a streamed response once the report was delivered.
+    /// Forwards the rest of a streamed response; to be run after the report was delivered.
     pub forwarder: Option<StreamForwarder>,
 }
 
@@ -44,16 +44,16 @@
     }
 }
 
-/// How far an attempt has come. The time limit of draining counts from its first byte.
+/// The progress of an attempt. The drain time limit applies from its first byte.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AttemptStage {
-    /// Nothing is written yet.
+    /// Nothing has been written yet.
     #[default]
     Queued,
-    /// The statement is being written, but its last byte is not: if the connection is closed now, it never runs.
+    /// The statement is partly written. If the connection is closed now, the statement is never executed.
     Writing,
-    /// The whole statement is written: it may have run.
+    /// The statement is completely written and may have been executed.
     Written,
-    /// The attempt has ended, and its report is on the way.
+    /// The attempt has ended, and its report is being delivered.
     Finished,
 }
--- a/crates/transport/src/memory.rs
+++ b/crates/transport/src/memory.rs
@@ -1,10 +1,10 @@
-//! A budget for the memory that connections buffer beyond a modest size each.
+//! A memory budget for connection buffers beyond a fixed free size per buffer.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use wharfplank_protocol::read_buffer::MAX_RETAINED_CAPACITY;
 
-/// What all connections together may buffer beyond a modest size each, in bytes.
+/// A limit, in bytes, on the memory that all connections together may buffer beyond a free size per buffer.
 #[derive(Debug)]
 pub struct MemoryBudget {
     limit: usize,
@@ -12,18 +12,18 @@
 }
 
 impl MemoryBudget {
-    /// Creates a budget of `limit` bytes of which nothing is reserved.
+    /// Creates a budget of `limit` bytes with no reservations.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(MemoryBudget { limit, reserved: Cell::new(0) })
     }
 
-    /// Bytes that are not reserved.
+    /// Returns the number of unreserved bytes.
     pub fn available(&self) -> usize {
         self.limit.saturating_sub(self.reserved.get())
     }
 }
 
-/// The part of a [`MemoryBudget`] that one owner has reserved. It is released on drop.
+/// A reservation in a [`MemoryBudget`], released on drop.
 pub(crate) struct MemoryReservation {
     budget: Rc<MemoryBudget>,
     reserved: usize,
@@ -35,14 +35,14 @@
         MemoryReservation { budget: Rc::clone(budget), reserved: 0 }
     }
 
-    /// The budget that this reservation is part of.
+    /// Returns the budget of this reservation.
     pub(crate) fn budget(&self) -> &MemoryBudget {
         &self.budget
     }
 
-    /// Changes the reservation to that of a buffer of `capacity` bytes, of which a modest size is free of charge.
-    /// Returns false if the buffer is larger than that and the budget is exceeded; the reservation is changed even
-    /// then.
+    /// Sets the reservation to that of a buffer of `capacity` bytes, of which the first
+    /// [`MAX_RETAINED_CAPACITY`] bytes are free. Returns false if the buffer is larger than that and the
+    /// budget is exceeded; the reservation is changed in any case.
     pub(crate) fn resize(&mut self, capacity: usize) -> bool {
         let charged = capacity.saturating_sub(MAX_RETAINED_CAPACITY);
         let total = self.budget.reserved.get() - self.reserved + charged;
--- a/crates/transport/src/request.rs
+++ b/crates/transport/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request and its statement, independent of the protocol that carried them.
+//! Client requests and their statements, independent of the wire protocol.
 
 use crate::client_connection::ResponseWriter;
 use std::ops::Range;
@@ -7,21 +7,21 @@
 use wharfplank_protocol::pipeline::RequestNumber;
 use wharfplank_protocol::request_comment;
 
-/// The text of a client's statement. It is stored once and shared by all attempts of its request.
+/// The text of a client's statement, shared by all attempts of its request.
 #[derive(Debug)]
 pub struct Statement {
     bytes: Vec<u8>,
-    /// Where the value of the comment's `d` field (the remaining time) stands in `bytes`.
+    /// The range in `bytes` of the value of the comment's `d` field (the remaining time).
     timeout_range: Range<usize>,
 }
 
 impl Statement {
-    /// Creates a statement from its bytes and the range of the value of `d` in them.
+    /// Creates a statement from its bytes and the range of the value of `d`.
     pub fn new(bytes: Vec<u8>, timeout_range: Range<usize>) -> Self {
         Statement { bytes, timeout_range }
     }
 
-    /// The statement without its leading comment and without surrounding white space.
+    /// Returns the statement without its leading comment and surrounding white space.
     pub fn body(&self) -> &[u8] {
         let comment_end = self.bytes.windows(2).position(|pair| pair == b"*/");
         self.bytes[comment_end.map_or(0, |at| at + 2)..].trim_ascii()
@@ -33,27 +33,27 @@
     }
 }
 
-/// A request as a client connection hands it to the broker.
+/// A request that a client connection sends to the broker.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The number of the request, unique in this process.
     pub number: RequestNumber,
-    /// The id that the client gave the request.
+    /// The request ID that the client assigned.
     pub id: String,
     /// The name of the request's class.
     pub class: String,
     /// When the last byte of the request was read.
     pub arrived_at: Instant,
-    /// How long the client waits from then on, in milliseconds.
+    /// How long the client waits after `arrived_at`, in milliseconds.
     pub timeout_ms: u32,
     /// The group that the request is for.
     pub group: u64,
-    /// The log position that a read must at least reflect, in Unix milliseconds.
+    /// The minimum log position that a read must reflect, in Unix milliseconds.
     pub min_position_ms: Option<i64>,
     /// The key of the client's session.
     pub session_key: Option<String>,
     /// The statement that is forwarded to members.
     pub statement: Rc<Statement>,
-    /// Where the one final response goes.
+    /// The writer that receives the single final response.
     pub response_writer: Rc<ResponseWriter>,
 }
--- a/crates/transport/src/response_stream.rs
+++ b/crates/transport/src/response_stream.rs
@@ -1,63 +1,67 @@
-//! A long response on its way from a member to a client: pieces in a bounded queue between the two connections.
+//! Streaming of long responses from a member to a client, through a bounded queue of chunks between the two
+//! connections.
 //!
-//! What the client does not take stays with the member, beyond a few pieces.
+//! The bound gives backpressure: if the client reads slowly, the member is not read beyond a few chunks.
 
 use crate::{MemoryBudget, MemoryReservation};
 use async_channel::{bounded, Receiver, Sender, TryRecvError};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The most pieces that are queued. While memory is left they are of 64 KiB, so that a slow client keeps a member's
-/// connection only with what is past a quarter of a megabyte; later ones are of 16 KiB.
-pub const MAX_QUEUED_PIECES: usize = 4;
+/// The maximum number of queued chunks. Chunks are 64 KiB while memory is available, so a slow client
+/// occupies a member's connection only if more than a quarter of a megabyte remains; otherwise they are 16
+/// KiB.
+pub const MAX_QUEUED_CHUNKS: usize = 4;
 
-/// A part of a streamed response.
-pub enum StreamPiece {
-    /// Bytes of the row.
+/// A chunk of a streamed response.
+pub enum StreamChunk {
+    /// Bytes of the row, sent as they arrive.
     Row(RowBytes),
-    /// What follows the row: the response is complete.
+    /// The messages after the row, which complete the response.
     End(Vec<u8>),
 }
 
-/// Bytes of a row, which count towards the memory budget until they are dropped.
+/// Bytes of a row, which count towards the memory budget until dropped.
 pub struct RowBytes {
     /// The bytes.
     pub bytes: Vec<u8>,
     _reservation: MemoryReservation,
 }
 
-/// The client's side of a streamed response. If its pieces stop without an end, it was cut off.
+/// The client side of a streamed response. If the queue closes without an end chunk, the response was cut
+/// off.
 pub struct ResponseStream {
-    /// The row's description and the first bytes of the row.
+    /// The row description and the first bytes of the row.
     pub(crate) first: Vec<u8>,
-    /// Bytes of the row that follow those.
+    /// The number of bytes of the row that follow `first`.
     pub(crate) remaining: usize,
-    pieces: Receiver<StreamPiece>,
-    /// Whether the end of the response was sent.
+    chunks: Receiver<StreamChunk>,
+    /// Whether the sender has sent the end of the response.
     finished: Rc<Cell<bool>>,
     _reservation: MemoryReservation,
 }
 
-/// The member's side of a streamed response.
+/// The member side of a streamed response.
 pub struct ResponseStreamSender {
-    pieces: Sender<StreamPiece>,
+    chunks: Sender<StreamChunk>,
     finished: Rc<Cell<bool>>,
     budget: Rc<MemoryBudget>,
 }
 
-/// Creates both sides of a response that has begun with `first`, and of whose row `remaining` bytes are to come.
+/// Creates both sides of a response that starts with `first`, with `remaining` bytes of its row still to
+/// come.
 pub fn channel(
     first: Vec<u8>,
     remaining: usize,
     budget: &Rc<MemoryBudget>,
 ) -> (ResponseStream, ResponseStreamSender) {
-    let (sender, pieces) = bounded(MAX_QUEUED_PIECES);
+    let (sender, chunks) = bounded(MAX_QUEUED_CHUNKS);
     let mut reservation = MemoryReservation::new(budget);
     reservation.resize(first.len());
     let finished: Rc<Cell<bool>> = Rc::default();
     let sender =
-        ResponseStreamSender { pieces: sender, finished: Rc::clone(&finished), budget: Rc::clone(budget) };
-    let stream = ResponseStream { first, remaining, pieces, finished, _reservation: reservation };
+        ResponseStreamSender { chunks: sender, finished: Rc::clone(&finished), budget: Rc::clone(budget) };
+    let stream = ResponseStream { first, remaining, chunks, finished, _reservation: reservation };
     (stream, sender)
 }
 
@@ -68,38 +72,38 @@
 }
 
 impl ResponseStream {
-    /// Whether the member's side ended without the end of the response.
+    /// Returns whether the member side was dropped before the end of the response.
     pub fn is_cut_off(&self) -> bool {
-        self.pieces.is_closed() && !self.finished.get()
+        self.chunks.is_closed() && !self.finished.get()
     }
 
-    /// The queue of pieces, to wait for the next one. It is closed once the member's side is dropped.
-    pub fn pieces(&self) -> Receiver<StreamPiece> {
-        self.pieces.clone()
+    /// Returns the queue of chunks, to wait for the next one. It is closed once the member side is dropped.
+    pub fn chunks(&self) -> Receiver<StreamChunk> {
+        self.chunks.clone()
     }
 
-    /// The next piece, if one is queued.
+    /// Returns the next chunk, if one is queued.
     ///
     /// # Errors
     ///
-    /// Returns whether a piece may still come or the member's side is dropped.
-    pub(crate) fn try_next(&self) -> Result<StreamPiece, TryRecvError> {
-        self.pieces.try_recv()
+    /// Returns whether the queue is empty, or closed because the member side was dropped.
+    pub(crate) fn try_next(&self) -> Result<StreamChunk, TryRecvError> {
+        self.chunks.try_recv()
     }
 }
 
 impl ResponseStreamSender {
-    /// Sends bytes of the row once there is room in the queue. Returns false if the client's side was dropped.
+    /// Sends bytes of the row, waiting for space in the queue. Returns false if the client side was dropped.
     pub async fn send(&self, bytes: Vec<u8>) -> bool {
         let mut reservation = MemoryReservation::new(&self.budget);
         reservation.resize(bytes.len());
         let row = RowBytes { bytes, _reservation: reservation };
-        self.pieces.send(StreamPiece::Row(row)).await.is_ok()
+        self.chunks.send(StreamChunk::Row(row)).await.is_ok()
     }
 
-    /// Sends what follows the row, which completes the response.
+    /// Sends the messages after the row, which completes the response.
     pub async fn finish(&self, rest: Vec<u8>) {
         self.finished.set(true);
-        let _ = self.pieces.send(StreamPiece::End(rest)).await;
+        let _ = self.chunks.send(StreamChunk::End(rest)).await;
     }
 }
--- a/crates/transport/src/socket.rs
+++ b/crates/transport/src/socket.rs
@@ -1,10 +1,10 @@
-//! Sockets whose calls may fail for a moment.
+//! Sockets, with retries of system calls that fail with transient errors.
 //!
-//! - [`transient`]: which errors say nothing about the socket, and what to do about them. Every read, write, accept,
-//!   connect and bind of the program asks there.
-//! - [`stream`]: connections that repeat interrupted reads and writes.
-//! - [`open`]: connecting, accepting and binding.
-//! - [`peek`]: what can be seen of a socket without reading from it.
+//! - [`transient`]: classifies errors as transient or final. Every read, write, accept, connect and bind of
+//!   the program uses it.
+//! - [`stream`]: connections that retry reads and writes.
+//! - [`open`]: connects, accepts and binds sockets.
+//! - [`peek`]: inspects a socket without consuming input.
 
 pub mod open;
 pub(crate) mod peek;
--- a/crates/transport/src/socket/peek.rs
+++ b/crates/transport/src/socket/peek.rs
@@ -1,23 +1,23 @@
-//! What can be seen of a non-blocking socket without reading from it.
+//! Inspection of a non-blocking socket without consuming input.
 
-use super::transient::{Remedy, SystemCall};
+use super::transient::{RetryDecision, SystemCall};
 use std::io::{self, ErrorKind};
 use std::net::TcpStream;
 
-/// How often a look is tried whose errors are transient.
-const MAX_LOOKS: usize = 8;
+/// The maximum number of tries of a peek that fails with transient errors.
+const MAX_PEEKS: usize = 8;
 
-/// Whether the connection is open and nothing has arrived on it.
-pub(crate) fn is_quiet(stream: &TcpStream) -> bool {
+/// Returns whether the connection is open and has no unread input.
+pub(crate) fn is_idle(stream: &TcpStream) -> bool {
     matches!(peek(stream), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
-/// Whether something has arrived that was not read yet.
+/// Returns whether the connection has unread input.
 pub(crate) fn has_unread_bytes(stream: &TcpStream) -> bool {
     matches!(peek(stream), Ok(1..))
 }
 
-/// Whether the other end has closed or reset the connection, and nothing is left to read.
+/// Returns whether the peer has closed or reset the connection and no unread input is left.
 pub(crate) fn has_ended(stream: &TcpStream) -> bool {
     match peek(stream) {
         Ok(count) => count == 0,
@@ -26,10 +26,10 @@
     }
 }
 
-/// The number of bytes that have arrived, at most 1; 0 at the end of the connection. Nobody waits here for a resource that
-/// is exhausted, so the look is only repeated a few times.
+/// Returns the number of unread bytes, at most 1, or 0 at the end of the connection. Cannot wait for an
+/// exhausted resource, so transient errors are retried only a few times.
 fn peek(stream: &TcpStream) -> io::Result<usize> {
-    for _ in 1..MAX_LOOKS {
+    for _ in 1..MAX_PEEKS {
         match stream.peek(&mut [0]) {
             Err(error) if is_transient(&error) => {}
             result => return result,
@@ -39,5 +39,6 @@
 }
 
 fn is_transient(error: &io::Error) -> bool {
-    error.kind() != ErrorKind::WouldBlock && Remedy::of(SystemCall::Transfer, error) != Remedy::GiveUp
+    error.kind() != ErrorKind::WouldBlock
+        && RetryDecision::of(SystemCall::Transfer, error) != RetryDecision::GiveUp
 }
--- a/crates/transport/src/socket/stream.rs
+++ b/crates/transport/src/socket/stream.rs
@@ -1,6 +1,6 @@
-//! Connections that repeat reads and writes whose errors are transient.
+//! Connections that retry reads and writes on transient errors.
 
-use super::transient::{Remedy, SystemCall, RESOURCE_RETRY_DELAY};
+use super::transient::{RetryDecision, SystemCall, RESOURCE_RETRY_DELAY};
 use async_io::{Async, IoSafe, Timer};
 use futures_lite::{ready, AsyncRead, AsyncWrite, FutureExt};
 use std::cell::RefCell;
@@ -10,15 +10,15 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// The pause of one direction after a resource was exhausted, if there is one.
-type Pause = RefCell<Option<Timer>>;
+/// The timer until the next retry in one direction, if a resource was exhausted.
+type RetryTimer = RefCell<Option<Timer>>;
 
-/// A connection whose reads and writes are repeated while their errors are transient.
+/// A connection that retries reads and writes on transient errors.
 #[derive(Debug)]
 pub struct Connection<T> {
     inner: Async<T>,
-    read_pause: Pause,
-    write_pause: Pause,
+    read_retry_timer: RetryTimer,
+    write_retry_timer: RetryTimer,
 }
 
 /// A TCP connection.
@@ -26,7 +26,11 @@
 
 impl<T> From<Async<T>> for Connection<T> {
     fn from(inner: Async<T>) -> Self {
-        Connection { inner, read_pause: Pause::default(), write_pause: Pause::default() }
+        Connection {
+            inner,
+            read_retry_timer: RetryTimer::default(),
+            write_retry_timer: RetryTimer::default(),
+        }
     }
 }
 
@@ -43,19 +47,19 @@
         Async::new(socket).map(Self::from)
     }
 
-    /// The socket itself.
+    /// Returns the underlying socket.
     pub fn get_ref(&self) -> &T {
         self.inner.get_ref()
     }
 
-    /// The socket as the reactor knows it.
+    /// Returns the socket as registered with the reactor.
     pub(crate) fn as_async(&self) -> &Async<T> {
         &self.inner
     }
 }
 
 impl TcpConnection {
-    /// Reads what has already arrived; `None` if nothing has.
+    /// Reads input that has already arrived; returns `None` if there is none.
     ///
     /// # Errors
     ///
@@ -67,35 +71,35 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
                 Err(error) => error,
             };
-            match Remedy::of(SystemCall::Transfer, &error) {
-                Remedy::RetryNow => {}
-                Remedy::RetryLater => return Ok(None),
-                Remedy::GiveUp => return Err(error),
+            match RetryDecision::of(SystemCall::Transfer, &error) {
+                RetryDecision::RetryNow => {}
+                RetryDecision::RetryLater => return Ok(None),
+                RetryDecision::GiveUp => return Err(error),
             }
         }
     }
 }
 
-/// Polls a transfer until its result is not transient, with pauses while a resource is exhausted.
+/// Polls a read or write and retries it on transient errors, with a delay while a resource is exhausted.
 fn poll_transfer(
-    pause: &Pause,
+    retry_timer: &RetryTimer,
     cx: &mut Context<'_>,
     mut transfer: impl FnMut(&mut Context<'_>) -> Poll<io::Result<usize>>,
 ) -> Poll<io::Result<usize>> {
-    let mut pause = pause.borrow_mut();
+    let mut retry_timer = retry_timer.borrow_mut();
     loop {
-        if let Some(timer) = pause.as_mut() {
+        if let Some(timer) = retry_timer.as_mut() {
             ready!(timer.poll(cx));
-            *pause = None;
+            *retry_timer = None;
         }
         let error = match ready!(transfer(cx)) {
             Ok(count) => return Poll::Ready(Ok(count)),
             Err(error) => error,
         };
-        match Remedy::of(SystemCall::Transfer, &error) {
-            Remedy::RetryNow => {}
-            Remedy::RetryLater => *pause = Some(Timer::after(RESOURCE_RETRY_DELAY)),
-            Remedy::GiveUp => return Poll::Ready(Err(error)),
+        match RetryDecision::of(SystemCall::Transfer, &error) {
+            RetryDecision::RetryNow => {}
+            RetryDecision::RetryLater => *retry_timer = Some(Timer::after(RESOURCE_RETRY_DELAY)),
+            RetryDecision::GiveUp => return Poll::Ready(Err(error)),
         }
     }
 }
@@ -106,7 +110,7 @@
 {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         let mut inner = &self.inner;
-        poll_transfer(&self.read_pause, cx, |cx| Pin::new(&mut inner).poll_read(cx, buffer))
+        poll_transfer(&self.read_retry_timer, cx, |cx| Pin::new(&mut inner).poll_read(cx, buffer))
     }
 }
 
@@ -116,7 +120,7 @@
 {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let mut inner = &self.inner;
-        poll_transfer(&self.write_pause, cx, |cx| Pin::new(&mut inner).poll_write(cx, bytes))
+        poll_transfer(&self.write_retry_timer, cx, |cx| Pin::new(&mut inner).poll_write(cx, bytes))
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/transport/src/socket/transient.rs
+++ b/crates/transport/src/socket/transient.rs
@@ -1,17 +1,17 @@
-//! Which errors of system calls are transient: they say nothing about the socket or the other end.
+//! Classification of system call errors. Transient errors are not caused by the socket or the peer.
 
 use rustix::io::Errno;
 use std::io;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The pause before a call is repeated that failed for want of a resource.
+/// The delay before a call is retried that failed because a resource was exhausted.
 pub(crate) const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// The kind of system call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
-    /// Reading from a socket, writing to it, or looking at what has arrived.
+    /// Reading from, writing to or peeking at a socket.
     Transfer,
     /// Accepting a connection.
     Accept,
@@ -19,35 +19,35 @@
     Open,
 }
 
-/// What to do about an error.
+/// Whether and when to retry a call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Remedy {
-    /// The call may be repeated at once.
+pub enum RetryDecision {
+    /// The call may be retried immediately.
     RetryNow,
-    /// A resource of this machine or process is exhausted; the call may succeed after a pause.
+    /// A resource of this machine or process is exhausted; the call may succeed after a delay.
     RetryLater,
     /// The error is final.
     GiveUp,
 }
 
-impl Remedy {
-    /// The remedy for an error of a system call of this kind.
-    pub fn of(call: SystemCall, error: &io::Error) -> Remedy {
+impl RetryDecision {
+    /// Returns the decision for an error of a system call of this kind.
+    pub fn of(call: SystemCall, error: &io::Error) -> RetryDecision {
         match error.raw_os_error().map(Errno::from_raw_os_error) {
             Some(errno) => Self::of_errno(call, errno),
-            None if error.kind() == io::ErrorKind::Interrupted => Remedy::RetryNow,
-            None => Remedy::GiveUp,
+            None if error.kind() == io::ErrorKind::Interrupted => RetryDecision::RetryNow,
+            None => RetryDecision::GiveUp,
         }
     }
 
-    fn of_errno(call: SystemCall, errno: Errno) -> Remedy {
+    fn of_errno(call: SystemCall, errno: Errno) -> RetryDecision {
         match (call, errno) {
-            (_, Errno::INTR) => Remedy::RetryNow,
-            (_, Errno::NOBUFS | Errno::NOMEM) => Remedy::RetryLater,
-            (SystemCall::Accept | SystemCall::Open, Errno::MFILE | Errno::NFILE) => Remedy::RetryLater,
-            // No local port is free. On a connect, EAGAIN says the same.
-            (SystemCall::Open, Errno::ADDRNOTAVAIL | Errno::AGAIN) => Remedy::RetryLater,
-            // Errors of the connection that would have been accepted: the next one may be sound. See accept(2).
+            (_, Errno::INTR) => RetryDecision::RetryNow,
+            (_, Errno::NOBUFS | Errno::NOMEM) => RetryDecision::RetryLater,
+            (SystemCall::Accept | SystemCall::Open, Errno::MFILE | Errno::NFILE) => RetryDecision::RetryLater,
+            // No local port is free. On connect, EAGAIN has the same meaning.
+            (SystemCall::Open, Errno::ADDRNOTAVAIL | Errno::AGAIN) => RetryDecision::RetryLater,
+            // Errors of the connection that was to be accepted; the next one may succeed. See accept(2).
             (
                 SystemCall::Accept,
                 Errno::CONNABORTED
@@ -61,40 +61,40 @@
                 | Errno::NOPROTOOPT
                 | Errno::OPNOTSUPP
                 | Errno::TIMEDOUT,
-            ) => Remedy::RetryNow,
-            _ => Remedy::GiveUp,
+            ) => RetryDecision::RetryNow,
+            _ => RetryDecision::GiveUp,
         }
     }
 }
 
-/// Whether a call failed because this process, or the machine, has no descriptor left.
-pub(crate) fn lacks_descriptors(error: &io::Error) -> bool {
+/// Returns whether a call failed because the process or the machine has run out of file descriptors.
+pub(crate) fn is_out_of_descriptors(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(errno, Some(Errno::MFILE | Errno::NFILE))
 }
 
-/// Repeats a blocking call while its errors are transient, for `patience` at the most. It blocks the thread, and is
-/// meant for the start of the process.
+/// Runs a blocking call, retrying transient errors for up to `timeout`. Blocks the thread, and is intended
+/// for process startup only.
 ///
 /// # Errors
 ///
 /// Returns the call's last error.
 pub fn retry_blocking<T>(
     call: SystemCall,
-    patience: Duration,
+    timeout: Duration,
     mut run: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let deadline = Instant::now() + patience;
+    let deadline = Instant::now() + timeout;
     loop {
         let error = match run() {
             Ok(value) => return Ok(value),
             Err(error) => error,
         };
-        match Remedy::of(call, &error) {
-            Remedy::GiveUp => return Err(error),
+        match RetryDecision::of(call, &error) {
+            RetryDecision::GiveUp => return Err(error),
             _ if Instant::now() >= deadline => return Err(error),
-            Remedy::RetryNow => {}
-            Remedy::RetryLater => thread::sleep(RESOURCE_RETRY_DELAY),
+            RetryDecision::RetryNow => {}
+            RetryDecision::RetryLater => thread::sleep(RESOURCE_RETRY_DELAY),
         }
     }
 }
--- a/crates/transport/tests/attempt_limits.rs
+++ b/crates/transport/tests/attempt_limits.rs
@@ -1,4 +1,4 @@
-//! The time limits of an attempt: they count from the decision, whatever lies between that and the first byte.
+//! Tests of the time limits of an attempt, which are relative to the routing decision.
 
 mod support;
 
@@ -10,37 +10,38 @@
 
 const PAUSE: Duration = Duration::from_millis(150);
 
-/// The remaining time that a statement states, in milliseconds.
-fn stated_timeout(statement: &str) -> i64 {
-    let (_, value) = statement.split_once(",d=").expect("a time");
-    value.split(' ').next().and_then(|value| value.parse().ok()).expect("a number")
+/// Returns the remaining time in a statement, in milliseconds.
+fn remaining_ms(statement: &str) -> i64 {
+    let (_, value) = statement.split_once(",d=").expect("a `d` field in the comment");
+    value.split(' ').next().and_then(|value| value.parse().ok()).expect("a number of milliseconds")
 }
 
-/// Guards against an attempt that states more time than its client has left: a process that was suspended between the
-/// decision and the first poll of the attempt, and a connection that was opened late, both use the time up.
+/// Guards against sending more remaining time than the client has left. The suspension of the process between
+/// the decision and the first poll of the attempt counts, and so does the opening of a connection.
 #[test]
-fn an_attempt_states_the_time_that_remains() {
+fn remaining_time_counts_from_decision() {
     run_with_pool(PoolSettings::default(), |fixture, member| async move {
         let deadline = Instant::now() + 4 * PAUSE;
         let (_, attempt) = fixture.attempt_within("1", limited_by(deadline));
-        // The process is suspended.
+        // Simulates a suspended process.
         thread::sleep(PAUSE);
         let attempt = fixture.spawn(attempt);
         let connection = member.accept().await;
         async_io::Timer::after(PAUSE).await;
         connection.complete_startup().await;
-        let stated = stated_timeout(&connection.receive_statement().await);
+        let remaining = remaining_ms(&connection.receive_statement().await);
         let most = (4 * PAUSE - 2 * PAUSE).as_millis() as i64;
-        assert!((1..=most).contains(&stated), "{stated} of {most} ms at most");
+        assert!((1..=most).contains(&remaining), "{remaining} ms stated, at most {most} ms expected");
         assert!(Instant::now() < deadline, "the machine was too slow for this test");
         connection.send(&row(b'a'));
         assert_eq!(expect_soon(attempt).await.outcome, AttemptOutcome::Ok);
     });
 }
 
-/// Guards against a read that is sent past its staleness bound: the bound's age counts from the decision, too.
+/// Guards against sending a read after its staleness bound has expired, which is also relative to the
+/// decision.
 #[test]
-fn an_attempt_is_not_sent_after_its_send_limit() {
+fn attempt_is_not_sent_after_send_by() {
     run_with_pool(PoolSettings::default(), |fixture, member| async move {
         let first = fixture.spawn_attempt("1");
         let connection = member.accept_ready().await;
@@ -54,16 +55,17 @@
         thread::sleep(2 * PAUSE);
         assert_eq!(expect_soon(late).await.outcome, AttemptOutcome::NotSent);
         let third = fixture.spawn_attempt("3");
-        assert!(connection.receive_statement().await.ends_with("*/ 3"), "the second was never sent");
+        assert!(connection.receive_statement().await.ends_with("*/ 3"), "the second attempt was never sent");
         connection.send(&row(b'c'));
         assert_eq!(expect_soon(third).await.outcome, AttemptOutcome::Ok);
     });
 }
 
-/// Guards against an attempt that waits for its connection and is sent when its reason, which may be the window in
-/// which a repeat is recognised, no longer holds; and against one that is written after its client's deadline.
+/// Guards against sending an attempt that waited for its connection until the conditions of its decision,
+/// such as the deduplication window of a repeat, no longer hold; and against sending one after its client's
+/// deadline.
 #[test]
-fn an_attempt_that_waits_too_long_for_a_connection_ends_as_not_sent() {
+fn long_wait_for_connection_ends_as_not_sent() {
     for timeout in [LONG, PAUSE] {
         run_with_pool(PoolSettings::default(), |fixture, member| async move {
             let now = Instant::now();
@@ -73,12 +75,15 @@
             let attempt = fixture.spawn(attempt);
             let connection = member.accept().await;
             assert_eq!(expect_soon(attempt).await.outcome, AttemptOutcome::NotSent);
-            assert_eq!(stage.get(), Default::default(), "nothing of it was written");
-            // Its connection is established late, and carries the next one.
+            assert_eq!(stage.get(), Default::default(), "nothing was written");
+            // The connection is established late and carries the next attempt.
             connection.complete_startup().await;
             wait_until(|| fixture.pool.has_idle_connection()).await;
             let next = fixture.spawn_attempt("2");
-            assert!(connection.receive_statement().await.ends_with("*/ 2"), "the first was never sent");
+            assert!(
+                connection.receive_statement().await.ends_with("*/ 2"),
+                "the first attempt was never sent"
+            );
             connection.send(&row(b'b'));
             assert_eq!(expect_soon(next).await.outcome, AttemptOutcome::Ok);
             assert!(member.has_no_new_connection(), "one connection is enough");
--- a/crates/transport/tests/attempt_outcomes.rs
+++ b/crates/transport/tests/attempt_outcomes.rs
@@ -1,4 +1,4 @@
-//! The outcome of attempts whose connection breaks, or on which the member sends too much, at the wrong instant.
+//! Tests of attempt outcomes when the connection fails or the member's response is incomplete or late.
 
 mod support;
 
@@ -8,13 +8,13 @@
 use wharfplank_routing::AttemptOutcome;
 use wharfplank_transport::member_pool::AttemptStage;
 
-/// Enough for a connection to be established on a busy machine.
+/// Long enough to establish a connection on a busy machine.
 const SHORT_DEADLINE: Duration = Duration::from_secs(2);
 
-/// Guards against a break after the last byte that is taken for one before it, and against an error that came in
-/// order and is lost with the connection that is closed or reset behind it.
+/// Guards against classifying a disconnect after the statement's last byte as one before it, and against
+/// losing an error response when the connection is closed or reset after it.
 #[test]
-fn an_end_after_the_last_byte_may_have_run_unless_the_member_said_otherwise() {
+fn disconnect_after_last_byte_keeps_received_error() {
     let half_message = message(b'T', b"\0\x01payload\0")[..9].to_vec();
     let cases = [
         (Vec::new(), AttemptOutcome::Reset),
@@ -42,15 +42,16 @@
                 }
                 let ended = expect_soon(attempt).await.outcome;
                 assert_eq!(ended, outcome, "resets {resets} after {response:?}");
-                assert_eq!(fixture.context.open_connections.get(), 0, "it carries nothing more");
+                assert_eq!(fixture.context.open_connections.get(), 0, "the connection is not reused");
             });
         }
     }
 }
 
-/// Guards against half a response that is waited for to the deadline: it stalls and ends as an error.
+/// Guards against waiting for the rest of a stalled response until the deadline: the attempt ends as an
+/// error.
 #[test]
-fn half_a_response_that_stalls_is_an_error() {
+fn stalled_response_is_an_error() {
     for length in [1, 9, 60] {
         run_with_pool(PoolSettings::default(), |fixture, member| async move {
             let attempt = fixture.spawn_attempt("1");
@@ -59,16 +60,16 @@
             connection.send(&row(b'a')[..length]);
             assert_eq!(expect_soon(attempt).await.outcome, AttemptOutcome::Error);
             let received = connection.receive().await;
-            assert_eq!(received, Received::End, "its rest would be read as the next response");
+            assert_eq!(received, Received::End, "the rest would be read as the next response");
             assert_eq!(*fixture.end_reasons.borrow(), ["stalled"]);
         });
     }
 }
 
-/// Guards against a statement that was never complete and is taken for one that may have run: a reset, or the proxy's
-/// own close, between its first byte and its last.
+/// Guards against treating an incompletely sent statement as possibly executed, after a reset or a close by
+/// the proxy between its first and last byte.
 #[test]
-fn an_incomplete_statement_never_ran() {
+fn incomplete_statement_is_not_executed() {
     let long = "x".repeat(32 << 20);
     for resets in [true, false] {
         let long = long.clone();
@@ -87,16 +88,16 @@
                 drop(attempt);
                 connection.resume_reading();
             }
-            assert_eq!(connection.receive().await, Received::End, "it came completely");
+            assert_eq!(connection.receive().await, Received::End, "the statement was received completely");
             assert_eq!(fixture.context.open_connections.get(), 0);
         });
     }
 }
 
-/// Guards against the response to an attempt that was given up, by its deadline or by the router, which would be read
-/// as the response to the next one on that connection.
+/// Guards against reading the response to an attempt that was abandoned at its deadline or by the router as
+/// the response to the next attempt on the connection.
 #[test]
-fn a_response_to_an_abandoned_attempt_reaches_nobody() {
+fn response_to_abandoned_attempt_is_discarded() {
     for by_deadline in [true, false] {
         run_with_pool(PoolSettings::default(), |fixture, member| async move {
             let timeout = if by_deadline { SHORT_DEADLINE } else { LONG };
@@ -112,7 +113,7 @@
             }
             let second = fixture.spawn_attempt("2");
             assert_eq!(connection.receive().await, Received::End);
-            // Nobody takes it any more.
+            // The write may fail, since the proxy has closed the connection.
             let _ = (&connection.stream).write_all(&row(b'1'));
             let other = member.accept_ready().await;
             assert!(other.receive_statement().await.ends_with("*/ 2"));
@@ -122,16 +123,16 @@
     }
 }
 
-/// Guards against a connection that ends in the instant in which it carries a request: what it took may have run, and
-/// nothing is sent again unasked.
+/// Guards against resending a request whose connection is reset while it is in flight, since it may have been
+/// executed.
 #[test]
-fn a_connection_that_ends_under_its_second_request_is_a_reset() {
+fn reset_during_second_request_is_not_resent() {
     run_with_pool(PoolSettings::default(), |fixture, member| async move {
         let connection = fixture.idle_connection(&member).await;
         let second = fixture.spawn_attempt("2");
         connection.receive_statement().await;
         connection.reset();
         assert_eq!(expect_soon(second).await.outcome, AttemptOutcome::Reset);
-        assert!(member.has_no_new_connection(), "it was sent again");
+        assert!(member.has_no_new_connection(), "the request was sent again");
     });
 }
--- a/crates/transport/tests/connection_reuse.rs
+++ b/crates/transport/tests/connection_reuse.rs
@@ -1,5 +1,5 @@
-//! Which connections carry an attempt: not those that sent something without a request, ended, were opened too late,
-//! were idle for too long or lead to a former address.
+//! Tests that attempts do not use connections that received unsolicited bytes, were closed, were opened too
+//! late, were idle for too long or lead to a previous address.
 
 mod support;
 
@@ -11,10 +11,10 @@
 
 const SHORT: Duration = Duration::from_millis(100);
 
-/// Guards against what a member sends on an idle connection, long after its response, and that would be read as the
-/// next one's: a duplicate, or an error at its shutdown; and against an idle connection that has ended.
+/// Guards against reading unsolicited bytes on an idle connection as the next response, such as a duplicate
+/// response or an error at the member's shutdown, and against using an idle connection that was closed.
 #[test]
-fn an_idle_connection_with_unsolicited_bytes_or_an_end_carries_nothing() {
+fn idle_connection_with_input_or_closed_is_not_used() {
     for sent in [row(b'0'), error("57P01"), error("53300"), vec![b'T'], Vec::new()] {
         run_with_pool(PoolSettings::default(), |fixture, member| async move {
             let connection = fixture.idle_connection(&member).await;
@@ -29,10 +29,10 @@
     }
 }
 
-/// Guards against a connection that is established after its attempt ended with it: it is closed, holds no place, and
-/// carries nothing; the next one does.
+/// Guards against using a connection that is established after its connect timeout: it is closed and not
+/// counted as open, and the next attempt opens a new one.
 #[test]
-fn a_connection_established_after_the_timeout_is_closed() {
+fn connection_established_after_timeout_is_closed() {
     let settings = PoolSettings { connect_timeout: SHORT, ..PoolSettings::default() };
     run_with_pool(settings, |fixture, member| async move {
         let (stage, first) = fixture.attempt("1");
@@ -43,17 +43,17 @@
         assert_eq!(stage.get(), AttemptStage::Queued);
         assert_eq!(late.receive().await, Received::End);
         wait_until(|| fixture.context.open_connections.get() == 0).await;
-        // Its startup response reaches nobody.
+        // The startup response is ignored.
         let _ = (&late.stream).write_all(&message(b'Z', b"I"));
         fixture.serve_on_new_connection(&member, b'2').await;
         assert_eq!(*fixture.end_reasons.borrow(), ["connect_timeout"]);
     });
 }
 
-/// Guards against a connection that its member is about to close: where the settings have members close sooner than
-/// a pool is maintained, one that was idle for its time carries nothing more.
+/// Guards against using a connection that its member is about to close, if the configured idle timeout is
+/// shorter than the interval of pool maintenance.
 #[test]
-fn a_connection_past_its_idle_timeout_is_not_used() {
+fn connection_past_idle_timeout_is_not_used() {
     let settings = PoolSettings { idle_timeout: SHORT, ..PoolSettings::default() };
     run_with_pool(settings, |fixture, member| async move {
         let connection = fixture.idle_connection(&member).await;
@@ -64,10 +64,10 @@
     });
 }
 
-/// Guards against a member that was relocated and is still sent to at its old address, where another may listen by
-/// now: a connection that is established there late is closed, and what waits goes to the new address.
+/// Guards against sending to a member's previous address, which another member may use by now. A connection
+/// that is established there late is closed, and waiting attempts use the new address.
 #[test]
-fn a_connection_to_a_former_address_carries_nothing() {
+fn connection_to_previous_address_is_not_used() {
     run_with_pool(PoolSettings::default(), |fixture, member| async move {
         let attempt = fixture.spawn_attempt("1");
         let old = member.accept().await;
@@ -85,10 +85,10 @@
     });
 }
 
-/// Guards against a member that completes the startup and closes at once: what is written to it then would count as
-/// something that may have run, though nobody was there to take it.
+/// Guards against a member that completes the startup and closes immediately. A statement written to it would
+/// count as possibly executed although the member never received it.
 #[test]
-fn a_connection_that_ends_right_after_the_startup_carries_nothing() {
+fn connection_closed_right_after_startup_is_not_used() {
     for sent in [Vec::new(), error("57P01"), error("53300")] {
         run_with_pool(PoolSettings::default(), |fixture, member| async move {
             let (stage, attempt) = fixture.attempt("1");
--- a/crates/transport/tests/listen_backlog.rs
+++ b/crates/transport/tests/listen_backlog.rs
@@ -1,4 +1,4 @@
-//! What becomes of connections that the operating system has queued when the listener closes.
+//! Tests of the connections that the operating system has queued when the listener closes.
 
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
@@ -9,7 +9,7 @@
 use wharfplank_transport::client_listener::ClientListener;
 use wharfplank_transport::{ConnectionEnd, ConnectionEndObserver, MemoryBudget, ProxyEvent};
 
-/// A socket with so many connections in its queue.
+/// Returns a listening socket with `connections` queued connections, and the clients.
 fn socket_with_backlog(connections: usize) -> (Async<TcpListener>, Vec<TcpStream>) {
     let socket = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let address = socket.get_ref().local_addr().unwrap();
@@ -17,7 +17,7 @@
     (socket, clients)
 }
 
-/// A listener with these limits, and the events that it sends.
+/// Returns a listener that admits `max_connections`, and the events that it sends.
 fn client_listener(
     executor: &Rc<LocalExecutor<'static>>,
     on_connection_end: ConnectionEndObserver,
@@ -30,7 +30,7 @@
     (listener, received)
 }
 
-/// How many of three queued connections are accepted by a listener that finds itself closed.
+/// Returns how many of three queued connections a listener accepts after it was closed.
 fn accepted_at_close(accepting: bool) -> usize {
     let (socket, clients) = socket_with_backlog(3);
     let (listener, _received) = client_listener(&Rc::new(LocalExecutor::new()), Rc::new(|_| {}), 8);
@@ -41,17 +41,18 @@
     listener.open_connections()
 }
 
-/// Guards against connections that are reset with what was written to them, since they came in the moment in which
-/// the listener closed. If another process has taken the socket over, they belong to it.
+/// Guards against resetting connections, and losing their input, that arrive while the listener closes. If
+/// another process has taken over the socket, they are left to it.
 #[test]
-fn a_listener_accepts_its_backlog_before_it_closes() {
+fn backlog_is_accepted_before_close() {
     assert_eq!(accepted_at_close(true), 3);
     assert_eq!(accepted_at_close(false), 0);
 }
 
-/// Guards against a listener that accepts a whole backlog at its end, and holds more descriptors than its limit allows.
+/// Guards against accepting the whole backlog at once when the listener closes, which exceeds the limit of
+/// file descriptors.
 #[test]
-fn a_backlog_is_accepted_within_the_limit() {
+fn backlog_is_accepted_within_limit() {
     const MAX_CONNECTIONS: usize = 8;
     let (socket, clients) = socket_with_backlog(100);
     let executor = Rc::new(LocalExecutor::new());
@@ -70,10 +71,14 @@
     *listener_slot.borrow_mut() = Some(Rc::clone(&listener));
     listener.stop_accepting();
     block_on(executor.run(Rc::clone(&listener).listen(Rc::new(socket))));
-    // What is open at the end counts as well.
+    // Includes the connections that are open at the end.
     peak.set(peak.get().max(listener.open_connections()));
     let (peak, ended) = (peak.get(), ended.get());
-    assert!(ended >= clients.len() - 2 * MAX_CONNECTIONS, "{ended} of {} have ended", clients.len());
-    assert!(peak <= 2 * MAX_CONNECTIONS, "{peak} were open at a time");
+    assert!(
+        ended >= clients.len() - 2 * MAX_CONNECTIONS,
+        "{ended} of {} connections have ended",
+        clients.len()
+    );
+    assert!(peak <= 2 * MAX_CONNECTIONS, "{peak} connections were open at the same time");
     listener_slot.borrow_mut().take();
 }
--- a/crates/transport/tests/response_stream.rs
+++ b/crates/transport/tests/response_stream.rs
@@ -1,13 +1,13 @@
-//! The queue between a member and a client whose long response is streamed.
+//! Tests of the queue that streams long responses from a member to a client.
 
 use futures_lite::future::{block_on, poll_once};
-use wharfplank_transport::response_stream::{channel, StreamPiece, MAX_QUEUED_PIECES};
+use wharfplank_transport::response_stream::{channel, StreamChunk, MAX_QUEUED_CHUNKS};
 use wharfplank_transport::MemoryBudget;
 
-/// Guards against a client that takes nothing while its member's bytes pile up here: past a few pieces the
-/// member waits, each piece taken lets one on, and what was held is given back.
+/// Guards against unbounded buffering for a client that does not read: beyond a few chunks the member has to
+/// wait, each chunk received allows one more, and the reserved memory is released.
 #[test]
-fn untaken_pieces_stay_with_the_member() {
+fn slow_client_applies_backpressure() {
     block_on(async {
         let memory = MemoryBudget::new(1 << 20);
         let (stream, sender) = channel(vec![0; 100], 64 << 20, &memory);
@@ -15,25 +15,25 @@
         while poll_once(sender.send(vec![1; 64 * 1024])).await.is_some() {
             queued += 1;
         }
-        assert_eq!(queued, MAX_QUEUED_PIECES);
+        assert_eq!(queued, MAX_QUEUED_CHUNKS);
         let reserved = (1 << 20) - memory.available();
-        assert!((1..=MAX_QUEUED_PIECES * 64 * 1024).contains(&reserved), "{reserved} reserved");
+        assert!((1..=MAX_QUEUED_CHUNKS * 64 * 1024).contains(&reserved), "{reserved} reserved");
         for _ in 0..100 {
-            let piece = stream.pieces().recv().await;
-            assert!(matches!(piece, Ok(StreamPiece::Row(row)) if row.bytes.len() == 64 * 1024));
+            let chunk = stream.chunks().recv().await;
+            assert!(matches!(chunk, Ok(StreamChunk::Row(row)) if row.bytes.len() == 64 * 1024));
             assert!(sender.send(vec![1; 64 * 1024]).await);
             assert!(poll_once(sender.send(vec![1])).await.is_none());
         }
         drop(stream);
-        assert!(!sender.send(vec![1]).await, "nobody takes it any more");
+        assert!(!sender.send(vec![1]).await, "the client side was dropped");
         drop(sender);
         assert_eq!(memory.available(), 1 << 20);
     });
 }
 
-/// Guards against a response that was cut off and looks complete, and the other way round.
+/// Guards against treating a cut-off response as complete, and a complete one as cut off.
 #[test]
-fn only_a_sent_end_makes_a_response_complete() {
+fn response_without_end_is_cut_off() {
     block_on(async {
         let memory = MemoryBudget::new(1 << 20);
         let (complete, sender) = channel(vec![0], 1, &memory);
--- a/crates/transport/tests/support/fake_member.rs
+++ b/crates/transport/tests/support/fake_member.rs
@@ -1,4 +1,4 @@
-//! A member that accepts connections and does with each what the test says.
+//! A fake member that accepts connections and is controlled by the test.
 
 use super::{empty_query_response, expect_soon, startup_response};
 use async_channel::{unbounded, Receiver, Sender};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 
-/// What the proxy sends on a connection.
+/// A message from the proxy on a connection, or its end.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Received {
     Startup,
@@ -15,7 +15,7 @@
     End,
 }
 
-/// Stops the reading of a connection.
+/// A gate that pauses reading from a connection.
 #[derive(Default)]
 struct ReadGate {
     closed: Mutex<bool>,
@@ -24,13 +24,13 @@
 
 impl ReadGate {
     fn set_closed(&self, closed: bool) {
-        *self.closed.lock().expect("the gate") = closed;
+        *self.closed.lock().expect("gate is not poisoned") = closed;
         self.changed.notify_all();
     }
 
     fn wait_until_open(&self) {
-        let closed = self.closed.lock().expect("the gate");
-        drop(self.changed.wait_while(closed, |closed| *closed).expect("the gate"));
+        let closed = self.closed.lock().expect("gate is not poisoned");
+        drop(self.changed.wait_while(closed, |closed| *closed).expect("gate is not poisoned"));
     }
 }
 
@@ -46,13 +46,13 @@
         stream.set_nodelay(true).expect("no delay");
         let (sender, received) = unbounded();
         let gate = Arc::<ReadGate>::default();
-        let reader = stream.try_clone().expect("a second handle");
+        let reader = stream.try_clone().expect("clone of the stream");
         let reader_gate = Arc::clone(&gate);
         thread::spawn(move || read_messages(reader, &sender, &reader_gate));
         ProxyConnection { stream, received, gate }
     }
 
-    /// Reads nothing behind the startup message until [`ProxyConnection::resume_reading`].
+    /// Stops reading after the startup message until [`ProxyConnection::resume_reading`].
     pub fn stop_reading(&self) {
         self.gate.set_closed(true);
     }
@@ -61,24 +61,24 @@
         self.gate.set_closed(false);
     }
 
-    /// The next message, or the end of the connection.
+    /// Returns the next message, or the end of the connection.
     pub async fn receive(&self) -> Received {
-        expect_soon(self.received.recv()).await.expect("the reader runs to the end")
+        expect_soon(self.received.recv()).await.expect("the reader sends `End` before it stops")
     }
 
-    /// The next statement; empty queries before it are answered.
+    /// Returns the next statement, and answers empty queries before it.
     pub async fn receive_statement(&self) -> String {
         loop {
             match self.receive().await {
                 Received::Query(text) if text.is_empty() => self.send(&empty_query_response()),
                 Received::Query(text) => return text,
-                other => panic!("a statement, not {other:?}"),
+                other => panic!("expected a statement, got {other:?}"),
             }
         }
     }
 
     pub fn send(&self, bytes: &[u8]) {
-        (&self.stream).write_all(bytes).expect("taken");
+        (&self.stream).write_all(bytes).expect("write to the proxy");
     }
 
     pub async fn complete_startup(&self) {
@@ -87,11 +87,11 @@
     }
 
     pub fn close(&self) {
-        self.stream.shutdown(Shutdown::Both).expect("open");
+        self.stream.shutdown(Shutdown::Both).expect("connection is open");
     }
 
     pub fn reset(&self) {
-        rustix::net::connect_unspec(&self.stream).expect("open");
+        rustix::net::connect_unspec(&self.stream).expect("connection is open");
     }
 }
 
@@ -103,8 +103,8 @@
 
 impl FakeMember {
     pub fn start() -> FakeMember {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        let address = listener.local_addr().expect("local address");
         let (sender, accepted) = unbounded();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -116,25 +116,25 @@
         FakeMember { address, accepted }
     }
 
-    /// The next connection, before its startup.
+    /// Returns the next connection, before its startup.
     pub async fn accept(&self) -> ProxyConnection {
-        expect_soon(self.accepted.recv()).await.expect("the listener runs")
+        expect_soon(self.accepted.recv()).await.expect("the accept thread runs")
     }
 
-    /// The next connection, after its startup.
+    /// Returns the next connection, after its startup.
     pub async fn accept_ready(&self) -> ProxyConnection {
         let connection = self.accept().await;
         connection.complete_startup().await;
         connection
     }
 
-    /// Whether every connection that came was taken by the test.
+    /// Returns whether the test has accepted every connection.
     pub fn has_no_new_connection(&self) -> bool {
         self.accepted.is_empty()
     }
 }
 
-/// Reads all messages of a connection: the startup message, then queries.
+/// Reads the startup message and all queries of a connection.
 fn read_messages(mut stream: TcpStream, sender: &Sender<Received>, gate: &ReadGate) {
     let startup = read_message(&mut stream, 0).map(|_| Received::Startup);
     let queries = std::iter::from_fn(|| {
@@ -151,7 +151,7 @@
     let _ = sender.send_blocking(Received::End);
 }
 
-/// The body of the next complete message, without the zero at its end. Its tag has `tag_size` bytes.
+/// Returns the body of the next complete message without its terminating zero. The tag has `tag_size` bytes.
 fn read_message(stream: &mut TcpStream, tag_size: usize) -> Option<Vec<u8>> {
     let mut head = vec![0; tag_size + 4];
     stream.read_exact(&mut head).ok()?;
--- a/crates/transport/tests/support/mod.rs
+++ b/crates/transport/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A member that a test plays step by step, and a pool of connections to it.
+//! A fake member that tests control step by step, and a pool of connections to it.
 #![allow(dead_code)]
 
 mod fake_member;
@@ -13,21 +13,21 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// Far longer than anything takes: only a failing test reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout for expected events, which only a failing test reaches.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// A time limit that no test reaches.
 pub const LONG: Duration = Duration::from_secs(30);
 
-/// The output of work that is done long before the patience ends.
+/// Returns the output of `work`, and panics after [`TEST_TIMEOUT`].
 pub async fn expect_soon<T>(work: impl Future<Output = T>) -> T {
     let expired = async {
-        async_io::Timer::after(PATIENCE).await;
-        panic!("it never came")
+        async_io::Timer::after(TEST_TIMEOUT).await;
+        panic!("timed out waiting for an expected event")
     };
     future::or(work, expired).await
 }
 
-/// Lets other tasks run until a condition holds.
+/// Waits until a condition holds, while other tasks run.
 pub async fn wait_until(condition: impl Fn() -> bool) {
     let work = async {
         while !condition() {
