--- a/crates/transport/tests/support/pool_fixture.rs
+++ b/crates/transport/tests/support/pool_fixture.rs
@@ -1,4 +1,4 @@
-//! A pool of connections to the member that the test plays.
+//! A connection pool for a fake member.
 
 use super::{expect_soon, row, wait_until, FakeMember, ProxyConnection, LONG};
 use async_executor::LocalExecutor;
@@ -12,14 +12,14 @@
 };
 use wharfplank_transport::{MemoryBudget, Statement};
 
-/// A pool of connections, and the reasons of those that ended.
+/// A connection pool, and the end reasons of its connections.
 pub struct PoolFixture {
     pub context: Rc<PoolContext>,
     pub pool: Rc<MemberPool>,
     pub end_reasons: Rc<RefCell<Vec<&'static str>>>,
 }
 
-/// The settings of a pool that tests change.
+/// The pool settings that tests vary.
 pub struct PoolSettings {
     pub connect_timeout: Duration,
     pub idle_timeout: Duration,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Runs a test with a pool and its member on one thread, as the program runs.
+/// Runs a test with a pool and its member on one thread, like the proxy's worker threads.
 pub fn run_with_pool<F: Future<Output = ()>>(
     settings: PoolSettings,
     test: impl FnOnce(PoolFixture, FakeMember) -> F,
@@ -64,7 +64,8 @@
 }
 
 impl PoolFixture {
-    /// An attempt with this text behind its comment, within these limits, and its stage.
+    /// Creates an attempt with this text after its comment and these limits. Returns its stage and the
+    /// attempt.
     pub fn attempt_within(
         &self,
         text: &str,
@@ -76,24 +77,25 @@
         (stage, async { work.await.report })
     }
 
-    /// An attempt with this text and a deadline that it does not reach, and its stage.
+    /// Creates an attempt with this text and a deadline that it does not reach. Returns its stage and the
+    /// attempt.
     pub fn attempt(&self, text: &str) -> (Rc<Cell<AttemptStage>>, impl Future<Output = AttemptReport>) {
         self.attempt_within(text, limited_by(Instant::now() + LONG))
     }
 
-    /// Runs work beside the test, which may end it by dropping it.
+    /// Runs `work` as a separate task, which is cancelled when dropped.
     pub fn spawn<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> async_executor::Task<T> {
         self.context.executor.spawn(work)
     }
 
-    /// Runs an attempt beside the test; see [`PoolFixture::attempt`].
+    /// Runs an attempt as a separate task; see [`PoolFixture::attempt`].
     pub fn spawn_attempt(&self, text: &str) -> async_executor::Task<AttemptReport> {
         let (_, attempt) = self.attempt(text);
         self.spawn(attempt)
     }
 
-    /// Runs an attempt with this digit as its text, which the member serves on a new connection with the digit as
-    /// the value.
+    /// Runs an attempt with this digit as its text. The member serves it on a new connection, with the digit
+    /// as the value.
     pub async fn serve_on_new_connection(&self, member: &FakeMember, digit: u8) -> ProxyConnection {
         let attempt = self.spawn_attempt(char::from(digit).encode_utf8(&mut [0; 4]));
         let connection = member.accept_ready().await;
@@ -104,7 +106,7 @@
         connection
     }
 
-    /// A connection that has served an attempt and is idle.
+    /// Returns a connection that has served an attempt and is idle.
     pub async fn idle_connection(&self, member: &FakeMember) -> ProxyConnection {
         let connection = self.serve_on_new_connection(member, b'0').await;
         wait_until(|| self.pool.has_idle_connection()).await;
@@ -112,12 +114,12 @@
     }
 }
 
-/// Limits of an attempt with a deadline alone.
+/// Returns attempt limits with only a deadline.
 pub fn limited_by(deadline: Instant) -> AttemptLimits {
     AttemptLimits { deadline, send_by: None }
 }
 
-/// The value that an attempt was served with.
+/// Returns the value in an attempt's response.
 pub fn value(report: &AttemptReport) -> Option<u8> {
     let response = report.response.as_ref()?;
     response.messages.get(response.value.clone())?.first().copied()
--- a/crates/transport/tests/transient_errors.rs
+++ b/crates/transport/tests/transient_errors.rs
@@ -1,4 +1,4 @@
-//! Which errors of system calls are repeated, and how.
+//! Tests of the retries of failed system calls.
 
 use rstest::rstest;
 use rustix::io::Errno;
@@ -6,53 +6,49 @@
 use std::io;
 use std::time::Duration;
 use wharfplank_transport::socket::open::{retry_connect, MAX_CONNECT_RETRIES};
-use wharfplank_transport::socket::transient::{retry_blocking, Remedy, SystemCall};
+use wharfplank_transport::socket::transient::{retry_blocking, RetryDecision, SystemCall};
 
 fn error(errno: Errno) -> io::Error {
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
 
-/// Guards against an error for a moment that ends a connection, a listener or the process's start.
+/// Guards against a transient error that ends a connection, a listener or the startup of the process.
 #[rstest]
-fn an_interrupted_call_is_repeated_at_once(
+fn interrupted_call_is_retried_immediately(
     #[values(SystemCall::Transfer, SystemCall::Accept, SystemCall::Open)] call: SystemCall,
 ) {
-    assert_eq!(Remedy::of(call, &error(Errno::INTR)), Remedy::RetryNow);
-    assert_eq!(Remedy::of(call, &io::ErrorKind::Interrupted.into()), Remedy::RetryNow);
+    assert_eq!(RetryDecision::of(call, &error(Errno::INTR)), RetryDecision::RetryNow);
+    assert_eq!(RetryDecision::of(call, &io::ErrorKind::Interrupted.into()), RetryDecision::RetryNow);
 }
 
 #[rstest]
-fn a_call_that_lacked_memory_is_repeated_later(
+fn call_out_of_memory_is_retried_later(
     #[values(SystemCall::Transfer, SystemCall::Accept, SystemCall::Open)] call: SystemCall,
     #[values(Errno::NOMEM, Errno::NOBUFS)] errno: Errno,
 ) {
-    assert_eq!(Remedy::of(call, &error(errno)), Remedy::RetryLater);
+    assert_eq!(RetryDecision::of(call, &error(errno)), RetryDecision::RetryLater);
 }
 
 #[rstest]
-#[case(SystemCall::Accept, Errno::MFILE, Remedy::RetryLater)]
-#[case(SystemCall::Accept, Errno::NFILE, Remedy::RetryLater)]
-#[case(SystemCall::Accept, Errno::CONNABORTED, Remedy::RetryNow)]
-#[case(SystemCall::Accept, Errno::HOSTUNREACH, Remedy::RetryNow)]
-#[case(SystemCall::Accept, Errno::BADF, Remedy::GiveUp)]
-#[case(SystemCall::Open, Errno::MFILE, Remedy::RetryLater)]
-#[case(SystemCall::Open, Errno::ADDRNOTAVAIL, Remedy::RetryLater)]
-#[case(SystemCall::Open, Errno::CONNREFUSED, Remedy::GiveUp)]
-#[case(SystemCall::Open, Errno::ADDRINUSE, Remedy::GiveUp)]
-#[case(SystemCall::Transfer, Errno::CONNRESET, Remedy::GiveUp)]
-#[case(SystemCall::Transfer, Errno::TIMEDOUT, Remedy::GiveUp)]
-#[case(SystemCall::Transfer, Errno::HOSTUNREACH, Remedy::GiveUp)]
-#[case(SystemCall::Transfer, Errno::PIPE, Remedy::GiveUp)]
-fn an_error_of_one_call_says_something_else_of_another(
-    #[case] call: SystemCall,
-    #[case] errno: Errno,
-    #[case] remedy: Remedy,
-) {
-    assert_eq!(Remedy::of(call, &error(errno)), remedy);
+#[case(SystemCall::Accept, Errno::MFILE, RetryDecision::RetryLater)]
+#[case(SystemCall::Accept, Errno::NFILE, RetryDecision::RetryLater)]
+#[case(SystemCall::Accept, Errno::CONNABORTED, RetryDecision::RetryNow)]
+#[case(SystemCall::Accept, Errno::HOSTUNREACH, RetryDecision::RetryNow)]
+#[case(SystemCall::Accept, Errno::BADF, RetryDecision::GiveUp)]
+#[case(SystemCall::Open, Errno::MFILE, RetryDecision::RetryLater)]
+#[case(SystemCall::Open, Errno::ADDRNOTAVAIL, RetryDecision::RetryLater)]
+#[case(SystemCall::Open, Errno::CONNREFUSED, RetryDecision::GiveUp)]
+#[case(SystemCall::Open, Errno::ADDRINUSE, RetryDecision::GiveUp)]
+#[case(SystemCall::Transfer, Errno::CONNRESET, RetryDecision::GiveUp)]
+#[case(SystemCall::Transfer, Errno::TIMEDOUT, RetryDecision::GiveUp)]
+#[case(SystemCall::Transfer, Errno::HOSTUNREACH, RetryDecision::GiveUp)]
+#[case(SystemCall::Transfer, Errno::PIPE, RetryDecision::GiveUp)]
+fn decision_depends_on_call(#[case] call: SystemCall, #[case] errno: Errno, #[case] decision: RetryDecision) {
+    assert_eq!(RetryDecision::of(call, &error(errno)), decision);
 }
 
 #[test]
-fn a_blocking_call_is_repeated_until_it_succeeds_or_its_time_is_over() {
+fn blocking_call_is_retried_until_success_or_timeout() {
     let calls = Cell::new(0);
     let succeeds_third = || {
         calls.set(calls.get() + 1);
@@ -70,10 +66,11 @@
         calls.set(calls.get() + 1);
         Err::<(), _>(error(Errno::ADDRINUSE))
     });
-    assert!(permanent.is_err() && calls.get() == 1, "a final error is not repeated");
+    assert!(permanent.is_err() && calls.get() == 1, "a final error is not retried");
 }
 
-/// Connects with these errors before it succeeds; how often it was tried, and whether it succeeded.
+/// Runs a connect that fails with these errors before it succeeds. Returns the number of tries and whether it
+/// succeeded.
 fn connect_after(errors: &[Errno]) -> (usize, bool) {
     let tries = Cell::new(0);
     let connect = || {
@@ -86,10 +83,10 @@
 }
 
 #[test]
-fn a_connect_is_repeated_while_its_errors_are_transient() {
+fn connect_is_retried_on_transient_errors() {
     assert_eq!(connect_after(&[Errno::NOBUFS, Errno::INTR, Errno::ADDRNOTAVAIL]), (4, true));
     assert_eq!(connect_after(&[Errno::NOMEM; 10]), (MAX_CONNECT_RETRIES + 1, false));
     for errno in [Errno::CONNREFUSED, Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
-        assert_eq!(connect_after(&[errno]), (1, false), "another member is tried instead");
+        assert_eq!(connect_after(&[errno]), (1, false), "no retry, so that another member can be tried");
     }
 }
