--- a/crates/transport/src/client_connection/commands.rs
+++ b/crates/transport/src/client_connection/commands.rs
@@ -53,9 +53,9 @@
                     self.on_command(listener);
                     self.dispatch_request(listener, request, length).await?;
                 }
-                Input::InvalidRequest(message) => {
+                Input::InvalidRequest(error_message) => {
                     self.on_command(listener);
-                    self.response_writer.push_malformed(message);
+                    self.response_writer.push_malformed(error_message);
                 }
                 // The connection closes after the responses to earlier requests.
                 Input::Terminate => {
