--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -142,7 +142,7 @@
             open_connections: Cell::new(0),
             memory_budget: MemoryBudget::new(config.max_memory_bytes / LARGE_MESSAGE_FRACTION),
             allow_empty_result: self.settings.negative_cache.is_some(),
-            liveness_check_after: Cell::new(member_pool::CHECK_AFTER),
+            liveness_check_after: Cell::new(member_pool::MAX_LIVENESS_CHECK_AFTER),
             now: Rc::clone(&self.now),
             metrics: Metrics::new(&config.parameters.class_names),
             budgets,
@@ -165,7 +165,7 @@
         let watch_context = WatchContext {
             executor: Rc::clone(&self.executor),
             events: self.events.clone(),
-            ends: Rc::clone(&self.on_connection_end),
+            on_connection_end: Rc::clone(&self.on_connection_end),
             now: Rc::clone(&self.now),
             budgets,
         };
--- a/crates/transport/src/discovery/poll.rs
+++ b/crates/transport/src/discovery/poll.rs
@@ -166,7 +166,7 @@
 
     async fn connect(&self, deadline: Instant) -> Result<Connection, CloseReason> {
         let mut log_entry = LogEntry {
-            ends: Rc::clone(&self.context.ends),
+            on_connection_end: Rc::clone(&self.context.on_connection_end),
             peer: self.address,
             opened_at: Instant::now(),
             polls: 0,
--- a/crates/transport/src/member_pool.rs
+++ b/crates/transport/src/member_pool.rs
@@ -22,7 +22,7 @@
 mod report;
 
 pub use connection_budget::ConnectionExcess;
-pub use context::{PoolContext, CHECK_AFTER};
+pub use context::{PoolContext, MAX_LIVENESS_CHECK_AFTER};
 pub use forwarder::StreamForwarder;
 pub use limits::AttemptLimits;
 pub use report::{AttemptCompletion, AttemptReport, AttemptStage};
--- a/crates/transport/src/member_pool/context.rs
+++ b/crates/transport/src/member_pool/context.rs
@@ -12,7 +12,7 @@
 /// Without the check, a request on a silently dropped connection would be lost. When a dead connection is
 /// found, the interval shrinks to half of that connection's idle time; see
 /// [`PoolContext::relax_liveness_check`].
-pub const CHECK_AFTER: Duration = Duration::from_millis(500);
+pub const MAX_LIVENESS_CHECK_AFTER: Duration = Duration::from_millis(500);
 /// The minimum idle time after which a connection is checked.
 const MIN_LIVENESS_CHECK_AFTER: Duration = Duration::from_millis(5);
 
@@ -36,7 +36,7 @@
     pub memory_budget: Rc<MemoryBudget>,
     /// Whether a result without a row is a valid response.
     pub allow_empty_result: bool,
-    /// The current idle time after which connections are checked; see [`CHECK_AFTER`].
+    /// The current idle time after which connections are checked; see [`MAX_LIVENESS_CHECK_AFTER`].
     pub liveness_check_after: Cell<Duration>,
     /// The clock.
     pub now: Now,
@@ -57,10 +57,10 @@
         self.liveness_check_after.set(shorter.max(MIN_LIVENESS_CHECK_AFTER));
     }
 
-    /// Increases the idle time before liveness checks by a tenth, up to [`CHECK_AFTER`]. Call this once per
-    /// second.
+    /// Increases the idle time before liveness checks by a tenth, up to [`MAX_LIVENESS_CHECK_AFTER`]. Call
+    /// this once per second.
     pub fn relax_liveness_check(&self) {
         let longer = self.liveness_check_after.get() * 11 / 10;
-        self.liveness_check_after.set(longer.min(CHECK_AFTER));
+        self.liveness_check_after.set(longer.min(MAX_LIVENESS_CHECK_AFTER));
     }
 }
