--- a/crates/transport/src/client_connection/input.rs
+++ b/crates/transport/src/client_connection/input.rs
@@ -69,7 +69,7 @@
         if buffered < READ_AHEAD_MIN {
             return true;
         }
-        // An incomplete message may exceed the limit behind open requests if memory allows.
+        // An incomplete message may exceed the limit while requests are open, if memory allows.
         let below_limit = buffered < READ_AHEAD_MAX || self.session.next_command_bytes().is_none();
         below_limit && self.response_writer.available_memory() >= buffer.capacity()
     }
--- a/crates/transport/src/client_connection/response_writer.rs
+++ b/crates/transport/src/client_connection/response_writer.rs
@@ -140,7 +140,7 @@
         self.pipeline.borrow_mut().push_malformed(message);
     }
 
-    /// What is to be written next, if it is there.
+    /// Returns the next item to write, if it is ready.
     pub(super) fn next_write(&self, answers_empty_queries: bool) -> Option<NextWrite> {
         self.pipeline.borrow_mut().next_write(answers_empty_queries)
     }
