--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -165,7 +165,7 @@
         let watch_context = WatchContext {
             executor: Rc::clone(&self.executor),
             events: self.events.clone(),
-            on_connection_end: Rc::clone(&self.on_connection_end),
+            connection_end_observer: Rc::clone(&self.on_connection_end),
             now: Rc::clone(&self.now),
             budgets,
         };
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -30,7 +30,7 @@
     /// The channel to the broker.
     pub events: Sender<ProxyEvent>,
     /// Called for each connection that ended.
-    pub on_connection_end: ConnectionEndObserver,
+    pub connection_end_observer: ConnectionEndObserver,
     /// The clock used by the tracker.
     pub now: Now,
     /// The fleet-wide budgets, which limit polls, if configured.
--- a/crates/transport/src/discovery/connection.rs
+++ b/crates/transport/src/discovery/connection.rs
@@ -64,7 +64,7 @@
 
 /// The report of a connection's end, made on drop.
 pub(super) struct LogEntry {
-    pub(super) on_connection_end: ConnectionEndObserver,
+    pub(super) connection_end_observer: ConnectionEndObserver,
     pub(super) peer: SocketAddr,
     pub(super) opened_at: Instant,
     /// The number of polls that were answered.
@@ -78,7 +78,7 @@
 impl Drop for LogEntry {
     fn drop(&mut self) {
         let reason = self.reason.unwrap_or(self.drop_reason.get());
-        (self.on_connection_end)(&ConnectionEnd {
+        (self.connection_end_observer)(&ConnectionEnd {
             remote: Remote::Discovery,
             address: self.peer,
             reason: reason.code(),
--- a/crates/transport/src/discovery/poll.rs
+++ b/crates/transport/src/discovery/poll.rs
@@ -166,7 +166,7 @@
 
     async fn connect(&self, deadline: Instant) -> Result<Connection, CloseReason> {
         let mut log_entry = LogEntry {
-            on_connection_end: Rc::clone(&self.context.on_connection_end),
+            connection_end_observer: Rc::clone(&self.context.connection_end_observer),
             peer: self.address,
             opened_at: Instant::now(),
             polls: 0,
--- a/crates/transport/tests/support/pool_fixture.rs
+++ b/crates/transport/tests/support/pool_fixture.rs
@@ -23,16 +23,12 @@
 pub struct PoolSettings {
     pub connect_timeout: Duration,
     pub idle_timeout: Duration,
-    pub liveness_check_after: Duration,
+    pub check_after: Duration,
 }
 
 impl Default for PoolSettings {
     fn default() -> Self {
-        PoolSettings {
-            connect_timeout: LONG,
-            idle_timeout: LONG,
-            liveness_check_after: MAX_LIVENESS_CHECK_AFTER,
-        }
+        PoolSettings { connect_timeout: LONG, idle_timeout: LONG, check_after: MAX_LIVENESS_CHECK_AFTER }
     }
 }
 
@@ -56,7 +52,7 @@
         open_connections: Cell::new(0),
         memory_budget: MemoryBudget::new(1 << 20),
         allow_empty_result: false,
-        liveness_check_after: Cell::new(settings.liveness_check_after),
+        liveness_check_after: Cell::new(settings.check_after),
         now: Rc::new(move || start.elapsed().as_micros() as i64),
         metrics: Metrics::new(&[]),
         budgets: None,
