--- a/crates/transport/src/admin.rs
+++ b/crates/transport/src/admin.rs
@@ -1,7 +1,8 @@
-//! The admin listener: a second port for operators, with one command a connection.
+//! The admin listener: a second port for operators, with one command per connection.
 //!
-//! It has connection slots of its own, and a silent caller keeps one only until another caller needs it: whatever clients
-//! and members hold, an operator's call gets a slot.
+//! Admin connections have their own slots, independent of client and member connections. A caller that has
+//! not sent its command yet is evicted when another caller needs its slot, so that operators can always
+//! connect.
 
 use super::with_deadline;
 use crate::socket::open;
@@ -18,20 +19,20 @@
 use std::time::{Duration, Instant};
 use wharfplank_admin::{Command, CommandError, CommandReader};
 
-/// The most connections at a time.
+/// The maximum number of concurrent connections.
 pub const MAX_CONNECTIONS: usize = 16;
-/// The limit for a caller to send its line.
+/// The time limit for a caller to send its command line.
 const READ_TIMEOUT: Duration = Duration::from_secs(6);
-/// The limit for the broker's answer, which is due within 1 s.
+/// The time limit for the broker's answer. Callers are to be answered within 1 s.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
-/// The limit for a caller to read its answer and to close.
+/// The time limit for a caller to read its answer and close the connection.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The delay after a failed accept, as when no descriptor was left.
+/// The delay after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The size of one read.
+/// The size of the read buffer.
 const READ_BYTES: usize = 256;
 
-/// An operator's command on its way to the broker, with the way back for its answer.
+/// An operator's command for the broker, with the channel for its answer.
 #[derive(Debug)]
 pub struct AdminCall {
     /// The command.
@@ -40,13 +41,13 @@
 }
 
 impl AdminCall {
-    /// Answers the call. A caller who has disconnected does not get the answer.
+    /// Answers the call. The answer is dropped if the caller has disconnected.
     pub fn answer(&self, text: String) {
         let _ = self.answer.try_send(text);
     }
 }
 
-/// Identifies a connection; a lower number is an older connection.
+/// The number of a connection; older connections have lower numbers.
 type ConnectionId = u64;
 
 /// The admin listener and its connections.
@@ -55,13 +56,13 @@
     calls: Sender<AdminCall>,
     open_connections: Cell<usize>,
     next_id: Cell<ConnectionId>,
-    /// Evicts a connection whose line is not complete yet.
+    /// Evict the connections whose command line is not complete yet.
     evictions: RefCell<BTreeMap<ConnectionId, Rc<Event>>>,
     slot_freed: Event,
 }
 
 impl AdminListener {
-    /// A listener without connections that sends its calls to `calls`.
+    /// Creates a listener that sends its calls to `calls`.
     pub fn new(executor: Rc<LocalExecutor<'static>>, calls: Sender<AdminCall>) -> Rc<Self> {
         Rc::new(AdminListener {
             executor,
@@ -73,7 +74,7 @@
         })
     }
 
-    /// Accepts connections until it is dropped.
+    /// Accepts connections until the future is dropped.
     pub async fn accept_connections(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             match open::accept(&listener).await {
@@ -85,12 +86,13 @@
         }
     }
 
-    /// Serves a connection once it has a slot.
+    /// Waits for a free slot and then serves the connection in a task.
     async fn admit(self: &Rc<Self>, stream: TcpConnection) {
         self.wait_for_slot().await;
         let id = self.next_id.replace(self.next_id.get() + 1);
         self.open_connections.set(self.open_connections.get() + 1);
-        // Registered before its task first runs: many connections may come before that, and one of them must yield.
+        // Registered before the task first runs: many connections may be accepted before that, and one of
+        // them must be evictable.
         let eviction = Rc::new(Event::new());
         let evicted = eviction.listen();
         self.evictions.borrow_mut().insert(id, eviction);
@@ -103,7 +105,7 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Waits for a free slot; the connection that has been silent longest has to yield its own.
+    /// Waits for a free slot, and evicts the oldest connection that has not completed its command line.
     async fn wait_for_slot(&self) {
         while self.open_connections.get() >= MAX_CONNECTIONS {
             let slot_freed = self.slot_freed.listen();
@@ -116,7 +118,7 @@
     }
 
     async fn serve(&self, id: ConnectionId, mut stream: TcpConnection, evicted: EventListener) {
-        // Without the option answers are slower, and no less correct.
+        // Without the option answers are only slower.
         let _ = stream.get_ref().set_nodelay(true);
         let evicted = async {
             evicted.await;
@@ -145,7 +147,7 @@
     }
 }
 
-/// Reads the caller's line; `None` where the caller disconnected without sending anything.
+/// Reads the caller's line; `None` if the caller disconnected without sending anything.
 async fn read_command(stream: &mut TcpConnection) -> Option<Result<Command, CommandError>> {
     let mut reader = CommandReader::default();
     let mut bytes = [0; READ_BYTES];
@@ -164,8 +166,8 @@
     }
 }
 
-/// Writes the answer and waits until the caller closes. Closing the connection over unread bytes would reset it, and the
-/// answer would be lost.
+/// Writes the answer and waits until the caller closes the connection. Closing a connection that still has
+/// unread bytes would reset it, and the answer would be lost.
 async fn write_answer(stream: &mut TcpConnection, answer: &str) -> std::io::Result<()> {
     stream.write_all(answer.as_bytes()).await?;
     stream.get_ref().shutdown(Shutdown::Write)?;
--- a/crates/transport/src/budgets/lease_driver.rs
+++ b/crates/transport/src/budgets/lease_driver.rs
@@ -1,4 +1,4 @@
-//! Requests leases for the serving thread, takes them, and logs what is spent.
+//! The lease driver of the serving thread: requests leases, applies the granted ones, and logs the usage.
 
 use super::lease_worker::{AllocatorRequest, LeaseUpdate};
 use super::{BudgetLogEvent, BudgetUsage, Budgets, State};
@@ -11,9 +11,9 @@
 
 /// How often the usage is logged.
 const USAGE_LOG_INTERVAL: Micros = 5_000_000;
-/// How often each spend is logged, where that is asked for.
+/// How often recorded spends are logged, if the usage is traced.
 const TRACE_LOG_INTERVAL: Micros = 50_000;
-/// The shortest wait for a timer.
+/// The minimum wait for a timer.
 const MIN_WAIT: Micros = 1_000;
 
 /// Drives the leases of the serving thread.
@@ -43,7 +43,7 @@
         LeaseDriver { budgets, requests, updates, has_worker_ended: false, next_usage_log_at: 0, log }
     }
 
-    /// Runs for as long as the process serves.
+    /// Runs until the future is dropped.
     pub(super) async fn run(mut self) {
         self.next_usage_log_at = self.budgets.now() + USAGE_LOG_INTERVAL;
         loop {
@@ -56,7 +56,7 @@
                 Wakeup::Update(LeaseUpdate::Status(status)) => {
                     self.budgets.state.borrow_mut().worker_status = status;
                 }
-                // The worker has failed: leases expire, and what is left is the static quota.
+                // The worker has failed: leases expire, and only the static quota remains.
                 Wakeup::WorkerEnded => {
                     self.has_worker_ended = true;
                     (self.log)(BudgetLogEvent::WorkerEnded);
--- a/crates/transport/src/budgets/lease_worker.rs
+++ b/crates/transport/src/budgets/lease_worker.rs
@@ -1,7 +1,8 @@
-//! The worker thread of the budgets: the socket, the allocator where this proxy is one, and the coding of datagrams.
+//! The worker thread of the budgets: the socket, the encoding of datagrams, and the allocator if this proxy
+//! is one.
 //!
-//! The leases themselves are the serving thread's: only the thread that spends can promise that a lease is not used any
-//! more.
+//! The leases themselves belong to the serving thread: only the thread that spends can guarantee that a lease
+//! is no longer used.
 
 use crate::socket::open;
 use crate::worker::{RingReceiver, RingSender};
@@ -14,9 +15,10 @@
     EpochAnnouncement, LeaseAllocator, LeaseGrant, LeaseRequest, LeaseTerms, Micros, TakeoverGuard,
 };
 
-/// How often allocators announce their epochs to each other, and the serving thread gets the status.
+/// How often allocators announce their epochs to each other, and the worker reports its status to the serving
+/// thread.
 const ANNOUNCE_INTERVAL: Micros = 1_000_000;
-/// The size of the read buffer, which holds any datagram.
+/// The size of the read buffer; no datagram is larger.
 const DATAGRAM_BUFFER_BYTES: usize = 65_536;
 
 /// The messages between proxies. The order of the variants is part of the wire format.
@@ -30,12 +32,12 @@
 /// A datagram. The order of the fields is part of the wire format.
 #[derive(Debug, Serialize, Deserialize)]
 struct Datagram {
-    /// A hash of the settings: proxies that have other ones do not lease from each other.
+    /// A hash of the settings: proxies with different settings do not lease from each other.
     settings_hash: u64,
     message: Message,
 }
 
-/// A request that the serving thread has for an allocator.
+/// A request from the serving thread to an allocator.
 #[derive(Debug)]
 pub(super) struct AllocatorRequest {
     /// The allocator's number.
@@ -43,7 +45,7 @@
     pub(super) request: LeaseRequest,
 }
 
-/// What the worker reports to the serving thread.
+/// A report from the worker to the serving thread.
 #[derive(Debug)]
 pub(super) enum LeaseUpdate {
     /// An allocator granted a lease.
@@ -56,14 +58,14 @@
     Status(WorkerStatus),
 }
 
-/// What the worker counted so far.
+/// The status and the counters of the worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkerStatus {
     /// Datagrams that could not be decoded.
     pub undecodable_datagrams: u64,
-    /// Datagrams of proxies with other settings.
+    /// Datagrams from proxies with different settings.
     pub foreign_datagrams: u64,
-    /// Lease holders at this proxy's allocator.
+    /// Lease holders that this proxy's allocator knows.
     pub holders: u64,
     /// Requests that this proxy's allocator did not answer.
     pub ignored_requests: u64,
@@ -71,23 +73,23 @@
     pub is_allocating: bool,
 }
 
-/// The allocator that this proxy is.
+/// The allocator that runs on this proxy.
 pub struct OwnAllocator {
     /// Its number among the allocators.
     pub index: usize,
     /// Its state.
     pub allocator: LeaseAllocator,
-    /// Keeps it from granting what a former allocator may have granted.
+    /// Prevents it from granting amounts that a previous allocator may have granted.
     pub guard: TakeoverGuard,
 }
 
-/// What the worker is made of.
+/// The parts of the worker.
 pub struct LeaseWorker<Clock> {
     /// The socket for datagrams.
     pub socket: UdpSocket,
     /// The addresses of the allocators.
     pub allocators: Vec<SocketAddrV4>,
-    /// The allocator that this proxy is, if it is one.
+    /// The allocator that runs on this proxy, if any.
     pub own_allocator: Option<OwnAllocator>,
     /// The terms of leases.
     pub terms: LeaseTerms,
@@ -97,7 +99,7 @@
     pub now: Clock,
 }
 
-/// Why the loop continues after a wait.
+/// The reason why the loop continues after a wait.
 enum Wakeup {
     Request(AllocatorRequest),
     Datagram { length: usize, from: SocketAddr },
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Passes a request of the serving thread on, or answers it where this proxy is the allocator.
+    /// Forwards a request of the serving thread, or answers it if the allocator runs on this proxy.
     fn on_own_request(
         &mut self,
         AllocatorRequest { allocator, request }: AllocatorRequest,
@@ -171,7 +173,8 @@
                     self.send(from, Message::Grant(grant));
                 }
             }
-            // What does not fit the ring is as a datagram that was lost: the lease before it expires.
+            // A grant that does not fit into the ring is treated as a lost datagram: the previous lease
+            // expires.
             (Message::Grant(grant), Some(allocator)) => {
                 updates.send(LeaseUpdate::Granted { allocator, grant });
             }
@@ -190,7 +193,7 @@
         }
     }
 
-    /// A lease of this proxy's allocator, where it may grant one.
+    /// Requests a lease from this proxy's allocator; `None` if there is no allocator or it may not grant one.
     fn allocate(&mut self, request: &LeaseRequest) -> Option<LeaseGrant> {
         let now = (self.now)();
         let own = self.own_allocator.as_mut()?;
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Sends a message. A datagram that cannot be sent is as one lost on the wire.
+    /// Sends a message. A datagram that cannot be sent is treated as lost in the network.
     fn send(&self, to: SocketAddr, message: Message) {
         let datagram = Datagram { settings_hash: self.settings_hash, message };
         if let Ok(bytes) = postcard::to_allocvec(&datagram) {
@@ -236,7 +239,7 @@
     let datagram = async {
         match socket.recv_from(buffer).await {
             Ok((length, from)) => Wakeup::Datagram { length, from },
-            // An error may come from an unreachable peer: it says nothing about the socket.
+            // The error may be caused by an unreachable peer; the socket remains usable.
             Err(_) => Wakeup::TimerExpired,
         }
     };
--- a/crates/transport/src/budgets/log.rs
+++ b/crates/transport/src/budgets/log.rs
@@ -1,5 +1,5 @@
-//! What the log gets of the budgets: the usage every few seconds, and each lease and spend where that is asked for, from
-//! which a checker adds up the whole fleet.
+//! The log events of the budgets: the usage every few seconds and, if the usage is traced, each lease and
+//! spend, from which a checker computes the totals of the whole fleet.
 
 use super::WorkerStatus;
 use wharfplank_budget::{BudgetId, BudgetKind, LeaseHolder, Micros};
@@ -9,45 +9,45 @@
 pub enum BudgetLogEvent<'a> {
     /// The state of the allocators and of this proxy's worker.
     Status {
-        /// How many allocators answer.
+        /// The number of allocators that answer.
         reachable_allocators: usize,
         /// The worker's status.
         worker: WorkerStatus,
     },
     /// The usage of the budgets of one kind.
     Usage(BudgetKind, BudgetUsage),
-    /// A lease that is in force from now on.
+    /// A lease came into effect.
     Leased {
-        /// When it came into force.
+        /// When it came into effect.
         at: Micros,
         /// The number of its allocator.
         allocator: usize,
         /// When it expires.
         expires_at: Micros,
-        /// The amount of each budget, as `number=amount,...`.
+        /// The amount for each budget, as `number=amount,...`.
         amounts: &'a str,
     },
-    /// What was spent, as `number@time,...`.
+    /// The spends, as `number@time,...`.
     Spent(&'a str),
-    /// What has been in use since when, as `number@time=count,...`.
+    /// The changes of the number in use, as `number@time=count,...`.
     InUse(&'a str),
     /// The worker has ended.
     WorkerEnded,
 }
 
-/// The usage of the budgets of one kind, added up.
+/// The total usage of the budgets of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BudgetUsage {
-    /// The quotas in force.
+    /// The sum of the current quotas.
     pub quota: u64,
-    /// What was spent since the start, or is in use.
+    /// The amount spent since the start, or in use for concurrency budgets.
     pub spent: u64,
-    /// What was denied since the start, or is in use beyond the quota.
+    /// The amount denied since the start, or in use beyond the quota for concurrency budgets.
     pub denied: u64,
 }
 
 impl BudgetUsage {
-    /// The usage of a kind; `None` where there is no budget of it.
+    /// Computes the usage of a kind; `None` if there is no budget of this kind.
     pub fn of(holder: &LeaseHolder, now: Micros, kind: BudgetKind) -> Option<BudgetUsage> {
         let is_of_kind = |budget: BudgetId| BudgetKind::of(budget) == Some(kind);
         let rates = holder.rate_limiters().filter(|(budget, _)| is_of_kind(*budget));
--- a/crates/transport/src/budgets/mod.rs
+++ b/crates/transport/src/budgets/mod.rs
@@ -1,13 +1,13 @@
-//! The fleet's budgets on the serving thread: the leases that this proxy holds and what it spends of them, answered
-//! without waiting.
+//! The fleet's budgets on the serving thread: the leases that this proxy holds and the amounts that it
+//! spends. Calls return without waiting.
 //!
-//! A worker thread has the socket. Requests for leases go to it and leases come from it over two bounded rings; what is
-//! dropped there is as lost on the wire.
+//! A worker thread owns the socket. It receives lease requests and returns leases over two bounded rings; an
+//! item that is dropped there is treated as lost in the network.
 //!
-//! - [`Budgets`]: what the serving thread spends.
-//! - [`LeaseWorker`]: the worker thread, with the allocator where this proxy is one.
-//! - `lease_driver`: requests leases and takes them, on the serving thread.
-//! - [`BudgetLogEvent`]: what the log gets.
+//! - [`Budgets`]: the budgets that the serving thread spends.
+//! - [`LeaseWorker`]: the worker thread, with the allocator if this proxy is one.
+//! - `lease_driver`: requests leases and applies them, on the serving thread.
+//! - [`BudgetLogEvent`]: the events for the log.
 
 mod lease_driver;
 mod lease_worker;
@@ -26,14 +26,14 @@
 use wharfplank_budget::{BudgetId, BudgetKind, BudgetLimits, Excess, LeaseHolder, Micros};
 use wharfplank_shared_state::hash_name;
 
-/// Requests and leases that may wait between the two threads.
+/// The capacity of each of the two rings between the threads.
 const RING_CAPACITY: usize = 256;
 
-/// What the budgets of the serving thread are made of.
+/// The configuration of the serving thread's budgets.
 pub struct BudgetsConfig<Log> {
-    /// The limits of the whole fleet, which say which budgets there are.
+    /// The limits of the whole fleet, which define the budgets.
     pub limits: BudgetLimits,
-    /// The holder of this proxy's leases, without leases yet.
+    /// The holder of this proxy's leases, initially without leases.
     pub holder: LeaseHolder,
     /// The clock of the budgets.
     pub now: Now,
@@ -43,7 +43,8 @@
     pub log: Log,
 }
 
-/// The budgets as the serving thread spends them. A budget that the settings do not name is never denied.
+/// The budgets that the serving thread spends. Spending a budget without a limit in the settings is never
+/// denied.
 pub struct Budgets {
     limits: BudgetLimits,
     now: Now,
@@ -52,13 +53,13 @@
 
 struct State {
     holder: LeaseHolder,
-    /// The leases and spends that are not logged yet, where they are logged.
+    /// The leases and spends that are not logged yet, if the usage is traced.
     trace: Option<UsageTrace>,
-    /// What the worker reported last.
+    /// The last status that the worker reported.
     worker_status: WorkerStatus,
 }
 
-/// Starts the worker and the serving thread's side.
+/// Starts the worker thread, and the lease driver on the serving thread.
 ///
 /// # Errors
 ///
@@ -97,32 +98,32 @@
         (self.now)()
     }
 
-    /// Requests leases of a budget from now on, where the settings name it.
+    /// Requests leases for a budget from now on, if the settings have a limit for it.
     pub fn register(&self, budget: BudgetId) {
         if self.limits.get(budget).is_some() {
             self.state.borrow_mut().holder.register(self.now(), budget);
         }
     }
 
-    /// Registers the budgets of a member that may be used from now on.
+    /// Registers the budgets of a new member.
     pub fn add_member(&self, name: &str) {
         for budget in member_budgets(name) {
             self.register(budget);
         }
     }
 
-    /// Forgets the budgets of a member that is not used any more and has no connections.
+    /// Removes the budgets of a member that is no longer used and has no connections.
     pub fn remove_member(&self, name: &str) {
         let removed = member_budgets(name);
         self.state.borrow_mut().holder.retain(|budget| !removed.contains(&budget));
     }
 
-    /// Spends a request to this group; false where it is not to be admitted.
+    /// Spends one request to this group; false if the request must be denied.
     pub fn try_spend_request(&self, group: u64) -> bool {
         self.try_spend(&[BudgetKind::Requests.budget(0), BudgetKind::TenantRequests.budget(group)])
     }
 
-    /// Spends an attempt beyond its request's first; false where it is not to be sent.
+    /// Spends one attempt after the first one of a request; false if it must not be sent.
     pub fn try_spend_retry(&self) -> bool {
         self.try_spend(&[BudgetKind::Retries.budget(0)])
     }
@@ -132,18 +133,18 @@
         self.state.borrow_mut().holder.can_spend(self.now(), BudgetKind::Retries.budget(0))
     }
 
-    /// Spends a health check of a member; false where it is not to be made.
+    /// Spends one health check of a member; false if it must not be sent.
     pub fn try_spend_health_check(&self, member: &str) -> bool {
         self.try_spend(&[BudgetKind::HealthChecks.budget(hash_name(member))])
     }
 
-    /// Spends a poll of discovery; false where it is not to be made.
+    /// Spends one poll of discovery; false if it must not be sent.
     pub fn try_spend_discovery_poll(&self) -> bool {
         self.try_spend(&[BudgetKind::DiscoveryCalls.budget(0)])
     }
 
-    /// Spends a new connection to a member and reserves it until [`Budgets::release_connection`]; false where it is not
-    /// to be opened.
+    /// Spends one new connection to a member and counts it as open until [`Budgets::release_connection`];
+    /// false if it must not be opened.
     pub fn try_open_connection(&self, member: &str) -> bool {
         let new_connections = BudgetKind::NewConnections.budget(hash_name(member));
         let open_connections = BudgetKind::OpenConnections.budget(hash_name(member));
@@ -152,26 +153,26 @@
         if can_connect && !self.state.borrow_mut().holder.try_acquire(now, open_connections) {
             return false;
         }
-        // Where there is none left the attempt is counted as denied.
+        // Also called when no new connection is left, so that the attempt is counted as denied.
         let is_spent = self.try_spend(&[new_connections]);
         self.trace_open_connections(now, open_connections);
         is_spent
     }
 
-    /// Releases a connection to a member that was closed or could not be opened.
+    /// Releases a connection to a member after it was closed or could not be opened.
     pub fn release_connection(&self, member: &str) {
         let open_connections = BudgetKind::OpenConnections.budget(hash_name(member));
         self.state.borrow_mut().holder.release(open_connections);
         self.trace_open_connections(self.now(), open_connections);
     }
 
-    /// The connections to a member beyond the quota.
+    /// Returns the number of connections to a member beyond the quota.
     pub fn connection_excess(&self, member: &str) -> Excess {
         let open_connections = BudgetKind::OpenConnections.budget(hash_name(member));
         self.state.borrow_mut().holder.excess(self.now(), open_connections)
     }
 
-    /// Spends one of each budget, or of none.
+    /// Spends one of each budget, or none if any of them denies it.
     fn try_spend(&self, budgets: &[BudgetId]) -> bool {
         let now = self.now();
         let State { holder, trace, .. } = &mut *self.state.borrow_mut();
--- a/crates/transport/src/budgets/usage_trace.rs
+++ b/crates/transport/src/budgets/usage_trace.rs
@@ -1,13 +1,13 @@
-//! The leases and spends that the log has not got yet, where each is logged.
+//! The leases and spends that are recorded but not logged yet, if the usage is traced.
 
 use super::BudgetLogEvent;
 use std::fmt::Write;
 use wharfplank_budget::{BudgetAmount, BudgetId, LeaseGrant, Micros};
 
-/// Records of one kind that are kept between two lines; further ones are left out.
+/// The maximum number of records of one kind that are kept between two flushes; further ones are dropped.
 const MAX_RECORDS: usize = 65_536;
 
-/// The leases and spends since the last line.
+/// The leases and spends since the last flush.
 #[derive(Debug, Default)]
 pub(super) struct UsageTrace {
     spends: Vec<Spend>,
@@ -37,17 +37,17 @@
 }
 
 impl UsageTrace {
-    /// Records that one was spent.
+    /// Records a spend of one.
     pub(super) fn record_spend(&mut self, at: Micros, budget: BudgetId) {
         push_bounded(&mut self.spends, Spend { at, budget });
     }
 
-    /// Records how many are in use from now on.
+    /// Records a change of the number in use.
     pub(super) fn record_in_use(&mut self, since: Micros, budget: BudgetId, count: u64) {
         push_bounded(&mut self.in_use, InUse { since, budget, count });
     }
 
-    /// Records a lease that is in force from now on.
+    /// Records a lease that came into effect.
     pub(super) fn record_lease(
         &mut self,
         at: Micros,
@@ -59,7 +59,7 @@
         push_bounded(&mut self.leases, LeaseRecord { at, allocator, expires_at, amounts });
     }
 
-    /// Logs all records and forgets them.
+    /// Logs and removes all records.
     pub(super) fn flush(&mut self, log: &impl Fn(BudgetLogEvent<'_>)) {
         for lease in self.leases.drain(..) {
             let amounts = lease.amounts.iter();
@@ -90,7 +90,7 @@
     }
 }
 
-/// Joins texts by commas.
+/// Joins texts with commas.
 fn joined(texts: impl Iterator<Item = String>) -> String {
     let mut joined = String::new();
     for text in texts {
--- a/crates/transport/src/gossip/datagrams.rs
+++ b/crates/transport/src/gossip/datagrams.rs
@@ -1,5 +1,5 @@
-//! The datagrams of the gossip worker: those of the membership protocol, and messages of the shared state that ride on
-//! them or go beside them.
+//! The datagrams of the gossip worker: those of the membership protocol, and messages of the shared state,
+//! piggybacked or sent separately.
 
 use super::driver::Driver;
 use async_io::Async;
@@ -8,13 +8,14 @@
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{Frame, FRAME_OVERHEAD};
 
-/// The largest datagram that a rumour is put on.
+/// The maximum size of a datagram with a piggybacked rumour.
 const MAX_PIGGYBACK_BYTES: usize = 1400;
-/// Datagrams that are read in one turn: reading several costs less, and the rest of the turn must not starve.
+/// The maximum number of datagrams that are read in one turn. Reading several at once costs less; the limit
+/// keeps the rest of the turn from starving.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 impl Driver {
-    /// Reads the datagrams that are there already, up to the limit of a turn.
+    /// Reads the datagrams that have already arrived, up to the limit of a turn.
     pub(super) fn receive_more(&mut self, now: Micros, socket: &Async<UdpSocket>, buffer: &mut [u8]) {
         for _ in 1..MAX_DATAGRAMS_PER_TURN {
             let Ok((length, from)) = socket.get_ref().recv_from(buffer) else { break };
@@ -22,9 +23,10 @@
         }
     }
 
-    /// Takes a datagram of the membership protocol, with or without a message of the shared state behind it.
+    /// Processes a datagram with a message of the membership protocol, of the shared state, or of both.
     pub(super) fn on_datagram(&mut self, now: Micros, from: SocketAddr, datagram: &[u8]) {
-        // A frame that cannot be decoded is passed on as it is: the membership counts it among what it rejects.
+        // A frame that cannot be decoded is passed to the membership protocol unchanged, which counts it as
+        // rejected.
         let undecoded = Frame { membership: datagram, shared_state: &[] };
         let frame = Frame::decode(datagram).unwrap_or(undecoded);
         if !frame.membership.is_empty() {
@@ -38,8 +40,8 @@
         }
     }
 
-    /// Sends what is to be sent. A datagram that cannot be sent is as one lost on the wire: SWIM sends again, and so do
-    /// exchanges.
+    /// Sends the queued datagrams. A datagram that cannot be sent is treated as lost in the network: SWIM and
+    /// the state exchanges send again.
     pub(super) async fn send_datagrams(&mut self, now: Micros, socket: &Async<UdpSocket>) {
         for Datagram { to, payload } in self.worker.membership.take_datagrams() {
             let datagram = self.with_rumour(now, payload);
@@ -52,7 +54,8 @@
         }
     }
 
-    /// A datagram of the membership with a rumour of the shared state behind it, where there is one that fits.
+    /// Appends a rumour of the shared state to a datagram of the membership protocol, if there is one that
+    /// fits.
     fn with_rumour(&mut self, now: Micros, payload: Vec<u8>) -> Vec<u8> {
         let Some(shared_state) = &mut self.worker.shared_state else { return payload };
         let max_bytes = MAX_PIGGYBACK_BYTES.saturating_sub(payload.len() + FRAME_OVERHEAD);
--- a/crates/transport/src/gossip/driver.rs
+++ b/crates/transport/src/gossip/driver.rs
@@ -18,19 +18,19 @@
 const DIGEST_LOG_INTERVAL: Micros = 1_000_000;
 /// How often a snapshot of the shared state is saved.
 const SNAPSHOT_INTERVAL: Micros = 5_000_000;
-/// State updates wait in their own bounded table while fewer slots than this are free in the ring: shares and factors
-/// go first.
+/// While no more slots than this are free in the ring, state updates wait in their own bounded table: the
+/// slots are reserved for zone shares and member factors.
 const RESERVED_SLOTS: usize = 64;
-/// The size of the read buffer, which holds any datagram.
+/// The size of the read buffer; no datagram is larger.
 const DATAGRAM_BUFFER_BYTES: usize = 65_536;
-/// The longest wait for a timer.
+/// The maximum wait for a timer.
 const MAX_WAIT: Micros = 1_000_000;
 
-/// The worker in its loop.
+/// The worker with the state of its loop.
 pub(super) struct Driver {
     pub(super) worker: GossipWorker,
     pub(super) updates: RingSender<GossipUpdate>,
-    /// The shares that were reported to the broker last.
+    /// The last shares that were reported to the broker.
     pub(super) reported_shares: BTreeMap<String, f64>,
     next_traffic_log_at: Micros,
     logged_digest: u64,
@@ -38,7 +38,7 @@
     next_snapshot_at: Micros,
 }
 
-/// Why the loop continues after a wait.
+/// The reason why the loop continues after a wait.
 enum Wakeup {
     Datagram { length: usize, from: SocketAddr },
     Observation(Observation),
@@ -54,7 +54,7 @@
     updates: RingSender<GossipUpdate>,
     stall_detector: Arc<StallDetector>,
 ) {
-    // Without a socket in the reactor nothing is received: this proxy then decides alone.
+    // If the socket cannot be registered with the reactor, nothing is received, and this proxy decides alone.
     let Ok(socket) = open::register(&socket) else { return };
     let now = (worker.now)();
     let mut driver = Driver::new(worker, updates, now);
@@ -102,10 +102,11 @@
         (self.worker.now)()
     }
 
-    /// Announces this proxy to its seeds.
+    /// Logs the start and announces this proxy to its seeds.
     fn start(&mut self, now: Micros) {
         (self.worker.log)(GossipLogEvent::Started(self.worker.membership.local_peer()));
-        // The router learns at once that zones are decided in common: near members win among ties from now on.
+        // Tells the router at once that the fleet decides on zones together: ties are now broken in favour of
+        // near members.
         self.updates.send(GossipUpdate::ZoneShares(Vec::new()));
         self.worker.membership.join(&self.worker.seeds, now);
     }
@@ -125,7 +126,7 @@
         let datagram = async {
             match socket.recv_from(buffer).await {
                 Ok((length, from)) => Wakeup::Datagram { length, from },
-                // An error may come from an unreachable peer: it says nothing about the socket.
+                // The error may be caused by an unreachable peer; the socket remains usable.
                 Err(_) => Wakeup::TimerExpired,
             }
         };
@@ -134,7 +135,7 @@
         future::or(future::or(datagram, observation), timer).await
     }
 
-    /// When the next timer expires.
+    /// Returns the time at which the next timer expires.
     fn next_due(&self) -> Micros {
         let worker = &self.worker;
         let mut due = worker.membership.next_due().min(worker.failover.next_due(self.now()));
@@ -151,7 +152,7 @@
         due
     }
 
-    /// Does what is due: each part does its own, and what changed goes to the others, the broker and the log.
+    /// Runs the due work of each part, and passes changes to the other parts, the broker and the log.
     fn on_turn(&mut self, now: Micros, observations_dropped: u64) {
         self.tick_membership(now);
         self.exchange_votes(now);
--- a/crates/transport/src/gossip/handle.rs
+++ b/crates/transport/src/gossip/handle.rs
@@ -1,4 +1,4 @@
-//! The broker's side of the gossip driver: it passes observations on without waiting.
+//! The broker's handle to the gossip worker.
 
 use super::observation::{ListedEndpoint, MemberContact, Observation};
 use super::{StallDetector, UpdateQueue};
@@ -10,10 +10,11 @@
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{MemberStatus, WriteOutcome};
 
-/// Passes the broker's observations to the worker. Where the ring is full they are dropped and counted.
+/// Sends the broker's observations to the worker without waiting. If the ring is full they are dropped and
+/// counted.
 pub struct GossipHandle {
     pub(super) observations: RefCell<RingSender<Observation>>,
-    /// The worker's updates, where state is shared.
+    /// The worker's updates, if state is shared.
     pub(super) updates: Option<Rc<RefCell<UpdateQueue>>>,
     pub(super) stall_detector: Arc<StallDetector>,
     /// How far the worker's clock is ahead of the broker's.
@@ -22,7 +23,8 @@
 }
 
 impl GossipHandle {
-    /// Reports whether a member answered. A timeout wakes the worker; the many answers wait until it is awake.
+    /// Reports whether a member answered. A timeout wakes the worker; answers, which are frequent, wait until
+    /// it is awake.
     pub fn record_contact(&self, contact: MemberContact) {
         if contact.answered {
             self.send_lazy(Observation::Contact(contact));
@@ -31,29 +33,31 @@
         }
     }
 
-    /// Reports the log position that a member itself reported, with the time of its last start as its epoch.
+    /// Reports the log position that a member stated itself, with the time of the member's last start as its
+    /// epoch.
     pub fn record_position(&self, now: Micros, member: u64, epoch: i64, position: Micros) {
         if self.shares_state() {
             self.send_lazy(Observation::Position { at: now, member, epoch, position });
         }
     }
 
-    /// Reports whether this proxy suspects a member: while it does, and once when it no longer does.
+    /// Reports whether this proxy suspects a member: repeatedly while it does, and once when it no longer
+    /// does.
     pub fn record_member_status(&self, now: Micros, member: u64, status: MemberStatus) {
         if self.shares_state() {
             self.send(Observation::MemberStatus { at: now, member, status });
         }
     }
 
-    /// Adds one to one of the fleet's counters.
+    /// Increments one of the fleet's counters.
     pub fn increment_counter(&self, now: Micros, counter: u32) {
         if self.shares_state() {
             self.send_lazy(Observation::Counter { at: now, counter });
         }
     }
 
-    /// Reports what is known of a write whose client got no success. It holds on this thread at once, whatever the worker
-    /// does.
+    /// Reports the outcome of a write whose client received no success response. It takes effect on this
+    /// thread at once, even if the worker is stalled.
     pub fn record_write_outcome(&self, now: Micros, write: u64, outcome: WriteOutcome) {
         if let Some(updates) = &self.updates {
             updates.borrow_mut().record_write_outcome(now + self.clock_offset, write, outcome);
@@ -61,7 +65,8 @@
         }
     }
 
-    /// Whether this write may have been executed as far as any proxy reported, or the worker is behind and cannot tell.
+    /// Returns whether this write may have been executed: according to the reports of any proxy, or because
+    /// the worker is behind and its reports may be incomplete.
     pub fn is_in_doubt(&self, now: Micros, write: u64) -> bool {
         let Some(updates) = &self.updates else { return false };
         let is_behind =
@@ -69,7 +74,7 @@
         is_behind || updates.borrow_mut().is_in_doubt(write)
     }
 
-    /// Reports a member as the endpoint list has it, with the time of its last start in Unix milliseconds.
+    /// Reports a member of the endpoint list, with the time of its last start in Unix milliseconds.
     pub fn on_endpoint_listed(&self, member: u64, name: &str, zone: &str, started_at_ms: i64) {
         if self.evaluates_health {
             let endpoint =
@@ -78,21 +83,21 @@
         }
     }
 
-    /// Forgets the members that are not on the endpoint list any more.
+    /// Removes the members that are no longer on the endpoint list from the health evaluation.
     pub fn retain_members(&self, listed: impl Iterator<Item = u64>) {
         if self.evaluates_health {
             self.send(Observation::MembersRetained(listed.collect()));
         }
     }
 
-    /// Reports the outcome of a request to a member, for its health.
+    /// Reports the outcome of a request to a member, for the evaluation of its health.
     pub fn record_request_outcome(&self, now: Micros, member: u64, outcome: Outcome) {
         if self.evaluates_health {
             self.send_lazy(Observation::RequestOutcome { at: now, member, outcome });
         }
     }
 
-    /// Reports how far a member's log is behind.
+    /// Reports the replication lag of a member.
     pub fn record_lag(&self, now: Micros, member: u64, lag: Micros) {
         if self.evaluates_health {
             self.send_lazy(Observation::Lag { at: now, member, lag });
--- a/crates/transport/src/gossip/health.rs
+++ b/crates/transport/src/gossip/health.rs
@@ -1,5 +1,5 @@
-//! The driver of the members' health: it passes the fleet's observations to the evaluation, shares this router's own, and
-//! reports the factors to the broker where they change. It decides nothing itself.
+//! The driver of the health evaluation: passes the fleet's observations of members to the evaluation, shares
+//! this proxy's own, and reports changed latency factors to the broker. It makes no decisions itself.
 
 use super::driver::Driver;
 use super::observation::ListedEndpoint;
@@ -10,7 +10,8 @@
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::hash_name;
 
-/// The evaluation with the members' names for the log. It is bounded by what the evaluation keeps and the broker retains.
+/// The health monitor, with the members' names for the log. Its size is bounded by the members that the
+/// monitor tracks and the broker retains.
 pub struct HealthEvaluator {
     monitor: HealthMonitor,
     member_names: BTreeMap<u64, String>,
@@ -20,7 +21,7 @@
 }
 
 impl HealthEvaluator {
-    /// The evaluator of the router at this address.
+    /// Creates the evaluator of the proxy at this address.
     pub fn new(local_addr: SocketAddrV4) -> HealthEvaluator {
         HealthEvaluator {
             monitor: HealthMonitor::new(peer_key(local_addr)),
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The factors, where they differ from those that were returned last.
+    /// Returns the latency factors if they have changed since they were last returned.
     fn take_changed_factors(&mut self) -> Option<Vec<(u64, f64)>> {
         let factors = self.monitor.latency_factors();
         if factors == self.reported_factors {
@@ -79,7 +80,7 @@
 }
 
 impl Driver {
-    /// Evaluates the health of members where that is due, and reports the factors where they changed.
+    /// Evaluates the health of members if that is due, and reports the latency factors if they have changed.
     pub(super) fn evaluate_health(&mut self, now: Micros) {
         let worker = &mut self.worker;
         let (Some(evaluator), Some(shared_state)) = (&mut worker.health, &mut worker.shared_state) else {
--- a/crates/transport/src/gossip/log.rs
+++ b/crates/transport/src/gossip/log.rs
@@ -1,4 +1,4 @@
-//! What the gossip driver reports to the log.
+//! The log events of the gossip driver.
 
 use wharfplank_failover::ZoneState;
 use wharfplank_gossip::{Membership, MembershipEvent, Peer};
@@ -8,7 +8,7 @@
 /// An event for the log.
 #[derive(Clone)]
 pub enum GossipLogEvent<'a> {
-    /// The worker listens, as this peer.
+    /// The worker has started, as this peer.
     Started(&'a Peer),
     /// A peer came up, went down or restarted.
     PeerChanged(&'a MembershipEvent),
@@ -16,25 +16,25 @@
     ZoneChanged {
         /// The zone.
         zone: &'a str,
-        /// Its state now.
+        /// Its new state.
         state: ZoneState,
-        /// Its share of reads now.
+        /// Its new share of reads.
         share: f64,
         /// The number of live peers.
         live_peers: usize,
-        /// Whether this proxy hears from no majority of its fleet.
+        /// Whether this proxy reaches too few of its fleet to form a quorum.
         is_isolated: bool,
     },
-    /// The traffic so far.
+    /// The traffic since the start.
     Traffic {
         /// The membership protocol with its counters.
         membership: &'a Membership,
-        /// The broker's observations that did not fit their ring.
+        /// The number of the broker's observations that did not fit into their ring.
         observations_dropped: u64,
-        /// The updates for the broker that did not fit their ring.
+        /// The number of updates for the broker that did not fit into their ring.
         updates_dropped: u64,
     },
-    /// The worker panicked: from now on this proxy is as one without peers.
+    /// The worker panicked: from now on this proxy operates as if it had no peers.
     WorkerFailed,
     /// The content of the shared state changed.
     SharedStateChanged(&'a SharedState),
@@ -42,11 +42,11 @@
     MemberHealthChanged {
         /// The member's name.
         name: &'a str,
-        /// The verdict now.
+        /// The new verdict.
         verdict: Verdict,
-        /// The combined score of the observations, as a logarithm; `None` where there were too few.
+        /// The combined score of the observations, as a logarithm; `None` if there were too few observations.
         score: Option<f64>,
-        /// How many proxies' observations counted.
+        /// The number of proxies whose observations were counted.
         observers: usize,
     },
 }
--- a/crates/transport/src/gossip/mod.rs
+++ b/crates/transport/src/gossip/mod.rs
@@ -1,16 +1,18 @@
 //! The driver of gossip between proxies, on a worker thread with one UDP socket.
 //!
-//! It passes datagrams and the time to the membership protocol (`gossip`) and the zone failover (`failover`), feeds them
-//! what this proxy observes of members, publishes its votes, and reports each zone's share of reads to the broker when it
-//! changes. Where state is shared, its rumours ride on the membership's datagrams, and its exchanges go beside them. It
-//! decides nothing itself.
+//! It passes datagrams and the time to the membership protocol (`gossip`) and the zone failover (`failover`),
+//! feeds them this proxy's observations of members, publishes its votes, and reports changes of each zone's
+//! share of reads to the broker. If state is shared, its rumours are piggybacked on the datagrams of the
+//! membership protocol, and its exchanges are sent as separate datagrams. The driver makes no decisions
+//! itself.
 //!
-//! - [`GossipHandle`]: the serving thread's side, which never waits. Observations go to the worker over a bounded ring.
-//! - [`GossipUpdate`] and [`UpdateQueue`]: what the worker reports, and the serving thread's own copy of the writes in
-//!   doubt.
-//! - [`GossipWorker`]: what the worker is made of. `driver` is its loop, `datagrams` its socket's traffic, `observation`
-//!   what the broker reports; `zones` and `health` drive the decisions.
-//! - [`StallDetector`]: whether the worker stands still.
+//! - [`GossipHandle`]: the serving thread's side, which never waits. It sends observations to the worker over
+//!   a bounded ring.
+//! - [`GossipUpdate`] and [`UpdateQueue`]: the worker's reports, and the serving thread's own copy of the
+//!   in-doubt writes.
+//! - [`GossipWorker`]: the parts of the worker. `driver` is its loop, `datagrams` the traffic of its socket,
+//!   `observation` the broker's observations; `zones` and `health` drive the decisions.
+//! - [`StallDetector`]: whether the worker is stalled.
 
 mod datagrams;
 mod driver;
@@ -41,27 +43,27 @@
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{SharedState, WriteRecord};
 
-/// Observations that may wait for the worker, and updates that may wait for the broker. Past that they are dropped and
-/// counted, since serving must not wait.
+/// The capacity of the ring of observations for the worker, and of the ring of its updates. Items that do not
+/// fit are dropped and counted, since the serving thread must not wait.
 pub const RING_CAPACITY: usize = 4096;
 
-/// Takes the bytes of a snapshot without waiting.
+/// Saves the bytes of a snapshot without waiting.
 pub type SaveSnapshot = Box<dyn Fn(Vec<u8>)>;
 
-/// Writes an event to the log; both threads use it.
+/// Writes an event to the log. Called by both threads.
 pub type LogGossip = fn(GossipLogEvent<'_>);
 
-/// What the worker is made of; it is made on the worker's thread.
+/// The parts of the worker, created on the worker's thread.
 pub struct GossipWorker {
     /// The membership protocol.
     pub membership: Membership,
     /// Decides which zones take reads.
     pub failover: FailoverController,
-    /// The shared state, where the settings ask for it.
+    /// The shared state, if the settings enable it.
     pub shared_state: Option<SharedState>,
-    /// Evaluates the health of members, where the settings ask for it; it needs the shared state.
+    /// Evaluates the health of members, if the settings enable it; requires the shared state.
     pub health: Option<HealthEvaluator>,
-    /// Saves snapshots of the shared state, where the settings ask for it.
+    /// Saves snapshots of the shared state, if the settings enable it.
     pub save_snapshot: Option<SaveSnapshot>,
     /// How far `now` is ahead of the broker's clock.
     pub clock_offset: Micros,
@@ -73,17 +75,17 @@
     pub log: LogGossip,
 }
 
-/// What the serving thread's side is made of.
+/// The configuration of the serving thread's side.
 pub struct HandleConfig {
-    /// The worker's time now.
+    /// The current time on the worker's clock.
     pub now: Micros,
     /// How far the worker's clock is ahead of the broker's.
     pub clock_offset: Micros,
-    /// The write records of a snapshot, where state is shared.
+    /// The write records of a snapshot, if state is shared.
     pub write_records: Option<Vec<WriteRecord>>,
     /// Whether the worker evaluates the health of members.
     pub evaluates_health: bool,
-    /// Takes the events for the broker.
+    /// The channel for the broker's events.
     pub events: Sender<ProxyEvent>,
     /// The log.
     pub log: LogGossip,
@@ -91,9 +93,9 @@
 
 /// Starts the worker.
 ///
-/// The handle takes the broker's observations. The task forwards the worker's updates to the broker; it ends once the
-/// handle is dropped and the worker has announced that it leaves, or when the worker panics, after which the proxy serves
-/// on as one without peers.
+/// The handle sends the broker's observations to the worker. The task forwards the worker's updates to the
+/// broker. The task ends once the handle is dropped and the worker has announced that this proxy leaves, or
+/// when the worker panics; the proxy then continues to serve as if it had no peers.
 ///
 /// # Errors
 ///
@@ -125,7 +127,7 @@
     Ok((handle, task))
 }
 
-/// A peer's number in the failover and health decisions.
+/// Returns the number that identifies a peer in the failover and health decisions.
 fn peer_key(addr: SocketAddrV4) -> u64 {
     u64::from(u32::from(*addr.ip())) << 16 | u64::from(addr.port())
 }
--- a/crates/transport/src/gossip/observation.rs
+++ b/crates/transport/src/gossip/observation.rs
@@ -1,4 +1,4 @@
-//! What the broker observes, and how the gossip worker takes it.
+//! The broker's observations, and how the gossip worker processes them.
 
 use super::driver::Driver;
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{MemberStatus, WriteOutcome};
 
-/// Whether a member answered, as the broker saw it.
+/// The broker's observation of whether a member answered.
 #[derive(Clone, Debug)]
 pub struct MemberContact {
     /// The member's zone.
@@ -17,17 +17,17 @@
     pub member: u32,
     /// When the request to it was sent.
     pub sent_at: Micros,
-    /// Whether it answered at all, be it with an error; false where there was no connection or no answer in time.
+    /// Whether it answered at all, even with an error; false if there was no connection or no answer in time.
     pub answered: bool,
 }
 
-/// What the broker reports to the worker. Members and writes have the numbers that all proxies share, and `at` is on the
-/// broker's clock.
+/// An observation that the broker reports to the worker. Members and writes are identified by numbers that
+/// are the same on all proxies, and `at` is on the broker's clock.
 #[derive(Clone, Debug)]
 pub(super) enum Observation {
-    /// Whether a member answered, for its zone.
+    /// Whether a member answered, for the evaluation of its zone.
     Contact(MemberContact),
-    /// A member itself reported its log position.
+    /// The log position that a member stated itself.
     Position {
         at: Micros,
         member: u64,
@@ -37,21 +37,21 @@
     },
     /// Whether this proxy suspects a member.
     MemberStatus { at: Micros, member: u64, status: MemberStatus },
-    /// One more of one of the fleet's counters.
+    /// An increment of one of the fleet's counters.
     Counter { at: Micros, counter: u32 },
-    /// What is known of a write whose client got no success.
+    /// The outcome of a write whose client received no success response.
     WriteOutcome { at: Micros, write: u64, outcome: WriteOutcome },
-    /// A member as the endpoint list has it.
+    /// A member of the endpoint list.
     EndpointListed(Box<ListedEndpoint>),
     /// The members that are still on the endpoint list.
     MembersRetained(BTreeSet<u64>),
-    /// The outcome of a request to a member, for its health.
+    /// The outcome of a request to a member, for the evaluation of its health.
     RequestOutcome { at: Micros, member: u64, outcome: Outcome },
-    /// How far a member's log is behind.
+    /// The replication lag of a member.
     Lag { at: Micros, member: u64, lag: Micros },
 }
 
-/// A member as the endpoint list has it.
+/// A member of the endpoint list.
 #[derive(Clone, Debug)]
 pub(super) struct ListedEndpoint {
     pub(super) member: u64,
@@ -62,8 +62,8 @@
 }
 
 impl Driver {
-    /// Takes an observation of the broker. Zones are evaluated by the time at which this thread receives it, which is what
-    /// its own stall is about.
+    /// Processes an observation of the broker. For zones the time is when this thread receives the
+    /// observation, since the stall that they account for is one of this thread.
     pub(super) fn on_observation(&mut self, now: Micros, observation: Observation) {
         let offset = self.worker.clock_offset;
         let worker = &mut self.worker;
@@ -95,7 +95,7 @@
             (Observation::Lag { at, member, lag }, _, Some(health)) => {
                 health.record_lag(at + offset, member, lag);
             }
-            // The part that it is for is not in use.
+            // The part that would process the observation is not enabled.
             _ => {}
         }
     }
--- a/crates/transport/src/gossip/updates.rs
+++ b/crates/transport/src/gossip/updates.rs
@@ -1,6 +1,6 @@
-//! What the gossip worker reports to the serving thread: a ring, and behind it the updates that wait for the broker,
-//! where a newer one replaces the older. Writes in doubt never wait for the broker: they are merged when they are looked
-//! up.
+//! The gossip worker's updates for the serving thread. They arrive over a ring and are queued for the broker;
+//! a newer update of zone shares or member factors replaces the older one. In-doubt writes never wait for the
+//! broker: the ring is read and they are merged whenever a write is looked up.
 
 use super::{GossipLogEvent, LogGossip};
 use crate::worker::RingReceiver;
@@ -13,21 +13,22 @@
 use wharfplank_routing::Micros;
 use wharfplank_shared_state::{InDoubtWrites, StateUpdate, WriteOutcome, WriteRecord, MAX_ENTRIES};
 
-/// State updates that may wait for the broker; past that the oldest are dropped. They are lower bounds, and come again.
+/// The maximum number of state updates that wait for the broker; beyond that the oldest are dropped. State
+/// updates are lower bounds and are sent again.
 pub const MAX_QUEUED_UPDATES: usize = 4096;
 
-/// What the worker reports.
+/// A report of the worker.
 #[derive(Debug)]
 pub enum GossipUpdate {
-    /// The share of reads that each named zone may take; others take all.
+    /// The share of its reads that each listed zone receives; other zones receive all of theirs.
     ZoneShares(Vec<(String, f64)>),
-    /// The latency factors of the members that the fleet judges unhealthy.
+    /// The latency factors of the members that the fleet considers unhealthy.
     MemberFactors(Vec<(u64, f64)>),
-    /// What other proxies shared.
+    /// State updates from other proxies.
     StateUpdates(Vec<StateUpdate>),
 }
 
-/// The serving thread's end of the worker's updates.
+/// The queue of the worker's updates on the serving thread.
 pub struct UpdateQueue {
     updates: RingReceiver<GossipUpdate>,
     in_doubt_writes: InDoubtWrites,
@@ -37,7 +38,7 @@
 }
 
 impl UpdateQueue {
-    /// A queue without updates that knows the write records of a snapshot.
+    /// Creates an empty queue that knows the write records of a snapshot.
     pub fn new(updates: RingReceiver<GossipUpdate>, write_records: Vec<WriteRecord>) -> UpdateQueue {
         let mut in_doubt_writes = InDoubtWrites::new(MAX_ENTRIES);
         for record in write_records {
@@ -52,13 +53,14 @@
         }
     }
 
-    /// Records what this proxy itself knows of a write. It holds at once, whatever the worker does.
+    /// Records the outcome of one of this proxy's own writes. It takes effect at once, even if the worker is
+    /// stalled.
     pub fn record_write_outcome(&mut self, now: Micros, write: u64, outcome: WriteOutcome) {
         self.in_doubt_writes.expire(now);
         self.in_doubt_writes.merge(WriteRecord { write, outcome, refreshed_at: now });
     }
 
-    /// Whether a write may have been executed, by all that the worker has reported until now.
+    /// Returns whether a write may have been executed, according to all reports of the worker so far.
     pub fn is_in_doubt(&mut self, write: u64) -> bool {
         while let Some(update) = self.updates.try_recv() {
             self.enqueue(update);
@@ -66,7 +68,7 @@
         self.in_doubt_writes.contains(write)
     }
 
-    /// The number of state updates that wait for the broker, at most [`MAX_QUEUED_UPDATES`].
+    /// Returns the number of state updates that wait for the broker, at most [`MAX_QUEUED_UPDATES`].
     pub fn queued_state_updates(&self) -> usize {
         self.state_updates.len()
     }
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Takes all updates from the ring, and returns whether the worker has ended.
+    /// Moves all updates from the ring to the queue, and returns whether the worker has ended.
     fn receive(&mut self, cx: &mut Context<'_>) -> bool {
         loop {
             match self.updates.poll_recv(cx) {
@@ -111,7 +113,7 @@
         self.state_updates.drain(..excess);
     }
 
-    /// The next event: shares first, then factors, then what other proxies shared.
+    /// Removes the next event: zone shares first, then member factors, then state updates.
     fn dequeue(&mut self) -> Option<ProxyEvent> {
         if let Some(shares) = self.zone_shares.take() {
             return Some(ProxyEvent::ZoneShares(shares));
@@ -126,8 +128,9 @@
     }
 }
 
-/// Forwards the worker's updates to the broker until the worker ends. If it panicked, nothing will say when a zone is back
-/// in service or a member healthy: all zones and members then count in full again, as they do without peers.
+/// Forwards the worker's updates to the broker until the worker ends. After a panic nothing would report the
+/// recovery of a zone or member any more: all zones and members are therefore reset to their full shares, as
+/// without peers.
 pub async fn forward_updates(updates: Rc<RefCell<UpdateQueue>>, events: Sender<ProxyEvent>, log: LogGossip) {
     while let Some(event) = poll_fn(|cx| updates.borrow_mut().poll_event(cx)).await {
         let _ = events.send(event).await;
--- a/crates/transport/src/gossip/zones.rs
+++ b/crates/transport/src/gossip/zones.rs
@@ -1,4 +1,4 @@
-//! The driver of zone failover: exchanges votes with peers and reports the zones' shares of reads.
+//! The driver of zone failover: exchanges votes with peers and reports each zone's share of reads.
 
 use super::driver::Driver;
 use super::{peer_key, GossipLogEvent, GossipUpdate};
@@ -6,9 +6,9 @@
 use wharfplank_failover::{decode_votes, encode_votes, VoteVersion, VOTES_TOPIC};
 use wharfplank_routing::Micros;
 
-/// The least change of a share that is reported.
+/// The smallest change of a share that is reported.
 const MIN_SHARE_CHANGE: f64 = 0.02;
-/// The share of a zone that is not reduced.
+/// The share of a zone without reduction.
 const FULL_SHARE: f64 = 1.0;
 
 /// A peer's note with its votes.
@@ -19,7 +19,8 @@
 }
 
 impl Driver {
-    /// Passes the votes of live peers to the decision, and publishes this proxy's votes where they changed.
+    /// Passes the peers' votes and the set of live peers to the failover decision, and publishes this proxy's
+    /// votes if they have changed.
     pub(super) fn exchange_votes(&mut self, now: Micros) {
         for note in self.vote_notes() {
             if let Ok(votes) = decode_votes(&note.body) {
@@ -29,7 +30,7 @@
         let live_peers = self.worker.membership.live_peers().map(|peer| peer_key(peer.addr));
         self.worker.failover.set_live_peers(now, live_peers);
         if let Some(votes) = self.worker.failover.votes_to_publish(now) {
-            // Votes that do not fit a note are not published: the peers keep the older ones.
+            // Votes that do not fit into a note are not published, and the peers keep the previous ones.
             let _ = self.worker.membership.publish(VOTES_TOPIC, encode_votes(&votes));
         }
     }
@@ -49,14 +50,15 @@
             .collect()
     }
 
-    /// Reports the zones' shares of reads to the broker where one changed, and zones that changed their state to the log.
+    /// Reports the zones' shares of reads to the broker if any has changed, and logs the zones that changed
+    /// their state.
     pub(super) fn report_shares(&mut self, now: Micros) {
         let shares: BTreeMap<String, f64> = self.worker.failover.reduced_shares(now).into_iter().collect();
         if !self.have_changed(&shares) {
             return;
         }
         self.log_zone_changes(&shares);
-        // What does not fit is reported with the next turn.
+        // If the update does not fit into the ring, it is sent again with the next turn.
         let update = GossipUpdate::ZoneShares(shares.clone().into_iter().collect());
         if self.updates.send(update) {
             self.reported_shares = shares;
--- a/crates/transport/src/handover.rs
+++ b/crates/transport/src/handover.rs
@@ -1,12 +1,13 @@
 //! The handover between two processes of one proxy, over a Unix socket.
 //!
-//! A new process connects to the [`RendezvousSocket`] of the running one and receives its listening socket and its state.
-//! From then on the two exchange [`HandoverMessage`]s over a [`HandoverLink`], as lines of JSON, until one ends.
+//! A new process connects to the [`RendezvousSocket`] of the running one and receives its listening socket
+//! and its state. The two then exchange [`HandoverMessage`]s over a [`HandoverLink`], as lines of JSON, until
+//! one of them exits.
 //!
 //! - `descriptor`: passes the listening socket between processes.
 //! - `link`: the exchange of messages.
 //! - `listener`: creates listening sockets.
-//! - `rendezvous`: where a running process accepts requests for a handover.
+//! - `rendezvous`: the socket on which a running process accepts handover requests.
 //! - `request`: the new process's side of the handover.
 
 mod descriptor;
@@ -25,18 +26,18 @@
 use std::time::Duration;
 use wharfplank_admin::HandoverMessage;
 
-/// The longest line: the state of some thousand members.
+/// The maximum length of a line, which is enough for the state of some thousand members.
 const MAX_LINE_BYTES: u64 = 4 * 1024 * 1024;
-/// The limit for writing a message or the state.
+/// The time limit for writing a message or the state.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What happens on the link to the other process.
+/// An event on the rendezvous socket or on the link to the other process.
 #[derive(Debug)]
 pub enum HandoverEvent {
     /// A new process requests a handover on this stream.
     Requested(Async<UnixStream>),
     /// The other process sent a message.
     Message(HandoverMessage),
-    /// The other process is gone, or the link to it has failed.
+    /// The other process has exited, or the link to it has failed.
     Disconnected,
 }
--- a/crates/transport/src/handover/descriptor.rs
+++ b/crates/transport/src/handover/descriptor.rs
@@ -1,4 +1,4 @@
-//! The first byte of the reply to a handover request, with which the listening socket is passed.
+//! The first byte of the reply to a handover request, which carries the listening socket as ancillary data.
 
 use async_io::Async;
 use rustix::io::retry_on_intr;
@@ -12,16 +12,16 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::os::unix::net::UnixStream;
 
-/// The byte that carries the listening socket.
+/// The first byte of a reply that carries the listening socket.
 const ACCEPTED: u8 = b'L';
-/// The byte that says that another process is taking over already.
+/// The first byte of a reply that rejects the request because another process is already taking over.
 pub(super) const BUSY: u8 = b'B';
 
 /// The beginning of a reply.
 pub(super) enum Reply {
-    /// The request is accepted, and this is the listening socket if one came with the reply.
+    /// The request is accepted, with the listening socket if the reply carries one.
     Accepted(Option<OwnedFd>),
-    /// Another process is taking over already.
+    /// Another process is already taking over.
     Busy,
 }
 
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// Receives the first byte of the reply, and the listening socket that comes with it.
+/// Receives the first byte of the reply and the listening socket.
 pub(super) fn receive_reply(stream: &UnixStream) -> io::Result<Reply> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
--- a/crates/transport/src/handover/link.rs
+++ b/crates/transport/src/handover/link.rs
@@ -1,4 +1,4 @@
-//! The link between the two processes: the reply to a request, and the messages after it.
+//! The link between the two processes: the reply to a request, and the messages that follow.
 
 use super::descriptor::{send_listener, BUSY};
 use super::{HandoverEvent, Inherited, MAX_LINE_BYTES, WRITE_TIMEOUT};
@@ -16,17 +16,19 @@
 use std::time::Instant;
 use wharfplank_admin::{HandoverMessage, HandoverState};
 
-/// Messages that may wait to be written; past that the other process counts as disconnected.
+/// The maximum number of messages that wait to be written; beyond that the other process is considered
+/// disconnected.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// Sends messages to the other process. The link ends when this is dropped.
+/// The sending side of the link to the other process. Dropping it closes the link.
 #[derive(Debug)]
 pub struct HandoverLink {
     outgoing: Sender<HandoverMessage>,
 }
 
 impl HandoverLink {
-    /// Accepts a request: sends the listening socket and the state to the new process, and keeps up the link with it.
+    /// Accepts a request: sends the listening socket and the state to the new process, and then exchanges
+    /// messages with it.
     pub fn accept(
         executor: &Rc<LocalExecutor<'static>>,
         stream: Async<UnixStream>,
@@ -48,8 +50,8 @@
         HandoverLink { outgoing }
     }
 
-    /// Sends a message; false where the other process does not take any more. It counts as disconnected then, since the
-    /// two would differ.
+    /// Sends a message. Returns false if the message cannot be queued; the link is then closed, since the
+    /// state of the two processes would diverge.
     pub fn send(&self, message: HandoverMessage) -> bool {
         let is_queued = self.outgoing.try_send(message).is_ok();
         if !is_queued {
@@ -60,7 +62,7 @@
 }
 
 impl Inherited {
-    /// Keeps up the link with the running process.
+    /// Starts to exchange messages with the running process.
     pub fn into_link(
         self,
         executor: &Rc<LocalExecutor<'static>>,
@@ -72,10 +74,10 @@
     }
 }
 
-/// Rejects a request because another process is taking over already.
+/// Rejects a request because another process is already taking over.
 pub async fn reject(stream: Async<UnixStream>) {
     let mut stream = Connection::from(stream);
-    // A process that does not read the reply times out.
+    // If this fails, the requesting process times out.
     with_deadline(Instant::now() + WRITE_TIMEOUT, stream.write_all(&[BUSY])).await;
 }
 
@@ -88,7 +90,7 @@
     stream.write_all(state_line).await
 }
 
-/// Exchanges messages until one side ends.
+/// Exchanges messages until either side closes the link.
 async fn exchange_messages(
     stream: BufReader<Connection<UnixStream>>,
     queued: Receiver<HandoverMessage>,
@@ -99,7 +101,8 @@
     report(&events, HandoverEvent::Disconnected).await;
 }
 
-/// Receives messages. One that cannot be read ends the link, since the two processes would differ.
+/// Receives messages. An unreadable message closes the link, since the state of the two processes would
+/// diverge.
 async fn receive_messages(mut stream: BufReader<Connection<UnixStream>>, events: &Sender<ProxyEvent>) {
     let mut line = String::new();
     while let Ok(1..) = (&mut stream).take(MAX_LINE_BYTES).read_line(&mut line).await {
@@ -124,7 +127,7 @@
 }
 
 async fn report(events: &Sender<ProxyEvent>, event: HandoverEvent) {
-    // Where nobody receives it, this process is about to end.
+    // If the channel is closed, this process is about to exit.
     let _ = events.send(ProxyEvent::Handover(event)).await;
 }
 
--- a/crates/transport/src/handover/listener.rs
+++ b/crates/transport/src/handover/listener.rs
@@ -6,15 +6,15 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Connections that may wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// Listens at an address at which no other process listens.
+/// Listens on an address that no other process listens on.
 pub fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     open::retry_at_start(|| TcpListener::bind(address).and_then(Async::new))
 }
 
-/// Listens at an address at which another process, which did not hand its own socket over, may listen as well.
+/// Listens on an address that may be shared with another process, one that did not hand over its own socket.
 pub fn listen_shared(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     open::retry_at_start(|| try_listen_shared(address))
 }
--- a/crates/transport/src/handover/request.rs
+++ b/crates/transport/src/handover/request.rs
@@ -16,30 +16,30 @@
 use wharfplank_admin::handover::PROTOCOL_VERSION;
 use wharfplank_admin::HandoverState;
 
-/// The limit for the running process's complete reply, while the new one starts.
+/// The time limit for the complete reply of the running process. The new process waits for it at its start.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Why a handover did not take place.
 #[derive(Debug, Error)]
 pub enum HandoverError {
-    /// Another process is taking over from the running one already.
+    /// Another process is already taking over from the running one.
     #[error("another process replaces it already")]
     AlreadyReplaced,
-    /// The reply came without a listening socket.
-    #[error("the reply has no listening socket")]
+    /// The reply carries no listening socket.
+    #[error("handover reply carries no listening socket")]
     NoListener,
-    /// The state has another version than this program.
-    #[error("the state has another version")]
+    /// The version of the state differs from the version of this program.
+    #[error("unsupported version of the handover state")]
     UnsupportedVersion,
     /// The state is not valid JSON.
-    #[error("the state cannot be read: {0}")]
+    #[error("invalid handover state: {0}")]
     InvalidState(#[from] serde_json::Error),
     /// The stream failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// What the new process takes over from the running one.
+/// The listening socket and the state that the new process inherits from the running one.
 #[derive(Debug)]
 pub struct Inherited {
     listener: TcpListener,
@@ -49,20 +49,20 @@
 }
 
 impl Inherited {
-    /// The listening socket for clients.
+    /// Returns the listening socket for clients.
     pub fn listener(&self) -> io::Result<TcpListener> {
         self.listener.try_clone()
     }
 }
 
-/// Requests a handover from the process that accepts requests at this path.
+/// Requests a handover from the process that accepts requests on this path.
 ///
-/// Returns `Ok(None)` where there is none, or where it does not reply completely and in a form that this program knows
-/// within 1.5 s.
+/// Returns `Ok(None)` if there is no such process, or if it does not send a complete reply of a supported
+/// version within 1.5 s.
 ///
 /// # Errors
 ///
-/// Fails with [`HandoverError::AlreadyReplaced`] where another process is taking over already.
+/// Fails with [`HandoverError::AlreadyReplaced`] if another process is already taking over.
 pub fn request(path: &Path) -> Result<Option<Inherited>, HandoverError> {
     let Ok(stream) = open::retry_at_start(|| UnixStream::connect(path)) else { return Ok(None) };
     let reply = with_deadline(Instant::now() + REPLY_TIMEOUT, receive(stream));
@@ -79,7 +79,7 @@
         Reply::Accepted(descriptor) => descriptor.ok_or(HandoverError::NoListener)?,
         Reply::Busy => return Err(HandoverError::AlreadyReplaced),
     };
-    // What follows the line stays in the reader, for the link.
+    // Messages after the line stay in the buffered reader, for the link.
     let mut stream = BufReader::new(stream);
     let mut line = String::new();
     (&mut stream).take(MAX_LINE_BYTES).read_line(&mut line).await?;
--- a/crates/transport/src/negative_cache.rs
+++ b/crates/transport/src/negative_cache.rs
@@ -1,7 +1,8 @@
-//! The driver of the negative cache: the keys that are known to be missing.
+//! The driver of the negative cache, which holds the keys that are known to be missing.
 //!
-//! The cache stays on the serving thread, which looks it up for each read. The socket has a worker thread, joined by
-//! rings of datagrams. The driver decides nothing itself, and serving never waits.
+//! The cache stays on the serving thread, which looks up the key of each read. A worker thread owns the
+//! socket and exchanges datagrams with the serving thread over rings. The driver makes no decisions itself
+//! and never blocks the serving thread.
 
 use super::worker::{self, RingReceiver, RingSender};
 use super::Now;
@@ -18,20 +19,21 @@
 
 /// How often the status is logged.
 const STATUS_LOG_INTERVAL: Micros = 5_000_000;
-/// Datagrams that may wait each way; past that they are as ones lost on the wire, and counted.
+/// The capacity of each ring of datagrams; further datagrams are dropped, as if lost in the network, and
+/// counted.
 const RING_CAPACITY: usize = 1024;
-/// The size of the read buffer, which holds any datagram.
+/// The size of the read buffer; no datagram is larger.
 const DATAGRAM_BUFFER_BYTES: usize = 65_536;
-/// The longest wait for a timer.
+/// The maximum wait for a timer.
 const MAX_WAIT: Micros = 1_000_000;
 
-/// What the log gets every few seconds.
+/// The status for the log, every few seconds.
 pub struct NegativeCacheStatus<'a> {
     /// The cache with its counters.
     pub node: &'a Node,
-    /// The time, on the cache's clock.
+    /// The current time, on the cache's clock.
     pub now: Micros,
-    /// Datagrams that did not fit the rings so far.
+    /// The number of datagrams so far that did not fit into the rings.
     pub dropped_datagrams: u64,
 }
 
@@ -41,7 +43,7 @@
     bytes: Vec<u8>,
 }
 
-/// Starts the socket's thread and the driver, which logs its status.
+/// Starts the thread of the socket and the driver, which also logs the status.
 ///
 /// # Errors
 ///
@@ -60,7 +62,7 @@
     Ok(())
 }
 
-/// Why the socket's thread continues after a wait.
+/// The reason why the thread of the socket continues after a wait.
 enum Wakeup {
     Received(PeerDatagram),
     ReceiveFailed,
@@ -82,7 +84,7 @@
                 Ok((length, SocketAddr::V4(peer))) => {
                     Wakeup::Received(PeerDatagram { peer, bytes: buffer[..length].to_vec() })
                 }
-                // An error may come from an unreachable peer: it says nothing about the socket.
+                // The error may be caused by an unreachable peer; the socket remains usable.
                 Ok((_, SocketAddr::V6(_))) | Err(_) => Wakeup::ReceiveFailed,
             }
         };
@@ -93,7 +95,8 @@
             }
             Wakeup::ReceiveFailed => {}
             Wakeup::Send(datagram) => {
-                // One that cannot be sent is as one lost on the wire: it is sent again, or costs look-ups.
+                // A datagram that cannot be sent is treated as lost in the network: it is sent again or
+                // causes additional look-ups.
                 let _ = socket.send_to(&datagram.bytes, datagram.peer).await;
             }
             Wakeup::DriverDropped => return,
@@ -101,7 +104,7 @@
     }
 }
 
-/// Passes datagrams and the time to the cache for as long as the process serves.
+/// Passes datagrams and the time to the cache until the future is dropped.
 async fn drive(
     node: Rc<RefCell<Node>>,
     mut outgoing: RingSender<PeerDatagram>,
@@ -131,12 +134,13 @@
     }
 }
 
-/// Waits for a datagram; `None` once the time is over.
+/// Waits for a datagram; `None` if the wait times out.
 async fn wait_for_datagram(incoming: &mut RingReceiver<PeerDatagram>, wait: Micros) -> Option<PeerDatagram> {
     let datagram = async {
         match incoming.recv().await {
             Some(datagram) => Some(datagram),
-            // A worker that failed is as a silent network: leases expire, and entries last for their bound.
+            // A failed worker has the effect of a silent network: leases expire, and entries last until their
+            // limit.
             None => future::pending().await,
         }
     };
--- a/crates/transport/src/rollout.rs
+++ b/crates/transport/src/rollout.rs
@@ -1,7 +1,8 @@
-//! The driver of rollouts, on a worker thread with the UDP socket and the files of a [`RolloutService`].
+//! The driver of rollouts, on a worker thread that owns the UDP socket and the files of a [`RolloutService`].
 //!
-//! It carries datagrams, the content of files and the time to the service and decides nothing itself. Serving never waits
-//! for it: the broker's views come over a ring, and what was done goes back over another.
+//! It passes datagrams, the content of files and the time to the service and makes no decisions itself. The
+//! serving thread never waits for it: the broker's views arrive over one ring, and events return over
+//! another.
 
 mod atomic_file;
 mod files;
@@ -16,20 +17,20 @@
 use std::time::Duration;
 use wharfplank_rollout::{FleetView, Micros, PermitLedger, RolloutService, ServiceEvent};
 
-/// Views and events that may wait in each ring; the broker sends a view each second.
+/// The capacity of the rings of views and of events. The broker sends one view per second.
 const RING_CAPACITY: usize = 256;
-/// The longest time between two ticks of the service.
+/// The maximum time between two ticks of the service.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// The size of the read buffer, which holds any datagram.
+/// The size of the read buffer; no datagram is larger.
 const DATAGRAM_BUFFER_BYTES: usize = 65_536;
 
-/// What the driver is made of.
+/// The resources of the driver.
 pub struct RolloutContext<Now, Log> {
     /// The socket for datagrams.
     pub socket: UdpSocket,
-    /// The file of the permit ledger, where this proxy is a permit server.
+    /// The file of the permit ledger, if this proxy is a permit server.
     pub ledger_path: Option<PathBuf>,
-    /// The file that operators write commands to, where there is one. The status file is beside it.
+    /// The file that operators write commands to, if configured. The status file is in the same directory.
     pub signal_path: Option<PathBuf>,
     /// The clock.
     pub now: Now,
@@ -45,12 +46,12 @@
     FileFailed {
         /// The file.
         path: &'a Path,
-        /// Why.
+        /// The cause.
         error: &'a std::io::Error,
     },
 }
 
-/// Starts the worker; `make_service` is called there, with the ledger as it was stored last.
+/// Starts the worker. `make_service` is called on the worker's thread, with the ledger that was last stored.
 ///
 /// # Errors
 ///
@@ -78,7 +79,7 @@
     })
 }
 
-/// The worker in its loop.
+/// The worker with the state of its loop.
 struct Driver<Now, Log> {
     service: RolloutService,
     socket: Async<UdpSocket>,
@@ -87,7 +88,7 @@
     log: Log,
 }
 
-/// Why the loop continues after a wait.
+/// The reason why the loop continues after a wait.
 enum Wakeup {
     Datagram { length: usize, from: SocketAddr },
     View(FleetView),
@@ -108,7 +109,7 @@
                 }
                 Wakeup::Datagram { from: SocketAddr::V6(_), .. } | Wakeup::TimerExpired => {}
                 Wakeup::View(view) => self.service.on_view(view),
-                // The process ends; the permits that were granted are stored.
+                // The process is about to exit; the granted permits are already stored.
                 Wakeup::ViewsClosed => return,
             }
             self.on_turn(now, &mut events).await;
@@ -119,7 +120,7 @@
         let datagram = async {
             match self.socket.recv_from(buffer).await {
                 Ok((length, from)) => Wakeup::Datagram { length, from },
-                // An error may come from an unreachable peer: it says nothing about the socket.
+                // The error may be caused by an unreachable peer; the socket remains usable.
                 Err(_) => Wakeup::TimerExpired,
             }
         };
@@ -131,7 +132,7 @@
         future::or(view, future::or(datagram, timer)).await
     }
 
-    /// Does what is due. The ledger is stored before the answers that depend on it are sent.
+    /// Runs the due work. The ledger is stored before the answers that depend on it are sent.
     async fn on_turn(&mut self, now: Micros, events: &mut RingSender<ServiceEvent>) {
         self.service.on_tick(now);
         self.files.check_if_due(now, &mut self.service, &self.log);
@@ -144,7 +145,8 @@
         }
     }
 
-    /// A datagram that cannot be sent is as one lost on the wire: all that matters is sent again.
+    /// Sends the service's datagrams. A datagram that cannot be sent is treated as lost in the network: the
+    /// protocol repeats every message that is needed.
     async fn send_datagrams(&mut self, now: Micros) {
         for (to, bytes) in self.service.take_datagrams(now) {
             let _ = self.socket.send_to(&bytes, to).await;
--- a/crates/transport/src/rollout/atomic_file.rs
+++ b/crates/transport/src/rollout/atomic_file.rs
@@ -1,26 +1,27 @@
-//! Files that are read up to a limit, and replaced as a whole.
+//! Bounded reads and atomic replacement of files.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Whether a file is on the disk before its replacement returns.
+/// Whether [`replace`] waits until the file is on the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Durability {
     /// The file and its name are on the disk.
     Synced,
-    /// The system writes the file at its own time.
+    /// The operating system writes the file to the disk later.
     Buffered,
 }
 
-/// Reads a file, up to a number of bytes.
+/// Reads at most the first `max_bytes` of a file.
 pub(super) fn read_bounded(path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?.take(max_bytes).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// Replaces a file: writes a temporary one beside it and renames that, so that the file is never there in part.
+/// Replaces a file atomically: writes a temporary file in the same directory and renames it, so that the file
+/// is never incomplete.
 pub(super) fn replace(path: &Path, bytes: &[u8], durability: Durability) -> io::Result<()> {
     let temporary = with_suffix(path, ".new");
     let mut file = File::create(&temporary)?;
@@ -36,7 +37,7 @@
     }
 }
 
-/// A path with a suffix behind its last component.
+/// Appends a suffix to the last component of a path.
 pub(super) fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
     let mut name = path.to_path_buf().into_os_string();
     name.push(suffix);
--- a/crates/transport/src/rollout/files.rs
+++ b/crates/transport/src/rollout/files.rs
@@ -10,27 +10,27 @@
     decode_ledger, encode_ledger, Micros, PermitLedger, RolloutService, SignalFileWatcher,
 };
 
-/// How often the files that operators write are checked, and how soon a failed write is tried again.
+/// How often the files that operators write are checked, and the delay before a failed write is retried.
 const CHECK_INTERVAL: Micros = 500_000;
-/// The most that is read of a signal file.
+/// The maximum number of bytes that are read from a signal file.
 const MAX_SIGNAL_BYTES: u64 = 4096;
-/// The most that is read of a ledger, which has at most one permit for each member.
+/// The maximum number of bytes that are read from a ledger, which has at most one permit per member.
 const MAX_LEDGER_BYTES: u64 = 16 << 20;
 
-/// The files and what was last read from and written to them.
+/// The paths of the files and the state of reading and writing them.
 #[derive(Default)]
 pub(super) struct RolloutFiles {
     ledger_path: Option<PathBuf>,
     signal_path: Option<PathBuf>,
     signal_watcher: SignalFileWatcher,
-    /// The status as it was last written.
+    /// The last status that was written.
     written_status: String,
     next_check_at: Micros,
-    /// When a ledger that could not be written is tried again.
+    /// When writing the ledger is retried after a failure.
     retry_ledger_at: Micros,
 }
 
-/// The ledger as it was stored last; `None` where there is no readable file, or its content is not a complete ledger.
+/// Loads the stored ledger; `None` if there is no readable file, or if its content is not a complete ledger.
 pub(super) fn load_ledger(path: &Path, log: &impl Fn(RolloutLogEvent<'_>)) -> Option<PermitLedger> {
     match read_bounded(path, MAX_LEDGER_BYTES) {
         Ok(bytes) => decode_ledger(&bytes).ok(),
@@ -46,7 +46,7 @@
         RolloutFiles { ledger_path, signal_path, ..RolloutFiles::default() }
     }
 
-    /// Stores the ledger where it changed.
+    /// Stores the ledger if it has changed.
     pub(super) fn store_ledger(
         &mut self,
         now: Micros,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Checks the files that operators write, and writes the status, where that is due.
+    /// Checks the files that operators write, and writes the status, if a check is due.
     pub(super) fn check_if_due(
         &mut self,
         now: Micros,
@@ -84,7 +84,7 @@
         self.write_status(&signal_path, service, log);
     }
 
-    /// Opens a permit server that had no ledger: an operator may provide one at any time.
+    /// Opens a permit server that has no ledger once an operator has provided one.
     fn check_ledger(&self, service: &mut RolloutService) {
         let Some(path) = &self.ledger_path else { return };
         if !service.is_permit_server_closed() {
@@ -96,14 +96,15 @@
         }
     }
 
-    /// Passes a new command of the operators to the service.
+    /// Passes a new command from the signal file to the service.
     fn check_signal(
         &mut self,
         path: &Path,
         service: &mut RolloutService,
         log: &impl Fn(RolloutLogEvent<'_>),
     ) {
-        // Where nothing can be learned of the file it is not taken for absent: its command would be new once more.
+        // A failure does not count as an absent file: otherwise the same command would later be considered
+        // new again.
         let stamp = match file_stamp(path) {
             Ok(stamp) => stamp,
             Err(error) => return log(RolloutLogEvent::FileFailed { path, error: &error }),
@@ -120,7 +121,8 @@
         }
     }
 
-    /// Writes the status beside the signal file where it changed. One that could not be written is tried again.
+    /// Writes the status next to the signal file if it has changed. A failed write is retried at the next
+    /// check.
     fn write_status(
         &mut self,
         signal_path: &Path,
@@ -139,7 +141,7 @@
     }
 }
 
-/// When a file was written last and its length; `None` where there is no file.
+/// Returns the modification time and the length of a file; `None` if there is no file.
 fn file_stamp(path: &Path) -> io::Result<Option<(SystemTime, u64)>> {
     match fs::metadata(path) {
         Ok(metadata) => Ok(Some((metadata.modified()?, metadata.len()))),
--- a/crates/transport/src/signals.rs
+++ b/crates/transport/src/signals.rs
@@ -1,7 +1,7 @@
-//! The signals that ask the process to shut down or to reload its configuration.
+//! The signals that request a shutdown or a reload of the configuration.
 //!
-//! The signal handlers set flags, and wake the forwarding task through a pipe. The flags tell what was received: a write
-//! to the pipe may fail, in which case the task finds the flag a little later.
+//! The signal handlers set flags and wake the forwarding task through a pipe. The flags record the received
+//! signals: if the write to the pipe fails, the task finds the flag at its next regular check.
 
 use crate::ProxyEvent;
 use async_channel::{SendError, Sender};
@@ -15,17 +15,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the flags are looked at where no wake-up came. A shutdown that begins so much later still ends in time.
+/// How often the flags are checked without a wake-up. A shutdown that starts this much later still completes
+/// in time.
 const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The signals of this process.
+/// The receiver of the process's signals.
 pub struct SignalReceiver {
     is_shutdown_requested: Arc<AtomicBool>,
     is_reload_requested: Arc<AtomicBool>,
     wakeups: Signals,
 }
 
-/// Registers for the signals. Until then SIGHUP ends the process, so this has to come first.
+/// Registers the signal handlers. Until then SIGHUP terminates the process, so this must be called first.
 ///
 /// # Errors
 ///
@@ -33,7 +34,7 @@
 pub fn register() -> io::Result<SignalReceiver> {
     let is_shutdown_requested = Arc::new(AtomicBool::new(false));
     let is_reload_requested = Arc::new(AtomicBool::new(false));
-    // Handlers run in the order of their registration: a flag is set before the wake-up.
+    // Handlers run in the order of their registration, so that a flag is set before the wake-up.
     flag::register(SIGTERM, Arc::clone(&is_shutdown_requested))?;
     flag::register(SIGINT, Arc::clone(&is_shutdown_requested))?;
     flag::register(SIGHUP, Arc::clone(&is_reload_requested))?;
@@ -41,8 +42,8 @@
     Ok(SignalReceiver { is_shutdown_requested, is_reload_requested, wakeups })
 }
 
-/// Sends an event for each signal, until nobody receives them any more. Equal signals that come at about the same time
-/// count as one.
+/// Sends an event for each signal, until the receiver of the events is dropped. Identical signals that arrive
+/// at about the same time are combined into one event.
 pub async fn forward(mut receiver: SignalReceiver, events: Sender<ProxyEvent>) {
     while receiver.send_requested(&events).await.is_ok() {
         receiver.wait().await;
@@ -61,13 +62,13 @@
         Ok(())
     }
 
-    /// Waits for a wake-up, or until the flags are to be looked at.
+    /// Waits for a wake-up or for the next regular check of the flags.
     async fn wait(&mut self) {
         let checked = async {
             Timer::after(FLAG_CHECK_INTERVAL).await;
         };
         let woken = async {
-            // A pipe that cannot be read wakes nobody; the flags are looked at all the same.
+            // If the pipe cannot be read, there is no wake-up, and the regular checks find the flags.
             if !matches!(self.wakeups.next().await, Some(Ok(_))) {
                 future::pending::<()>().await;
             }
--- a/crates/transport/src/worker.rs
+++ b/crates/transport/src/worker.rs
@@ -1,7 +1,8 @@
-//! A worker: a background thread with one job, joined to the serving thread by two bounded rings.
+//! A worker: a background thread with a single task, connected to the serving thread by two bounded rings.
 //!
-//! Neither side ever blocks on the other: what does not fit into a ring is dropped and counted. Each side sees when the
-//! other has ended. A worker that panics ends its side of the rings, and serving goes on.
+//! Neither side ever blocks on the other: items that do not fit into a ring are dropped and counted. Each
+//! side can detect that the other has ended. A worker that panics closes its ends of the rings, and the
+//! serving thread continues.
 
 use atomic_waker::AtomicWaker;
 use rtrb::{Consumer, Producer, RingBuffer};
@@ -10,10 +11,10 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// One in this many slots of a ring is reserved for [`RingSender::send`].
-const RESERVED_PART: usize = 8;
+/// The divisor of a ring's capacity that gives the number of slots reserved for [`RingSender::send`].
+const RESERVED_SLOTS_DIVISOR: usize = 8;
 
-/// What the two ends of a ring share besides its items.
+/// The state that the two ends of a ring share besides its items.
 #[derive(Debug, Default)]
 struct Shared {
     receiver: AtomicWaker,
@@ -24,19 +25,19 @@
 /// The sending end of a ring.
 #[derive(Debug)]
 pub struct RingSender<T> {
-    /// `None` only while this is dropped.
+    /// `None` only while the sender is being dropped.
     ring: Option<Producer<T>>,
     shared: Arc<Shared>,
 }
 
-/// The receiving end of a ring. Items come in the order in which they were sent.
+/// The receiving end of a ring. Items are received in the order in which they were sent.
 #[derive(Debug)]
 pub struct RingReceiver<T> {
     ring: Consumer<T>,
     shared: Arc<Shared>,
 }
 
-/// A ring for this many items, at least one.
+/// Creates a ring with a capacity of this many items, at least one.
 pub fn ring<T>(capacity: usize) -> (RingSender<T>, RingReceiver<T>) {
     let (producer, consumer) = RingBuffer::new(capacity.max(1));
     let shared = Arc::new(Shared::default());
@@ -45,41 +46,41 @@
 }
 
 impl<T> RingSender<T> {
-    /// Sends an item and wakes the receiver. Returns false where the item is dropped because the ring is full or its
-    /// receiver has ended.
+    /// Sends an item and wakes the receiver. Returns false if the item is dropped because the ring is full or
+    /// its receiver has ended.
     pub fn send(&mut self, item: T) -> bool {
         let is_sent = self.enqueue(item);
         self.shared.receiver.wake();
         is_sent
     }
 
-    /// Sends an item for when the receiver is next awake, and wakes it only once half of the ring is in use: for items
-    /// that are frequent and may wait. The last eighth of the ring is never used for it. Returns false where the item is
-    /// dropped.
+    /// Sends an item and wakes the receiver only once half of the ring is in use; until then the item waits
+    /// for the next wake-up. Intended for items that are frequent and not urgent. The last eighth of the ring
+    /// is reserved for [`RingSender::send`]. Returns false if the item is dropped.
     pub fn send_lazy(&mut self, item: T) -> bool {
         let total = self.ring.as_ref().map_or(0, |ring| ring.buffer().capacity());
         let free = self.free_slots();
         if free <= total / 2 + 1 {
             self.shared.receiver.wake();
         }
-        if free > total / RESERVED_PART {
+        if free > total / RESERVED_SLOTS_DIVISOR {
             return self.enqueue(item);
         }
         self.count_dropped();
         false
     }
 
-    /// How many items would fit now; by the next moment it may be more, but not fewer.
+    /// Returns the number of free slots. Until the next send it can only grow.
     pub fn free_slots(&self) -> usize {
         self.ring.as_ref().map_or(0, Producer::slots)
     }
 
-    /// How many items were dropped so far.
+    /// Returns the number of items dropped so far.
     pub fn dropped(&self) -> u64 {
         self.shared.dropped.load(Ordering::Relaxed)
     }
 
-    /// Whether the receiver has ended, so that every item is dropped.
+    /// Returns whether the receiver has ended, so that every item is dropped.
     pub fn is_closed(&self) -> bool {
         self.ring.as_ref().is_none_or(Producer::is_abandoned)
     }
@@ -98,7 +99,7 @@
 }
 
 impl<T> Drop for RingSender<T> {
-    /// Ends the ring. The receiver sees first whether this thread panics.
+    /// Closes the ring. The panic flag is stored first, so that the receiver sees it together with the end.
     fn drop(&mut self) {
         if std::thread::panicking() {
             self.shared.sender_panicked.store(true, Ordering::Release);
@@ -109,12 +110,12 @@
 }
 
 impl<T> RingReceiver<T> {
-    /// The next item, if there is one now.
+    /// Returns the next item, if there is one now.
     pub fn try_recv(&mut self) -> Option<T> {
         self.ring.pop().ok()
     }
 
-    /// Waits for the next item; `None` once the sender has ended and all its items were received.
+    /// Waits for the next item; `None` once the sender has ended and all its items have been received.
     pub async fn recv(&mut self) -> Option<T> {
         poll_fn(|cx| self.poll_recv(cx)).await
     }
@@ -124,7 +125,7 @@
         if let Some(item) = self.try_recv() {
             return Poll::Ready(Some(item));
         }
-        // An item sent from here on wakes this task; one sent before is seen by the second attempt.
+        // An item sent after this wakes the task; one sent before is found by the second attempt.
         self.shared.receiver.register(cx.waker());
         let is_closed = self.ring.is_abandoned();
         match self.try_recv() {
@@ -134,23 +135,24 @@
         }
     }
 
-    /// How many items the sender has dropped so far.
+    /// Returns the number of items that the sender has dropped so far.
     pub fn dropped(&self) -> u64 {
         self.shared.dropped.load(Ordering::Relaxed)
     }
 
-    /// Whether the sender ended by a panic; known at the latest when [`RingReceiver::recv`] has returned `None`.
+    /// Returns whether the sender ended by a panic. This is known at the latest when [`RingReceiver::recv`]
+    /// has returned `None`.
     pub fn has_panicked(&self) -> bool {
         self.shared.sender_panicked.load(Ordering::Acquire)
     }
 }
 
-/// Starts a worker thread of this name, with rings of this capacity to it and from it, and returns the serving thread's
-/// ends.
+/// Starts a worker thread with this name and a ring of this capacity in each direction, and returns the
+/// serving thread's ends.
 ///
-/// What `run` builds stays on the worker's thread and need not be `Send`. The worker ends when its future does: of its own
-/// accord once its receiver returned `None`, or by a panic, which the serving thread sees as
-/// [`RingReceiver::has_panicked`].
+/// The future that `run` creates stays on the worker's thread and need not be `Send`. The worker ends with
+/// its future: normally after its receiver has returned `None`, or by a panic, which the serving thread
+/// detects with [`RingReceiver::has_panicked`].
 ///
 /// # Errors
 ///
--- a/crates/transport/tests/gossip.rs
+++ b/crates/transport/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! The serving thread's view of the gossip worker: its updates, and whether it stands still.
+//! The serving thread's view of the gossip worker: its updates, and the detection of stalls.
 
 use futures_lite::future::{block_on, poll_once};
 use std::cell::RefCell;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_in_doubt_write_is_known_at_once_and_the_broker_still_gets_the_rest() {
+fn in_doubt_writes_bypass_the_broker_queue() {
     let (mut sender, receiver) = ring(8);
     let mut queue = UpdateQueue::new(
         receiver,
@@ -35,15 +35,15 @@
         (0..3).map(|_| block_on(poll_fn(|cx| queue.poll_event(cx)))).collect();
     assert!(
         matches!(&events[0], Some(ProxyEvent::ZoneShares(shares)) if shares[0].1 == 1.0),
-        "the newest alone"
+        "only the newest shares are reported"
     );
-    let news = |news: &[StateUpdate]| news == [StateUpdate::Suspected { member: 7, since: 3 }];
-    assert!(matches!(&events[1], Some(ProxyEvent::StateUpdates(updates)) if news(updates)));
+    let is_expected = |updates: &[StateUpdate]| updates == [StateUpdate::Suspected { member: 7, since: 3 }];
+    assert!(matches!(&events[1], Some(ProxyEvent::StateUpdates(updates)) if is_expected(updates)));
     assert!(events[2].is_none());
 }
 
 #[test]
-fn updates_that_wait_for_the_broker_are_bounded() {
+fn queued_state_updates_are_bounded() {
     let (mut sender, receiver) = ring(8);
     let mut queue = UpdateQueue::new(receiver, Vec::new());
     for nth in 0..3 * MAX_QUEUED_UPDATES as u64 {
@@ -58,30 +58,29 @@
 }
 
 #[test]
-fn a_worker_that_panics_leaves_no_zone_out() {
+fn worker_panic_restores_all_zones() {
     let (mut sender, receiver) = ring(8);
     let queue = Rc::new(RefCell::new(UpdateQueue::new(receiver, Vec::new())));
     let (events, received) = async_channel::bounded(8);
-    let failing = std::thread::spawn(move || {
+    let worker = std::thread::spawn(move || {
         sender.send(GossipUpdate::ZoneShares(vec![("a".to_string(), 0.0)]));
-        panic!("as the test wants it");
+        panic!("expected by the test");
     });
-    assert!(failing.join().is_err());
+    assert!(worker.join().is_err());
     block_on(forward_updates(queue, events, |event| assert!(matches!(event, GossipLogEvent::WorkerFailed))));
     let reported: Vec<ProxyEvent> = std::iter::from_fn(|| received.try_recv().ok()).collect();
-    assert!(
-        matches!(&reported[..], [ProxyEvent::ZoneShares(left), ProxyEvent::ZoneShares(back), ProxyEvent::MemberFactors(none)]
-        if left.len() == 1 && back.is_empty() && none.is_empty())
-    );
+    assert!(matches!(&reported[..],
+        [ProxyEvent::ZoneShares(reduced), ProxyEvent::ZoneShares(reset), ProxyEvent::MemberFactors(factors)]
+        if reduced.len() == 1 && reset.is_empty() && factors.is_empty()));
 }
 
 #[test]
-fn a_worker_is_behind_while_it_stalls_and_just_after() {
+fn worker_is_behind_during_and_just_after_a_stall() {
     let detector = StallDetector::new(10);
     assert!(!detector.is_behind(10) && !detector.is_behind(10 + STALL_TIMEOUT));
-    assert!(detector.is_behind(11 + STALL_TIMEOUT), "it stands still");
+    assert!(detector.is_behind(11 + STALL_TIMEOUT), "the worker is stalled");
     detector.record_turn(20 + STALL_TIMEOUT);
-    assert!(detector.is_behind(20 + STALL_TIMEOUT), "what waited for it is not taken in yet");
+    assert!(detector.is_behind(20 + STALL_TIMEOUT), "messages from during the stall may be unread");
     detector.record_turn(30 + STALL_TIMEOUT);
     assert!(
         detector.is_behind(19 + STALL_TIMEOUT + CATCH_UP_TIME)
--- a/crates/transport/tests/worker.rs
+++ b/crates/transport/tests/worker.rs
@@ -1,14 +1,14 @@
-//! Worker threads and the bounded rings that join them to the serving thread.
+//! Worker threads and the bounded rings that connect them to the serving thread.
 
 use futures_lite::future::block_on;
 use std::rc::Rc;
 use wharfplank_transport::worker::{ring, start};
 
 #[test]
-fn a_full_ring_drops_the_newest_and_counts_it() {
+fn full_ring_drops_new_items_and_counts_them() {
     let (mut sender, mut receiver) = ring(2);
-    let taken: Vec<bool> = (1..=5).map(|item| sender.send(item)).collect();
-    assert_eq!((taken, sender.dropped()), (vec![true, true, false, false, false], 3));
+    let sent: Vec<bool> = (1..=5).map(|item| sender.send(item)).collect();
+    assert_eq!((sent, sender.dropped()), (vec![true, true, false, false, false], 3));
     assert_eq!((receiver.try_recv(), sender.send(6)), (Some(1), true));
     drop(sender);
     let rest: Vec<i32> = std::iter::from_fn(|| block_on(receiver.recv())).collect();
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_ring_whose_receiver_ended_drops_and_counts() {
+fn ring_without_receiver_drops_and_counts() {
     let (mut sender, receiver) = ring(2);
     assert!(!sender.is_closed());
     drop(receiver);
@@ -24,12 +24,13 @@
     assert_eq!(sender.dropped(), 2);
 }
 
-/// Both sides sleep and wake all the time: one lost wake and the test never ends.
+/// Guards against lost wake-ups: both sides sleep and wake for every item, so that the test hangs if one is
+/// lost.
 #[test]
-fn no_wake_up_is_lost_and_the_order_is_kept() {
+fn wake_ups_are_not_lost_and_order_is_kept() {
     const ITEMS: u64 = 100_000;
     let (mut sender, mut receiver) = start("echo", 4, |mut receiver, mut sender| async move {
-        // What is not Send may live on the worker's thread.
+        // Values on the worker's thread need not be `Send`.
         let count = Rc::new(std::cell::Cell::new(0_u64));
         while let Some(item) = receiver.recv().await {
             count.set(count.get() + 1);
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn lazy_items_wake_the_receiver_once_half_of_the_ring_is_in_use() {
+fn lazy_items_wake_the_receiver_of_a_half_full_ring() {
     let (mut sender, mut receiver) = start("sums", 8, |mut receiver, mut sender| async move {
         let mut sum = 0;
         while let Some(item) = receiver.recv().await {
@@ -58,21 +59,21 @@
     })
     .unwrap();
     block_on(async {
-        let mut taken = 0;
+        let mut sent = 0;
         for item in 1..=10_000_u64 {
-            taken += if sender.send_lazy(item) { item } else { 0 };
+            sent += if sender.send_lazy(item) { item } else { 0 };
         }
-        assert!(taken > 0 && sender.free_slots() >= 1, "the last eighth is for what is sent eagerly");
+        assert!(sent > 0 && sender.free_slots() >= 1, "the last eighth is reserved for `send`");
         drop(sender);
-        assert_eq!((receiver.recv().await, receiver.recv().await), (Some(taken), None));
+        assert_eq!((receiver.recv().await, receiver.recv().await), (Some(sent), None));
     });
 }
 
 #[test]
-fn a_panic_ends_the_worker_and_is_seen() {
+fn worker_panic_is_detected() {
     let (mut sender, mut receiver) = start("fails", 4, |mut receiver, mut sender| async move {
         while let Some(item) = receiver.recv().await {
-            assert_ne!(item, 2, "as the test wants it");
+            assert_ne!(item, 2, "expected by the test");
             sender.send(item);
         }
     })
@@ -82,7 +83,7 @@
         assert_eq!((receiver.recv().await, receiver.recv().await), (Some(1), None));
         assert!(receiver.has_panicked());
     });
-    // Serving goes on: what is for the worker is dropped and counted.
+    // The serving thread continues: items for the worker are dropped and counted.
     while !sender.is_closed() {
         std::thread::yield_now();
     }
