--- a/crates/protocol/src/client_session.rs
+++ b/crates/protocol/src/client_session.rs
@@ -1,4 +1,5 @@
-//! The server side of PostgreSQL's protocol, version 3, which clients speak to. Simple queries only.
+//! The server side of the PostgreSQL protocol, version 3, for connections from clients. Supports simple
+//! queries only.
 
 mod startup;
 
@@ -10,14 +11,16 @@
 use startup::{write_greeting, write_version_negotiation, StartupRequest, PROTOCOL_VERSION_3};
 use thiserror::Error;
 
-/// The longest startup message and query, in bytes: a value of 1 MiB is twice that in hexadecimal.
+/// The maximum length of a startup message, in bytes.
 const MAX_STARTUP_BYTES: usize = 10_000;
+/// The maximum length of a query, in bytes. A value of 1 MiB takes 2 MiB in hexadecimal.
 const MAX_QUERY_BYTES: usize = 2 * 1024 * 1024 + 64 * 1024;
 
-/// The key that identifies a connection in a cancel request. Only the client of the connection is told it.
+/// The key that identifies a connection in a cancel request. It is sent only to the client of that
+/// connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CancelKey {
-    /// The number of the connection, in place of PostgreSQL's process id.
+    /// The number of the connection, instead of the process id that PostgreSQL uses.
     pub process_id: u32,
     /// A random number.
     pub secret: u32,
@@ -26,25 +29,25 @@
 /// A command of a client.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command<'a> {
-    /// The startup is complete; the greeting is in the output.
+    /// The startup is complete, and the greeting is in the output.
     Started,
     /// A query without a statement.
     EmptyQuery,
     /// A query.
     Query(&'a str),
-    /// The client ends the connection.
+    /// The client closes the connection.
     Terminate,
-    /// The connection was opened for a cancel request, which has no response; `None` if the request is malformed.
+    /// A cancel request, which has its own connection and no response; `None` if the request is malformed.
     Cancel(Option<CancelKey>),
 }
 
-/// Input that ends the connection, with the error that the client is told.
+/// A protocol violation that closes the connection, with the error that is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{message} ({code})")]
 pub struct ProtocolViolation {
     /// The SQLSTATE.
     pub code: &'static str,
-    /// The text of the error.
+    /// The error message.
     pub message: &'static str,
 }
 
@@ -68,9 +71,9 @@
 /// The severity of an error message.
 #[derive(Clone, Copy)]
 enum Severity {
-    /// The connection goes on.
+    /// The connection stays open.
     Error,
-    /// The connection closes.
+    /// The connection is closed.
     Fatal,
 }
 
@@ -95,7 +98,7 @@
 }
 
 impl ClientSession {
-    /// A new connection, whose greeting will tell the client this key.
+    /// Creates the session of a new connection, whose greeting will contain this key.
     pub fn new(cancel_key: CancelKey) -> Self {
         ClientSession { cancel_key, ..ClientSession::default() }
     }
@@ -142,7 +145,8 @@
         }
     }
 
-    /// The length in bytes of the command at the front of the buffer, once it is complete.
+    /// Returns the length in bytes of the command at the front of the buffer, or `None` while it is
+    /// incomplete or if it is invalid.
     pub fn next_command_bytes(&self) -> Option<usize> {
         let (framing, max_length) = match self.is_started {
             true => (Framing::Tagged, MAX_QUERY_BYTES),
@@ -157,7 +161,7 @@
         self.write_ready();
     }
 
-    /// Writes the final response to a request. Its errors leave the connection in use.
+    /// Writes the final response to a request. The connection stays open after an error.
     pub fn write_response(&mut self, response: FinalResponse) {
         match response {
             FinalResponse::Served(messages) if self.output.is_empty() => self.output = messages,
@@ -179,18 +183,18 @@
         write_error(&mut self.output, Severity::Error, code, message, detail);
     }
 
-    /// Writes the error with which the connection closes.
+    /// Writes the error that closes the connection.
     pub fn write_fatal(&mut self, violation: ProtocolViolation) {
         write_error(&mut self.output, Severity::Fatal, violation.code, violation.message, None);
     }
 
-    /// Writes the message that ends a response.
+    /// Writes the `ReadyForQuery` message that ends a response.
     pub fn write_ready(&mut self) {
         write_message(&mut self.output, b'Z', |out| out.push(b'I'));
     }
 }
 
-/// The length of the message at the front of the buffer, once it is complete.
+/// Returns the length of the message at the front of the buffer, once it is complete.
 fn complete_message(
     buffer: &ReadBuffer,
     framing: Framing,
--- a/crates/protocol/src/client_session/startup.rs
+++ b/crates/protocol/src/client_session/startup.rs
@@ -3,16 +3,16 @@
 use super::{CancelKey, ProtocolViolation, INVALID_STARTUP, UNSUPPORTED_VERSION};
 use crate::framing::{split_c_string, write_c_string, write_message};
 
-/// Version 3.0, as the startup message encodes it.
+/// Protocol version 3.0, as encoded in the startup message.
 pub(super) const PROTOCOL_VERSION_3: u32 = 3 << 16;
 const CANCEL_REQUEST: u32 = 80_877_102;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_REQUEST: u32 = 80_877_104;
 
-/// The prefix of the names of protocol options; other parameters are ignored.
+/// The name prefix of protocol options; other parameters are ignored.
 const OPTION_PREFIX: &[u8] = b"_pq_.";
 
-/// The parameters that the greeting reports.
+/// The parameters that are reported in the greeting.
 const SERVER_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
@@ -22,18 +22,18 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// A message before the startup is complete.
+/// A message from a client before the startup is complete.
 pub(super) enum StartupRequest {
-    /// The client asks for TLS or GSS encryption.
+    /// A request for TLS or GSS encryption.
     Encryption,
     /// A cancel request; `None` if it is malformed.
     Cancel(Option<CancelKey>),
-    /// The startup message, with the names of the protocol options that it asks for.
+    /// The startup message, with the names of the requested protocol options.
     Start { version: u32, options: Vec<String> },
 }
 
 impl StartupRequest {
-    /// Parses a complete message, its length included.
+    /// Parses a complete message, including its length field.
     pub(super) fn parse(message: &[u8]) -> Result<Self, ProtocolViolation> {
         let code = read_u32(message, 4).ok_or(INVALID_STARTUP)?;
         let body = &message[8..];
@@ -58,7 +58,8 @@
     (body.len() == 8).then_some(key)
 }
 
-/// The names of the protocol options among the parameters of a startup message; `None` if it is malformed.
+/// Returns the names of the protocol options among the parameters of a startup message; `None` if it is
+/// malformed.
 fn parse_options(mut body: &[u8]) -> Option<Vec<String>> {
     let mut options = Vec::new();
     loop {
@@ -74,7 +75,7 @@
     }
 }
 
-/// Writes that the session speaks version 3.0 and supports none of the protocol options.
+/// Writes a message that the session uses version 3.0 and supports none of the protocol options.
 pub(super) fn write_version_negotiation(out: &mut Vec<u8>, options: &[String]) {
     write_message(out, b'v', |out| {
         out.extend_from_slice(&PROTOCOL_VERSION_3.to_be_bytes());
@@ -83,7 +84,7 @@
     });
 }
 
-/// Writes the greeting: no password is needed, the parameters and the cancel key.
+/// Writes the greeting: authentication without a password, the parameters and the cancel key.
 pub(super) fn write_greeting(out: &mut Vec<u8>, key: CancelKey) {
     write_message(out, b'R', |out| out.extend_from_slice(&[0; 4]));
     for (name, value) in SERVER_PARAMETERS {
--- a/crates/protocol/src/endpoint_list.rs
+++ b/crates/protocol/src/endpoint_list.rs
@@ -1,20 +1,21 @@
 //! The endpoint list of service discovery, read from and written as JSON.
 //!
-//! The JSON comes from outside the process, so every field is checked. The keys of the JSON (`seq`, `whole`, `hosts`,
-//! `dial`, ...) are part of the platform's protocol; the names of the types and fields here are this program's own.
+//! The JSON comes from outside the process, so every field is checked. The keys of the JSON (`seq`, `whole`,
+//! `hosts`, `dial`, ...) are part of the platform's protocol; the types and fields here have names of their
+//! own.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The health of an endpoint as the list states it.
+/// The health of an endpoint, as stated by the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointHealth {
     /// The member accepts requests (`active`).
     Active,
-    /// The member finishes what it has and accepts nothing new (`leaving`).
+    /// The member finishes its open requests and accepts no new ones (`leaving`).
     Draining,
-    /// The member is gone (`left`).
+    /// The member has been removed (`left`).
     Removed,
 }
 
@@ -37,12 +38,12 @@
     }
 }
 
-/// One member in the endpoint list.
+/// An entry of the endpoint list, which describes one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointRecord {
-    /// The name of the member, the same for every proxy.
+    /// The name of the member, which is the same for every proxy.
     pub name: String,
-    /// The address at which this proxy reaches the member. Only a removed member may have none.
+    /// The address at which this proxy reaches the member. Present unless the member has been removed.
     pub address: Option<SocketAddr>,
     /// The zone in which the member runs.
     pub zone: String,
@@ -52,14 +53,14 @@
     pub health: EndpointHealth,
     /// When the member last started, in Unix milliseconds; 0 if that was long ago.
     pub started_at_ms: i64,
-    /// Whether the list takes the member for the primary of its group.
+    /// Whether the list states that the member is the primary of its group.
     pub primary: bool,
 }
 
-/// The endpoint list, or the entries of it that changed.
+/// The endpoint list, or the changed entries of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointList {
-    /// The version of the list; it grows with each change.
+    /// The version of the list, which increases with each change.
     pub version: u64,
     /// Whether this is the complete list rather than a set of changed entries.
     pub complete: bool,
@@ -67,7 +68,7 @@
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// Why a body cannot be read as an endpoint list.
+/// Why JSON is not a valid endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EndpointListError {
     /// The body is not JSON.
@@ -77,25 +78,25 @@
     #[error("{0} is missing")]
     MissingKey(&'static str),
     /// An entry has no name.
-    #[error("a host has no name")]
+    #[error("endpoint without a name (host)")]
     UnnamedEndpoint,
-    /// An entry states a health that the protocol does not know.
-    #[error("host {name}: health {health:?} is unknown")]
+    /// An entry states a health that the protocol does not define.
+    #[error("host {name}: unknown health {health:?}")]
     UnknownHealth {
         /// The name of the member.
         name: String,
-        /// The health as stated.
+        /// The stated health, if any.
         health: Option<String>,
     },
-    /// An entry of a member that is not removed has no usable address.
-    #[error("host {name}: dial is no address")]
+    /// The entry of a member that is not removed has no valid address.
+    #[error("host {name}: dial is not an IP:PORT address")]
     InvalidAddress {
         /// The name of the member.
         name: String,
     },
 }
 
-/// Parses an endpoint list from the body of an answer.
+/// Parses an endpoint list from the body of a response.
 pub fn parse(body: &[u8]) -> Result<EndpointList, EndpointListError> {
     let value =
         serde_json::from_slice(body).map_err(|error| EndpointListError::NotJson(error.to_string()))?;
@@ -112,7 +113,7 @@
     Ok(EndpointList { version, complete, endpoints })
 }
 
-/// Writes an endpoint list as [`from_json`] reads it.
+/// Encodes an endpoint list in the form that [`from_json`] reads.
 pub fn to_json(list: &EndpointList) -> Value {
     let hosts: Vec<Value> = list.endpoints.iter().map(endpoint_to_json).collect();
     json!({"seq": list.version, "whole": list.complete, "hosts": hosts})
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -1,39 +1,40 @@
-//! The client side of HTTP/1.1 for service discovery: one response at a time, delimited by its length, by chunks or by
-//! the end of the connection.
+//! The client side of HTTP/1.1 for service discovery. Reads one response at a time, whose body is delimited
+//! by its length, by chunks or by the end of the connection.
 
 use super::read_buffer::ReadBuffer;
 use thiserror::Error;
 
-/// The longest head and the longest body, in bytes, that are accepted.
+/// The maximum length of a head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The maximum length of a body, in bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 const LINE_END: &[u8] = b"\r\n";
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why a response cannot be used.
+/// Why a response is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// The head is longer than what is accepted.
-    #[error("the head is too long")]
+    /// The head exceeds the maximum length.
+    #[error("HTTP response head exceeds the maximum length")]
     HeadTooLong,
     /// The head is not UTF-8.
-    #[error("the head is not text")]
+    #[error("HTTP response head is not UTF-8")]
     HeadNotText,
-    /// The status line names another protocol.
-    #[error("the answer is not HTTP/1.1")]
+    /// The status line states another protocol.
+    #[error("response is not HTTP/1.x")]
     NotHttp,
     /// The status line has no status code.
-    #[error("the answer has no status")]
+    #[error("HTTP response has no status code")]
     NoStatus,
     /// `Content-Length` is not a number.
-    #[error("the length is not a number")]
+    #[error("HTTP response has an invalid Content-Length")]
     InvalidLength,
     /// A chunk does not start with its size.
-    #[error("a chunk has no size")]
+    #[error("HTTP response has an invalid chunk size")]
     InvalidChunkSize,
-    /// The body is longer than what is accepted.
-    #[error("the body is too long")]
+    /// The body exceeds the maximum length.
+    #[error("HTTP response body exceeds the maximum length")]
     BodyTooLong,
 }
 
@@ -44,11 +45,11 @@
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether the connection can be used again.
+    /// Whether the connection can be reused.
     pub keep_alive: bool,
 }
 
-/// How the end of a body is recognised.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug)]
 enum BodyFraming {
     Length(usize),
@@ -56,7 +57,7 @@
     UntilClose,
 }
 
-/// What the head of a response says.
+/// The parsed head of a response.
 #[derive(Clone, Copy, Debug)]
 struct Head {
     status: u16,
@@ -135,7 +136,7 @@
         Ok(Some(head))
     }
 
-    /// Moves complete chunks to the body; returns true at the last one.
+    /// Moves complete chunks to the body. Returns true after the last one.
     fn read_chunks(&mut self) -> Result<bool, HttpError> {
         loop {
             let bytes = self.buffer.unread();
@@ -184,13 +185,13 @@
                 keep_alive = !value.eq_ignore_ascii_case("close");
             }
         }
-        // A body that ends with the connection leaves none to use again.
+        // After a body that ends with the connection there is no connection to reuse.
         keep_alive &= !matches!(framing, BodyFraming::UntilClose);
         Ok(Head { status, framing, keep_alive })
     }
 }
 
-/// Parses the line before a chunk; extensions behind a semicolon are ignored.
+/// Parses the line before a chunk; extensions after a semicolon are ignored.
 fn chunk_size(line: &[u8]) -> Result<usize, HttpError> {
     let text = std::str::from_utf8(line).unwrap_or_default();
     let size = text.split(';').next().unwrap_or_default().trim();
--- a/crates/protocol/src/load_report.rs
+++ b/crates/protocol/src/load_report.rs
@@ -1,22 +1,22 @@
-//! Load reports, as members answer health checks with them: `name=value` pairs, separated by commas.
+//! Load reports, which members return to health checks: `name=value` pairs, separated by commas.
 
 /// One value of a load report, as text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportValue<'a> {
     /// The name of the column.
     pub name: &'a str,
-    /// The value; it is a finite number.
+    /// The value, which is a finite number.
     pub value: &'a str,
 }
 
 /// Parses a load report.
 ///
-/// Returns `None` unless each of `columns` is there just once with a finite number, and nothing else is. A report
-/// that cannot be read counts as none.
+/// Returns `None` unless the report has exactly one finite number for each of `columns` and no other pairs.
+/// An invalid report is treated like a missing one.
 pub fn parse<'a>(text: &'a str, columns: &[String]) -> Option<Vec<ReportValue<'a>>> {
     let values: Vec<_> = text.split(',').map(parse_value).collect::<Option<_>>()?;
-    let is_there_once = |column: &String| values.iter().filter(|value| value.name == column).count() == 1;
-    let is_complete = values.len() == columns.len() && columns.iter().all(is_there_once);
+    let occurs_once = |column: &String| values.iter().filter(|value| value.name == column).count() == 1;
+    let is_complete = values.len() == columns.len() && columns.iter().all(occurs_once);
     is_complete.then_some(values)
 }
 
@@ -27,8 +27,8 @@
     number.is_finite().then_some(ReportValue { name, value })
 }
 
-/// Converts seconds in decimal notation to microseconds, rounded down. No floating-point number is involved, which
-/// could not hold a position exactly.
+/// Converts seconds in decimal notation to microseconds, rounded down. Uses integers only, since a
+/// floating-point number cannot represent every log position exactly.
 pub fn seconds_to_micros(text: &str) -> Option<i64> {
     const MICROS_PER_SECOND: i64 = 1_000_000;
     const FRACTION_DIGITS: usize = 6;
--- a/crates/protocol/src/member_response.rs
+++ b/crates/protocol/src/member_response.rs
@@ -1,4 +1,5 @@
-//! The client side of PostgreSQL's protocol, version 3: what a member responds to the startup message and to queries.
+//! The client side of the PostgreSQL protocol, version 3: a member's responses to the startup message and to
+//! queries.
 
 use super::framing::{message_length, split_c_string, Framing, TAGGED_HEADER_BYTES};
 use super::read_buffer::ReadBuffer;
@@ -9,15 +10,16 @@
 use std::ops::Range;
 use thiserror::Error;
 
-/// The longest message other than a row, and all of those of one response, in bytes: noise must not be waited for as
-/// if it were a message.
+/// The maximum length of a message other than a row, in bytes. The limits keep the reader from waiting for
+/// the rest of invalid data.
 const MAX_MESSAGE_BYTES: usize = 16 * 1024;
+/// The maximum total length of the messages of one response other than its row, in bytes.
 const MAX_OTHER_MESSAGES_BYTES: usize = 64 * 1024;
 
-/// The end of a command that returned no row.
+/// The command tag of a command that returned no row.
 const NO_ROW_SELECTED: &[u8] = b"SELECT 0\0";
 
-/// The tags of the messages that a response may consist of.
+/// The tags of the messages that a response may contain.
 mod tag {
     pub const ROW_DESCRIPTION: u8 = b'T';
     pub const DATA_ROW: u8 = b'D';
@@ -33,9 +35,9 @@
     pub const NEGOTIATE_VERSION: u8 = b'v';
 }
 
-/// The member broke the protocol; the connection cannot be used any more.
+/// A protocol violation by the member, after which the connection cannot be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the member broke the protocol")]
+#[error("protocol violation by the member")]
 pub struct ProtocolError;
 
 /// The kind of a member's response.
@@ -43,17 +45,17 @@
 pub enum ResponseKind {
     /// A row.
     Row,
-    /// Rejected without an effect: the member is not the primary, or too far behind.
+    /// Rejected without an effect: the member is not the primary, or its log is too far behind.
     Miss,
-    /// Rejected unseen: the member is at capacity, draining, or has too many connections.
+    /// Rejected before execution: the member is at capacity, draining, or has too many connections.
     Overloaded,
     /// The member is not ready yet.
     NotReady,
-    /// A described result without a row; accepted only if [`ResponseReader::accepts_no_row`] is set.
+    /// A described result without a row, accepted only if [`ResponseReader::accepts_no_row`] is set.
     NoRow,
     /// Neither a row nor an error, as after the startup message or an empty query.
     Done,
-    /// Anything else; the statement may have run.
+    /// Any other error; the statement may have been executed.
     Error,
 }
 
@@ -62,47 +64,47 @@
 pub struct MemberResponse {
     /// The kind of the response.
     pub kind: ResponseKind,
-    /// The messages to forward: the description of the row, the row and the end of the command.
+    /// The messages to forward: the row description, the row and the end of the command.
     pub messages: Vec<u8>,
-    /// Where the value of the one column stands in `messages`.
+    /// The range of the column's value in `messages`.
     pub value: Range<usize>,
-    /// Whether the member is the primary of its group, if it said so.
+    /// Whether the member is the primary of its group, if it stated its role.
     pub primary: Option<bool>,
     /// The log position of the member, or the commit position of a write, in Unix milliseconds.
     pub applied_ms: Option<i64>,
 }
 
-/// What was read of a response.
+/// A part of a response that was read.
 #[derive(Debug)]
 pub enum ResponseEvent {
-    /// A complete response. After a streamed row it holds what follows the row.
+    /// A complete response. After a streamed row it contains only the messages after the row.
     Complete(MemberResponse),
-    /// A long row has begun; from here on it is streamed.
+    /// The start of a long row, which is streamed from here on.
     StreamStarted {
-        /// The description of the row and the part of the row that has arrived.
+        /// The row description and the part of the row that has arrived.
         bytes: Vec<u8>,
-        /// The bytes of the row that are still to come as chunks.
+        /// The number of bytes of the row that follow as chunks.
         remaining: usize,
     },
     /// The next part of a streamed row.
     StreamChunk(Vec<u8>),
 }
 
-/// What was read so far of the present response.
+/// The part of the current response that has been read.
 #[derive(Debug, Default)]
 struct PartialResponse {
     messages: Vec<u8>,
-    /// The bytes of all messages but the row.
+    /// The total length of all messages except the row.
     other_bytes: usize,
     is_described: bool,
     rows: u32,
     is_completed: bool,
-    /// Whether the command ended by stating that there is no row.
+    /// Whether the command tag states that there is no row.
     has_no_row: bool,
     value: Range<usize>,
-    /// The bytes of a streamed row that are still to come.
+    /// The number of bytes of a streamed row that have not been taken yet.
     stream_remaining: usize,
-    /// Whether a row is streamed whatever its length.
+    /// Whether a row is streamed regardless of its length.
     streams_any_row: bool,
     error_code: Option<[u8; 5]>,
     primary: Option<bool>,
@@ -114,19 +116,22 @@
 pub struct ResponseReader {
     /// The bytes of the connection.
     pub buffer: ReadBuffer,
-    /// Whether a response that is described and has no row is accepted; otherwise it breaks the protocol.
+    /// Whether a response with a row description and no row is accepted; otherwise it is a protocol
+    /// violation.
     pub accepts_no_row: bool,
     response: PartialResponse,
 }
 
 impl ResponseReader {
-    /// Returns the next part of the response to the startup message or to a query. A response is complete once the
-    /// member is ready for the next query; `is_closed` states that no more bytes will come, when an error is
-    /// complete without that.
+    /// Returns the next part of the response to the startup message or to a query.
     ///
-    /// A response with a row of up to [`MAX_BUFFERED_ROW_BYTES`] is checked completely before any of it is forwarded: a
-    /// malformed one must not reach a client as a value. A longer row is streamed from its first bytes, since its
-    /// latency counts to them; its lengths are checked before, and what follows it afterwards.
+    /// A response is complete once the member is ready for the next query. `is_closed` states that no more
+    /// bytes will arrive; an error response is then complete without that.
+    ///
+    /// A response with a row of up to [`MAX_BUFFERED_ROW_BYTES`] is checked completely before any of it is
+    /// forwarded, so that a malformed one does not reach a client as a value. A longer row is streamed from
+    /// its first bytes, since its latency is measured up to them; its lengths are checked before streaming,
+    /// and the messages after it when they arrive.
     pub fn advance(&mut self, is_closed: bool) -> Result<Option<ResponseEvent>, ProtocolError> {
         loop {
             if self.response.stream_remaining > 0 {
@@ -136,8 +141,8 @@
             if let Some(length) = length.filter(|length| self.starts_stream(*length)) {
                 return Ok(Some(self.start_stream(length)));
             }
-            let is_whole = |length: &usize| self.buffer.unread().len() >= *length;
-            let Some(length) = length.filter(is_whole) else {
+            let is_complete = |length: &usize| self.buffer.unread().len() >= *length;
+            let Some(length) = length.filter(is_complete) else {
                 let ended_by_error = is_closed && self.response.error_code.is_some();
                 return Ok(ended_by_error.then(|| ResponseEvent::Complete(self.finish())));
             };
@@ -149,7 +154,7 @@
         }
     }
 
-    /// The length of the message at the front of the buffer, once its header has arrived.
+    /// Returns the length of the message at the front of the buffer, once its header has arrived.
     fn next_message_length(&self) -> Result<Option<usize>, ProtocolError> {
         let bytes = self.buffer.unread();
         match bytes.first() {
@@ -177,7 +182,8 @@
         }
     }
 
-    /// Whether the message of this length at the front is a row to stream, of whose value the first byte has arrived.
+    /// Returns whether the message of this length at the front of the buffer is a row to be streamed, and the
+    /// first byte of its value has arrived.
     fn starts_stream(&self, length: usize) -> bool {
         let bytes = self.buffer.unread();
         let is_long = length > ROW_HEADER_BYTES + MAX_BUFFERED_ROW_BYTES;
@@ -194,7 +200,7 @@
         ResponseEvent::StreamStarted { bytes, remaining: self.response.stream_remaining }
     }
 
-    /// Takes what has arrived of a streamed row; `None` if that is nothing.
+    /// Takes the bytes of a streamed row that have arrived; `None` if there are none.
     fn take_stream_bytes(&mut self) -> Option<Vec<u8>> {
         let count = self.response.stream_remaining.min(self.buffer.unread().len());
         let range = self.buffer.consume(count);
@@ -202,18 +208,18 @@
         (count > 0).then(|| self.buffer.get(range).to_vec())
     }
 
-    /// Streams the row of the present response whatever its length, since there is no memory to buffer it. Returns
-    /// false if that was so before.
+    /// Streams the row of the current response regardless of its length, for lack of memory to buffer it.
+    /// Returns false if that was already set.
     pub fn stream_any_row(&mut self) -> bool {
         !std::mem::replace(&mut self.response.streams_any_row, true)
     }
 
-    /// Whether a streamed row is incomplete.
+    /// Returns whether a streamed row is incomplete.
     pub fn is_streaming(&self) -> bool {
         self.response.stream_remaining > 0
     }
 
-    /// Whether the response has begun to arrive and is incomplete.
+    /// Returns whether the response has begun to arrive and is incomplete.
     pub fn has_partial_response(&self) -> bool {
         self.response.other_bytes > 0 || !self.buffer.unread().is_empty()
     }
@@ -231,12 +237,12 @@
 }
 
 impl PartialResponse {
-    /// Whether a row may come next. One that may not is an error before its value has been read.
+    /// Returns whether a row may come next. An unexpected row is rejected before its value is read.
     fn may_have_row(&self) -> bool {
         self.is_described && !self.is_completed && self.rows == 0 && self.error_code.is_none()
     }
 
-    /// Adds a complete message; returns true at the last message of a response.
+    /// Adds a complete message. Returns true for the last message of a response.
     fn add_message(&mut self, message: &[u8], accepts_no_row: bool) -> Result<bool, ProtocolError> {
         let (tag, body) = (message[0], &message[TAGGED_HEADER_BYTES..]);
         if tag != tag::DATA_ROW {
@@ -263,7 +269,8 @@
         Ok(tag == tag::READY_FOR_QUERY)
     }
 
-    /// Whether a message is well formed and in its place; marks what may come only once.
+    /// Returns whether a message is well formed and expected at this point, and records messages that must
+    /// not repeat.
     fn accepts(&mut self, tag: u8, body: &[u8], accepts_no_row: bool) -> bool {
         match tag {
             tag::ROW_DESCRIPTION => {
@@ -274,7 +281,7 @@
                 let is_repeated = std::mem::replace(&mut self.is_completed, true);
                 !is_repeated && is_printable_c_string(body)
             }
-            // Only a member that asks for no password is accepted.
+            // Only a member that requires no password is accepted.
             tag::AUTHENTICATION => body == [0; 4],
             tag::READY_FOR_QUERY => {
                 let is_unfinished = self.is_described && !self.is_finished(accepts_no_row);
@@ -297,7 +304,8 @@
         Ok(())
     }
 
-    /// Whether a described response came to its end: with its row, or with an error.
+    /// Returns whether a response with a row description has ended as expected: with its row, or with an
+    /// error.
     fn is_finished(&self, accepts_no_row: bool) -> bool {
         let has_expected_rows = self.rows == 1 || (accepts_no_row && self.has_no_row);
         self.error_code.is_some() || (self.is_completed && has_expected_rows)
@@ -316,7 +324,8 @@
     }
 }
 
-/// Parses a position in milliseconds, rounded down: a member must not be taken for newer than it is.
+/// Parses a log position in milliseconds, rounded down, so that a member is never considered more recent than
+/// it is.
 fn parse_position(text: &str) -> Option<i64> {
-    text.split('.').next().and_then(|whole| whole.parse().ok())
+    text.split('.').next().and_then(|integer| integer.parse().ok())
 }
--- a/crates/protocol/src/pipeline.rs
+++ b/crates/protocol/src/pipeline.rs
@@ -1,44 +1,45 @@
 //! The order of responses on one client connection.
 //!
-//! Commands that a client pipelines are all processed at once, each with its own number and deadline, and their
-//! responses may come in any order; they are written in the order of the commands. A [`Pipeline`] has one slot for
-//! each command: a response that comes early is buffered there until those before it are written. The pipeline
-//! knows no socket and no clock.
+//! The pipelined commands of a client are processed concurrently, each with its own number and deadline, and
+//! may complete in any order; the responses are written in the order of the commands. A [`Pipeline`] has one
+//! slot per command: an early response is buffered there until the preceding ones are written. The pipeline
+//! has no access to sockets or clocks.
 
 use super::client_session::ProtocolViolation;
 use std::collections::VecDeque;
 
-/// The commands of one connection that may be open at a time: without a response, or with one that is not written yet.
-/// A client that sends a thousand commands at once must not fill the members with them alone.
+/// The maximum number of open commands per connection. A command is open until its response is written. The
+/// limit keeps a single client that sends a thousand commands at once from using all capacity of the members.
 pub const MAX_OPEN_COMMANDS: usize = 32;
-/// The bytes that the statements and the early responses of one connection may buffer beyond the first slot. Past half
-/// of it no further command is accepted; a response past it fails.
+/// The maximum number of bytes of statements and early responses that are buffered per connection, besides
+/// the response in the first slot. Above half of it no further command is accepted; a response that would
+/// exceed it fails.
 pub const MAX_BUFFERED_BYTES: usize = 2 * 1024 * 1024;
 
-/// The number of a request, unique within the process.
+/// The number of a request, which is unique within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
 /// The final response to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// Served: the messages that a member responded with.
+    /// Served, with the messages of the member's response.
     Served(Vec<u8>),
-    /// Rejected without an effect, so that a retry is harmless.
+    /// Rejected without an effect, so that a retry is safe.
     Rejected {
-        /// Milliseconds after which to retry; 0 for no advice.
+        /// The recommended delay before a retry, in milliseconds; 0 for no recommendation.
         retry_after_ms: i64,
     },
-    /// Failed, with no promise about its effect.
+    /// Failed; the statement may have been executed.
     Failed,
-    /// Ended by a cancel request, with no promise about its effect.
+    /// Cancelled by a cancel request; the statement may have been executed.
     Cancelled,
-    /// The request cannot be used, for this reason.
+    /// The request is malformed, for this reason.
     Malformed(&'static str),
 }
 
 impl FinalResponse {
-    /// The bytes that it occupies while it is buffered.
+    /// Returns the number of bytes that the response occupies while it is buffered.
     fn buffered_bytes(&self) -> usize {
         match self {
             FinalResponse::Served(messages) => messages.len(),
@@ -50,77 +51,77 @@
 /// The state of one command.
 #[derive(Debug, PartialEq, Eq)]
 enum Slot {
-    /// A request without a response, and the bytes of its statement.
+    /// A request without a response, and the length of its statement.
     Open { request: RequestNumber, statement_bytes: usize },
     /// A response that is not written yet.
     Done(FinalResponse),
-    /// A response that is being streamed; the driver holds what has arrived of it.
+    /// A response that is being streamed; the driver holds the bytes that have arrived.
     Streaming(RequestNumber),
     /// An empty query, which is answered once the proxy is ready to serve.
     EmptyQuery,
 }
 
-/// How the connection ends once all open commands have their responses.
+/// How the connection is closed once the responses to all open commands are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Closing {
     /// The code of the reason, for the log.
     pub reason: &'static str,
-    /// The error to tell the client, if it broke the protocol.
+    /// The error to send to the client, if it violated the protocol.
     pub violation: Option<ProtocolViolation>,
 }
 
-/// What is to be written next.
+/// What to write next.
 #[derive(Debug, PartialEq, Eq)]
 pub enum NextWrite {
     /// The response to a request.
     Response(FinalResponse),
-    /// More of the response that is streamed for this request, until [`Pipeline::finish_stream`].
+    /// The next bytes of the response that is streamed for this request, until [`Pipeline::finish_stream`].
     Stream(RequestNumber),
     /// The response to an empty query.
     EmptyQuery,
-    /// Nothing more; the connection closes.
+    /// Nothing more; the connection is to be closed.
     Close(Closing),
 }
 
-/// The open commands of one connection, in their order.
+/// The open commands of one connection, in order.
 #[derive(Debug, Default)]
 pub struct Pipeline {
     slots: VecDeque<Slot>,
-    /// The bytes of open statements and buffered responses.
+    /// The total length of open statements and buffered responses.
     buffered_bytes: usize,
-    /// Whether any request of the connection was well formed.
+    /// Whether any request on the connection was well formed.
     had_valid_request: bool,
     closing: Option<Closing>,
 }
 
 impl Pipeline {
-    /// Whether a further command may be accepted before the open ones have their responses.
+    /// Returns whether a further command may be accepted now.
     pub fn has_capacity(&self) -> bool {
         let has_bytes = self.slots.is_empty() || self.buffered_bytes <= MAX_BUFFERED_BYTES / 2;
         self.closing.is_none() && self.slots.len() < MAX_OPEN_COMMANDS && has_bytes
     }
 
-    /// Whether no command is open.
+    /// Returns whether no command is open.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Whether no further command is accepted, see [`Pipeline::close`].
+    /// Returns whether the connection is closing and no further command is accepted; see [`Pipeline::close`].
     pub fn is_closing(&self) -> bool {
         self.closing.is_some()
     }
 
-    /// Whether the first open command is an empty query, which waits for the proxy to become ready.
+    /// Returns whether the first open command is an empty query, which waits for the proxy to become ready.
     pub fn awaits_readiness(&self) -> bool {
         self.slots.front() == Some(&Slot::EmptyQuery)
     }
 
-    /// The bytes of open statements and buffered responses.
+    /// Returns the total length in bytes of open statements and buffered responses.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// The requests without a complete response, in their order.
+    /// Returns an iterator over the requests without a complete response, in order.
     pub fn open_requests(&self) -> impl Iterator<Item = RequestNumber> + '_ {
         self.slots.iter().filter_map(|slot| match slot {
             Slot::Open { request, .. } | Slot::Streaming(request) => Some(*request),
@@ -139,7 +140,7 @@
         self.slots.push_back(Slot::EmptyQuery);
     }
 
-    /// Adds a command that cannot be used, with its error as the response; see [`Pipeline::complete`].
+    /// Adds a malformed command, with its error as the response; see [`Pipeline::complete`].
     pub fn push_malformed(&mut self, message: &'static str) {
         if self.had_valid_request || !self.slots.is_empty() {
             self.slots.push_back(Slot::Done(FinalResponse::Malformed(message)));
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Accepts no further command: the connection closes after the responses to the open ones. The first reason
-    /// counts.
+    /// Stops accepting commands. The connection is closed after the responses to the open ones are written.
+    /// If called repeatedly, the first reason is kept.
     pub fn close(&mut self, reason: &'static str, violation: Option<ProtocolViolation>) {
         self.closing.get_or_insert(Closing { reason, violation });
     }
@@ -159,13 +160,15 @@
         self.close("malformed_request", Some(violation));
     }
 
-    /// Takes the final response to a request. Returns whether something can be written now.
+    /// Completes a request with its final response. Returns whether something can be written now.
     ///
-    /// A response that has to wait and exceeds what may be buffered, of which other connections leave
-    /// `available_bytes`, is dropped and the request fails, since it may have run.
+    /// `available_bytes` is the buffer space that other connections leave. A response that has to wait and
+    /// does not fit into the available space is dropped, and the request ends as [`FinalResponse::Failed`],
+    /// since it may have been executed.
     ///
-    /// If no request of the connection was ever well formed, a malformed one closes it. Otherwise the error is written in
-    /// its turn and the connection goes on: closing it would lose the requests behind it.
+    /// A malformed request closes the connection if none of its requests was well formed. Otherwise the error
+    /// is written in order and the connection stays open, since closing it would lose the requests after the
+    /// malformed one.
     pub fn complete(
         &mut self,
         request: RequestNumber,
@@ -191,8 +194,8 @@
         is_first
     }
 
-    /// Starts to stream the response to a request. Returns whether it can be written now, or `None` if the request
-    /// awaits no response.
+    /// Starts to stream the response to a request. Returns whether it can be written now, or `None` if the
+    /// request does not wait for a response.
     pub fn start_stream(&mut self, request: RequestNumber) -> Option<bool> {
         let index = self.find_open(request)?;
         self.release_statement(index);
@@ -201,15 +204,15 @@
         Some(index == 0)
     }
 
-    /// Ends the streamed response at the front.
+    /// Removes the streamed response at the front.
     pub fn finish_stream(&mut self) {
         if matches!(self.slots.front(), Some(Slot::Streaming(_))) {
             self.slots.pop_front();
         }
     }
 
-    /// Responds to all open requests with [`FinalResponse::Cancelled`] and returns them. Streamed and buffered
-    /// responses are left as they are.
+    /// Completes all open requests with [`FinalResponse::Cancelled`] and returns them. Streamed and buffered
+    /// responses are not changed.
     pub fn cancel_open(&mut self) -> Vec<RequestNumber> {
         let mut cancelled = Vec::new();
         for slot in &mut self.slots {
@@ -223,17 +226,17 @@
         cancelled
     }
 
-    /// Whether any request waits for its response to begin.
+    /// Returns whether any request waits for its response to begin.
     pub fn has_open_request(&self) -> bool {
         self.slots.iter().any(|slot| matches!(slot, Slot::Open { .. }))
     }
 
-    /// Whether this request waits for its response to begin.
+    /// Returns whether this request waits for its response to begin.
     pub fn is_open(&self, request: RequestNumber) -> bool {
         self.find_open(request).is_some()
     }
 
-    /// Whether a command stands behind the first open one.
+    /// Returns whether there are further commands after the first open one.
     pub fn has_following(&self) -> bool {
         self.slots.len() > 1
     }
@@ -243,15 +246,15 @@
         self.slots.iter().position(is_wanted)
     }
 
-    /// No longer counts the statement of the open request in this slot.
+    /// Subtracts the statement of the open request in this slot from the buffered bytes.
     fn release_statement(&mut self, index: usize) {
         if let Slot::Open { statement_bytes, .. } = self.slots[index] {
             self.buffered_bytes -= statement_bytes;
         }
     }
 
-    /// Takes what is to be written next, if it is there. `is_ready` states whether the proxy is ready to serve, which
-    /// empty queries wait for.
+    /// Takes the next response to write, if it is available. `is_ready` states whether the proxy is ready to
+    /// serve, which empty queries wait for.
     pub fn next_write(&mut self, is_ready: bool) -> Option<NextWrite> {
         match self.slots.front() {
             Some(Slot::Open { .. }) => return None,
--- a/crates/protocol/src/read_buffer.rs
+++ b/crates/protocol/src/read_buffer.rs
@@ -1,14 +1,14 @@
-//! The buffer that a connection is read into.
+//! The read buffer of a connection.
 
 use std::ops::Range;
 
-/// The capacity in bytes that a buffer starts with; it grows only while a message does not fit.
+/// The initial capacity of a buffer, in bytes. It grows only when a message does not fit.
 const INITIAL_CAPACITY: usize = 4 * 1024;
 
-/// A buffer of up to this many bytes is kept between messages; the memory of a larger one is released.
+/// The maximum capacity, in bytes, that is kept between messages. The memory of a larger buffer is released.
 pub const MAX_RETAINED_CAPACITY: usize = 16 * 1024;
 
-/// Bytes that were read from a connection and not yet consumed. Messages are slices of it.
+/// The bytes that were read from a connection and not yet consumed. Messages are slices of the buffer.
 #[derive(Debug, Default)]
 pub struct ReadBuffer {
     data: Vec<u8>,
@@ -17,12 +17,13 @@
 }
 
 impl ReadBuffer {
-    /// The bytes that were read and not yet consumed.
+    /// Returns the bytes that were read and not yet consumed.
     pub fn unread(&self) -> &[u8] {
         &self.data[self.start..self.end]
     }
 
-    /// Spare space of at least one byte to read into. Unread bytes may move to the front of the buffer.
+    /// Returns spare space of at least one byte to read into. May move the unread bytes to the front of the
+    /// buffer.
     pub fn spare(&mut self) -> &mut [u8] {
         self.spare_with_capacity(0)
     }
@@ -42,7 +43,7 @@
         &mut self.data[self.end..]
     }
 
-    /// The capacity in bytes that the buffer will have after [`ReadBuffer::spare_with_capacity`].
+    /// Returns the capacity in bytes that the buffer will have after [`ReadBuffer::spare_with_capacity`].
     pub fn next_capacity(&self, min_capacity: usize) -> usize {
         let unread = self.end - self.start;
         let shrinks = unread == 0 && self.data.len() > MAX_RETAINED_CAPACITY.max(min_capacity);
@@ -52,7 +53,7 @@
         next.max(min_capacity)
     }
 
-    /// Releases the memory of a large message once all of it is consumed.
+    /// Releases the memory of a large message if all bytes are consumed.
     pub fn release_memory(&mut self) {
         self.shrink(0);
     }
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The capacity in bytes.
+    /// Returns the capacity in bytes.
     pub fn capacity(&self) -> usize {
         self.data.len()
     }
@@ -86,7 +87,7 @@
         from..self.start
     }
 
-    /// The bytes of a range that [`ReadBuffer::consume`] returned.
+    /// Returns the bytes of a range that [`ReadBuffer::consume`] returned.
     pub fn get(&self, range: Range<usize>) -> &[u8] {
         &self.data[range]
     }
--- a/crates/protocol/src/request_comment.rs
+++ b/crates/protocol/src/request_comment.rs
@@ -1,15 +1,17 @@
-//! The comment at the front of a client's statement, which states the class, deadline and group of the request.
+//! The comment at the start of a client's statement, which states the class, deadline and group of the
+//! request.
 
 use std::ops::Range;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// The longest request id, in bytes. The rest of the 36 bytes of a routing id keeps equal ids apart.
+/// The maximum length of a request id, in bytes. The rest of the 36 bytes of a routing id distinguishes
+/// requests with the same id.
 pub const MAX_ID_BYTES: usize = 20;
-/// The longest deadline that is accepted: a day.
+/// The maximum deadline: one day.
 const MAX_DEADLINE_MS: u32 = 86_400_000;
 
-/// What the comment and the statement say of a request, as slices of the statement.
+/// The parsed comment of a statement and the session key, as slices of the statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestComment<'a> {
     /// The id of the request (`id`).
@@ -18,19 +20,19 @@
     pub class: &'a str,
     /// The deadline in milliseconds from now (`d`); 0 if it has passed.
     pub deadline_ms: u32,
-    /// Where the value of `d` stands in the statement.
+    /// The range of the value of `d` in the statement.
     pub deadline_range: Range<usize>,
     /// The replicated group (`cluster`).
     pub group: u64,
-    /// The log position that a session read must see, in Unix milliseconds (`after`).
+    /// The minimum log position for a session read, in Unix milliseconds (`after`).
     pub min_position_ms: Option<i64>,
     /// Whether the client marks the request as a retry (`r=1`).
     pub is_retry: bool,
-    /// The first quoted value of the statement, which names the session.
+    /// The first quoted value of the statement, which identifies the session.
     pub session_key: Option<&'a str>,
 }
 
-/// What is missing or wrong in the comment of a statement.
+/// Why the comment of a statement is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.message())]
 pub enum CommentError {
@@ -44,7 +46,7 @@
     IdTooLong,
     /// `d` is absent.
     NoDeadline,
-    /// `d` is not a number of milliseconds, or longer than a day.
+    /// `d` is not a number of milliseconds, or exceeds one day.
     InvalidDeadline,
     /// `after` is not a log position.
     InvalidPosition,
@@ -57,7 +59,7 @@
 }
 
 impl CommentError {
-    /// The text that the client is sent.
+    /// Returns the error message that is sent to the client.
     pub fn message(self) -> &'static str {
         match self {
             CommentError::NoComment => "the statement does not start with a comment",
@@ -74,7 +76,7 @@
     }
 }
 
-/// The `name=value` pairs of a comment, as they stand there.
+/// The `name=value` pairs of a comment, with unparsed values.
 #[derive(Default)]
 struct Fields<'a> {
     id: Option<&'a str>,
@@ -86,7 +88,8 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Splits the comment at `range` of `statement`. Unknown names are ignored; of a repeated name the last counts.
+    /// Splits the comment at `range` of `statement`. Unknown names are ignored; the last of repeated names is
+    /// used.
     fn split(statement: &'a str, range: Range<usize>) -> Self {
         let mut fields = Fields::default();
         let mut start = range.start;
@@ -114,7 +117,7 @@
     }
 }
 
-/// Parses the comment at the front of a statement.
+/// Parses the comment at the start of a statement.
 pub fn parse(statement: &str) -> Result<RequestComment<'_>, CommentError> {
     let comment = comment_range(statement)?;
     let rest = &statement[comment.end + "*/".len()..];
@@ -141,7 +144,7 @@
     })
 }
 
-/// Where the text between `/*` and `*/` stands in the statement.
+/// Returns the range of the text between `/*` and `*/` in the statement.
 fn comment_range(statement: &str) -> Result<Range<usize>, CommentError> {
     let leading_spaces = statement.len() - statement.trim_start().len();
     let text = statement[leading_spaces..].strip_prefix("/*").ok_or(CommentError::NoComment)?;
@@ -150,19 +153,19 @@
     Ok(start..start + length)
 }
 
-/// Parses a number that consists of digits only; a sign is not accepted.
+/// Parses a number that consists of digits only, without a sign.
 fn parse_digits<T: FromStr>(text: &str) -> Option<T> {
     text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok())?
 }
 
-/// Parses a position in milliseconds, rounded up: a read that must see a fraction of a millisecond must see all of it.
+/// Parses a log position in milliseconds, rounded up, so that a read never sees a state before the position.
 fn parse_position(text: &str) -> Result<i64, CommentError> {
-    let (whole, fraction) = text.split_once('.').unwrap_or((text, ""));
+    let (integer, fraction) = text.split_once('.').unwrap_or((text, ""));
     if !fraction.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(CommentError::InvalidPosition);
     }
     let round_up = i64::from(fraction.bytes().any(|byte| byte != b'0'));
-    let position = parse_digits::<i64>(whole).and_then(|whole| whole.checked_add(round_up));
+    let position = parse_digits::<i64>(integer).and_then(|integer| integer.checked_add(round_up));
     position.ok_or(CommentError::InvalidPosition)
 }
 
@@ -172,7 +175,7 @@
     Some(quoted)
 }
 
-/// Appends the statement with another value of `d` to `out`, and all else byte for byte.
+/// Appends the statement to `out` with another value of `d`, and otherwise unchanged.
 pub fn write_with_deadline(
     out: &mut Vec<u8>,
     statement: &[u8],
--- a/crates/protocol/tests/cancel_request.rs
+++ b/crates/protocol/tests/cancel_request.rs
@@ -1,46 +1,47 @@
-//! Cancel requests as bytes: what a greeting tells, and what a cancel request names.
+//! Encoded cancel requests, and the cancel key in the greeting.
 
 use wharfplank_protocol::client_session::{CancelKey, ClientSession, Command};
 
 const KEY: CancelKey = CancelKey { process_id: 0x0102_0304, secret: 0xa1b2_c3d4 };
 
-fn server(bytes: &[u8]) -> ClientSession {
-    let mut server = ClientSession::new(KEY);
-    server.buffer.spare()[..bytes.len()].copy_from_slice(bytes);
-    server.buffer.commit(bytes.len());
-    server
+/// Creates a session that has read these bytes.
+fn session(bytes: &[u8]) -> ClientSession {
+    let mut session = ClientSession::new(KEY);
+    session.buffer.spare()[..bytes.len()].copy_from_slice(bytes);
+    session.buffer.commit(bytes.len());
+    session
 }
 
-/// Guards against a greeting whose key names nothing.
+/// Guards against a greeting with a key that does not identify the connection.
 #[test]
-fn the_greeting_tells_the_key() {
-    let mut server = server(b"\0\0\0\x09\0\x03\0\0\0");
-    assert_eq!(server.advance(), Ok(Some(Command::Started)));
-    let wanted = b"K\0\0\0\x0c\x01\x02\x03\x04\xa1\xb2\xc3\xd4";
-    assert!(server.output.windows(wanted.len()).any(|part| part == wanted));
+fn greeting_contains_the_key() {
+    let mut session = session(b"\0\0\0\x09\0\x03\0\0\0");
+    assert_eq!(session.advance(), Ok(Some(Command::Started)));
+    let expected = b"K\0\0\0\x0c\x01\x02\x03\x04\xa1\xb2\xc3\xd4";
+    assert!(session.output.windows(expected.len()).any(|part| part == expected));
 }
 
-/// Guards against a cancel request that is answered, or read in part.
+/// Guards against a response to a cancel request, and against parsing an incomplete one.
 #[test]
-fn a_cancel_request_names_a_key() {
-    let whole = b"\0\0\0\x10\x04\xd2\x16\x2e\x01\x02\x03\x04\xa1\xb2\xc3\xd4";
-    for cut in 0..whole.len() {
-        assert_eq!(server(&whole[..cut]).advance(), Ok(None), "{cut} bytes");
+fn cancel_request_is_parsed_without_response() {
+    let complete = b"\0\0\0\x10\x04\xd2\x16\x2e\x01\x02\x03\x04\xa1\xb2\xc3\xd4";
+    for length in 0..complete.len() {
+        assert_eq!(session(&complete[..length]).advance(), Ok(None), "{length} bytes");
     }
-    let mut server = server(whole);
-    assert_eq!(server.advance(), Ok(Some(Command::Cancel(Some(KEY)))));
-    assert!(server.output.is_empty());
+    let mut session = session(complete);
+    assert_eq!(session.advance(), Ok(Some(Command::Cancel(Some(KEY)))));
+    assert!(session.output.is_empty());
 }
 
-/// Guards against a cancel request of another length that is taken for what its first bytes name.
+/// Guards against a cancel request of the wrong length that is accepted because its first bytes are valid.
 #[test]
-fn a_malformed_cancel_request_names_nothing() {
+fn cancel_request_of_wrong_length_has_no_key() {
     for extra in [-8_i32, -4, -1, 1, 4, 28] {
         let length = 16 + extra;
         let mut bytes = length.to_be_bytes().to_vec();
         bytes.extend(80_877_102_u32.to_be_bytes());
         bytes.extend([1, 2, 3, 4, 0xa1, 0xb2, 0xc3, 0xd4]);
         bytes.resize(length as usize, 0);
-        assert_eq!(server(&bytes).advance(), Ok(Some(Command::Cancel(None))), "{length} bytes");
+        assert_eq!(session(&bytes).advance(), Ok(Some(Command::Cancel(None))), "{length} bytes");
     }
 }
--- a/crates/protocol/tests/endpoint_list.rs
+++ b/crates/protocol/tests/endpoint_list.rs
@@ -3,7 +3,7 @@
 use wharfplank_protocol::endpoint_list::{from_json, to_json, EndpointHealth, EndpointList, EndpointRecord};
 
 #[test]
-fn a_list_that_is_written_reads_the_same() {
+fn json_round_trip_keeps_the_list() {
     let endpoint = |name: &str, health, primary| EndpointRecord {
         name: name.to_string(),
         address: "127.0.0.1:5433".parse().ok(),
--- a/crates/protocol/tests/pipeline.rs
+++ b/crates/protocol/tests/pipeline.rs
@@ -1,4 +1,4 @@
-//! The order of answers, and what may wait.
+//! The order of responses, and the limits of buffering.
 
 use wharfplank_protocol::client_session::ProtocolViolation;
 use wharfplank_protocol::pipeline::*;
@@ -7,75 +7,77 @@
     FinalResponse::Rejected { retry_after_ms }
 }
 
-/// Takes all that can be written.
+/// Takes everything that can be written.
 fn drain(pipeline: &mut Pipeline) -> Vec<NextWrite> {
     let mut out = Vec::new();
     while let Some(next) = pipeline.next_write(true) {
-        let end = matches!(next, NextWrite::Close(_));
+        let is_end = matches!(next, NextWrite::Close(_));
         out.push(next);
-        if end {
+        if is_end {
             break;
         }
     }
     out
 }
 
-/// Guards against answers that overtake each other: whatever the order in which they come, they leave in the
-/// order of the commands, each once, and all that was held is given back.
+/// Guards against responses that overtake each other: in whatever order they arrive, they are written in the
+/// order of the commands, each once, and no buffered bytes remain counted.
 #[test]
-fn any_order_of_answers_leaves_in_the_order_of_commands() {
+fn responses_are_written_in_command_order() {
     let mut seed = 7_u64;
-    let mut draw = move |below: usize| {
+    let mut random = move |below: usize| {
         seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (seed >> 33) as usize % below
     };
     for _ in 0..500 {
-        let (mut pipeline, mut open, mut wanted, mut got) = (Pipeline::default(), vec![], vec![], vec![]);
+        let (mut pipeline, mut open, mut expected, mut written) =
+            (Pipeline::default(), vec![], vec![], vec![]);
         for number in 0..100 {
-            if pipeline.has_capacity() && draw(4) == 0 {
+            if pipeline.has_capacity() && random(4) == 0 {
                 pipeline.push_empty_query();
-                wanted.push(NextWrite::EmptyQuery);
+                expected.push(NextWrite::EmptyQuery);
             } else if pipeline.has_capacity() {
-                pipeline.push_request(RequestNumber(number), draw(1000));
+                pipeline.push_request(RequestNumber(number), random(1000));
                 open.push(number);
-                wanted.push(NextWrite::Response(rejected(number as i64)));
+                expected.push(NextWrite::Response(rejected(number as i64)));
             }
-            while !open.is_empty() && draw(3) > 0 {
-                let number = open.swap_remove(draw(open.len()));
-                let due = pipeline.complete(RequestNumber(number), rejected(number as i64), usize::MAX);
-                let first = wanted.get(got.len()) == Some(&NextWrite::Response(rejected(number as i64)));
-                assert_eq!(due, first);
+            while !open.is_empty() && random(3) > 0 {
+                let number = open.swap_remove(random(open.len()));
+                let can_write = pipeline.complete(RequestNumber(number), rejected(number as i64), usize::MAX);
+                let is_first =
+                    expected.get(written.len()) == Some(&NextWrite::Response(rejected(number as i64)));
+                assert_eq!(can_write, is_first);
                 assert!(
                     !pipeline.complete(RequestNumber(number), FinalResponse::Failed, usize::MAX),
-                    "a second answer"
+                    "a second response"
                 );
             }
-            got.append(&mut drain(&mut pipeline));
-            assert!(wanted.len() - got.len() <= MAX_OPEN_COMMANDS);
+            written.append(&mut drain(&mut pipeline));
+            assert!(expected.len() - written.len() <= MAX_OPEN_COMMANDS);
         }
         for number in open {
             pipeline.complete(RequestNumber(number), rejected(number as i64), usize::MAX);
         }
-        got.append(&mut drain(&mut pipeline));
-        assert_eq!(got, wanted);
+        written.append(&mut drain(&mut pipeline));
+        assert_eq!(written, expected);
         assert_eq!(pipeline.buffered_bytes(), 0);
     }
 }
 
-/// Guards against a client that reads nothing while large rows pile up for it: what waits is bounded, the one
-/// that does not fit has failed in its place, and nothing more is asked ahead meanwhile.
+/// Guards against unbounded buffering of large rows for a client that reads nothing: a response that does not
+/// fit fails in its place, and no further commands are accepted meanwhile.
 #[test]
-fn early_rows_are_bounded_in_bytes() {
+fn early_responses_are_bounded_in_bytes() {
     let mut pipeline = Pipeline::default();
     (0..4).for_each(|n| pipeline.push_request(RequestNumber(n), 100));
     let row = |size| FinalResponse::Served(vec![1; size]);
     assert!(!pipeline.complete(RequestNumber(1), row(MAX_BUFFERED_BYTES - 1000), usize::MAX));
     assert!(!pipeline.has_capacity());
     assert!(!pipeline.complete(RequestNumber(2), row(2000), usize::MAX));
-    assert!(!pipeline.complete(RequestNumber(3), row(10), 9), "no room left by others");
+    assert!(!pipeline.complete(RequestNumber(3), row(10), 9), "no space left by other connections");
     assert!(
         pipeline.complete(RequestNumber(0), row(3 * MAX_BUFFERED_BYTES), 0),
-        "the first is written at once"
+        "the first response is written at once"
     );
     let lengths: Vec<_> = drain(&mut pipeline)
         .into_iter()
@@ -88,10 +90,10 @@
     assert!(pipeline.has_capacity());
 }
 
-/// Guards against an error that costs a client the requests behind it, and against one who never asks anything
-/// usable and keeps its connection.
+/// Guards against an error that loses the requests after it, and against a client that keeps its connection
+/// without ever sending a well-formed request.
 #[test]
-fn an_unusable_request_keeps_its_place() {
+fn malformed_request_keeps_its_place() {
     let mut pipeline = Pipeline::default();
     (0..3).for_each(|n| pipeline.push_request(RequestNumber(n), 0));
     pipeline.complete(RequestNumber(1), FinalResponse::Malformed("unknown"), usize::MAX);
@@ -101,28 +103,28 @@
     for n in 0..3 {
         pipeline.complete(RequestNumber(n), FinalResponse::Failed, usize::MAX);
     }
-    let unusable = |what| NextWrite::Response(FinalResponse::Malformed(what));
+    let malformed = |message| NextWrite::Response(FinalResponse::Malformed(message));
     let failed = || NextWrite::Response(FinalResponse::Failed);
-    assert_eq!(drain(&mut pipeline), [failed(), unusable("unknown"), failed(), unusable("no id")]);
-    let mut first = Pipeline::default();
-    first.push_malformed("no id");
+    assert_eq!(drain(&mut pipeline), [failed(), malformed("unknown"), failed(), malformed("no id")]);
+    let mut empty = Pipeline::default();
+    empty.push_malformed("no id");
     let violation = ProtocolViolation { code: "08P01", message: "no id" };
     assert_eq!(
-        drain(&mut first),
+        drain(&mut empty),
         [NextWrite::Close(Closing { reason: "malformed_request", violation: Some(violation) })]
     );
-    let mut alone = Pipeline::default();
-    alone.push_request(RequestNumber(9), 0);
-    assert!(alone.complete(RequestNumber(9), FinalResponse::Malformed("no id"), usize::MAX));
+    let mut single = Pipeline::default();
+    single.push_request(RequestNumber(9), 0);
+    assert!(single.complete(RequestNumber(9), FinalResponse::Malformed("no id"), usize::MAX));
     assert_eq!(
-        drain(&mut alone),
+        drain(&mut single),
         [NextWrite::Close(Closing { reason: "malformed_request", violation: Some(violation) })]
     );
 }
 
-/// Guards against an end that cuts off what was asked before it.
+/// Guards against closing the connection before the responses to earlier commands are written.
 #[test]
-fn an_end_waits_for_the_answers_before_it() {
+fn close_waits_for_earlier_responses() {
     let mut pipeline = Pipeline::default();
     pipeline.push_request(RequestNumber(0), 0);
     pipeline.close("terminated", None);
@@ -138,15 +140,15 @@
     );
 }
 
-/// Guards against an answer that passes through and lets others by, or is answered a second time.
+/// Guards against a streamed response that is overtaken by others, or followed by a second response.
 #[test]
-fn an_answer_that_passes_through_keeps_its_turn() {
+fn streamed_response_keeps_its_place() {
     let mut pipeline = Pipeline::default();
     (0..3).for_each(|n| pipeline.push_request(RequestNumber(n), 10));
     assert_eq!(pipeline.start_stream(RequestNumber(1)), Some(false));
-    assert_eq!(pipeline.start_stream(RequestNumber(1)), None, "it has begun");
-    assert!(!pipeline.complete(RequestNumber(1), FinalResponse::Failed, usize::MAX), "a second answer");
-    assert_eq!(pipeline.next_write(true), None, "the one before it is open");
+    assert_eq!(pipeline.start_stream(RequestNumber(1)), None, "the stream has already started");
+    assert!(!pipeline.complete(RequestNumber(1), FinalResponse::Failed, usize::MAX), "a second response");
+    assert_eq!(pipeline.next_write(true), None, "the request before it is open");
     assert!(pipeline.complete(RequestNumber(0), rejected(0), usize::MAX));
     assert_eq!(pipeline.next_write(true), Some(NextWrite::Response(rejected(0))));
     pipeline.complete(RequestNumber(2), rejected(2), usize::MAX);
@@ -160,10 +162,10 @@
     assert_eq!((pipeline.buffered_bytes(), pipeline.is_empty()), (0, true));
 }
 
-/// Guards against a cancel that answers what has an answer, cuts off one that has begun, leaves a request open, or
-/// answers one twice.
+/// Guards against a cancellation that replaces or truncates a response, leaves a request open, or completes
+/// one twice.
 #[test]
-fn a_cancel_ends_what_is_open_in_its_place() {
+fn cancel_completes_open_requests_in_place() {
     let mut pipeline = Pipeline::default();
     (0..4).for_each(|n| pipeline.push_request(RequestNumber(n), 10));
     pipeline.push_empty_query();
@@ -172,7 +174,7 @@
     assert!(pipeline.is_open(RequestNumber(0)) && pipeline.is_open(RequestNumber(3)));
     assert_eq!(pipeline.cancel_open(), [RequestNumber(0), RequestNumber(3)]);
     assert!((0..4).all(|n| !pipeline.is_open(RequestNumber(n))));
-    assert!(!pipeline.complete(RequestNumber(3), rejected(3), usize::MAX), "a second answer");
+    assert!(!pipeline.complete(RequestNumber(3), rejected(3), usize::MAX), "a second response");
     assert_eq!(pipeline.next_write(true), Some(NextWrite::Response(FinalResponse::Cancelled)));
     assert_eq!(pipeline.next_write(true), Some(NextWrite::Stream(RequestNumber(1))));
     pipeline.finish_stream();
@@ -183,5 +185,5 @@
     ];
     assert_eq!(drain(&mut pipeline), rest);
     assert_eq!((pipeline.buffered_bytes(), pipeline.cancel_open()), (0, vec![]));
-    assert!(pipeline.has_capacity(), "the connection goes on");
+    assert!(pipeline.has_capacity(), "the connection stays open");
 }
