--- a/crates/protocol/tests/cancel_request.rs
+++ b/crates/protocol/tests/cancel_request.rs
@@ -25,8 +25,8 @@
 #[test]
 fn cancel_request_is_parsed_without_response() {
     let complete = b"\0\0\0\x10\x04\xd2\x16\x2e\x01\x02\x03\x04\xa1\xb2\xc3\xd4";
-    for length in 0..complete.len() {
-        assert_eq!(session(&complete[..length]).advance(), Ok(None), "{length} bytes");
+    for prefix_length in 0..complete.len() {
+        assert_eq!(session(&complete[..prefix_length]).advance(), Ok(None), "{prefix_length} bytes");
     }
     let mut session = session(complete);
     assert_eq!(session.advance(), Ok(Some(Command::Cancel(Some(KEY)))));
--- a/crates/protocol/tests/member_response.rs
+++ b/crates/protocol/tests/member_response.rs
@@ -41,9 +41,9 @@
     write_row_description(&mut forwarded);
     write_row(&mut forwarded, value_length);
     write_command_complete(&mut forwarded);
-    let mut complete = forwarded.clone();
-    write_ready(&mut complete);
-    (forwarded, complete)
+    let mut input = forwarded.clone();
+    write_ready(&mut input);
+    (forwarded, input)
 }
 
 /// Feeds bytes to the reader in pieces of a length, and returns the events in order, or the first error.
@@ -110,9 +110,9 @@
 #[test]
 fn long_value_is_streamed_from_its_first_byte() {
     let (_, input) = response(MAX_BUFFERED_ROW_BYTES + 1);
-    let mut description = Vec::new();
-    write_row_description(&mut description);
-    let first = description.len() + ROW_HEADER_BYTES + 1;
+    let mut description_only = Vec::new();
+    write_row_description(&mut description_only);
+    let first = description_only.len() + ROW_HEADER_BYTES + 1;
     let mut reader = ResponseReader::default();
     assert!(feed(&mut reader, &input[..first - 1], 1).expect("well formed").is_empty());
     let events = feed(&mut reader, &input[first - 1..first], 1).expect("well formed");
@@ -186,10 +186,10 @@
         reader.accepts_no_row = true;
         // `accepts_no_row` stays set for the second response.
         for _ in 0..2 {
-            let (messages, parts, complete) = collect(feed(&mut reader, &bytes, piece).expect("well formed"));
-            let complete = complete.expect("complete");
-            assert_eq!((messages, parts), (forwarded.clone(), 0));
-            assert_eq!((complete.kind, complete.applied_ms), (ResponseKind::NoRow, Some(1_767_225_600_123)));
+            let (messages, streamed, end) = collect(feed(&mut reader, &bytes, piece).expect("well formed"));
+            let end = end.expect("complete");
+            assert_eq!((messages, streamed), (forwarded.clone(), 0));
+            assert_eq!((end.kind, end.applied_ms), (ResponseKind::NoRow, Some(1_767_225_600_123)));
         }
     }
     assert!(feed(&mut ResponseReader::default(), &bytes, 9).is_err());
--- a/crates/protocol/tests/pipeline.rs
+++ b/crates/protocol/tests/pipeline.rs
@@ -103,7 +103,7 @@
     for n in 0..3 {
         pipeline.complete(RequestNumber(n), FinalResponse::Failed, usize::MAX);
     }
-    let malformed = |message| NextWrite::Response(FinalResponse::Malformed(message));
+    let malformed = |reason| NextWrite::Response(FinalResponse::Malformed(reason));
     let failed = || NextWrite::Response(FinalResponse::Failed);
     assert_eq!(drain(&mut pipeline), [failed(), malformed("unknown"), failed(), malformed("no id")]);
     let mut empty = Pipeline::default();
--- a/crates/transport/tests/gossip.rs
+++ b/crates/transport/tests/gossip.rs
@@ -37,7 +37,8 @@
         matches!(&events[0], Some(ProxyEvent::ZoneShares(shares)) if shares[0].1 == 1.0),
         "only the newest shares are reported"
     );
-    let is_expected = |updates: &[StateUpdate]| updates == [StateUpdate::Suspected { member: 7, since: 3 }];
+    let is_expected =
+        |state_updates: &[StateUpdate]| state_updates == [StateUpdate::Suspected { member: 7, since: 3 }];
     assert!(matches!(&events[1], Some(ProxyEvent::StateUpdates(updates)) if is_expected(updates)));
     assert!(events[2].is_none());
 }
