--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -20,7 +20,7 @@
     HeadTooLong,
     /// The head is not UTF-8.
     #[error("HTTP response head is not UTF-8")]
-    HeadNotText,
+    HeadNotUtf8,
     /// The status line states another protocol.
     #[error("response is not HTTP/1.x")]
     NotHttp,
@@ -130,7 +130,7 @@
         let Some(end) = find(bytes, HEAD_END) else {
             return if bytes.len() > MAX_HEAD_BYTES { Err(HttpError::HeadTooLong) } else { Ok(None) };
         };
-        let text = std::str::from_utf8(&bytes[..end]).map_err(|_| HttpError::HeadNotText)?;
+        let text = std::str::from_utf8(&bytes[..end]).map_err(|_| HttpError::HeadNotUtf8)?;
         let head = Head::parse(text)?;
         self.buffer.consume(end + HEAD_END.len());
         Ok(Some(head))
