--- a/crates/protocol/src/member_response.rs
+++ b/crates/protocol/src/member_response.rs
@@ -46,7 +46,7 @@
     /// A row.
     Row,
     /// Rejected without an effect: the member is not the primary, or its log is too far behind.
-    Misrouted,
+    Ineligible,
     /// Rejected before execution: the member is at capacity, draining, or has too many connections.
     Overloaded,
     /// The member is not ready yet.
@@ -316,7 +316,7 @@
             None if self.rows == 1 && self.is_completed => ResponseKind::Row,
             None if self.is_described && self.is_finished(accepts_no_row) => ResponseKind::NoRow,
             None if self.rows == 0 => ResponseKind::Done,
-            Some(b"25006" | b"72000") => ResponseKind::Misrouted,
+            Some(b"25006" | b"72000") => ResponseKind::Ineligible,
             Some(b"53300") => ResponseKind::Overloaded,
             Some(b"57P03") => ResponseKind::NotReady,
             _ => ResponseKind::Error,
--- a/crates/protocol/tests/pipeline.rs
+++ b/crates/protocol/tests/pipeline.rs
@@ -103,7 +103,7 @@
     for n in 0..3 {
         pipeline.complete(RequestNumber(n), FinalResponse::Failed, usize::MAX);
     }
-    let malformed = |reason| NextWrite::Response(FinalResponse::Malformed(reason));
+    let malformed = |text| NextWrite::Response(FinalResponse::Malformed(text));
     let failed = || NextWrite::Response(FinalResponse::Failed);
     assert_eq!(drain(&mut pipeline), [failed(), malformed("unknown"), failed(), malformed("no id")]);
     let mut empty = Pipeline::default();
--- a/crates/transport/src/gossip/updates.rs
+++ b/crates/transport/src/gossip/updates.rs
@@ -38,7 +38,7 @@
 }
 
 impl UpdateQueue {
-    /// Creates an empty queue that knows the write records of a snapshot.
+    /// Creates an empty queue with the write records of a snapshot.
     pub fn new(updates: RingReceiver<GossipUpdate>, write_records: Vec<WriteRecord>) -> UpdateQueue {
         let mut in_doubt_writes = InDoubtWrites::new(MAX_ENTRIES);
         for record in write_records {
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Records the outcome of one of this proxy's own writes. It takes effect at once, even if the worker is
-    /// stalled.
+    /// Records the outcome of a write as observed by this proxy itself. It takes effect at once, even if the
+    /// worker is stalled.
     pub fn record_write_outcome(&mut self, now: Micros, write: u64, outcome: WriteOutcome) {
         self.in_doubt_writes.expire(now);
         self.in_doubt_writes.merge(WriteRecord { write, outcome, refreshed_at: now });
--- a/crates/transport/src/member_pool/connection.rs
+++ b/crates/transport/src/member_pool/connection.rs
@@ -200,7 +200,7 @@
         self.last_used = now;
         let outcome = match response.kind {
             ResponseKind::Row | ResponseKind::NoRow => AttemptOutcome::Ok,
-            ResponseKind::Misrouted => AttemptOutcome::Misrouted,
+            ResponseKind::Ineligible => AttemptOutcome::Misrouted,
             ResponseKind::Overloaded => AttemptOutcome::Overloaded,
             ResponseKind::NotReady | ResponseKind::Done | ResponseKind::Error => AttemptOutcome::Error,
         };
