--- a/crates/rollout/src/agent/mod.rs
+++ b/crates/rollout/src/agent/mod.rs
@@ -1,4 +1,5 @@
-//! The agents on the members' machines: the protocol, and the poller that observes members through it.
+//! The protocol of the agents on the members' machines, and the poller that observes the members through
+//! them.
 
 mod poller;
 mod protocol;
--- a/crates/rollout/src/agent/protocol.rs
+++ b/crates/rollout/src/agent/protocol.rs
@@ -1,72 +1,73 @@
-//! The protocol between a proxy and the agent on a member's machine: one JSON object in a datagram, since agents are
-//! programs of others. An agent answers every request with an [`AgentStatus`] that has the request's number.
+//! The protocol between a proxy and the agent on a member's machine: one JSON object per datagram, since
+//! agents are independent programs. An agent answers every request with an [`AgentStatus`] that has the
+//! request's number.
 
 use crate::{Incarnation, Version};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The largest datagram that is accepted from an agent, in bytes.
+/// The maximum size of a datagram from an agent, in bytes.
 const MAX_STATUS_BYTES: usize = 1024;
 
 /// A request to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentRequest {
-    /// The status that answers it has the same number.
+    /// The sequence number, which the agent repeats in its status.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// What the agent is to do.
+    /// The command to the agent.
     #[serde(flatten)]
     pub command: AgentCommand,
 }
 
-/// What an agent is to do.
+/// A command to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
 pub enum AgentCommand {
-    /// Nothing but report its status.
+    /// Only report the status.
     Status,
-    /// End this incarnation and start that version: at any other incarnation nothing is done.
+    /// End this incarnation and start that version. At any other incarnation the agent does nothing.
     #[serde(rename = "leave")]
     Restart {
-        /// The incarnation that is to end.
+        /// The incarnation to end.
         #[serde(rename = "launch")]
         incarnation: Incarnation,
-        /// The version that is to start.
+        /// The version to start.
         version: Version,
-        /// Whether to do so only while the member does not serve.
+        /// Whether to restart only while the member does not serve.
         #[serde(rename = "down")]
         only_if_down: bool,
     },
-    /// Hand the group of this primary, at this incarnation of it, over to a healthy replica.
+    /// Hand over the group of this primary, at this incarnation of it, to a healthy replica.
     HandOver {
-        /// The incarnation.
+        /// The incarnation of the primary.
         #[serde(rename = "launch")]
         incarnation: Incarnation,
     },
 }
 
-/// An agent's answer: the current state of its member.
+/// An agent's reply: the current state of its member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentStatus {
-    /// The number of the request.
+    /// The sequence number of the request.
     #[serde(rename = "number")]
     pub sequence: u64,
     /// The member's incarnation, as service discovery reports it (`born_ms`).
     #[serde(rename = "launch")]
     pub incarnation: Incarnation,
-    /// The version that it runs.
+    /// The version that the member runs.
     pub version: Version,
-    /// Whether it serves.
+    /// Whether the member serves.
     pub ready: bool,
 }
 
-/// Why a datagram is rejected.
+/// The reason why a datagram is rejected.
 #[derive(Debug, Error)]
 pub enum InvalidDatagram {
-    /// It is longer than any status.
-    #[error("{0} bytes are too long")]
+    /// The datagram is longer than any valid status.
+    #[error("agent status is too long: {0} bytes")]
     TooLong(usize),
-    /// It is not the expected JSON object.
+    /// The datagram is not the expected JSON object.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
@@ -81,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// If it is malformed.
+    /// Returns an error if the datagram is malformed.
     pub fn from_bytes(bytes: &[u8]) -> Result<AgentRequest, InvalidDatagram> {
         Ok(serde_json::from_slice(bytes)?)
     }
@@ -97,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// If it is too long or malformed.
+    /// Returns an error if the datagram is too long or malformed.
     pub fn from_bytes(bytes: &[u8]) -> Result<AgentStatus, InvalidDatagram> {
         if bytes.len() > MAX_STATUS_BYTES {
             return Err(InvalidDatagram::TooLong(bytes.len()));
--- a/crates/rollout/src/budget.rs
+++ b/crates/rollout/src/budget.rs
@@ -4,29 +4,30 @@
 use std::collections::BTreeMap;
 use twox_hash::XxHash3_64;
 
-/// How many nodes may be out at the same time, whatever the cause.
+/// The number of nodes that may be out of service at the same time, whatever the cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct DisruptionBudget {
-    /// Of each group.
+    /// The limit for each group.
     pub per_group: u32,
-    /// Of each zone.
+    /// The limit for each zone.
     pub per_zone: u32,
-    /// Of the whole fleet.
+    /// The limit for the whole fleet.
     pub fleet: u32,
-    /// How many permit servers are configured; [`Inventory::permit_servers`] says how many of them are used.
+    /// The number of configured permit servers. [`Inventory::permit_servers`] is the number that is used.
     pub permit_servers: u32,
 }
 
 /// The kind of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NodeKind {
-    /// A member of a replicated group. The group keeps one replica for reads, and its primary until that is handed over.
+    /// A member of a replicated group. The group always keeps one replica for reads, and keeps its
+    /// primary until the primary role has been handed over.
     Member,
     /// A proxy. The proxies of a zone form a group without roles.
     Proxy,
 }
 
-/// A node that may go out, and where it counts.
+/// A node that may be taken out of service, and the group and zone whose budgets it counts against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     /// The node's id.
@@ -62,7 +63,8 @@
         self.permit_servers
     }
 
-    /// A hash of the whole inventory and budget: a permit server grants nothing to a controller whose hash differs.
+    /// A hash of the whole inventory and budget. A permit server grants no permits to a controller whose
+    /// hash differs.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -72,8 +74,8 @@
         self.budget
     }
 
-    /// The permit server that owns a group. It depends on the group's number alone, so that it stays the same as nodes
-    /// come and go.
+    /// Returns the permit server that owns a group. It depends only on the group's number, so it does not
+    /// change when nodes are added or removed.
     pub fn server_of_group(&self, group: u32) -> PermitServerId {
         group % self.permit_servers
     }
@@ -88,7 +90,7 @@
         self.budget.fleet / self.permit_servers
     }
 
-    /// Looks a node up.
+    /// Looks up a node.
     pub fn node(&self, id: NodeId) -> Option<Node> {
         self.nodes.get(&id).copied()
     }
@@ -98,38 +100,38 @@
         self.nodes.values()
     }
 
-    /// The order in which a rollout upgrades the nodes. Primaries come last, since their groups can then be handed over
-    /// to upgraded replicas. Within that, one node of each group follows the other, which spreads a wave over groups,
-    /// zones and permit servers.
+    /// Returns the order in which a rollout upgrades the nodes. Primaries come last, since their groups
+    /// can then be handed over to upgraded replicas. Within primaries and non-primaries, the order takes
+    /// one node of each group in turn, which spreads a wave over groups, zones and permit servers.
     pub fn upgrade_order(&self, is_primary: impl Fn(NodeId) -> bool) -> Vec<NodeId> {
         let mut group_sizes = BTreeMap::<u32, u32>::new();
-        let mut keyed: Vec<(bool, u32, u32, NodeId)> = Vec::new();
+        let mut sort_keys: Vec<(bool, u32, u32, NodeId)> = Vec::new();
         for node in self.nodes.values() {
             let position_in_group = group_sizes.entry(node.group).or_default();
             *position_in_group += 1;
-            keyed.push((is_primary(node.id), *position_in_group, node.group, node.id));
+            sort_keys.push((is_primary(node.id), *position_in_group, node.group, node.id));
         }
-        keyed.sort_unstable();
-        keyed.into_iter().map(|(.., id)| id).collect()
+        sort_keys.sort_unstable();
+        sort_keys.into_iter().map(|(.., id)| id).collect()
     }
 }
 
-/// The most permit servers that each get an even quota of the zones' and the fleet's budgets: a server without a quota
-/// could never let any of its groups' nodes out.
+/// Returns the largest number of permit servers that can each get an equal quota of the zone and fleet
+/// budgets. A server without a quota could never grant a permit for any node of its groups.
 fn usable_permit_servers(budget: &DisruptionBudget) -> u32 {
     let divides_evenly =
         |servers: &u32| budget.per_zone.is_multiple_of(*servers) && budget.fleet.is_multiple_of(*servers);
-    let most = budget.permit_servers.min(budget.per_zone).min(budget.fleet);
-    (1..=most).rev().find(divides_evenly).unwrap_or(1)
+    let max_servers = budget.permit_servers.min(budget.per_zone).min(budget.fleet);
+    (1..=max_servers).rev().find(divides_evenly).unwrap_or(1)
 }
 
 fn digest(nodes: &BTreeMap<NodeId, Node>, budget: &DisruptionBudget, permit_servers: u32) -> u64 {
-    let mut numbers: Vec<u64> =
+    let mut fields: Vec<u64> =
         [budget.per_group, budget.per_zone, budget.fleet, permit_servers].map(u64::from).to_vec();
     for node in nodes.values() {
         let kind = u64::from(node.kind == NodeKind::Proxy);
-        numbers.extend([node.id, u64::from(node.group), u64::from(node.zone), kind]);
+        fields.extend([node.id, u64::from(node.group), u64::from(node.zone), kind]);
     }
-    let bytes: Vec<u8> = numbers.iter().flat_map(|number| number.to_le_bytes()).collect();
+    let bytes: Vec<u8> = fields.iter().flat_map(|field| field.to_le_bytes()).collect();
     XxHash3_64::oneshot(&bytes)
 }
--- a/crates/rollout/src/canary/counter.rs
+++ b/crates/rollout/src/canary/counter.rs
@@ -1,27 +1,28 @@
-//! One proxy's counts for each rollout: the outcomes of its attempts, by whether the member was upgraded.
+//! The outcomes of one proxy's attempts for each rollout, divided by whether the member was upgraded.
 
 use super::{AttemptCounts, CanaryCounts};
 use crate::{FleetView, Incarnation, NodeId, Rollout, RolloutId, UpgradeState};
 use std::collections::BTreeMap;
 
-/// The attempts at a member since the view before.
+/// The attempts at a member since the previous view.
 struct NewAttempts {
     member: NodeId,
     incarnation: Incarnation,
     attempts: AttemptCounts,
 }
 
-/// Attributes the attempts of a proxy to the rollouts that it knows.
+/// Attributes a proxy's attempts to the rollouts that it knows.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptCounter {
-    /// Each member's counts in the view before.
+    /// Each member's counts in the previous view.
     last: BTreeMap<NodeId, AttemptCounts>,
     counts: BTreeMap<RolloutId, CanaryCounts>,
 }
 
 impl AttemptCounter {
-    /// Counts the attempts since the view before, and returns the new counts of each unfinished rollout. A member in
-    /// transition counts for neither side: its failures are those of going out and coming back.
+    /// Counts the attempts since the previous view, and returns the new counts of each unfinished
+    /// rollout. A member that is being restarted counts for neither side, since its failures are caused
+    /// by the restart.
     pub fn count<'a>(
         &mut self,
         rank: u64,
@@ -31,7 +32,7 @@
         let new = self.new_attempts(view);
         let mut counts = BTreeMap::new();
         for rollout in rollouts.filter(|rollout| !rollout.is_finished()) {
-            // A process that has just started continues from the counts that the one before it published.
+            // A process that has just started continues from the counts that its predecessor published.
             let published = || rollout.counts.get(&rank).copied().unwrap_or_default();
             let before = self.counts.get(&rollout.id).copied().unwrap_or_else(published);
             counts.insert(rollout.id, attribute(rollout, before, &new));
@@ -52,7 +53,8 @@
     }
 }
 
-/// Adds attempts to a rollout's counts, each to the side that its member is on.
+/// Adds attempts to a rollout's counts: those at upgraded members to the canary, those at the others to
+/// the baseline.
 fn attribute(rollout: &Rollout, mut counts: CanaryCounts, new: &[NewAttempts]) -> CanaryCounts {
     for NewAttempts { member, incarnation, attempts } in new {
         match rollout.state_of(*member) {
--- a/crates/rollout/src/canary/counts.rs
+++ b/crates/rollout/src/canary/counts.rs
@@ -1,16 +1,16 @@
-//! Counts of attempts.
+//! Counts of attempts and their outcomes.
 
 use serde::{Deserialize, Serialize};
 
-/// The attempts that were answered, and those of them that failed or were late. The encoding is positional: the order
-/// of the fields is part of the wire format.
+/// The number of attempts that were answered, and the numbers of those that failed or were late. The
+/// encoding is positional: the order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptCounts {
-    /// All answered attempts.
+    /// The number of answered attempts.
     pub answered: u64,
-    /// Rejections and errors.
+    /// The number of rejections and errors.
     pub failed: u64,
-    /// Answers that missed the latency objective of their class.
+    /// The number of answers that missed the latency objective of their class.
     pub late: u64,
 }
 
@@ -23,23 +23,24 @@
         }
     }
 
-    /// The sum of two counts.
+    /// Returns the sum of two counts.
     pub fn plus(&self, other: &AttemptCounts) -> AttemptCounts {
         self.combine(other, u64::saturating_add)
     }
 
-    /// The increase since an earlier reading of the same counts.
+    /// Returns the increase since an earlier reading of the same counts.
     pub fn since(&self, earlier: &AttemptCounts) -> AttemptCounts {
         self.combine(earlier, u64::saturating_sub)
     }
 }
 
-/// The attempts at the upgraded members and at the others that one proxy counted. Each count only grows.
+/// One proxy's counts of the attempts at the upgraded members and at the others. The counts never
+/// decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CanaryCounts {
-    /// At the upgraded members.
+    /// The attempts at the upgraded members.
     pub canary: AttemptCounts,
-    /// At the others.
+    /// The attempts at the other members.
     pub baseline: AttemptCounts,
 }
 
@@ -51,12 +52,12 @@
         }
     }
 
-    /// The sum of two proxies' counts.
+    /// Returns the sum of two proxies' counts.
     pub fn plus(&self, other: &CanaryCounts) -> CanaryCounts {
         self.combine(other, u64::saturating_add)
     }
 
-    /// The increase since an earlier reading of the same counts.
+    /// Returns the increase since an earlier reading of the same counts.
     pub fn since(&self, earlier: &CanaryCounts) -> CanaryCounts {
         self.combine(earlier, u64::saturating_sub)
     }
--- a/crates/rollout/src/canary/mod.rs
+++ b/crates/rollout/src/canary/mod.rs
@@ -1,4 +1,5 @@
-//! Canary analysis: counts of attempts at the upgraded members and the others, and a sequential test on them.
+//! Canary analysis: counts of the attempts at upgraded members and at the others, and a sequential test
+//! of these counts.
 
 mod analysis;
 mod counter;
--- a/crates/rollout/src/config.rs
+++ b/crates/rollout/src/config.rs
@@ -5,23 +5,26 @@
 /// The timing and policy settings of permits and rollouts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RolloutConfig {
-    /// An observation counts for this long, measured from when the node was polled. A node without a newer one counts
-    /// as out.
+    /// The validity period of an observation, measured from when the node was polled. A node without a
+    /// newer observation counts as out of service.
     pub observation_ttl: Micros,
-    /// How often an idle permit server is polled, and how often an order or a handover is repeated.
+    /// The interval at which an idle permit server is polled, and at which an order or a handover is
+    /// repeated.
     pub retry_interval: Micros,
-    /// A node that is not back and healthy this long after its restart order halts the rollout.
+    /// The time after its restart order within which a node must be healthy again. The rollout halts if
+    /// it is not.
     pub ready_timeout: Micros,
-    /// The longest time that a finished wave is watched before the next one starts; the canary analysis may accept it
-    /// earlier.
+    /// The longest time for which a finished wave is observed before the next one starts. The canary
+    /// analysis may accept the wave earlier.
     pub soak_time: Micros,
-    /// How often the canary analysis runs.
+    /// The interval between evaluations of the canary analysis.
     pub analysis_interval: Micros,
-    /// A proxy that was not heard from for this long is not considered in the leader election.
+    /// The time without a message from a proxy after which the leader election ignores it.
     pub peer_timeout: Micros,
-    /// Whether a rollout that is halted by its own checks rolls back by itself, or waits for an operator.
+    /// Whether a rollout that is halted by its own checks rolls back automatically. Otherwise it waits
+    /// for an operator.
     pub automatic_rollback: bool,
-    /// How many restarts of one node are ordered before the rollout halts.
+    /// The number of restarts of one node that are ordered before the rollout halts.
     pub max_attempts: u32,
 }
 
--- a/crates/rollout/src/controller/health_gate.rs
+++ b/crates/rollout/src/controller/health_gate.rs
@@ -1,21 +1,21 @@
-//! The health gates of a rollout: the canary analysis, the time that a member may take to come back, and the conditions
-//! under which the next wave may start.
+//! The health gates of a rollout: the canary analysis, the time-out for restarted members, and the
+//! conditions for the start of the next wave.
 
 use super::{RolloutController, Tick};
 use crate::{CanaryVerdict, HaltReason, NodeId, Phase, UpgradeState};
 
 impl RolloutController {
-    /// Evaluates the canary analysis, and checks the upgraded members that are not healthy.
+    /// Runs the canary analysis if it is due, and checks the upgraded members that are not healthy.
     pub(super) fn check_canaries(&self, tick: &mut Tick) {
-        let is_due = tick.now - tick.work.last_analysis_at >= self.config.analysis_interval;
+        let is_due = tick.now - tick.local_state.last_analysis_at >= self.config.analysis_interval;
         if tick.rollout.phase() != Phase::Forward || !is_due {
             return;
         }
-        tick.work.last_analysis_at = tick.now;
+        tick.local_state.last_analysis_at = tick.now;
         self.analyze_canaries(tick);
         for id in upgraded_members(tick) {
             if self.is_healthy(id) {
-                tick.work.transitions.remove(&id);
+                tick.local_state.transitions.remove(&id);
             } else {
                 self.check_ready_timeout(tick, id);
             }
@@ -33,11 +33,11 @@
         }
     }
 
-    /// Halts a rollout if a member takes too long to come back, or was restarted too often.
+    /// Halts a rollout if a member takes too long to become healthy again or was restarted too often.
     pub(super) fn check_ready_timeout(&self, tick: &mut Tick, id: NodeId) {
         let incarnation = self.observations.get(&id).map_or(0, |observation| observation.incarnation);
         let now = tick.now;
-        let transition = *tick.work.transition(id, now, incarnation);
+        let transition = *tick.local_state.transition(id, now, incarnation);
         let is_late = now - transition.since >= self.config.ready_timeout;
         let has_too_many_attempts = transition.attempts > self.config.max_attempts;
         if tick.rollout.phase() == Phase::Forward && (is_late || has_too_many_attempts) {
@@ -45,20 +45,21 @@
         }
     }
 
-    /// Whether a wave may start: another controller started it, or all members before it are healthy now and either the
-    /// soak time is over or the canary analysis accepts them.
+    /// Returns whether a wave may start. It may if another controller has started it. Otherwise all
+    /// members of the earlier waves must be healthy now, and either the soak time has passed or the
+    /// canary analysis accepts them.
     pub(super) fn may_start_wave(&self, tick: &mut Tick, wave: usize) -> bool {
-        tick.work.enter_wave(wave);
-        if tick.work.is_wave_started || wave == 0 || is_any_touched(tick, wave) {
+        tick.local_state.enter_wave(wave);
+        if tick.local_state.is_wave_started || wave == 0 || is_any_touched(tick, wave) {
             return true;
         }
         if !self.are_earlier_waves_healthy(tick, wave) {
-            tick.work.soaking_since = None;
+            tick.local_state.soaking_since = None;
             return false;
         }
-        let soaking_since = *tick.work.soaking_since.get_or_insert(tick.now);
+        let soaking_since = *tick.local_state.soaking_since.get_or_insert(tick.now);
         let is_soaked = tick.now - soaking_since >= self.config.soak_time;
-        let was_analyzed_since = tick.work.last_analysis_at > soaking_since;
+        let was_analyzed_since = tick.local_state.last_analysis_at > soaking_since;
         is_soaked || tick.rollout.analysis.is_wave_accepted() && was_analyzed_since
     }
 
@@ -77,7 +78,7 @@
     tick.rollout.touched_members().filter(|(_, state)| is_upgraded(state)).map(|(id, _)| id).collect()
 }
 
-/// Whether any member of a wave is no longer pending.
+/// Returns whether any member of a wave is no longer pending.
 fn is_any_touched(tick: &Tick, wave: usize) -> bool {
     let mut members = tick.rollout.waves.get(wave).into_iter().flatten();
     members.any(|id| tick.rollout.state_of(*id) != UpgradeState::Pending)
--- a/crates/rollout/src/controller/next_step.rs
+++ b/crates/rollout/src/controller/next_step.rs
@@ -1,22 +1,23 @@
-//! What is next for one member of a rollout, from how far it is, what was observed of it, and the phase.
+//! The next step for one member of a rollout, derived from its upgrade state, its last observation and
+//! the rollout's phase.
 
 use crate::{Incarnation, NodeObservation, Phase, Rollout, UpgradeState, Version};
 
-/// What is next for one member.
+/// The next step for one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextStep {
-    /// Nothing, or nothing before something else happens.
+    /// No step, or none until something else happens.
     Nothing,
-    /// The member is in transition.
+    /// The member is restarting; wait for it.
     Await,
-    /// This incarnation is to end and that version to start. It takes a permit for the incarnation, and is repeated until
-    /// it is observed.
+    /// End this incarnation and start that version. This requires a permit for the incarnation, and is
+    /// repeated until the restart is observed.
     Restart(Incarnation, Version),
     /// The member was observed to have reached this state.
     Reached(UpgradeState),
 }
 
-/// What is next for a member. `has_permit`: the rollout holds a permit for it.
+/// Returns the next step for a member. `has_permit` is whether the rollout holds a permit for it.
 pub(super) fn next_step(
     rollout: &Rollout,
     state: UpgradeState,
@@ -38,14 +39,15 @@
         UpgradeState::Pending if runs_target && observation.healthy => {
             NextStep::Reached(UpgradeState::Upgraded(current))
         }
-        // Another controller restarted it, which is not known here yet.
+        // Another controller restarted it, and this one has not received that state yet.
         UpgradeState::Pending if runs_target => NextStep::Await,
         UpgradeState::Pending => NextStep::Restart(current, rollout.target),
         UpgradeState::Ordered(ordered) if current == ordered => NextStep::Restart(ordered, rollout.target),
         UpgradeState::Ordered(ordered) if current > ordered && observation.healthy && runs_target => {
             NextStep::Reached(UpgradeState::Upgraded(current))
         }
-        // It ended by itself before the order arrived, and restarted with its old version: the order is void.
+        // The process ended for another reason before the order arrived, and restarted with its old
+        // version, so the order has no effect.
         UpgradeState::Ordered(ordered) if current > ordered && observation.healthy => {
             NextStep::Restart(current, rollout.target)
         }
@@ -54,7 +56,8 @@
     }
 }
 
-/// An order that may have been sent can't be revoked: it is repeated until it is followed.
+/// Returns the next step in a halted rollout. An order that may have been sent can't be revoked, so it is
+/// repeated until the member has followed it.
 fn next_halted(rollout: &Rollout, state: UpgradeState, observation: &NodeObservation) -> NextStep {
     let current = observation.incarnation;
     let is_upgraded = observation.healthy && observation.version == rollout.target;
@@ -78,7 +81,7 @@
     let restart = NextStep::Restart(current, rollout.rollback_version());
     let runs_other_version = observation.version != rollout.target;
     match state {
-        // A permit that others learned of can't be returned: it is used, to start the old version.
+        // A shared permit can't be returned, so it is used to start the old version.
         UpgradeState::Pending | UpgradeState::RolledBack if has_permit => restart,
         UpgradeState::Pending | UpgradeState::RolledBack => NextStep::Nothing,
         UpgradeState::Ordered(ordered) | UpgradeState::RollbackOrdered(ordered) if current == ordered => {
--- a/crates/rollout/src/controller/permits.rs
+++ b/crates/rollout/src/controller/permits.rs
@@ -1,5 +1,5 @@
-//! The controller's side of permits: it requests them, returns those that are not needed, and has primaries handed over
-//! that are to go out.
+//! The controller's side of permits: it requests them, returns those that it does not need, and orders
+//! the handover of primaries that are to be restarted.
 
 use super::{ControllerAction, HeldPermit, PendingReturn, RolloutController, Tick};
 use crate::{Candidate, Micros, NodeId, PermitRequest, PermitReturn, PermitServerId, Phase};
@@ -7,13 +7,14 @@
 use std::collections::BTreeMap;
 
 impl RolloutController {
-    /// Orders the handover of groups whose primaries are to go out, once none of their replicas is to go out before.
+    /// Orders the handover of groups whose primaries are to be restarted, once no replica of the same
+    /// group is a candidate.
     pub(super) fn hand_over_primaries(&self, tick: &mut Tick) {
         for Candidate { id, incarnation } in &tick.candidates {
             if !self.is_primary(*id) || self.has_replica_candidate(&tick.candidates, *id) {
                 continue;
             }
-            let Some(ordered_at) = tick.work.handover_ordered_at.get_mut(id) else { continue };
+            let Some(ordered_at) = tick.local_state.handover_ordered_at.get_mut(id) else { continue };
             if tick.now.saturating_sub(*ordered_at) >= self.config.retry_interval {
                 *ordered_at = tick.now;
                 tick.actions.push(ControllerAction::HandOver(*id, *incarnation));
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Whether a replica of the same group is a candidate.
+    /// Returns whether a replica of the same group is a candidate.
     fn has_replica_candidate(&self, candidates: &[Candidate], id: NodeId) -> bool {
         let group_of = |id: NodeId| self.inventory.node(id).map(|node| node.group);
         candidates
@@ -29,39 +30,39 @@
             .any(|other| other.id != id && group_of(other.id) == group_of(id) && !self.is_primary(other.id))
     }
 
-    /// Returns the permits that the phase has no use for any more, if no order was sent by them and no other process
-    /// knows them.
+    /// Returns the permits that are no longer needed in the current phase to their servers, unless an
+    /// order was sent under the permit or another process knows the permit.
     pub(super) fn return_unused_permits(&self, tick: &mut Tick) {
         let unused: Vec<(NodeId, HeldPermit)> = tick
-            .work
+            .local_state
             .permits
             .iter()
             .filter(|(id, held)| is_unused(tick, **id, held))
             .map(|(id, held)| (*id, *held))
             .collect();
-        for PendingReturn { server, permit } in tick.work.repeated_returns.drain(..) {
+        for PendingReturn { server, permit } in tick.local_state.pending_returns.drain(..) {
             tick.actions.push(ControllerAction::ReturnPermit(server, permit));
         }
         for (id, HeldPermit { server, permit }) in unused {
             let sequence = permit.sequence;
-            tick.work.permits.remove(&id);
-            tick.work.returned.insert(id, sequence);
+            tick.local_state.permits.remove(&id);
+            tick.local_state.returned.insert(id, sequence);
             let returned = PermitReturn { id, sequence, holder: self.process };
             tick.actions.push(ControllerAction::ReturnPermit(server, returned));
         }
     }
 
-    /// Sends the permit servers that are due what is wanted of them. Their responses also list all permits that the
-    /// rollout holds there.
+    /// Sends requests to the permit servers that are due. A response also lists all permits that the
+    /// rollout holds at that server.
     pub(super) fn request_permits(&mut self, tick: &mut Tick) {
         for server in 0..self.inventory.permit_servers() {
-            let next_request_at = *tick.work.next_request_at.entry(server).or_insert(tick.now);
+            let next_request_at = *tick.local_state.next_request_at.entry(server).or_insert(tick.now);
             if tick.now < next_request_at {
                 continue;
             }
             let candidates = self.candidates_of(server, tick);
             let next_request_at = tick.now + self.request_interval(&candidates);
-            tick.work.next_request_at.insert(server, next_request_at);
+            tick.local_state.next_request_at.insert(server, next_request_at);
             let sequence = self.request_sequences.entry(server).or_default();
             *sequence += 1;
             let request = PermitRequest {
@@ -76,7 +77,8 @@
         }
     }
 
-    /// A server from which nothing is wanted is only polled now and then for what other controllers left there.
+    /// Returns the interval until the next request. A server from which no permit is needed is polled
+    /// less often, only to find permits that other controllers requested there.
     fn request_interval(&self, candidates: &[Candidate]) -> Micros {
         let interval = self.config.retry_interval / 4;
         if candidates.is_empty() {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The candidates whose groups a server owns.
+    /// Returns the candidates whose groups a server owns.
     fn candidates_of(&self, server: PermitServerId, tick: &Tick) -> Vec<Candidate> {
         let is_owned = |candidate: &Candidate| {
             self.inventory
@@ -101,7 +103,8 @@
         candidates
     }
 
-    /// Puts zones with the most candidates first: a zone that is left alone has only its own budget at the end.
+    /// Orders the candidates so that zones with the most candidates come first. A zone whose nodes remain
+    /// until the end can use only its own budget then.
     fn sort_by_zone_backlog(&self, candidates: &mut [Candidate]) {
         let zone_of = |candidate: &Candidate| self.inventory.node(candidate.id).map(|node| node.zone);
         let mut backlog = BTreeMap::<Option<u32>, usize>::new();
@@ -112,9 +115,9 @@
     }
 }
 
-/// Whether a permit is to be returned.
+/// Returns whether a permit is to be returned.
 fn is_unused(tick: &Tick, id: NodeId, held: &HeldPermit) -> bool {
-    let was_ordered = tick.work.last_order_at.contains_key(&id);
+    let was_ordered = tick.local_state.last_order_at.contains_key(&id);
     let is_wanted =
         tick.rollout.phase() == Phase::Forward && tick.rollout.members().any(|member| *member == id);
     !was_ordered && !is_wanted && tick.rollout.state_of(id).is_untouched() && !held.permit.shared
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,22 +1,25 @@
-//! Disruption budgets and progressive rollouts. The crate does no I/O: messages, observations of members and the time go
-//! in; messages, orders and log events come out.
+//! Disruption budgets and progressive rollouts. The crate does no I/O: it takes messages, observations of
+//! members and the time, and returns messages, orders and log events.
 //!
-//! Drains by service discovery, operators' cordons, rollouts and failures share one [`DisruptionBudget`] for each group,
-//! each zone and the fleet. Each of a few permit servers owns some of the groups and has a fixed quota of the budget, so
-//! that no server depends on another. A [`Permit`] is for one incarnation of one member and does not expire: it ends when
-//! the member is observed back at a later incarnation and healthy, however long that takes, or when its holder returns
-//! it unused. A [`RestartOrder`] names the incarnation that it ends, and has an effect on that one only: an order that
-//! is delayed or duplicated does nothing.
+//! Drains by service discovery, operators' cordons, rollouts and failures all count against one
+//! [`DisruptionBudget`]. It limits how many nodes may be out of service at the same time in each group,
+//! in each zone and in the fleet. Each of a few permit servers owns some of the groups and has a fixed
+//! quota of the budget, so that no server depends on another. A [`Permit`] covers one incarnation of one
+//! member and does not expire. It ends when the member is observed healthy at a later incarnation,
+//! however long that takes, or when its holder returns it unused. A [`RestartOrder`] names the
+//! incarnation that it ends and has no effect on any other incarnation, so a delayed or duplicated order
+//! does nothing.
 //!
-//! - [`Inventory`]: the nodes, their budget, and which permit server owns which group.
+//! - [`Inventory`]: the nodes, their budget, and the assignment of groups to permit servers.
 //! - [`PermitServer`]: grants and ends permits, and keeps them in a durable [`PermitLedger`].
-//! - [`Rollout`], [`RolloutTable`]: rollouts as state that merges, so that any proxy can take over.
-//! - [`RolloutController`]: what the proxy that leads a rollout does next.
-//! - [`CanaryAnalysis`], [`AttemptCounter`]: whether the upgraded members answer worse than the others, by a sequential
-//!   test.
+//! - [`Rollout`], [`RolloutTable`]: replicated rollout state whose copies merge, so that any proxy can
+//!   take over.
+//! - [`RolloutController`]: decides the next actions of a rollout on the proxy that leads it.
+//! - [`CanaryAnalysis`], [`AttemptCounter`]: a sequential test of whether the upgraded members answer
+//!   worse than the others, and the counts that it needs.
 //! - [`AgentPoller`], [`FleetView`]: observations of members by their agents and the broker.
-//! - [`LeaderElection`], [`RolloutPeer`]: one proxy's part in all this, with encoded messages.
-//! - [`RolloutService`]: all of it for a caller with one socket, a file and a clock.
+//! - [`LeaderElection`], [`RolloutPeer`]: one proxy's role in rollouts, with encoded messages.
+//! - [`RolloutService`]: combines all of this for a caller that provides a socket, a file and a clock.
 //!
 //! ```
 //! use wharfplank_rollout::{
@@ -46,7 +49,7 @@
 //!     candidates: vec![Candidate { id, incarnation: 10 }],
 //! };
 //! assert_eq!(server.on_request(1, &request(1, 1)).unwrap().held.len(), 1);
-//! // No second permit, not even an hour later: the first member was not observed back.
+//! // No second permit is granted, not even an hour later: the first member was not observed healthy again.
 //! assert_eq!(server.on_request(3_600_000_000, &request(2, 2)).unwrap().held.len(), 1);
 //! ```
 
@@ -80,13 +83,13 @@
 pub use service::{status, CommandFailure, OutgoingDatagram, RolloutService, ServiceEvent, ServiceSetup};
 pub use view::{FleetView, MemberView};
 
-/// A time or a span of time in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
-/// Identifies a member, or a proxy that is to restart: all proxies know it by the same number.
+/// Identifies a member, or a proxy that is to be restarted. All proxies use the same id for it.
 pub type NodeId = u64;
-/// An incarnation of a member's process (`born_ms`): it grows with each start.
+/// An incarnation of a member's process (`born_ms`). It increases with each start.
 pub type Incarnation = u64;
 /// A version of the program that members run.
 pub type Version = u64;
-/// Identifies a permit server; they are numbered from 0.
+/// Identifies a permit server. Permit servers are numbered from 0.
 pub type PermitServerId = u32;
--- a/crates/rollout/src/operator/command.rs
+++ b/crates/rollout/src/operator/command.rs
@@ -1,34 +1,34 @@
-//! An operator's command on a rollout, as it is written to the signal file.
+//! An operator's command for a rollout, as written to the signal file.
 
 use crate::Version;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A command.
+/// An operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// `start TARGET PREVIOUS`: upgrade all members from one version to another.
+    /// `start TARGET PREVIOUS`: upgrade all members from the previous version to the target version.
     Start {
-        /// The version that they are to run.
+        /// The version that the members are to run.
         target: Version,
-        /// The version that they run.
+        /// The version that the members run now.
         previous: Version,
     },
-    /// `halt`.
+    /// `halt`: halt the newest unfinished rollout.
     Halt,
-    /// `resume`.
+    /// `resume`: continue the newest unfinished rollout.
     Resume,
-    /// `undo`.
+    /// `undo`: roll back the newest rollout.
     Undo,
 }
 
-/// Why a text is not a command.
+/// The reason why a text is not a command.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ParseCommandError {
-    /// This word should be a version number.
+    /// This word is not a version number.
     #[error("{0:?} is no version")]
     InvalidVersion(String),
-    /// It is none of the commands.
+    /// The text is none of the commands.
     #[error("wants one of: start TARGET BACK, halt, resume, undo")]
     UnknownCommand,
 }
--- a/crates/rollout/src/operator/mod.rs
+++ b/crates/rollout/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' commands, and the signal file that they are written to.
+//! Operators' commands, and the signal file that contains them.
 
 mod command;
 mod signal_file;
--- a/crates/rollout/src/peer/commands.rs
+++ b/crates/rollout/src/peer/commands.rs
@@ -1,29 +1,29 @@
-//! Operators' commands on rollouts.
+//! Operators' commands for rollouts.
 
 use super::RolloutPeer;
 use crate::{HaltReason, OperatorCommand, Phase, Rollout, RolloutId, TableFull, Version};
 use thiserror::Error;
 
-/// Why an operator's command had no effect.
+/// The reason why an operator's command had no effect.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum CommandError {
-    /// The rollout can't start: too many are unfinished.
+    /// The rollout can't start because too many are unfinished.
     #[error(transparent)]
     TableFull(#[from] TableFull),
-    /// There is no rollout that the command could apply to.
+    /// There is no rollout to which the command could apply.
     #[error("no release is under way")]
     NoRollout,
-    /// The rollout is in that phase already, or rolls back.
+    /// The rollout is in that phase already, or is rolling back.
     #[error("the release goes that way, or back, already")]
     PhaseUnchanged,
 }
 
 impl RolloutPeer {
-    /// Applies an operator's command, and returns the rollout that it applied to.
+    /// Applies an operator's command, and returns the rollout to which it applied.
     ///
     /// # Errors
     ///
-    /// If it had no effect.
+    /// Returns an error if the command had no effect.
     pub fn apply_command(
         &mut self,
         now_ms: u64,
@@ -51,7 +51,7 @@
         Ok(id)
     }
 
-    /// Changes the phase of the newest rollout that a command can apply to.
+    /// Changes the phase of the newest rollout to which the command can apply.
     fn change_phase(&mut self, command: &OperatorCommand, phase: Phase) -> Result<RolloutId, CommandError> {
         // A finished rollout can still be undone.
         let is_eligible =
--- a/crates/rollout/src/peer/mod.rs
+++ b/crates/rollout/src/peer/mod.rs
@@ -1,5 +1,5 @@
-//! One proxy's part in rollouts: its permit server if it is one, the rollouts that it knows, the controller, the leader
-//! election, and the encoded messages between proxies. It does no I/O.
+//! One proxy's role in rollouts: its permit server if it is one, the rollouts that it knows, the
+//! controller, the leader election, and the encoded messages between proxies. It does no I/O.
 
 mod commands;
 mod election;
@@ -19,7 +19,7 @@
 use response_queue::{QueuedResponse, ResponseQueue};
 use std::collections::BTreeSet;
 
-/// One proxy's part in rollouts.
+/// One proxy's role in rollouts.
 #[derive(Clone, Debug)]
 pub struct RolloutPeer {
     identity: PeerIdentity,
@@ -40,12 +40,13 @@
     durable_revision: u64,
     outbox: Vec<(Destination, Vec<u8>)>,
     effects: Vec<Effect>,
-    /// Counts the messages that could not be decoded.
+    /// The number of messages that could not be decoded.
     pub rejected: u64,
 }
 
 impl RolloutPeer {
-    /// Creates the part of a process that has just started; `ledger` is its permit server's, as it was stored last.
+    /// Creates the state of a process that has just started. `ledger` is the ledger of its permit server
+    /// as last stored.
     pub fn new(
         identity: PeerIdentity,
         inventory: Inventory,
@@ -84,7 +85,7 @@
         self.peers = peers;
     }
 
-    /// Takes in this proxy's observation of a member.
+    /// Records this proxy's observation of a member.
     pub fn on_observation(&mut self, now: Micros, id: NodeId, observation: NodeObservation) {
         self.controller.on_observation(id, observation);
         if let Some(server) = &mut self.permit_server {
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Sets which nodes are out by a cause that needs no permit, as service discovery or an operator reports it now.
+    /// Sets which nodes are out of service for a cause that needs no permit, as currently reported by
+    /// service discovery or an operator.
     pub fn set_outages(&mut self, cause: OutageCause, out: &[NodeId]) {
         let Some(server) = &mut self.permit_server else { return };
         for node in self.inventory.nodes() {
@@ -100,42 +102,43 @@
         }
     }
 
-    /// Sets which nodes are primaries, for the order of a rollout that starts here.
+    /// Sets which nodes are primaries. This determines the member order of a rollout that starts at this
+    /// proxy.
     pub fn set_primaries(&mut self, primaries: impl IntoIterator<Item = NodeId>) {
         self.primaries = primaries.into_iter().collect();
     }
 
-    /// Gives a permit server that lost its ledger another one. By that an operator vouches that no node is out by a
-    /// permit of the lost one.
+    /// Gives a new ledger to a permit server that lost its own. By doing so, an operator confirms that no
+    /// node is out of service under a permit of the lost ledger.
     pub fn open_permit_server(&mut self, ledger: PermitLedger) {
         if let Some(server) = &mut self.permit_server {
             server.open(ledger);
         }
     }
 
-    /// Whether it is a permit server that is in use.
+    /// Returns whether this proxy is a permit server that is in use.
     pub fn is_permit_server(&self) -> bool {
         self.permit_server.is_some()
     }
 
-    /// Whether it is a permit server that waits for a ledger.
+    /// Returns whether this proxy is a permit server that waits for a ledger.
     pub fn is_permit_server_closed(&self) -> bool {
         self.permit_server.as_ref().is_some_and(|server| server.ledger().is_none())
     }
 
-    /// Whether this proxy needs observations of the members: as a permit server, or because it leads an unfinished
-    /// rollout.
+    /// Returns whether this proxy needs observations of the members, either as a permit server or because
+    /// it leads an unfinished rollout.
     pub fn needs_observations(&self) -> bool {
         self.permit_server.is_some()
             || self.is_leader && self.rollouts.iter().any(|rollout| !rollout.is_finished())
     }
 
-    /// Whether this proxy led at the last tick.
+    /// Returns whether this proxy led at the last tick.
     pub fn is_leader(&self) -> bool {
         self.is_leader
     }
 
-    /// Records what this proxy counted for a rollout.
+    /// Records this proxy's counts for a rollout.
     pub fn record_counts(&mut self, rollout: RolloutId, counts: &crate::CanaryCounts) {
         if let Some(rollout) = self.rollouts.get_mut(rollout) {
             rollout.record_counts(self.identity.rank, counts);
@@ -158,7 +161,8 @@
             }
             PeerMessage::Rollout(rollout) => {
                 self.election.on_heartbeat(now, from);
-                // Without room for it this proxy goes on without the rollout; others send it again.
+                // If the table is full, this proxy continues without the rollout; the others send it
+                // again.
                 let _ = self.rollouts.merge(&rollout);
             }
             PeerMessage::Heartbeat => self.election.on_heartbeat(now, from),
@@ -173,19 +177,19 @@
         self.send_durable_responses();
     }
 
-    /// The permit server's ledger, if it has changed since it was stored.
+    /// Returns the permit server's ledger if it has changed since it was stored.
     pub fn ledger_to_store(&self) -> Option<&PermitLedger> {
         let ledger = self.permit_server.as_ref()?.ledger()?;
         (ledger.revision > self.durable_revision).then_some(ledger)
     }
 
-    /// Notes that the ledger is stored up to this revision.
+    /// Records that the ledger is stored up to this revision.
     pub fn on_ledger_stored(&mut self, revision: u64) {
         self.durable_revision = self.durable_revision.max(revision);
         self.send_durable_responses();
     }
 
-    /// Sends the responses that depend on nothing but the stored ledger.
+    /// Sends the responses that depend only on the stored part of the ledger.
     fn send_durable_responses(&mut self) {
         let Some(server) = self.identity.permit_server else { return };
         while let Some(queued) = self.responses.pop_durable(self.durable_revision) {
@@ -198,13 +202,13 @@
         self.outbox.extend(postcard::to_allocvec(message).map(|bytes| (to, bytes)));
     }
 
-    /// Takes the messages that are to be sent. One to its own permit server or rank is to be passed to
-    /// [`RolloutPeer::on_message`].
+    /// Removes and returns the messages to be sent. A message to this proxy's own permit server or rank
+    /// is to be passed to [`RolloutPeer::on_message`].
     pub fn take_outbox(&mut self) -> Vec<(Destination, Vec<u8>)> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Takes what is to be done at members and noted in the log.
+    /// Removes and returns the effects that the caller is to perform.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
--- a/crates/rollout/src/peer/tick.rs
+++ b/crates/rollout/src/peer/tick.rs
@@ -1,16 +1,16 @@
-//! What a proxy does by the clock: it gossips its rollouts, and leads them if it is the leader.
+//! The periodic work of a proxy: it gossips its rollouts, and leads them if it is the leader.
 
 use super::message::PeerMessage;
 use super::{Destination, Effect, RolloutPeer};
 use crate::{ControllerAction, Micros, RolloutId};
 
-/// How often a proxy sends its rollouts to one of the others.
+/// The interval at which a proxy sends its rollouts to one of the others.
 const GOSSIP_INTERVAL: Micros = 200_000;
-/// How many heartbeats the leader sends in the time after which it would count as silent.
+/// The number of heartbeats that the leader sends within the peer timeout.
 const HEARTBEATS_PER_TIMEOUT: Micros = 3;
 
 impl RolloutPeer {
-    /// Does what is due now.
+    /// Performs the work that is due now.
     pub fn on_tick(&mut self, now: Micros) {
         self.gossip(now);
         self.is_leader = self.election.check_leadership(now);
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Sends all rollouts to the next of the other proxies.
+    /// Sends all rollouts to the next proxy in turn, or a heartbeat if there are none.
     fn gossip(&mut self, now: Micros) {
         if now < self.next_gossip_at || self.peers.is_empty() {
             return;
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Tells all others that this proxy is alive and leads: in a large fleet the rounds of gossip are too rare for that.
+    /// Sends a heartbeat to all other proxies. In a large fleet the gossip rounds are too rare to show
+    /// that the leader is alive.
     fn send_heartbeats(&mut self, now: Micros) {
         if now < self.next_heartbeat_at {
             return;
--- a/crates/rollout/src/permits/admission.rs
+++ b/crates/rollout/src/permits/admission.rs
@@ -1,23 +1,24 @@
-//! Whether one more node may go out: the checks of the request, of the disruption budget and of the group's roles.
+//! The checks that decide whether a node may be taken out of service: those of the request, of the
+//! disruption budget and of the group's roles.
 
 use super::server::{Outage, PermitServer};
 use crate::{Candidate, Node, NodeId, NodeKind, PermitLedger, PermitRequest, RejectReason};
 
 /// The decision on one candidate.
 pub(super) enum Admission {
-    /// It may go out; `only_if_down`: only while it does not serve.
+    /// The permit is granted.
     Grant {
-        /// Whether the permit is limited to a node that does not serve.
+        /// Whether the permit is valid only while the node does not serve.
         only_if_down: bool,
     },
-    /// The rollout holds the permit already.
+    /// The rollout already holds the permit.
     AlreadyGranted,
-    /// It may not go out yet.
+    /// The permit is not granted now.
     Reject(RejectReason),
 }
 
 impl PermitServer {
-    /// Decides whether a candidate may go out.
+    /// Decides whether a candidate may be taken out of service.
     pub(super) fn admit(
         &mut self,
         outages: &[Outage],
@@ -40,15 +41,16 @@
         }
         let observation = self.observations.get(&candidate.id);
         let is_stale_phase = ledger.observe_phase_revision(request.rollout, request.phase_revision);
-        let is_over = observation.is_some_and(|seen| seen.incarnation > candidate.incarnation);
-        if is_stale_phase || is_over {
+        let has_ended = observation.is_some_and(|seen| seen.incarnation > candidate.incarnation);
+        if is_stale_phase || has_ended {
             return Err(RejectReason::Stale);
         }
         if is_already_granted(ledger, request, candidate)? {
             return Ok(Admission::AlreadyGranted);
         }
-        // A node that is out already does not add to the outages, as long as the order has an effect only while it does
-        // not serve. Only its agent knows that: a node that the broker alone suspects needs budget.
+        // A node that is down already does not add to the outages, as long as the order has an effect
+        // only while the node does not serve. Only the node's agent knows that, so a node that only the
+        // broker suspects needs budget.
         if observation.is_some_and(|seen| seen.incarnation == candidate.incarnation && seen.down) {
             return Ok(Admission::Grant { only_if_down: true });
         }
@@ -57,7 +59,7 @@
         Ok(Admission::Grant { only_if_down: false })
     }
 
-    /// A node whose group this server owns.
+    /// Returns a node if this server owns its group.
     fn owned_node(&self, id: NodeId) -> Option<Node> {
         self.inventory.node(id).filter(|node| self.owns(node))
     }
@@ -83,8 +85,9 @@
         Ok(())
     }
 
-    /// Whether one more node may go out beside these. What is out of another server's groups beyond that server's quota
-    /// is deducted from the quota of every other server, since none of them knows what the others would still grant.
+    /// Returns whether one more node may be taken out of service in addition to these. If more nodes of
+    /// another server's groups are out than that server's quota, every other server deducts the excess
+    /// from its own quota, since no server knows what the others may still grant.
     fn is_within_quota(&self, out: &[Node], quota: u32) -> bool {
         let out_of_server = |server| {
             out.iter().filter(|node| self.inventory.server_of_group(node.group) == server).count() as u32
@@ -96,8 +99,8 @@
         out_of_server(self.id) + 1 + excess_of_others <= quota
     }
 
-    /// Checks what a group must keep whatever its budget: its primary until that is handed over, and a replica for
-    /// reads.
+    /// Checks what a group must keep regardless of its budget: its primary until that role has been
+    /// handed over, and a replica for reads.
     fn check_roles(&self, outages: &[Outage], node: Node) -> Result<(), RejectReason> {
         if node.kind == NodeKind::Proxy {
             return Ok(());
@@ -113,7 +116,7 @@
             return Err(RejectReason::NoPrimary);
         }
         let replicas = others.iter().filter(|other| !is_out(other) && !self.is_primary(other)).count();
-        // A group of two has no second replica: its primary serves the reads then.
+        // A group of two has no second replica, so its primary serves the reads in that case.
         if replicas == 0 && others.len() > 1 {
             return Err(RejectReason::LastReplica);
         }
@@ -125,7 +128,7 @@
     }
 }
 
-/// Whether the request's rollout holds the permit for the candidate already.
+/// Returns whether the request's rollout already holds the permit for the candidate.
 fn is_already_granted(
     ledger: &PermitLedger,
     request: &PermitRequest,
--- a/crates/rollout/src/permits/ledger.rs
+++ b/crates/rollout/src/permits/ledger.rs
@@ -4,10 +4,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The number of rollouts whose phase revisions are stored; past that the oldest is dropped.
+/// The number of rollouts whose phase revisions are stored. Beyond that the oldest is dropped.
 const MAX_PHASE_REVISIONS: usize = 64;
 
-/// A permit, and whom it was granted to.
+/// A permit, and the rollout and process to which it was granted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PermitGrant {
     pub(crate) rollout: RolloutId,
@@ -15,35 +15,36 @@
     pub(crate) permit: Permit,
 }
 
-/// The state that a permit server must not lose: it is on disk before a response that depends on it is sent. The
-/// encoding is positional: the order of the fields is part of the file's format.
+/// The state that a permit server must not lose. It is on disk before a response that depends on it is
+/// sent. The encoding is positional: the order of the fields is part of the file format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitLedger {
     last_sequence: u64,
     grants: BTreeMap<NodeId, PermitGrant>,
     phase_revisions: BTreeMap<RolloutId, u64>,
-    /// Counts the changes: the ledger is written whenever this has grown.
+    /// The number of changes. The ledger is written whenever it has increased.
     pub revision: u64,
 }
 
 impl PermitLedger {
-    /// The permits that are held.
+    /// Returns the permits that are held.
     pub fn permits(&self) -> impl Iterator<Item = Permit> + '_ {
         self.grants.values().map(|grant| grant.permit)
     }
 
-    /// Whether a permit for a node is held.
+    /// Returns whether a permit for a node is held.
     pub(crate) fn has_permit(&self, id: NodeId) -> bool {
         self.grants.contains_key(&id)
     }
 
-    /// The permit for a node, and whom it was granted to.
+    /// Returns the permit for a node, with its rollout and holder.
     pub(crate) fn grant(&self, id: NodeId) -> Option<&PermitGrant> {
         self.grants.get(&id)
     }
 
-    /// Grants a permit with the next sequence number. A permit for an earlier incarnation that is still held is
-    /// extended to this one and can't be returned, since its node went out by the earlier one.
+    /// Grants a permit with the next sequence number. If a permit for an earlier incarnation is still
+    /// held, it is extended to this one and can't be returned, since the node was taken out of service
+    /// under the earlier one.
     pub(crate) fn insert(&mut self, rollout: RolloutId, holder: u64, permit: NewPermit) {
         self.last_sequence += 1;
         self.revision += 1;
@@ -60,8 +61,8 @@
         }
     }
 
-    /// All permits of a rollout, which a process learns of by this call. A permit that was granted to another process
-    /// is marked as shared.
+    /// Returns all permits of a rollout to a process. Permits that were granted to another process are
+    /// marked as shared, since this process now knows them.
     pub(crate) fn share_permits(&mut self, rollout: RolloutId, reader: u64) -> Vec<Permit> {
         let mut permits = Vec::new();
         for grant in self.grants.values_mut().filter(|grant| grant.rollout == rollout) {
@@ -74,7 +75,7 @@
         permits
     }
 
-    /// Notes the phase revision that a controller knows. Returns whether a newer one was known already.
+    /// Records the phase revision that a controller knows. Returns whether a newer one was known already.
     pub(crate) fn observe_phase_revision(&mut self, rollout: RolloutId, revision: u64) -> bool {
         let known = self.phase_revisions.entry(rollout).or_default();
         let is_stale = revision < *known;
@@ -89,7 +90,7 @@
     }
 }
 
-/// What a permit is granted for.
+/// The node and incarnation for which a permit is granted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NewPermit {
     pub(crate) id: NodeId,
--- a/crates/rollout/src/permits/ledger_file.rs
+++ b/crates/rollout/src/permits/ledger_file.rs
@@ -1,5 +1,6 @@
-//! The file format of a permit server's ledger. An empty file stands for a ledger without permits: an operator creates
-//! it. A file that can't be read completely is an error, and the server stays closed: what it granted is unknown.
+//! The file format of a permit server's ledger. An empty file, which an operator creates, stands for a
+//! ledger without permits. If a file can't be read completely, this is an error and the server stays
+//! closed, because the permits that it granted are unknown.
 
 use crate::PermitLedger;
 use thiserror::Error;
@@ -8,13 +9,13 @@
 /// The first bytes of the file.
 const HEADER: &[u8] = b"wharfplank ledger 1\n";
 
-/// Why a ledger file can't be used.
+/// The reason why a ledger file can't be used.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum LedgerFileError {
     /// The file does not start with the header and the checksum.
     #[error("no ledger header")]
     Header,
-    /// The checksum does not match: the file is truncated or corrupt.
+    /// The checksum does not match because the file is truncated or corrupt.
     #[error("checksum mismatch")]
     Checksum,
     /// The contents can't be decoded.
@@ -22,7 +23,7 @@
     Contents,
 }
 
-/// Encodes a ledger: the header, a checksum of the body, the body.
+/// Encodes a ledger as the header, a checksum of the body, and the body.
 pub fn encode_ledger(ledger: &PermitLedger) -> Vec<u8> {
     let body = postcard::to_allocvec(ledger).unwrap_or_default();
     let checksum = XxHash3_64::oneshot(&body).to_le_bytes();
@@ -33,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// If the file is truncated, corrupt or not a ledger.
+/// Returns an error if the file is truncated, corrupt or not a ledger.
 pub fn decode_ledger(bytes: &[u8]) -> Result<PermitLedger, LedgerFileError> {
     if bytes.is_empty() {
         return Ok(PermitLedger::default());
--- a/crates/rollout/src/permits/messages.rs
+++ b/crates/rollout/src/permits/messages.rs
@@ -1,50 +1,52 @@
-//! The messages between rollout controllers, permit servers and members. Their encodings are positional: the order of
-//! fields and variants is part of the wire format.
+//! The messages between rollout controllers, permit servers and members. Their encodings are positional:
+//! the order of fields and variants is part of the wire format.
 
 use crate::{Incarnation, NodeId, RolloutId, Version};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A node that is to go out, at the incarnation at which it was last observed.
+/// A node that is to be taken out of service, at its last observed incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Candidate {
     /// The node.
     pub id: NodeId,
-    /// The incarnation that is to end.
+    /// The incarnation to end.
     pub incarnation: Incarnation,
 }
 
-/// A controller's request for permits. One without candidates only asks what the rollout holds at the server.
+/// A controller's request for permits. A request without candidates only asks which permits the rollout
+/// holds at the server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitRequest {
     /// The rollout that the permits are for.
     pub rollout: RolloutId,
-    /// The newest phase revision of the rollout that the controller knows. A server that knows a newer one grants
-    /// nothing.
+    /// The newest phase revision of the rollout that the controller knows. A server that knows a newer
+    /// one grants no permits.
     pub phase_revision: u64,
     /// The controller's [`crate::Inventory::digest`].
     pub inventory_digest: u64,
-    /// The controller's process: a number that no other process has or ever had.
+    /// The number of the controller's process, which no other process has or ever had.
     pub holder: u64,
-    /// Grows with each request of this holder to this server.
+    /// The sequence number, which increases with each request of this holder to this server.
     pub sequence: u64,
-    /// The nodes that are to go out, the most wanted first.
+    /// The nodes that are to be taken out of service, in order of priority.
     pub candidates: Vec<Candidate>,
 }
 
 /// A permit to end one incarnation of one node. It does not expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Permit {
-    /// The node that may go out.
+    /// The node that may be taken out of service.
     pub id: NodeId,
     /// The incarnation that may end.
     pub incarnation: Incarnation,
-    /// Grows with each permit of the server.
+    /// The sequence number, which increases with each permit of the server.
     pub sequence: u64,
-    /// Granted outside the budget, because the node is down already: it may not be used once the node serves again.
+    /// Whether the permit was granted outside the budget because the node was down already. Such a permit
+    /// may not be used once the node serves again.
     pub only_if_down: bool,
-    /// Whether it can no longer be returned: a process other than its holder learned of it, or it was extended from an
-    /// earlier incarnation.
+    /// Whether the permit can no longer be returned, because a process other than its holder knows it or
+    /// it was extended from an earlier incarnation.
     pub shared: bool,
 }
 
@@ -59,11 +61,11 @@
     pub request: u64,
     /// All permits that the rollout holds at this server.
     pub held: Vec<Permit>,
-    /// The candidates that may not go out yet.
+    /// The candidates that may not be taken out of service now.
     pub rejected: Vec<Rejection>,
 }
 
-/// A candidate that may not go out yet.
+/// A candidate that may not be taken out of service now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rejection {
     /// The node.
@@ -72,7 +74,7 @@
     pub reason: RejectReason,
 }
 
-/// Why a node may not go out yet.
+/// The reason why a node may not be taken out of service now.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RejectReason {
     /// The group's budget is used up.
@@ -84,22 +86,22 @@
     /// The server's quota of the fleet's budget is used up.
     #[error("the fleet's disruption budget is used up")]
     FleetBudget,
-    /// It is the last replica that can serve its group's reads.
+    /// The node is the last replica that can serve its group's reads.
     #[error("the last replica of its group")]
     LastReplica,
-    /// It is its group's primary, which has to be handed over first.
+    /// The node is the primary of its group, whose role has to be handed over first.
     #[error("the primary of its group")]
     IsPrimary,
-    /// No healthy primary is observed in its group, so that it may have to become the primary.
+    /// No healthy primary is observed in the node's group, so the node may have to become the primary.
     #[error("its group has no healthy primary")]
     NoPrimary,
-    /// Another rollout holds a permit for it.
+    /// Another rollout holds a permit for the node.
     #[error("another rollout holds a permit for it")]
     HeldByOtherRollout,
     /// The controller has another inventory or another budget.
     #[error("the controller's inventory differs")]
     InventoryMismatch,
-    /// The incarnation is over, or the rollout's phase has changed since.
+    /// The incarnation has ended, or the rollout's phase has changed since the request was sent.
     #[error("the request is stale")]
     Stale,
     /// The server does not own the node's group, or it lost its ledger and waits for an operator.
@@ -107,26 +109,27 @@
     Closed,
 }
 
-/// Returns a permit unused. Only the one process that it was granted to may do that, and only if it never ordered a
-/// restart by it.
+/// The return of an unused permit. Only the process to which it was granted may return it, and only if
+/// that process never ordered a restart under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitReturn {
     /// The node of the permit.
     pub id: NodeId,
     /// The sequence number of the permit.
     pub sequence: u64,
-    /// The process that it was granted to.
+    /// The process to which the permit was granted.
     pub holder: u64,
 }
 
-/// Orders a member to end one incarnation and to start another version. At any other incarnation it has no effect.
+/// An order to a member to end one incarnation and start another version. It has no effect at any other
+/// incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RestartOrder {
     /// The member.
     pub id: NodeId,
-    /// The incarnation that is to end.
+    /// The incarnation to end.
     pub incarnation: Incarnation,
-    /// The version that is to start.
+    /// The version to start.
     pub version: Version,
     /// Whether the order has an effect only while the member does not serve.
     pub only_if_down: bool,
--- a/crates/rollout/src/permits/mod.rs
+++ b/crates/rollout/src/permits/mod.rs
@@ -1,4 +1,5 @@
-//! Permits: the messages, the permit server that grants them under the disruption budget, and its durable ledger.
+//! Permits: the messages, the permit server that grants permits within the disruption budget, and its
+//! durable ledger.
 
 mod admission;
 mod ledger;
--- a/crates/rollout/src/permits/server.rs
+++ b/crates/rollout/src/permits/server.rs
@@ -1,4 +1,5 @@
-//! The permit server: which nodes of its groups are out, and which may still go out.
+//! The permit server, which tracks the outages of the nodes and grants permits for the nodes of its
+//! groups.
 
 use super::admission::Admission;
 use super::ledger::{NewPermit, PermitGrant};
@@ -9,7 +10,8 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of holders whose last request is stored; past that the one heard from longest ago is dropped.
+/// The number of holders whose last request is stored. Beyond that the one whose request is oldest is
+/// dropped.
 const MAX_HOLDERS: usize = 1024;
 /// The number of candidates of one request that are considered.
 const MAX_CANDIDATES: usize = 256;
@@ -21,16 +23,17 @@
     at: Micros,
 }
 
-/// A node that counts as out.
+/// A node that counts as out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
     /// The node.
     pub node: Node,
-    /// Why it counts as out.
+    /// The reason why it counts as out of service.
     pub cause: OutageCause,
 }
 
-/// One of the few processes that grant permits. Each owns some groups and has a fixed quota of the budget.
+/// A permit server: one of the few processes that grant permits. Each owns some of the groups and has a
+/// fixed quota of the budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PermitServer {
     pub(super) id: PermitServerId,
@@ -38,16 +41,17 @@
     config: RolloutConfig,
     pub(super) ledger: Option<PermitLedger>,
     pub(super) observations: BTreeMap<NodeId, NodeObservation>,
-    reported: BTreeSet<(NodeId, OutageCause)>,
+    reported_outages: BTreeSet<(NodeId, OutageCause)>,
     last_requests: BTreeMap<u64, LastRequest>,
-    /// Counts the messages that changed nothing: delayed, duplicated, or meant for another server.
+    /// The number of messages that had no effect because they were delayed, duplicated or meant for
+    /// another server.
     pub ignored: u64,
 }
 
 impl PermitServer {
-    /// Creates a server that has just started. Every node counts as out until it is observed to be healthy. Without the
-    /// ledger of the process before it the server stays closed: what that process granted is unknown, and permits do
-    /// not expire.
+    /// Creates a server that has just started. Every node counts as out of service until it is observed
+    /// to be healthy. Without the ledger of the previous process the server stays closed, since the
+    /// permits that the process granted are unknown and do not expire.
     pub fn new(
         id: PermitServerId,
         inventory: Inventory,
@@ -60,23 +64,23 @@
             config,
             ledger,
             observations: BTreeMap::new(),
-            reported: BTreeSet::new(),
+            reported_outages: BTreeSet::new(),
             last_requests: BTreeMap::new(),
             ignored: 0,
         }
     }
 
-    /// The ledger, which is to be written to disk.
+    /// Returns the ledger, which is to be written to disk.
     pub fn ledger(&self) -> Option<&PermitLedger> {
         self.ledger.as_ref()
     }
 
-    /// Opens a server that waits for a ledger; one that has its own keeps that.
+    /// Opens a server that waits for a ledger. A server that already has a ledger keeps it.
     pub fn open(&mut self, ledger: PermitLedger) {
         self.ledger.get_or_insert(ledger);
     }
 
-    /// Takes in an observation of a node. It ends the node's permit once the node is back and healthy at a later
+    /// Records an observation of a node. Ends the node's permit if the node is healthy at a later
     /// incarnation.
     pub fn on_observation(&mut self, now: Micros, id: NodeId, observation: NodeObservation) {
         let is_known = self.inventory.node(id).is_some();
@@ -95,21 +99,21 @@
     /// Sets or clears an outage that service discovery or an operator reports and that needs no permit.
     pub fn report_outage(&mut self, id: NodeId, cause: OutageCause, is_out: bool) {
         if !is_out {
-            self.reported.remove(&(id, cause));
+            self.reported_outages.remove(&(id, cause));
         } else if self.inventory.node(id).is_some() {
-            self.reported.insert((id, cause));
+            self.reported_outages.insert((id, cause));
         }
     }
 
-    /// The cause for which a node counts as out now.
+    /// Returns the cause for which a node counts as out of service now.
     pub fn outage_cause(&self, now: Micros, id: NodeId) -> Option<OutageCause> {
         if self.ledger.as_ref().is_some_and(|ledger| ledger.has_permit(id)) {
             return Some(OutageCause::Rollout);
         }
-        let reported = [OutageCause::Drain, OutageCause::Cordon]
+        let reported_outages = [OutageCause::Drain, OutageCause::Cordon]
             .into_iter()
-            .find(|cause| self.reported.contains(&(id, *cause)));
-        reported.or_else(|| self.observed_outage(now, id))
+            .find(|cause| self.reported_outages.contains(&(id, *cause)));
+        reported_outages.or_else(|| self.observed_outage(now, id))
     }
 
     fn observed_outage(&self, now: Micros, id: NodeId) -> Option<OutageCause> {
@@ -121,7 +125,7 @@
         }
     }
 
-    /// All nodes that count as out now.
+    /// Returns all nodes that count as out of service now.
     pub fn outages(&self, now: Micros) -> Vec<Outage> {
         let outage = |node: &Node| {
             let cause = self.outage_cause(now, node.id)?;
@@ -130,7 +134,7 @@
         self.inventory.nodes().filter_map(outage).collect()
     }
 
-    /// Handles a request. A delayed or duplicated one gets no response.
+    /// Handles a request. A delayed or duplicated request gets no response.
     pub fn on_request(&mut self, now: Micros, request: &PermitRequest) -> Option<PermitResponse> {
         if !self.accept_sequence(now, request) {
             self.ignored += 1;
@@ -150,8 +154,8 @@
         })
     }
 
-    /// Notes a holder's request. Returns whether it is newer than all before it: a delayed or duplicated one could
-    /// request again what was returned since.
+    /// Records a holder's request. Returns whether it is newer than all earlier ones. A delayed or
+    /// duplicated request could otherwise request a permit again that was returned since.
     fn accept_sequence(&mut self, now: Micros, request: &PermitRequest) -> bool {
         let last = self.last_requests.get(&request.holder).map_or(0, |last| last.sequence);
         if request.sequence <= last {
@@ -171,7 +175,7 @@
         }
     }
 
-    /// Grants what the budget permits, and returns what it does not.
+    /// Grants the permits that the checks allow, and returns the candidates that were rejected.
     fn grant_permits(&mut self, now: Micros, request: &PermitRequest) -> Vec<Rejection> {
         let mut outages = self.outages(now);
         let mut rejected = Vec::new();
@@ -196,8 +200,9 @@
         ledger.insert(request.rollout, request.holder, NewPermit { id, incarnation, only_if_down });
     }
 
-    /// Takes back an unused permit. Only its holder may return it, and not once another process learned of it, which
-    /// may have ordered a restart by it. A second or a delayed return names a permit that has ended already.
+    /// Ends an unused permit. Only its holder may return it, and only while no other process knows it,
+    /// since that process may have ordered a restart under it. A repeated or delayed return names a
+    /// permit that has already ended.
     pub fn on_return(&mut self, returned: &PermitReturn) {
         let Some(ledger) = self.ledger.as_mut() else { return };
         let can_return = |grant: &PermitGrant| {
@@ -213,9 +218,9 @@
     }
 }
 
-/// Whether an observation ends a permit: its node is back and healthy at a later incarnation. A permit for a node that
-/// was down also ends when the node serves again at the same incarnation, healthy or not, since no order by that permit
-/// takes it out then.
+/// Returns whether an observation ends a permit, which is the case if the node is healthy at a later
+/// incarnation. A permit for a node that was down also ends when the node serves again at the same
+/// incarnation, healthy or not, since from then on no order under that permit has an effect.
 fn ends_permit(observation: &NodeObservation, grant: &PermitGrant) -> bool {
     let permit = &grant.permit;
     let serves_again =
--- a/crates/rollout/src/plan/mod.rs
+++ b/crates/rollout/src/plan/mod.rs
@@ -1,5 +1,5 @@
-//! The state of rollouts, which proxies replicate to each other: any proxy that has a copy can lead it, and copies that
-//! differ merge to one.
+//! The replicated state of rollouts. Any proxy that has a copy can lead a rollout, and copies that differ
+//! can be merged.
 
 mod phase;
 mod progress;
--- a/crates/rollout/src/plan/phase.rs
+++ b/crates/rollout/src/plan/phase.rs
@@ -3,37 +3,38 @@
 use crate::{NodeId, Version};
 use serde::{Deserialize, Serialize};
 
-/// The phase of a rollout. Of two phases with the same revision number the later of these variants wins: the one that
-/// does less harm. The order of the variants is part of the encoding.
+/// The phase of a rollout. If two phases have the same revision number, the later of these variants wins,
+/// which is the one that does less harm. The order of the variants is part of the encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// It goes on to the next members and waves.
+    /// The rollout continues with the next members and waves.
     Forward,
-    /// No further member goes out; members that are out come back.
+    /// No further member is restarted. Members that are restarting are completed.
     Halted(HaltReason),
-    /// The upgraded members go back to the previous version, the newest first. This can't be reverted.
+    /// The upgraded members return to the previous version, the most recently upgraded first. This can't
+    /// be reverted.
     RollingBack(HaltReason),
 }
 
-/// Why a rollout halts or rolls back. The order of the variants is part of the encoding.
+/// The reason why a rollout is halted or rolled back. The order of the variants is part of the encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum HaltReason {
-    /// An operator's command.
+    /// An operator gave the command.
     Operator,
     /// The upgraded members fail more attempts than the others.
     Failures,
     /// The upgraded members answer late more often than the others.
     Latency,
-    /// This member was not back and healthy in time.
+    /// This member was not healthy again in time.
     NotReady(NodeId),
-    /// An older rollout has precedence: the members go on to its version.
+    /// An older rollout has precedence, and the members change to its version.
     OtherRollout(Version),
 }
 
 /// The newest change of a rollout's phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PhaseRevision {
-    /// Grows with each change.
+    /// The revision number, which increases with each change.
     pub number: u64,
     /// The phase.
     pub phase: Phase,
--- a/crates/rollout/src/plan/progress.rs
+++ b/crates/rollout/src/plan/progress.rs
@@ -1,10 +1,9 @@
-//! How far a rollout is with one member.
+//! The progress of a rollout at one member.
 
 use crate::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// How far a rollout is with one member. The variants are in the order of the steps: of two copies the further one
-/// wins, so that no step is repeated. Their order is also part of the encoding.
+/// The progress of a rollout at one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum UpgradeState {
     /// Nothing was ordered.
--- a/crates/rollout/src/plan/rollout.rs
+++ b/crates/rollout/src/plan/rollout.rs
@@ -1,4 +1,5 @@
-//! A rollout as replicated state: any proxy that has a copy can lead it, and copies that differ merge to one.
+//! A rollout as replicated state: any proxy that has a copy can lead it, and copies that differ can be
+//! merged.
 
 use super::waves::doubling_waves;
 use super::{HaltReason, Phase, PhaseRevision, UpgradeState};
@@ -6,44 +7,46 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of proxies whose counts are stored.
+/// The maximum number of proxies whose counts are stored.
 const MAX_COUNTING_PROXIES: usize = 1024;
 
-/// The identity of a rollout: when it was started, by the wall clock of the proxy that started it, and that proxy's
-/// rank. Of two rollouts the lesser one has precedence; nothing else depends on the clock.
+/// The identity of a rollout: when it was started, by the wall clock of the proxy that started it, and
+/// that proxy's rank. Of two rollouts the one with the lower id has precedence. Nothing else depends on
+/// the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RolloutId {
-    /// Unix time in milliseconds.
+    /// The Unix time of the start in milliseconds.
     pub started_ms: u64,
-    /// The rank of the proxy.
+    /// The rank of the proxy that started it.
     pub started_by: u64,
 }
 
 /// A rollout. The encoding is positional: the order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// Its identity.
+    /// The identity of the rollout.
     pub id: RolloutId,
     /// The version that the members are to run.
     pub target: Version,
-    /// The version that they ran before, and run again after a rollback.
+    /// The version that the members ran before, and run again after a rollback.
     pub previous: Version,
-    /// Rollouts that were finished where and when this one was started: it need not yield to them.
+    /// The rollouts that were finished where and when this one was started, to which it need not yield.
     pub finished_before: BTreeSet<RolloutId>,
     /// The members of each wave: 1, 2, 4 and so on. They never change.
     pub waves: Vec<Vec<NodeId>>,
     /// The newest change of its phase.
     pub phase_revision: PhaseRevision,
-    /// How far it is with each member; one that is absent is pending.
+    /// The state of each member. A member without an entry is pending.
     pub progress: BTreeMap<NodeId, UpgradeState>,
-    /// What each proxy counted at the upgraded members and the others since the rollout began.
+    /// Each proxy's counts at the upgraded members and at the others since the rollout began.
     pub counts: BTreeMap<u64, CanaryCounts>,
-    /// The sequential test, as its newest evaluation left it.
+    /// The sequential test after its newest evaluation.
     pub analysis: CanaryAnalysis,
 }
 
 impl Rollout {
-    /// Creates a rollout of members, in this order, in waves that double. `budget` members may be out at once.
+    /// Creates a rollout of the members, in this order, in waves that double in size. `budget` members
+    /// may be out of service at the same time.
     pub fn new(
         id: RolloutId,
         target: Version,
@@ -76,14 +79,14 @@
         self.analysis.merge(&other.analysis);
     }
 
-    /// Records the totals that a proxy counted, which only grow.
+    /// Records a proxy's totals, which never decrease.
     pub fn record_counts(&mut self, proxy: u64, counts: &CanaryCounts) {
         if self.counts.len() < MAX_COUNTING_PROXIES || self.counts.contains_key(&proxy) {
             self.counts.entry(proxy).or_default().merge(counts);
         }
     }
 
-    /// The totals over all proxies.
+    /// Returns the totals over all proxies.
     pub fn total_counts(&self) -> CanaryCounts {
         self.counts.values().fold(CanaryCounts::default(), |sum, counts| sum.plus(counts))
     }
@@ -93,12 +96,12 @@
         self.phase_revision.phase
     }
 
-    /// How far it is with a member.
+    /// Returns the state of a member.
     pub fn state_of(&self, id: NodeId) -> UpgradeState {
         self.progress.get(&id).copied().unwrap_or(UpgradeState::Pending)
     }
 
-    /// Advances a member to a later state. Returns whether it is one; an earlier state changes nothing.
+    /// Advances a member to a later state. Returns whether it advanced; an earlier state has no effect.
     pub fn advance(&mut self, id: NodeId, state: UpgradeState) -> bool {
         let advances = state > self.state_of(id) && self.members().any(|member| *member == id);
         if advances {
@@ -107,7 +110,7 @@
         advances
     }
 
-    /// Changes the phase. Returns whether it changed: a rollout that rolls back can't do anything else any more.
+    /// Changes the phase. Returns whether it changed, which it can't once the rollout is rolling back.
     pub fn set_phase(&mut self, phase: Phase) -> bool {
         let changes = !matches!(self.phase(), Phase::RollingBack(_)) && self.phase() != phase;
         if changes {
@@ -116,7 +119,7 @@
         changes
     }
 
-    /// The version that members go back to in a rollback.
+    /// Returns the version to which members return in a rollback.
     pub fn rollback_version(&self) -> Version {
         match self.phase() {
             Phase::RollingBack(HaltReason::OtherRollout(version)) => version,
@@ -124,13 +127,14 @@
         }
     }
 
-    /// The index of the first wave with members that are not upgraded yet.
+    /// Returns the index of the first wave with members that are not upgraded yet.
     pub fn current_wave(&self) -> usize {
         let is_upgraded = |id: &NodeId| matches!(self.state_of(*id), UpgradeState::Upgraded(_));
         self.waves.iter().position(|wave| !wave.iter().all(is_upgraded)).unwrap_or(self.waves.len())
     }
 
-    /// Whether nothing is left to do: all members are upgraded, or all that were touched are rolled back.
+    /// Returns whether the rollout is complete: all members are upgraded, or all members that it touched
+    /// are rolled back.
     pub fn is_finished(&self) -> bool {
         match self.phase() {
             Phase::Forward => self.current_wave() == self.waves.len(),
@@ -139,12 +143,12 @@
         }
     }
 
-    /// All members in the order of the waves.
+    /// Returns all members in the order of the waves.
     pub fn members(&self) -> impl DoubleEndedIterator<Item = &NodeId> {
         self.waves.iter().flatten()
     }
 
-    /// The members that run the new version, or may run it, the newest first.
+    /// Returns the members that run or may run the new version, with the most recently upgraded first.
     pub fn touched_members(&self) -> impl Iterator<Item = (NodeId, UpgradeState)> + '_ {
         let newest_first = self.members().rev();
         newest_first.map(|id| (*id, self.state_of(*id))).filter(|(_, state)| !state.is_untouched())
--- a/crates/rollout/src/plan/table.rs
+++ b/crates/rollout/src/plan/table.rs
@@ -1,25 +1,25 @@
-//! The rollouts that a proxy knows of.
+//! The rollouts that a proxy knows.
 
 use super::{HaltReason, Phase, Rollout, RolloutId};
 use crate::{NodeId, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// The number of rollouts that are stored; past that the oldest finished one is dropped.
+/// The maximum number of rollouts that are stored. Beyond that the oldest finished one is dropped.
 pub const MAX_ROLLOUTS: usize = 8;
 
-/// The table holds [`MAX_ROLLOUTS`] rollouts of which none is finished.
+/// The error that the table already holds [`MAX_ROLLOUTS`] rollouts, none of which is finished.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("as many releases are under way as are kept")]
 pub struct TableFull;
 
-/// A proxy's rollouts.
+/// The rollouts that a proxy knows, by id.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutTable {
     rollouts: BTreeMap<RolloutId, Rollout>,
 }
 
-/// An unfinished rollout, and the members that it claims.
+/// An unfinished rollout, its target version, and the members that it claims.
 struct Claim {
     rollout: RolloutId,
     target: Version,
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     ///
-    /// If there is no room for it.
+    /// Returns an error if the table is full.
     pub fn start(&mut self, mut rollout: Rollout) -> Result<(), TableFull> {
         let finished = self.rollouts.values().filter(|known| known.is_finished()).map(|known| known.id);
         rollout.finished_before.extend(finished);
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// If there is no room for it.
+    /// Returns an error if the table is full.
     pub fn merge(&mut self, rollout: &Rollout) -> Result<(), TableFull> {
         if let Some(known) = self.rollouts.get_mut(&rollout.id) {
             known.merge(rollout);
@@ -63,12 +63,12 @@
         Ok(())
     }
 
-    /// Of two unfinished rollouts that share members the younger one rolls back. Each proxy that knows both decides
-    /// that by itself, with the same result.
+    /// Rolls back the younger of two unfinished rollouts that have members in common. Each proxy that
+    /// knows both decides this on its own, with the same result.
     fn resolve_conflicts(&mut self) {
         let mut claims: Vec<Claim> = Vec::new();
         for rollout in self.rollouts.values_mut() {
-            // One that rolls back neither blocks another one nor yields again.
+            // A rollout that rolls back neither blocks another one nor yields again.
             if matches!(rollout.phase(), Phase::RollingBack(_)) || rollout.is_finished() {
                 continue;
             }
@@ -85,22 +85,22 @@
         }
     }
 
-    /// Looks a rollout up.
+    /// Looks up a rollout.
     pub fn get(&self, id: RolloutId) -> Option<&Rollout> {
         self.rollouts.get(&id)
     }
 
-    /// Looks a rollout up, to change it.
+    /// Looks up a rollout to change it.
     pub fn get_mut(&mut self, id: RolloutId) -> Option<&mut Rollout> {
         self.rollouts.get_mut(&id)
     }
 
-    /// All rollouts, the oldest first.
+    /// Returns all rollouts, the oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &Rollout> {
         self.rollouts.values()
     }
 
-    /// All rollouts, to change them, the oldest first.
+    /// Returns all rollouts for changes, the oldest first.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Rollout> {
         self.rollouts.values_mut()
     }
--- a/crates/rollout/src/service/event.rs
+++ b/crates/rollout/src/service/event.rs
@@ -1,33 +1,34 @@
-//! What the service reports to the log.
+//! The events that the service reports to the log.
 
 use crate::{CommandError, ControllerAction, ParseCommandError, RolloutId};
 use thiserror::Error;
 
-/// What the service reports to the log.
+/// An event that the service reports to the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServiceEvent {
-    /// What was done in a rollout that this proxy leads, or a change of a rollout's phase, which each proxy reports.
+    /// An action in a rollout that this proxy leads, or a phase change of a rollout, which each proxy
+    /// reports.
     Action(RolloutId, ControllerAction),
-    /// An operator's command, and its result.
+    /// An operator's command and its result.
     Command {
-        /// The command's text, shortened.
+        /// The text of the command, truncated.
         text: String,
-        /// The rollout that it applied to.
+        /// The rollout to which it applied.
         result: Result<RolloutId, CommandFailure>,
     },
-    /// Whether the permit server is open: it has a ledger.
+    /// Whether the permit server is open, which means that it has a ledger.
     PermitServerOpen(bool),
     /// Whether this proxy leads.
     Leader(bool),
 }
 
-/// Why an operator's command failed.
+/// The reason why an operator's command failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CommandFailure {
-    /// It is not a command.
+    /// The text is not a command.
     #[error(transparent)]
     Invalid(#[from] ParseCommandError),
-    /// It had no effect.
+    /// The command had no effect.
     #[error(transparent)]
     NoEffect(#[from] CommandError),
 }
--- a/crates/rollout/src/service/mod.rs
+++ b/crates/rollout/src/service/mod.rs
@@ -1,5 +1,6 @@
-//! The complete rollout service of one proxy, for a caller with a socket, a file and a clock. Views of the broker,
-//! datagrams and operators' commands go in; datagrams, the ledger and events for the log come out.
+//! The complete rollout service of one proxy, for a caller that provides a socket, a file and a clock. It
+//! takes the broker's views, datagrams and operators' commands, and returns datagrams, the ledger and log
+//! events.
 
 mod event;
 pub mod status;
@@ -14,22 +15,22 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The most characters of a command that are shown in the status and the log.
+/// The maximum number of characters of a command that the status and the log show.
 const MAX_SHOWN_CHARACTERS: usize = 80;
 
-/// A datagram that is to be sent, and its destination.
+/// A datagram to send, and its destination.
 pub type OutgoingDatagram = (SocketAddrV4, Vec<u8>);
 
-/// What a service is configured with.
+/// The configuration of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceSetup {
-    /// This proxy.
+    /// The identity of this proxy.
     pub identity: PeerIdentity,
     /// The nodes and their disruption budget.
     pub inventory: Inventory,
-    /// Timing and policy.
+    /// The timing and policy settings.
     pub config: RolloutConfig,
-    /// The proxies' addresses, by rank from 1.
+    /// The addresses of the proxies, by rank from 1.
     pub proxies: Vec<SocketAddrV4>,
     /// The addresses of the members' agents.
     pub agents: BTreeMap<NodeId, SocketAddrV4>,
@@ -43,20 +44,21 @@
     view: FleetView,
     proxies: Vec<SocketAddrV4>,
     rank: u64,
-    /// Whether the permit server was last reported as open; none: it is no permit server.
+    /// Whether the permit server was last reported as open. `None` if this proxy is not a permit server.
     reported_open: Option<bool>,
     reported_leader: bool,
-    /// The phases that were reported last; bounded as the rollouts are.
+    /// The phases that were reported last. The map is bounded by the number of stored rollouts.
     reported_phases: BTreeMap<RolloutId, PhaseRevision>,
     events: Vec<ServiceEvent>,
-    /// The last command and its answer, for the status.
+    /// The last command and its result, for the status.
     last_answer: String,
-    /// Counts the datagrams from unknown proxies, or without a rank.
+    /// The number of datagrams from unknown proxies or without a rank.
     pub rejected: u64,
 }
 
 impl RolloutService {
-    /// Creates the service of a process that has just started; `ledger` is the permit server's, as its file holds it.
+    /// Creates the service of a process that has just started. `ledger` is the permit server's ledger as
+    /// read from its file.
     pub fn new(setup: ServiceSetup, ledger: Option<PermitLedger>, now: Micros) -> RolloutService {
         let ServiceSetup { identity, inventory, config, proxies, agents } = setup;
         let mut peer = RolloutPeer::new(identity, inventory, config, ledger, now);
@@ -77,8 +79,9 @@
         }
     }
 
-    /// Takes in the broker's current view of the members. Drains by service discovery and cordons at this proxy count as
-    /// causes of outages if it is a permit server; a member that is not on the endpoint list is not healthy.
+    /// Handles the broker's current view of the members. If this proxy is a permit server, drains by
+    /// service discovery and cordons at this proxy count as causes of outages. A member that is not on
+    /// the endpoint list is not healthy.
     pub fn on_view(&mut self, view: FleetView) {
         self.peer.set_outages(OutageCause::Drain, &view.members_where(|member| member.draining));
         self.peer.set_outages(OutageCause::Cordon, &view.members_where(|member| member.cordoned));
@@ -89,7 +92,8 @@
         self.view = view;
     }
 
-    /// Handles a datagram: from an agent if its address is one, else from a proxy, which sends its rank first.
+    /// Handles a datagram. If the sender's address is an agent's, the datagram is an agent's reply;
+    /// otherwise it is a proxy's message, which starts with the sender's rank.
     pub fn on_datagram(&mut self, now: Micros, from: SocketAddrV4, bytes: &[u8]) {
         if let Some(id) = self.agents.member_at(from) {
             if let Some(observation) = self.agents.on_datagram(id, bytes, &self.view) {
@@ -111,7 +115,7 @@
         is_known.then_some((rank, message))
     }
 
-    /// Applies an operator's command, as it is in the signal file.
+    /// Applies an operator's command, as read from the signal file.
     pub fn on_command(&mut self, now_ms: u64, text: &str) {
         let shown: String = text.trim().chars().take(MAX_SHOWN_CHARACTERS).collect();
         let result = self.parse_and_apply(now_ms, text);
@@ -127,7 +131,7 @@
         Ok(self.peer.apply_command(now_ms, &command)?)
     }
 
-    /// Does what is due now.
+    /// Performs the work that is due now.
     pub fn on_tick(&mut self, now: Micros) {
         self.peer.on_tick(now);
         if self.peer.needs_observations() {
@@ -144,7 +148,7 @@
         match effect {
             Effect::Restart(order) => self.agents.restart(now, &order),
             Effect::HandOver(id, incarnation) => self.agents.hand_over(now, id, incarnation),
-            // Each proxy that knows the rollout reports the change itself.
+            // Each proxy that knows the rollout reports the phase change itself.
             Effect::Log(_, ControllerAction::PhaseChanged(_)) => {}
             Effect::Log(rollout, action) => self.events.push(ServiceEvent::Action(rollout, action)),
         }
@@ -177,7 +181,8 @@
         self.reported_leader = is_leader;
     }
 
-    /// Takes the datagrams that are to be sent; messages to this proxy itself are handled at once.
+    /// Removes and returns the datagrams to be sent. Messages to this proxy itself are handled
+    /// immediately.
     pub fn take_datagrams(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         let mut datagrams = Vec::new();
         loop {
@@ -199,33 +204,34 @@
         datagrams
     }
 
-    /// Takes the events that are to be logged.
+    /// Removes and returns the events to be logged.
     pub fn take_events(&mut self) -> Vec<ServiceEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// The permit server's ledger, if it is to be written to disk before responses are sent.
+    /// Returns the permit server's ledger if it has to be written to disk before responses are sent.
     pub fn ledger_to_store(&self) -> Option<&PermitLedger> {
         self.peer.ledger_to_store()
     }
 
-    /// Notes that the ledger is on disk up to this revision.
+    /// Records that the ledger is on disk up to this revision.
     pub fn on_ledger_stored(&mut self, revision: u64) {
         self.peer.on_ledger_stored(revision);
     }
 
-    /// Whether its permit server waits for a ledger.
+    /// Returns whether this proxy's permit server waits for a ledger.
     pub fn is_permit_server_closed(&self) -> bool {
         self.peer.is_permit_server_closed()
     }
 
-    /// Opens the permit server with the ledger that an operator gave it.
+    /// Opens the permit server with the ledger that an operator provided.
     pub fn open_permit_server(&mut self, ledger: PermitLedger) {
         self.peer.open_permit_server(ledger);
     }
 }
 
-/// The rank of the proxy that a message goes to: the permit servers are the proxies of the first ranks.
+/// Returns the rank of the proxy to which a message is sent. The permit servers are the proxies with the
+/// lowest ranks.
 fn rank_of(destination: Destination) -> u64 {
     match destination {
         Destination::PermitServer(server) => u64::from(server) + 1,
--- a/crates/rollout/src/service/status.rs
+++ b/crates/rollout/src/service/status.rs
@@ -1,15 +1,15 @@
-//! The status text that operators are shown beside the signal file.
+//! The status text for operators, which is written next to the signal file.
 
 use super::RolloutService;
 use crate::{AttemptCounts, CanaryCounts, HaltReason, Phase, Rollout, RolloutId, UpgradeState};
 use std::fmt::Write;
 
-/// A rollout's name in the status, the log and the records.
+/// Returns a rollout's name in the status, the log and the records.
 pub fn rollout_name(rollout: RolloutId) -> String {
     format!("{}.{}", rollout.started_ms, rollout.started_by)
 }
 
-/// A reason's name.
+/// Returns the name of a halt reason.
 pub fn reason_name(reason: HaltReason) -> String {
     match reason {
         HaltReason::Operator => String::from("operator"),
@@ -20,7 +20,7 @@
     }
 }
 
-/// A phase's name, and its reason's.
+/// Returns the name of a phase, and the name of its reason.
 pub fn phase_names(phase: Phase) -> (&'static str, String) {
     match phase {
         Phase::Forward => ("forward", String::from("-")),
@@ -30,7 +30,8 @@
 }
 
 impl RolloutService {
-    /// The status: the last command's answer, this proxy, and a line for each rollout that it knows, the newest first.
+    /// Returns the status: the result of the last command, the state of this proxy, and a line for each
+    /// rollout that it knows, the newest first.
     pub fn status(&self) -> String {
         let mut text = format!("answer {}\n", self.last_answer);
         let leads = self.peer.is_leader();
@@ -54,7 +55,7 @@
     }
 }
 
-/// How many members of a rollout are in each state.
+/// The number of members of a rollout in each state.
 #[derive(Default)]
 struct StateCounts {
     pending: usize,
