--- a/crates/rollout/tests/agent_poller.rs
+++ b/crates/rollout/tests/agent_poller.rs
@@ -1,4 +1,4 @@
-//! Observations of members by their agents' replies and the broker's view.
+//! Observations of members that follow from their agents' replies and the broker's view.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -24,9 +24,10 @@
     AgentStatus { sequence, incarnation, version: 6, ready }.to_bytes()
 }
 
-/// Guards against a member that counts as back by its agent's reply alone, or by an old view of the broker.
+/// Guards against a member that counts as healthy although only its agent reports that, or although the
+/// broker's view is old.
 #[test]
-fn a_member_is_healthy_if_its_agent_and_the_broker_agree_on_one_incarnation() {
+fn member_is_healthy_if_agent_and_broker_agree() {
     let cases = [
         (7, true, view(100, 7, true), true),
         (7, false, view(100, 7, true), false),
@@ -48,20 +49,28 @@
     }
 }
 
-/// Guards against replies to another process, and delayed, duplicated or reordered ones.
+/// Guards against accepting replies to another process, and delayed, duplicated or reordered replies.
 #[test]
-fn a_reply_matches_a_pending_request_and_is_as_old_as_that() {
+fn reply_matches_a_pending_request_and_has_its_age() {
     let mut poller = poller();
     poller.on_tick(0);
     poller.on_tick(600_000);
     let sequences: Vec<u64> = sent_requests(&mut poller).iter().map(|request| request.sequence).collect();
-    assert_eq!(sequences.len(), 3, "one was polled twice, the other once");
+    assert_eq!(sequences.len(), 3, "expected two polls of one agent and one of the other");
     let now = view(9_000_000, 7, true);
-    assert_eq!(poller.on_datagram(1, &status(3, 7, true), &now), None, "none of this process's numbers");
+    assert_eq!(
+        poller.on_datagram(1, &status(3, 7, true), &now),
+        None,
+        "not a sequence number of this process"
+    );
     let observation = poller.on_datagram(1, &status(sequences[1], 7, true), &now);
     assert_eq!(observation.map(|observation| observation.at), Some(600_000));
     assert_eq!(poller.on_datagram(1, &status(sequences[1], 7, true), &now), None, "duplicated");
-    assert_eq!(poller.on_datagram(1, &status(sequences[0], 7, true), &now), None, "older than the last");
+    assert_eq!(
+        poller.on_datagram(1, &status(sequences[0], 7, true), &now),
+        None,
+        "older than the last reply"
+    );
     assert_eq!(poller.on_datagram(1, b"no status", &now), None);
     assert_eq!(poller.rejected, 4);
     let order = RestartOrder { id: 1, incarnation: 7, version: 7, only_if_down: false };
--- a/crates/rollout/tests/agent_protocol.rs
+++ b/crates/rollout/tests/agent_protocol.rs
@@ -2,9 +2,9 @@
 
 use wharfplank_rollout::{AgentCommand, AgentRequest, AgentStatus};
 
-/// Guards the form that agents are written against.
+/// Guards the documented format, for which agents are written.
 #[test]
-fn requests_and_replies_have_the_documented_form() {
+fn requests_and_replies_have_the_documented_format() {
     let restart = AgentCommand::Restart { incarnation: 17, version: 7, only_if_down: false };
     let request = AgentRequest { sequence: 4, command: restart };
     let text = br#"{"number":4,"ask":"leave","launch":17,"version":7,"down":false}"#;
--- a/crates/rollout/tests/attempt_counter.rs
+++ b/crates/rollout/tests/attempt_counter.rs
@@ -15,9 +15,10 @@
     FleetView { at: 0, members: members.collect() }
 }
 
-/// Guards against answers from before a rollout, of members in transition, or counted twice.
+/// Guards against counting answers from before a rollout, answers of members that are being restarted,
+/// and answers twice.
 #[test]
-fn each_answer_since_the_rollout_began_counts_once_on_its_side() {
+fn each_answer_counts_once_on_its_side() {
     let id = RolloutId { started_ms: 1, started_by: 1 };
     let mut rollout = Rollout::new(id, 7, 6, &[0, 1, 2], 1);
     rollout.advance(0, UpgradeState::Upgraded(9));
@@ -29,7 +30,7 @@
     assert_eq!((counts[0].1.canary.failed, counts[0].1.baseline.failed), (1, 4));
     let counts = counter.count(1, &view([1010, 1020, 1040]), [&rollout].into_iter());
     assert_eq!((counts[0].1.canary.answered, counts[0].1.baseline.answered), (10, 40), "counted twice");
-    // Another process of the same rank continues from the published counts.
+    // Another process with the same rank continues from the published counts.
     rollout.record_counts(1, &counts[0].1);
     let mut restarted = AttemptCounter::default();
     restarted.count(1, &view([5, 5, 5]), std::iter::empty());
--- a/crates/rollout/tests/ledger_file.rs
+++ b/crates/rollout/tests/ledger_file.rs
@@ -2,9 +2,9 @@
 
 use wharfplank_rollout::{decode_ledger, encode_ledger, PermitLedger};
 
-/// Guards against a permit server that opens with a ledger that is corrupt, truncated or not its own.
+/// Guards against a permit server that opens with a ledger that is corrupt, truncated or not a ledger.
 #[test]
-fn a_ledger_is_decoded_completely_or_not_at_all() {
+fn truncated_or_corrupt_ledger_is_rejected() {
     let mut ledger = PermitLedger::default();
     ledger.revision = 300;
     let bytes = encode_ledger(&ledger);
--- a/crates/rollout/tests/merge_laws.rs
+++ b/crates/rollout/tests/merge_laws.rs
@@ -1,4 +1,4 @@
-//! Copies of a rollout that differ merge to one, in whatever order and however often they meet.
+//! Differing copies of a rollout merge to the same state, in any order and any number of times.
 
 use proptest::prelude::*;
 use wharfplank_rollout::{AttemptCounts, CanaryCounts, HaltReason, Phase, Rollout, RolloutId, UpgradeState};
@@ -71,7 +71,7 @@
 
 proptest! {
     #[test]
-    fn copies_merge_to_one(
+    fn merge_is_commutative_associative_and_idempotent(
         a in proptest::collection::vec(edit(), 0..20),
         b in proptest::collection::vec(edit(), 0..20),
         c in proptest::collection::vec(edit(), 0..20),
@@ -80,7 +80,7 @@
         prop_assert_eq!(merged(&a, &b), merged(&b, &a));
         prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
         prop_assert_eq!(merged(&a, &a), a.clone());
-        // No state is reverted, and a rollback stays whatever other phase has the same revision number.
+        // No state is reverted. A rollback persists if another phase has the same revision number.
         let both = merged(&a, &b);
         prop_assert!((0..7).all(|id| both.state_of(id) >= a.state_of(id) && both.state_of(id) >= b.state_of(id)));
         prop_assert!(both.phase_revision >= a.phase_revision && both.phase_revision >= b.phase_revision);
--- a/crates/rollout/tests/permit_rules.rs
+++ b/crates/rollout/tests/permit_rules.rs
@@ -1,4 +1,4 @@
-//! The rules of a permit server one by one, each by the one thing that would break it.
+//! The rules of a permit server and of the leader election. Each test violates a single rule.
 
 use wharfplank_rollout::{
     Candidate, DisruptionBudget, Incarnation, Inventory, LeaderElection, Micros, Node, NodeId, NodeKind,
@@ -8,7 +8,8 @@
 
 const ROLLOUT: RolloutId = RolloutId { started_ms: 1, started_by: 1 };
 
-/// Two groups of three, of which members 0 and 3 are primaries; two may be out, one of a group.
+/// Two groups of three, with members 0 and 3 as primaries. Two nodes may be out of service, one of each
+/// group.
 fn inventory(fleet: u32) -> Inventory {
     let node = |id: NodeId| Node { id, group: id as u32 / 3, zone: id as u32 % 3, kind: NodeKind::Member };
     let budget = DisruptionBudget { per_group: 1, per_zone: 2, fleet, permit_servers: 1 };
@@ -19,7 +20,7 @@
     PermitServer::new(0, inventory(2), RolloutConfig::default(), ledger)
 }
 
-/// The request of a controller with the server's inventory.
+/// Creates a request of a controller with the server's inventory.
 fn permit_request(
     phase_revision: u64,
     holder: u64,
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_node_that_was_not_observed_lately_counts_as_out() {
+fn unobserved_nodes_count_as_out_of_service() {
     let mut new = server(Some(PermitLedger::default()));
     observe(&mut new, 0, 1, 1, true);
     assert_eq!(reject_reason(request(&mut new, 0, 1, 1, 1, 1)), Some(RejectReason::GroupBudget));
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn a_server_without_its_ledger_stays_closed_and_one_with_it_keeps_its_permits() {
+fn server_stays_closed_without_ledger_and_keeps_permits_with_it() {
     let mut lost = server(None);
     (0..6).for_each(|id| observe(&mut lost, 0, id, 1, true));
     assert_eq!(reject_reason(request(&mut lost, 0, 1, 1, 1, 1)), Some(RejectReason::Closed));
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn a_permit_is_returned_once_by_its_holder_and_by_nobody_once_shared() {
+fn only_the_holder_returns_a_permit_and_only_while_unshared() {
     let mut server = open_server();
     let granted = request(&mut server, 0, 1, 1, 1, 1).map(|response| response.held[0].sequence).unwrap_or(0);
     let returned = PermitReturn { id: 1, sequence: granted, holder: 1 };
@@ -93,11 +94,12 @@
     assert_eq!(server.outage_cause(0, 1), Some(OutageCause::Rollout));
     server.on_return(&returned);
     assert_eq!(server.outage_cause(0, 1), None);
-    // Granted again: the same return, duplicated or an hour late, is of another permit.
+    // The permit is granted again. A duplicate or a late copy of the same return names the earlier
+    // permit.
     assert!(request(&mut server, 0, 1, 2, 1, 1).is_some());
     server.on_return(&returned);
     assert_eq!(server.outage_cause(0, 1), Some(OutageCause::Rollout));
-    // Another controller learned of it, and may order a restart by it.
+    // Another controller now knows the permit, and may order a restart under it.
     let response = server.on_request(0, &permit_request(0, 2, 1, vec![]));
     let sequence = response.map(|response| response.held[0].sequence).unwrap_or(0);
     server.on_return(&PermitReturn { sequence, ..returned });
@@ -105,7 +107,7 @@
 }
 
 #[test]
-fn requests_that_are_delayed_or_of_an_older_phase_get_nothing() {
+fn delayed_or_outdated_requests_get_no_permit() {
     let mut server = open_server();
     assert!(request(&mut server, 0, 1, 5, 1, 1).is_some());
     assert_eq!((request(&mut server, 0, 1, 5, 4, 1), request(&mut server, 0, 1, 4, 4, 1)), (None, None));
@@ -115,7 +117,7 @@
 }
 
 #[test]
-fn a_controller_with_another_budget_gets_nothing() {
+fn inventory_mismatch_is_rejected() {
     let mut server = open_server();
     let inventory_digest = inventory(4).digest();
     let other = PermitRequest { inventory_digest, ..permit_request(0, 1, 1, candidate(1, 1)) };
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn a_permit_ends_at_a_later_healthy_incarnation_and_not_before() {
+fn permit_ends_at_a_later_healthy_incarnation() {
     let mut server = open_server();
     assert!(request(&mut server, 0, 1, 1, 1, 1).is_some());
     let hour = 3_600_000_000;
@@ -135,17 +137,18 @@
 }
 
 #[test]
-fn a_group_keeps_its_primary_until_the_handover_and_a_replica() {
+fn group_keeps_its_primary_until_handover_and_one_replica() {
     let mut server = open_server();
     assert_eq!(reject_reason(request(&mut server, 0, 1, 1, 0, 1)), Some(RejectReason::IsPrimary));
-    // Both claim to be the primary: it is handed over, and the old one not observed again yet.
+    // Both claim to be the primary: the role has been handed over, and the old primary was not observed
+    // again yet.
     let healthy =
         |primary, at| NodeObservation { incarnation: 1, version: 1, healthy: true, down: false, primary, at };
     server.on_observation(1, 1, healthy(true, 1));
     assert_eq!(reject_reason(request(&mut server, 1, 1, 2, 0, 1)), Some(RejectReason::IsPrimary));
     server.on_observation(2, 0, healthy(false, 2));
     assert_eq!(request(&mut server, 2, 1, 3, 0, 1).map(|response| response.held.len()), Some(1));
-    // The other group's primary fails: a replica may have to take its place.
+    // The primary fails, so a replica may have to become the primary.
     let nodes = (0..3).map(|id| Node { id, group: 0, zone: id as u32, kind: NodeKind::Member }).collect();
     let budget = DisruptionBudget { per_group: 3, per_zone: 3, fleet: 3, permit_servers: 1 };
     let wide = Inventory::new(nodes, budget);
@@ -163,7 +166,7 @@
 }
 
 #[test]
-fn a_node_that_is_down_goes_beyond_the_budget_only_while_it_stays_down() {
+fn down_node_needs_no_budget_while_it_is_down() {
     let mut server = open_server();
     assert!(request(&mut server, 0, 1, 1, 1, 1).is_some());
     observe(&mut server, 0, 2, 1, false);
@@ -175,7 +178,7 @@
 }
 
 #[test]
-fn the_least_rank_that_is_heard_leads_and_one_that_stood_still_waits() {
+fn lowest_rank_leads_and_a_paused_proxy_waits() {
     let timeout = 3;
     let mut election = LeaderElection::new(2, timeout, 0);
     assert!(!election.check_leadership(2) && election.check_leadership(3));
@@ -183,14 +186,15 @@
     assert!(!election.check_leadership(4) && !election.check_leadership(6) && election.check_leadership(7));
     assert!(
         !election.check_leadership(100) && !election.check_leadership(102) && election.check_leadership(103),
-        "it led as it woke"
+        "the proxy led immediately after the pause"
     );
 }
 
-/// Guards against an order that has an effect only while the member is down, granted because the broker alone suspects
-/// it: its agent reports that it serves, and the rollout would wait for ever. One that is up again ends such a permit.
+/// Guards against a permit that is limited to members that are down, but granted because only the broker
+/// suspects the member. Its agent reports that it serves, so the order has no effect and the rollout
+/// waits forever. A permit that is limited in this way ends when the member serves again.
 #[test]
-fn a_node_that_the_broker_alone_suspects_needs_budget() {
+fn node_suspected_only_by_the_broker_needs_budget() {
     let mut server = open_server();
     let unhealthy =
         |down, at| NodeObservation { incarnation: 1, version: 1, healthy: false, down, primary: false, at };
@@ -205,6 +209,6 @@
     assert_eq!(
         response.held.iter().map(|permit| permit.id).collect::<Vec<_>>(),
         [1],
-        "it serves, healthy or not"
+        "the permit of a member that serves again must end, healthy or not"
     );
 }
--- a/crates/rollout/tests/permits/main.rs
+++ b/crates/rollout/tests/permits/main.rs
@@ -1,7 +1,7 @@
-//! The permits of one server (servers share nothing), checked by a model checker over every order of messages, with
-//! lost, delayed and duplicated messages, members that crash and restarts of the server: the real permit server, two
-//! controllers that may request, order and return at any time their rules allow, and two members of which one may be
-//! out.
+//! A model checker explores the permits of one server; servers share nothing. It covers every order of
+//! messages, lost, delayed and duplicated messages, crashes of members and restarts of the server. The
+//! model consists of the real permit server, two controllers that may request, order and return whenever
+//! their rules allow it, and two members, of which one may be out of service.
 
 mod state;
 
@@ -11,7 +11,7 @@
     Candidate, Micros, NodeId, NodeObservation, PermitLedger, PermitRequest, PermitReturn, RestartOrder,
 };
 
-/// The number of messages that may be in flight.
+/// The maximum number of messages in flight.
 const MAX_IN_FLIGHT: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -28,7 +28,7 @@
         controller: usize,
         member: NodeId,
     },
-    /// A member is observed; one that serves may be suspected by the broker alone.
+    /// A member is observed. One that serves may be suspected by the broker alone.
     Observe {
         member: NodeId,
         suspected: bool,
@@ -43,7 +43,7 @@
     },
 }
 
-/// How often each kind of step may happen.
+/// The number of times that each kind of step may happen.
 #[derive(Clone)]
 struct PermitModel {
     requests: u32,
@@ -54,7 +54,7 @@
 }
 
 impl PermitModel {
-    /// What the controllers may do.
+    /// Adds the steps that the controllers may take.
     fn controller_steps(&self, state: &State, steps: &mut Vec<Step>) {
         if state.in_flight.len() >= MAX_IN_FLIGHT {
             return;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// What may happen to members, and what may be observed of them.
+    /// Adds the events that may happen to members, and the observations of them.
     fn member_steps(&self, state: &State, steps: &mut Vec<Step>) {
         let members = 0..MEMBERS as NodeId;
         let is_up = |member: &NodeId| state.members[*member as usize].up;
@@ -207,18 +207,23 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        let mut all = vec![Property::always("at most one is out by orders", |_, state: &State| {
-            state.out_by_order() <= 1
-        })];
+        let mut all =
+            vec![Property::always("at most one member is out of service by orders", |_, state: &State| {
+                state.out_by_order() <= 1
+            })];
         if self.requests >= 2 && self.crashes == 0 && self.observations >= 2 {
-            all.push(Property::sometimes("both were out, one after the other", |_, state: &State| {
-                state.members.iter().all(|member| member.incarnation > 1)
-            }));
+            all.push(Property::sometimes(
+                "both members were out of service, one after the other",
+                |_, state: &State| state.members.iter().all(|member| member.incarnation > 1),
+            ));
         }
         if self.server_restarts > 0 && self.crashes == 0 {
-            all.push(Property::sometimes("one goes out after the server's restart", |_, state: &State| {
-                state.server_restarts > 0 && state.out_by_order() == 1 && state.requests > 0
-            }));
+            all.push(Property::sometimes(
+                "a member goes out of service by an order after the server's restart",
+                |_, state: &State| {
+                    state.server_restarts > 0 && state.out_by_order() == 1 && state.requests > 0
+                },
+            ));
         }
         all.push(Property::sometimes("a permit is returned and granted again", |_, state: &State| {
             let is_regranted = |ledger: &PermitLedger| ledger.permits().any(|permit| permit.sequence > 1);
@@ -236,21 +241,21 @@
     checker.unique_state_count()
 }
 
-/// A model of requests and observations alone.
+/// A model with requests and observations only.
 fn without_faults(requests: u32, observations: Micros) -> PermitModel {
     PermitModel { requests, observations, network_faults: 0, crashes: 0, server_restarts: 0 }
 }
 
 #[test]
-fn at_most_one_is_out_over_every_order_of_messages() {
+fn at_most_one_member_is_out_by_orders() {
     assert!(check(without_faults(2, 2)) > 10_000);
     assert!(check(without_faults(3, 0)) > 10_000);
 }
 
-/// As above with more of each: millions of states. `make model`.
+/// The same check with more of each kind of step, over millions of states. Run by `make model`.
 #[test]
 #[ignore = "takes minutes"]
-fn at_most_one_is_out_over_every_order_of_messages_and_faults() {
+fn at_most_one_member_is_out_by_orders_with_faults() {
     assert!(check(PermitModel { network_faults: 1, ..without_faults(3, 1) }) > 500_000);
     assert!(check(PermitModel { network_faults: 1, crashes: 1, ..without_faults(2, 1) }) > 500_000);
     assert!(check(PermitModel { server_restarts: 1, ..without_faults(2, 2) }) > 100_000);
--- a/crates/rollout/tests/permits/state.rs
+++ b/crates/rollout/tests/permits/state.rs
@@ -1,4 +1,5 @@
-//! The state of the model: the real permit server, controllers that keep its rules, members, and the messages in flight.
+//! The state of the model: the real permit server, controllers that follow its rules, members, and the
+//! messages in flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_rollout::{
@@ -24,7 +25,7 @@
 pub struct Member {
     pub incarnation: Incarnation,
     pub up: bool,
-    /// Whether it served when an order took it out.
+    /// Whether the member served when an order ended its incarnation.
     pub out_by_order: bool,
 }
 
--- a/crates/rollout/tests/rollout/faults.rs
+++ b/crates/rollout/tests/rollout/faults.rs
@@ -1,16 +1,16 @@
-//! The faults of the hard cases.
+//! The faults that the hard cases inject.
 
-use crate::fleet::S;
+use crate::fleet::SECOND;
 use crate::simulation::{LogEntry, Simulation};
 use rand::Rng;
 use wharfplank_rollout::{
     ControllerAction, HaltReason, Micros, OperatorCommand, Phase, RolloutId, UpgradeState, Version,
 };
 
-/// Faults are injected until then.
-const FAULTS_UNTIL: Micros = 150 * S;
+/// The time after which no more faults are injected.
+const FAULTS_UNTIL: Micros = 150 * SECOND;
 
-/// The kind of a controller's action, as the number that [`Run::after_kind`] counts by.
+/// Returns the kind of a controller's action, as the number that [`Run::after_kind`] uses.
 fn kind_of(action: &ControllerAction) -> usize {
     match action {
         ControllerAction::WaveStarted(_) => 0,
@@ -22,15 +22,15 @@
     }
 }
 
-/// Whether a leader did something of this kind just now.
-fn just_did(simulation: &Simulation, kind: usize) -> bool {
+/// Returns whether a leader performed an action of this kind in the current step.
+fn has_just_performed(simulation: &Simulation, kind: usize) -> bool {
     let is_now = |entry: &&LogEntry| entry.at == simulation.now;
     simulation.log.iter().rev().take_while(is_now).any(|entry| kind_of(&entry.action) == kind)
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Case {
-    Calm,
+    NoFaults,
     TwoRollouts,
     LeaderKilled,
     LeaderPaused,
@@ -39,14 +39,14 @@
     LedgerLost,
     NeverReady,
     HaltedAndResumed,
-    Undone,
+    RolledBack,
     CrashesDuringOutages,
     Drains,
-    HourLate,
+    HourDelay,
 }
 
 pub const CASES: [Case; 13] = [
-    Case::Calm,
+    Case::NoFaults,
     Case::TwoRollouts,
     Case::LeaderKilled,
     Case::LeaderPaused,
@@ -55,13 +55,13 @@
     Case::LedgerLost,
     Case::NeverReady,
     Case::HaltedAndResumed,
-    Case::Undone,
+    Case::RolledBack,
     Case::CrashesDuringOutages,
     Case::Drains,
-    Case::HourLate,
+    Case::HourDelay,
 ];
 
-/// The proxy that leads: the last to have done something.
+/// Returns the proxy that leads, which is the last one that logged an action.
 fn leader(simulation: &Simulation) -> usize {
     simulation.log.last().map_or(0, |entry| entry.proxy)
 }
@@ -71,24 +71,24 @@
     pub case: Case,
     pub rollout: RolloutId,
     pub target: Version,
-    /// When the next fault is injected.
+    /// The time at which the next fault is injected.
     pub next_fault_at: Micros,
-    /// After which kind of action the leader is killed or paused; none: at any time.
+    /// The kind of action after which the leader is killed or paused. `None` means at any time.
     pub after_kind: Option<usize>,
-    /// Whether an operator's command was given.
-    pub commanded: bool,
+    /// Whether an operator's command was issued.
+    pub command_issued: bool,
 }
 
 impl Run {
     pub fn inject_fault(&mut self) {
         let now = self.simulation.now;
         let simulation = &mut self.simulation;
-        let later = now + simulation.rng.random_range(3 * S..10 * S);
+        let later = now + simulation.rng.random_range(3 * SECOND..10 * SECOND);
         if now < self.next_fault_at || now > FAULTS_UNTIL {
             return;
         }
-        let hits_leader = matches!(self.case, Case::LeaderKilled | Case::LeaderPaused);
-        if hits_leader && !self.after_kind.is_none_or(|kind| just_did(simulation, kind)) {
+        let targets_leader = matches!(self.case, Case::LeaderKilled | Case::LeaderPaused);
+        if targets_leader && !self.after_kind.is_none_or(|kind| has_just_performed(simulation, kind)) {
             return;
         }
         self.next_fault_at = later;
@@ -99,15 +99,15 @@
             Case::TwoRollouts => simulation.proxies.iter_mut().for_each(|proxy| proxy.side = false),
             Case::LeaderKilled => simulation.proxies[leader].alive = false,
             Case::LeaderPaused => {
-                let pause = simulation.rng.random_range(2 * S..15 * S);
+                let pause = simulation.rng.random_range(2 * SECOND..15 * SECOND);
                 simulation.proxies[leader].paused_until = now + pause;
             }
             Case::PermitServerKilled | Case::LedgerLost => self.kill_permit_server(),
             Case::Partition => self.toggle_partition(),
-            Case::HaltedAndResumed | Case::Undone | Case::HourLate => self.give_command(),
+            Case::HaltedAndResumed | Case::RolledBack | Case::HourDelay => self.issue_command(),
             Case::CrashesDuringOutages if out < 3 => self.next_fault_at = now,
             Case::CrashesDuringOutages => {
-                simulation.fleet.members[any_member].crash(now, now + 12 * S);
+                simulation.fleet.members[any_member].crash(now, now + 12 * SECOND);
             }
             Case::Drains => {
                 let member = &mut simulation.fleet.members[any_member];
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Starts or ends a partition between the first two proxies and the others, with or without the members.
+    /// Starts or ends a partition between the first two proxies and the others. At random, the members
+    /// are partitioned as well or stay reachable by all proxies.
     fn toggle_partition(&mut self) {
         let simulation = &mut self.simulation;
         let is_partitioned = !simulation.proxies[0].side;
@@ -139,24 +140,24 @@
         }
     }
 
-    /// Gives any proxy an operator's command.
-    fn give_command(&mut self) {
+    /// Issues an operator's command at a random proxy.
+    fn issue_command(&mut self) {
         let any_proxy = self.simulation.rng.random_range(0..self.simulation.proxies.len());
         let peer = &mut self.simulation.proxies[any_proxy].peer;
         let is_halted = peer.rollouts().iter().any(|rollout| matches!(rollout.phase(), Phase::Halted(_)));
-        let command = if self.case == Case::Undone && self.commanded {
+        let command = if self.case == Case::RolledBack && self.command_issued {
             OperatorCommand::Undo
         } else if is_halted {
             OperatorCommand::Resume
         } else {
             OperatorCommand::Halt
         };
-        // It may be finished by now, or halted already.
+        // The rollout may be finished or halted already.
         let _ = peer.apply_command(0, &command);
-        self.commanded = true;
+        self.command_issued = true;
     }
 
-    /// Restarts what was killed. After the time of faults it repairs everything.
+    /// Restarts killed proxies. After the last fault it repairs everything.
     pub fn repair(&mut self) {
         let simulation = &mut self.simulation;
         let faults_are_over = simulation.now > FAULTS_UNTIL;
@@ -184,7 +185,7 @@
         let halted = Phase::Halted(HaltReason::Operator);
         for proxy in &mut self.simulation.proxies {
             if proxy.peer.rollouts().iter().any(|rollout| rollout.phase() == halted) {
-                // It may roll back by now.
+                // The rollout may be rolling back already.
                 let _ = proxy.peer.apply_command(0, &OperatorCommand::Resume);
             }
         }
--- a/crates/rollout/tests/rollout/fleet.rs
+++ b/crates/rollout/tests/rollout/fleet.rs
@@ -1,4 +1,5 @@
-//! The true state of the members, and the checker that counts who is out whenever one more goes out.
+//! The actual state of the members, and a checker that counts the members out of service whenever an
+//! order takes down one more.
 
 use rand::rngs::SmallRng;
 use rand::Rng;
@@ -8,12 +9,13 @@
 };
 
 pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000 * MS;
-/// A permit server is not blamed for what it couldn't know when it granted a permit: a failure, or a drain by service
-/// discovery, less than this long before, or since then. An order that was sent can't be revoked.
-const DETECTION_TIME: Micros = 4 * S;
+pub const SECOND: Micros = 1_000 * MS;
+/// The time in which a permit server need not know of a failure or a drain by service discovery. One that
+/// began less than this before a permit was granted, or later, is not counted as a violation, since an
+/// order that was sent can't be revoked.
+const DETECTION_TIME: Micros = 4 * SECOND;
 
-/// A version that is never ready, and one that fails many attempts under load.
+/// A version that is never ready, and a version that fails many attempts under load.
 pub const NEVER_READY: Version = 66;
 pub const BAD_UNDER_LOAD: Version = 77;
 
@@ -22,18 +24,18 @@
     pub node: Node,
     pub incarnation: Incarnation,
     pub version: Version,
-    /// From when on it serves.
+    /// The time from which it serves.
     pub up_at: Micros,
-    /// Since when it is out without an order.
+    /// The time since which it is out of service without an order.
     pub crashed_at: Option<Micros>,
-    /// Since when service discovery drains it.
+    /// The time since which service discovery has been draining it.
     pub drained_at: Option<Micros>,
-    /// Whether it served when an order took it out.
+    /// Whether it served when an order ended its incarnation.
     pub out_by_order: bool,
     pub primary: bool,
-    /// The side of a network partition that it is on; none: all reach it.
+    /// The side of a network partition that it is on. `None` if all proxies reach it.
     pub side: Option<bool>,
-    /// Incarnations of this member that an order ended.
+    /// The incarnations of this member that an order ended.
     pub ended: Vec<Incarnation>,
 }
 
@@ -57,7 +59,7 @@
         self.up_at <= now && self.drained_at.is_none()
     }
 
-    /// Observes it now, for a poll that was sent at that time.
+    /// Returns the observation of the member now, for a poll that was sent at `at`.
     pub fn observe(&self, now: Micros, at: Micros) -> NodeObservation {
         let is_up = self.up_at <= now;
         NodeObservation {
@@ -79,25 +81,27 @@
         self.up_at = back_at.max(self.up_at);
     }
 
-    /// Whether it counts as out when another member goes out now, by a permit that was granted at that time.
+    /// Returns whether the member counts as out of service when another member is taken out now, under a
+    /// permit that was granted at `granted_at`.
     fn counts_as_out(&self, now: Micros, granted_at: Micros) -> bool {
-        let is_excused = |at: Option<Micros>| at.is_some_and(|at| granted_at - at < DETECTION_TIME);
-        let is_down = self.up_at > now && !is_excused(self.crashed_at);
-        is_down || self.drained_at.is_some() && !is_excused(self.drained_at)
+        let is_undetected = |at: Option<Micros>| at.is_some_and(|at| granted_at - at < DETECTION_TIME);
+        let is_down = self.up_at > now && !is_undetected(self.crashed_at);
+        is_down || self.drained_at.is_some() && !is_undetected(self.drained_at)
     }
 }
 
-/// All members.
+/// The members, and the checker of the disruption budget.
 pub struct Fleet {
     pub members: Vec<Member>,
     pub budget: DisruptionBudget,
     /// The shortest and the longest time of a restart.
     pub restart_time: (Micros, Micros),
-    /// When the permit for an incarnation of a member was first in a server's ledger, as the disks show.
+    /// The time at which the permit for an incarnation of a member was first stored in a server's ledger.
     pub granted_at: BTreeMap<(NodeId, Incarnation), Micros>,
-    /// More out than the budget, a primary or a last replica let out, an order followed twice.
+    /// The violations: more members out of service than the budget allows, a primary or a last replica
+    /// taken down, or an order followed twice.
     pub violations: Vec<String>,
-    /// Outages by orders, and their total time.
+    /// The number of outages by orders, and their total duration.
     pub outages: u64,
     pub outage_time: Micros,
 }
@@ -117,7 +121,7 @@
         }
     }
 
-    /// A member gets an order, which has an effect only at the incarnation that it names.
+    /// Delivers an order to a member. It has an effect only at the incarnation that it names.
     pub fn on_order(&mut self, now: Micros, order: &RestartOrder, rng: &mut SmallRng) {
         let index = order.id as usize;
         let member = &self.members[index];
@@ -143,12 +147,12 @@
         }
     }
 
-    /// Checks the rules when a member has gone out by an order.
+    /// Checks the rules after an order has taken a member down.
     fn check(&mut self, now: Micros, index: usize) {
         let member = &self.members[index];
         let permit = (member.node.id, member.incarnation - 1);
         let Some(granted_at) = self.granted_at.get(&permit).copied() else {
-            return self.violations.push(format!("{index} went out at {now} without a permit"));
+            return self.violations.push(format!("{index} was taken down at {now} without a permit"));
         };
         let mut found = self.budget_violations(now, index, granted_at);
         let in_group =
@@ -156,10 +160,10 @@
         let is_replica_left =
             |other: &Member| in_group(other) && !other.counts_as_out(now, granted_at) && !other.primary;
         if !self.members.iter().any(is_replica_left) {
-            found.push(format!("last replica {index} at {now}"));
+            found.push(format!("last replica {index} was taken down at {now}"));
         }
         if member.primary {
-            found.push(format!("primary {index} at {now}"));
+            found.push(format!("primary {index} was taken down at {now}"));
         }
         self.violations.append(&mut found);
     }
@@ -180,33 +184,34 @@
             .iter()
             .filter(|(_, out, budget)| out + 1 > *budget)
             .map(|(scope, out, budget)| {
-                format!("{} out of {scope} {index} at {now}, {budget} allowed", out + 1)
+                format!("{} out of service in the {scope} of {index} at {now}, {budget} allowed", out + 1)
             })
             .collect()
     }
 
-    /// Makes another member the primary, if this incarnation of this one is it and a healthy replica is there.
+    /// Makes another member the primary if this incarnation of this member is the primary and a healthy
+    /// replica exists.
     pub fn hand_over(&mut self, now: Micros, id: NodeId, incarnation: Incarnation) {
         let old = &self.members[id as usize];
         if !old.primary || old.incarnation != incarnation {
             return;
         }
         let (group, version) = (old.node.group, old.version);
-        let is_able = |index: &usize| {
+        let can_take_over = |index: &usize| {
             let member = &self.members[*index];
             member.node.group == group && *index != id as usize && member.serves(now)
         };
-        // An upgraded one is better: it need not go out again.
-        let best = (0..self.members.len())
-            .filter(is_able)
+        // An upgraded replica is preferred, since it need not be restarted again.
+        let successor = (0..self.members.len())
+            .filter(can_take_over)
             .min_by_key(|index| self.members[*index].version == version);
-        if let Some(new) = best {
+        if let Some(new) = successor {
             self.members[new].primary = true;
             self.members[id as usize].primary = false;
         }
     }
 
-    /// How many members are out by orders now.
+    /// Returns the number of members that are out of service by orders now.
     pub fn out_by_order(&self, now: Micros) -> u32 {
         self.members.iter().filter(|member| member.up_at > now && member.out_by_order).count() as u32
     }
--- a/crates/rollout/tests/rollout/main.rs
+++ b/crates/rollout/tests/rollout/main.rs
@@ -1,4 +1,4 @@
-//! Rollouts in virtual time: every hard case over seeded runs, and measurements of sound and bad rollouts.
+//! Rollouts in virtual time: seeded runs of every hard case, and measurements of sound and bad rollouts.
 
 mod faults;
 mod fleet;
--- a/crates/rollout/tests/rollout/measurements.rs
+++ b/crates/rollout/tests/rollout/measurements.rs
@@ -1,6 +1,7 @@
-//! How long a rollout takes under the traffic of a day, when a bad one halts, and how often a sound one does.
+//! Measurements of rollouts under daily traffic: the duration of sound ones, how early bad ones halt, and
+//! how often sound ones do.
 
-use crate::fleet::{BAD_UNDER_LOAD, S};
+use crate::fleet::{BAD_UNDER_LOAD, SECOND};
 use crate::hard_cases::{run_seeds, start_rollout};
 use crate::simulation::{Setup, Simulation};
 use rand::rngs::SmallRng;
@@ -13,15 +14,16 @@
 const GROUPS: u32 = 24;
 const MEMBERS_PER_GROUP: u32 = 5;
 const MEMBERS: usize = (GROUPS * MEMBERS_PER_GROUP) as usize;
-/// Answers a second of one member in the mean.
+/// The mean number of answers per second of one member.
 const ANSWERS: f64 = 30.0;
-/// Failed and late answers of a sound member, as fractions; three times as many where the day is busy.
+/// The fractions of failed and late answers of a sound member. They are three times as high in busy
+/// periods.
 const FAILED: f64 = 0.004;
 const LATE: f64 = 0.01;
-/// What a bad version fails in addition where the day is busy.
+/// The additional fraction of failed answers of a bad version in busy periods.
 const BAD_FAILED: f64 = 0.15;
-/// The longest time that a rollout is simulated.
-const LONGEST_ROLLOUT: Micros = 3_000 * S;
+/// The longest time for which a rollout is simulated.
+const LONGEST_ROLLOUT: Micros = 3_000 * SECOND;
 
 fn poisson(rng: &mut SmallRng, mean: f64) -> u64 {
     let limit = (-mean).exp();
@@ -35,31 +37,32 @@
 }
 
 fn is_busy(now: Micros) -> bool {
-    now / (60 * S) % 2 == 1
+    now / (60 * SECOND) % 2 == 1
 }
 
-/// What a member answers within a second. Sound members differ by nature, and each has seconds in which it stalls.
-fn second(rng: &mut SmallRng, now: Micros, nature: f64, version: Version) -> AttemptCounts {
-    let (load, worse) = if is_busy(now) { (1.3, 3.0) } else { (0.7, 1.0) };
-    let stalls = if rng.random::<f64>() < 0.005 { 10.0 } else { 1.0 };
-    let bad = if is_busy(now) && version == BAD_UNDER_LOAD { BAD_FAILED } else { 0.0 };
+/// Returns the outcomes of a member's attempts within one second. Sound members differ by a constant
+/// factor, and each member has seconds in which it stalls.
+fn attempts_in_second(rng: &mut SmallRng, now: Micros, error_factor: f64, version: Version) -> AttemptCounts {
+    let (load, busy_factor) = if is_busy(now) { (1.3, 3.0) } else { (0.7, 1.0) };
+    let stall_factor = if rng.random::<f64>() < 0.005 { 10.0 } else { 1.0 };
+    let additional_failures = if is_busy(now) && version == BAD_UNDER_LOAD { BAD_FAILED } else { 0.0 };
     let answered = poisson(rng, ANSWERS * load);
-    let some_of = |rng: &mut SmallRng, probability: f64| {
+    let count_bad = |rng: &mut SmallRng, probability: f64| {
         (0..answered).filter(|_| rng.random::<f64>() < probability).count() as u64
     };
     AttemptCounts {
         answered,
-        failed: some_of(rng, FAILED * worse * nature + bad),
-        late: some_of(rng, LATE * worse * nature * stalls),
+        failed: count_bad(rng, FAILED * busy_factor * error_factor + additional_failures),
+        late: count_bad(rng, LATE * busy_factor * error_factor * stall_factor),
     }
 }
 
-/// How much worse each member is by nature than the mean.
-fn natures(rng: &mut SmallRng) -> Vec<f64> {
+/// Returns each member's factor on the mean fractions of failed and late answers.
+fn error_factors(rng: &mut SmallRng) -> Vec<f64> {
     (0..MEMBERS).map(|_| rng.random_range(0.7..1.4)).collect()
 }
 
-/// Counts on the side of the upgraded members or of the others.
+/// Returns the attempts as counts of the upgraded members or of the others.
 fn counts(attempts: AttemptCounts, is_upgraded: bool) -> CanaryCounts {
     if is_upgraded {
         CanaryCounts { canary: attempts, ..CanaryCounts::default() }
@@ -69,47 +72,48 @@
 }
 
 struct Outcome {
-    took: Micros,
-    /// The time that the restarts alone take with the whole budget.
-    least: f64,
+    duration: Micros,
+    /// The time that the restarts alone take if the budget is always fully used.
+    min_duration: f64,
     halted: Option<Phase>,
-    /// Members that ran the new version at any time.
+    /// The members that ran the new version at any time.
     touched: usize,
-    /// Whether all run the version that they should, and serve.
+    /// Whether all members run the expected version and serve.
     is_settled: bool,
     violations: usize,
 }
 
-/// The traffic of a fleet, and what its proxies count of it.
+/// The traffic of a fleet, and the counts that its proxies make of it.
 struct Traffic {
-    /// The time of the day at which the simulation starts.
-    phase: Micros,
-    natures: Vec<f64>,
+    /// The offset in the cycle of busy and quiet minutes at which the simulation starts.
+    cycle_offset: Micros,
+    error_factors: Vec<f64>,
     counts: Vec<CanaryCounts>,
-    /// Members that ran the new version at any time.
+    /// The members that ran the new version at any time.
     touched: [bool; MEMBERS],
 }
 
 impl Traffic {
     fn new(simulation: &mut Simulation) -> Traffic {
         Traffic {
-            phase: simulation.rng.random_range(0..120) * S,
-            natures: natures(&mut simulation.rng),
+            cycle_offset: simulation.rng.random_range(0..120) * SECOND,
+            error_factors: error_factors(&mut simulation.rng),
             counts: vec![CanaryCounts::default(); simulation.proxies.len()],
             touched: [false; MEMBERS],
         }
     }
 
-    /// Plays the traffic of a second.
-    fn play_second(&mut self, simulation: &mut Simulation, rollout: RolloutId, target: Version) {
+    /// Simulates the traffic of one second.
+    fn simulate_second(&mut self, simulation: &mut Simulation, rollout: RolloutId, target: Version) {
         for index in 0..MEMBERS {
             let member = &simulation.fleet.members[index];
             let version = member.version;
             let serves = member.serves(simulation.now);
             self.touched[index] |= version == target;
             if serves {
-                let now = simulation.now + self.phase;
-                let attempts = second(&mut simulation.rng, now, self.natures[index], version);
+                let now = simulation.now + self.cycle_offset;
+                let attempts =
+                    attempts_in_second(&mut simulation.rng, now, self.error_factors[index], version);
                 let proxy = simulation.rng.random_range(0..self.counts.len());
                 self.counts[proxy] = self.counts[proxy].plus(&counts(attempts, version == target));
             }
@@ -126,12 +130,12 @@
         groups: GROUPS,
         members_per_group: MEMBERS_PER_GROUP,
         budget,
-        restart_time: (20 * S, 40 * S),
+        restart_time: (20 * SECOND, 40 * SECOND),
         proxies: 5,
         seed,
     });
     simulation.set_config(RolloutConfig::default());
-    while simulation.now < 7 * S {
+    while simulation.now < 7 * SECOND {
         simulation.step();
     }
     let rollout = start_rollout(&mut simulation, 1, target, 1);
@@ -139,25 +143,25 @@
     let mut traffic = Traffic::new(&mut simulation);
     while simulation.now < started_at + LONGEST_ROLLOUT && !is_finished(&simulation, rollout) {
         simulation.step();
-        if simulation.now % S == 0 {
-            traffic.play_second(&mut simulation, rollout, target);
+        if simulation.now % SECOND == 0 {
+            traffic.simulate_second(&mut simulation, rollout, target);
         }
     }
     let halted = simulation.log.iter().find_map(|entry| match entry.action {
         ControllerAction::PhaseChanged(phase) => Some(phase),
         _ => None,
     });
-    let wanted = if halted.is_some() { 1 } else { target };
+    let expected_version = if halted.is_some() { 1 } else { target };
     let fleet = &simulation.fleet;
     Outcome {
-        took: simulation.now - started_at,
-        least: fleet.outage_time as f64 / f64::from(budget.fleet),
+        duration: simulation.now - started_at,
+        min_duration: fleet.outage_time as f64 / f64::from(budget.fleet),
         halted,
         touched: traffic.touched.iter().filter(|touched| **touched).count(),
         is_settled: fleet
             .members
             .iter()
-            .all(|member| member.version == wanted && member.serves(simulation.now)),
+            .all(|member| member.version == expected_version && member.serves(simulation.now)),
         violations: fleet.violations.len(),
     }
 }
@@ -169,25 +173,26 @@
     simulation.proxies.iter().all(|proxy| is_finished_at(&proxy.peer))
 }
 
-fn run_clean_rollouts(seeds: u64) {
+fn run_sound_rollouts(seeds: u64) {
     let (mut ratios, mut halts) = (vec![], vec![]);
     let runs = run_seeds(seeds, |seed| simulate_rollout(2, seed));
     for (seed, run) in runs.into_iter().enumerate() {
         assert_eq!((run.violations, run.is_settled), (0, true), "seed {seed}");
         match run.halted {
             Some(phase) => halts.push((seed, phase)),
-            None => ratios.push(run.took as f64 / run.least),
+            None => ratios.push(run.duration as f64 / run.min_duration),
         }
     }
     ratios.sort_by(f64::total_cmp);
     println!(
-        "{seeds} clean releases of {MEMBERS}: {} halted {halts:?}; {:.2} times the least time in the mean, {:.2} at most",
+        "{seeds} sound rollouts of {MEMBERS}: {} halted {halts:?}; {:.2} times the minimum time on average, \
+         {:.2} at most",
         halts.len(),
         ratios.iter().sum::<f64>() / ratios.len().max(1) as f64,
         ratios.last().copied().unwrap_or_default()
     );
     assert!(halts.len() as u64 * 100 <= seeds, "{} false halts", halts.len());
-    assert!(ratios.last().is_some_and(|most| *most <= 1.3), "a clean rollout took too long");
+    assert!(ratios.last().is_some_and(|most| *most <= 1.3), "a sound rollout took too long");
 }
 
 fn run_bad_rollouts(seeds: u64) {
@@ -200,54 +205,56 @@
     }
     let most = touched.iter().max().copied().unwrap_or_default();
     let mean = touched.iter().sum::<usize>() as f64 / touched.len() as f64;
-    println!("{seeds} bad releases of {MEMBERS}: halted and undone after {mean:.1} members, {most} at most");
+    println!(
+        "{seeds} bad rollouts of {MEMBERS}: halted and rolled back after {mean:.1} members, {most} at most"
+    );
     assert!(most * 10 < MEMBERS, "halted after {most} of {MEMBERS}");
 }
 
 #[test]
-fn a_clean_rollout_takes_little_more_than_its_budget_permits() {
-    run_clean_rollouts(1);
+fn sound_rollout_takes_little_longer_than_the_budget_requires() {
+    run_sound_rollouts(1);
 }
 
 #[test]
-fn a_bad_rollout_is_halted_before_a_tenth_and_rolled_back() {
+fn bad_rollout_halts_within_a_tenth_of_members_and_rolls_back() {
     run_bad_rollouts(2);
 }
 
-/// `make releases`.
+/// Run by `make releases`.
 #[test]
 #[ignore = "takes minutes"]
-fn clean_rollouts_halt_seldom_and_bad_ones_soon_over_200_runs() {
-    run_clean_rollouts(200);
+fn sound_rollouts_rarely_halt_and_bad_ones_early_over_200_runs() {
+    run_sound_rollouts(200);
     run_bad_rollouts(200);
 }
 
-/// The canary analysis alone, on the traffic of a sound rollout of the same fleet, wave after wave.
+/// Runs only the canary analysis, on the traffic of a sound rollout of the same fleet, wave after wave.
 #[test]
-fn the_canary_analysis_halts_few_sound_rollouts() {
+fn canary_analysis_halts_few_sound_rollouts() {
     count_false_halts(20);
 }
 
-/// `make releases`.
+/// Run by `make releases`.
 #[test]
 #[ignore = "takes a minute"]
-fn the_canary_analysis_halts_at_most_two_of_200_sound_rollouts() {
+fn canary_analysis_halts_at_most_two_of_200_sound_rollouts() {
     count_false_halts(200);
 }
 
-/// Whether the canary analysis halts a sound rollout at any time.
+/// Returns whether the canary analysis halts a sound rollout at any time.
 fn is_halted_by_analysis(seed: u64) -> bool {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let natures = natures(&mut rng);
+    let error_factors = error_factors(&mut rng);
     let mut analysis = CanaryAnalysis::default();
     let mut totals = CanaryCounts::default();
     let evaluations = (0..7).flat_map(|wave| (0..40).map(move |_| wave));
     let mut halted = false;
     for (number, wave) in evaluations.enumerate() {
-        let now = number as Micros * S;
+        let now = number as Micros * SECOND;
         let upgraded = (1usize << wave).min(MEMBERS - 1);
-        for (index, nature) in natures.iter().enumerate() {
-            let attempts = second(&mut rng, now, *nature, 1);
+        for (index, error_factor) in error_factors.iter().enumerate() {
+            let attempts = attempts_in_second(&mut rng, now, *error_factor, 1);
             totals = totals.plus(&counts(attempts, index < upgraded));
         }
         analysis.evaluate(wave, &totals);
@@ -259,6 +266,6 @@
 fn count_false_halts(seeds: u64) {
     let halted = run_seeds(seeds, is_halted_by_analysis);
     let halts = halted.iter().filter(|halted| **halted).count() as u64;
-    println!("{halts} of {seeds} sound releases halted by the test");
+    println!("{halts} of {seeds} sound rollouts halted by the canary analysis");
     assert!(halts * 100 <= seeds, "{halts} false halts");
 }
--- a/crates/rollout/tests/rollout/network.rs
+++ b/crates/rollout/tests/rollout/network.rs
@@ -1,21 +1,21 @@
-//! The network between proxies and members, and what they do with its messages.
+//! The network between proxies and members, and the delivery of its messages.
 
-use crate::fleet::{MS, S};
-use crate::simulation::{InFlight, Message, Simulation, To};
+use crate::fleet::{MS, SECOND};
+use crate::simulation::{InFlight, Message, Recipient, Simulation};
 use rand::Rng;
 use wharfplank_rollout::{Micros, NodeId, OutageCause};
 
 impl Simulation {
-    fn is_reachable(&self, proxy: usize, to: To) -> bool {
+    fn is_reachable(&self, proxy: usize, to: Recipient) -> bool {
         let side = self.proxies[proxy].side;
         match to {
-            To::Proxy(index) => self.proxies[index].side == side,
-            To::Member(id) => self.fleet.members[id as usize].side.is_none_or(|its| its == side),
+            Recipient::Proxy(index) => self.proxies[index].side == side,
+            Recipient::Member(id) => self.fleet.members[id as usize].side.is_none_or(|its| its == side),
         }
     }
 
-    /// Sends a message between a proxy and another, or a member.
-    pub fn send(&mut self, proxy: usize, to: To, message: Message) {
+    /// Sends a message between a proxy and another proxy or a member.
+    pub fn send(&mut self, proxy: usize, to: Recipient, message: Message) {
         if !self.is_reachable(proxy, to) || self.rng.random::<f64>() < self.loss {
             return;
         }
@@ -25,21 +25,21 @@
             let at = self.now + self.rng.random_range(MS..longest_delay);
             self.deliver_at(at, proxy, to, message.clone());
         }
-        let may_be_late = !matches!(message, Message::Poll(..) | Message::Drains(..));
-        if may_be_late && self.rng.random::<f64>() < self.hour_late {
-            self.deliver_at(self.now + 3_600 * S, proxy, to, message);
+        let may_be_delayed = !matches!(message, Message::Poll(..) | Message::Drains(..));
+        if may_be_delayed && self.rng.random::<f64>() < self.hour_delay_probability {
+            self.deliver_at(self.now + 3_600 * SECOND, proxy, to, message);
         }
     }
 
-    fn deliver_at(&mut self, at: Micros, proxy: usize, to: To, message: Message) {
+    fn deliver_at(&mut self, at: Micros, proxy: usize, to: Recipient, message: Message) {
         self.sent += 1;
         self.in_flight.insert((at, self.sent), InFlight { proxy, to, message });
     }
 
-    pub fn deliver(&mut self, from: usize, to: To, message: Message) {
+    pub fn deliver(&mut self, from: usize, to: Recipient, message: Message) {
         match to {
-            To::Member(id) => self.deliver_to_member(from, id, message),
-            To::Proxy(index) => self.deliver_to_proxy(from, index, message),
+            Recipient::Member(id) => self.deliver_to_member(from, id, message),
+            Recipient::Proxy(index) => self.deliver_to_proxy(from, index, message),
         }
     }
 
@@ -51,7 +51,7 @@
         }
         if proxy.paused_until > self.now {
             let at = proxy.paused_until;
-            return self.deliver_at(at, from, To::Proxy(index), message);
+            return self.deliver_at(at, from, Recipient::Proxy(index), message);
         }
         match message {
             Message::Observation(id, observation) => proxy.peer.on_observation(clock, id, observation),
@@ -68,10 +68,11 @@
         match message {
             Message::Poll(at) => {
                 let observation = self.fleet.members[id as usize].observe(self.now, at);
-                self.send(from, To::Member(id), Message::Observation(id, observation));
+                self.send(from, Recipient::Member(id), Message::Observation(id, observation));
             }
-            // The way back of a poll: the network is the same, so the loss is drawn twice.
-            Message::Observation(..) => self.deliver(from, To::Proxy(from), message),
+            // The reply to a poll. Loss is drawn a second time, since the reply passes through the same
+            // network.
+            Message::Observation(..) => self.deliver(from, Recipient::Proxy(from), message),
             Message::Order(order) => self.fleet.on_order(self.now, &order, &mut self.rng),
             Message::HandOver(id, incarnation) => self.fleet.hand_over(self.now, id, incarnation),
             _ => {}
--- a/crates/rollout/tests/rollout/simulation.rs
+++ b/crates/rollout/tests/rollout/simulation.rs
@@ -1,7 +1,7 @@
-//! Proxies, some of them permit servers, and members in virtual time. Each proxy has a clock of its own, and the network
-//! loses, duplicates, delays and partitions.
+//! A simulation in virtual time of members and proxies, some of which are permit servers. Each proxy has
+//! its own clock, and the network loses, duplicates, delays and partitions messages.
 
-use crate::fleet::{Fleet, MS, S};
+use crate::fleet::{Fleet, MS, SECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -15,32 +15,32 @@
 
 #[derive(Clone)]
 pub enum Message {
-    /// A poll of a member, with the proxy's time.
+    /// A poll of a member, with the time on the proxy's clock.
     Poll(Micros),
     Observation(NodeId, NodeObservation),
-    /// From one proxy to another.
+    /// A message from one proxy to another.
     Peer(Vec<u8>),
     Order(RestartOrder),
     HandOver(NodeId, Incarnation),
-    /// The members that service discovery drains, with a number that grows.
+    /// The members that service discovery is draining, with a number that increases.
     Drains(u64, Vec<NodeId>),
 }
 
-/// Where a message goes.
+/// The recipient of a message.
 #[derive(Clone, Copy, PartialEq)]
-pub enum To {
+pub enum Recipient {
     Proxy(usize),
     Member(NodeId),
 }
 
-/// A message in flight between a proxy and another, or a member.
+/// A message in flight between a proxy and another proxy or a member.
 pub struct InFlight {
     pub proxy: usize,
-    pub to: To,
+    pub to: Recipient,
     pub message: Message,
 }
 
-/// What a proxy did in a rollout.
+/// An action of a proxy in a rollout.
 pub struct LogEntry {
     pub at: Micros,
     pub proxy: usize,
@@ -49,19 +49,19 @@
 
 pub struct Proxy {
     pub peer: RolloutPeer,
-    /// The permit server's ledger as it was written last.
+    /// The permit server's ledger as last stored.
     pub disk: Option<PermitLedger>,
     pub clock_offset: Micros,
     pub alive: bool,
     pub paused_until: Micros,
     /// The side of a network partition that it is on.
     pub side: bool,
-    /// The number of the newest [`Message::Drains`].
+    /// The number of the newest [`Message::Drains`] that was delivered.
     pub last_drains: u64,
     generation: u64,
 }
 
-/// How a simulation is set up.
+/// The parameters of a simulation.
 #[derive(Clone, Copy)]
 pub struct Setup {
     pub groups: u32,
@@ -80,22 +80,22 @@
     pub proxies: Vec<Proxy>,
     pub inventory: Inventory,
     pub config: RolloutConfig,
-    /// The probability that a message is lost; also that it is duplicated.
+    /// The probability that a message is lost, and also that it is duplicated.
     pub loss: f64,
     /// The probability that a copy of a message arrives an hour late.
-    pub hour_late: f64,
+    pub hour_delay_probability: f64,
     pub log: Vec<LogEntry>,
     pub in_flight: BTreeMap<(Micros, u64), InFlight>,
     pub sent: u64,
 }
 
 fn nodes(setup: &Setup) -> Vec<Node> {
-    let each = setup.members_per_group;
+    let group_size = setup.members_per_group;
     let node = |id: u32| {
-        let group = id / each;
-        Node { id: id.into(), group, zone: (id % each + group / 3) % 3, kind: NodeKind::Member }
+        let group = id / group_size;
+        Node { id: id.into(), group, zone: (id % group_size + group / 3) % 3, kind: NodeKind::Member }
     };
-    (0..setup.groups * each).map(node).collect()
+    (0..setup.groups * group_size).map(node).collect()
 }
 
 impl Simulation {
@@ -103,7 +103,8 @@
         let nodes = nodes(&setup);
         let fleet = Fleet::new(&nodes, setup.budget, setup.restart_time);
         let inventory = Inventory::new(nodes, setup.budget);
-        let config = RolloutConfig { soak_time: 2 * S, ready_timeout: 40 * S, ..RolloutConfig::default() };
+        let config =
+            RolloutConfig { soak_time: 2 * SECOND, ready_timeout: 40 * SECOND, ..RolloutConfig::default() };
         let mut rng = SmallRng::seed_from_u64(setup.seed);
         let unstarted = PeerIdentity { rank: 1, process: 0, permit_server: None };
         let proxies = (0..setup.proxies)
@@ -126,7 +127,7 @@
             inventory,
             config,
             loss: 0.0,
-            hour_late: 0.0,
+            hour_delay_probability: 0.0,
             log: vec![],
             in_flight: BTreeMap::new(),
             sent: 0,
@@ -135,7 +136,7 @@
         simulation
     }
 
-    /// Changes the configuration, before anything happened.
+    /// Changes the configuration before the first step.
     pub fn set_config(&mut self, config: RolloutConfig) {
         self.config = config;
         self.start_all();
@@ -149,7 +150,7 @@
         self.now + self.proxies[proxy].clock_offset
     }
 
-    /// Starts a proxy's process: it has its disk, and learns of rollouts from others.
+    /// Starts a proxy's process. It keeps its disk, and gets the rollouts from the other proxies.
     pub fn start_proxy(&mut self, index: usize) {
         let now = self.clock(index);
         let rank = index as u64 + 1;
@@ -162,7 +163,7 @@
         proxy.peer = RolloutPeer::new(identity, inventory, self.config.clone(), proxy.disk.clone(), now);
         proxy.alive = true;
         proxy.last_drains = 0;
-        // The membership knows all proxies, dead ones too.
+        // The membership contains all proxies, including dead ones.
         let others = (1..=self.proxies.len() as u64).filter(|other| *other != rank).collect();
         self.proxies[index].peer.set_peers(others);
     }
@@ -177,7 +178,7 @@
         }
         let out = self.fleet.out_by_order(self.now);
         if out > self.fleet.budget.fleet {
-            self.fleet.violations.push(format!("{out} out by orders"));
+            self.fleet.violations.push(format!("{out} members out of service by orders"));
         }
     }
 
@@ -205,7 +206,7 @@
                 Destination::PermitServer(server) => server as usize,
                 Destination::Proxy(rank) => rank as usize - 1,
             };
-            self.send(index, To::Proxy(to), Message::Peer(bytes));
+            self.send(index, Recipient::Proxy(to), Message::Peer(bytes));
         }
         for effect in effects {
             self.perform(index, effect);
@@ -215,24 +216,25 @@
 
     fn poll(&mut self, proxy: usize, clock: Micros) {
         for id in 0..self.fleet.members.len() as NodeId {
-            self.send(proxy, To::Member(id), Message::Poll(clock));
+            self.send(proxy, Recipient::Member(id), Message::Poll(clock));
         }
         let is_drained = |member: &&crate::fleet::Member| member.drained_at.is_some();
         let drained = self.fleet.members.iter().filter(is_drained).map(|member| member.node.id).collect();
-        self.send(proxy, To::Proxy(proxy), Message::Drains(self.now as u64, drained));
+        self.send(proxy, Recipient::Proxy(proxy), Message::Drains(self.now as u64, drained));
     }
 
     fn perform(&mut self, proxy: usize, effect: Effect) {
         match effect {
-            Effect::Restart(order) => self.send(proxy, To::Member(order.id), Message::Order(order)),
+            Effect::Restart(order) => self.send(proxy, Recipient::Member(order.id), Message::Order(order)),
             Effect::HandOver(id, incarnation) => {
-                self.send(proxy, To::Member(id), Message::HandOver(id, incarnation));
+                self.send(proxy, Recipient::Member(id), Message::HandOver(id, incarnation));
             }
             Effect::Log(_, action) => self.log.push(LogEntry { at: self.now, proxy, action }),
         }
     }
 
-    /// The disk is a step behind: a process that is killed leaves what was written before.
+    /// Stores the ledger if it has changed. The disk is one step behind, so a process that is killed
+    /// leaves the state that was written before.
     fn store_ledger(&mut self, index: usize) {
         let proxy = &mut self.proxies[index];
         let Some(ledger) = proxy.peer.ledger_to_store().cloned() else { return };
--- a/crates/rollout/tests/service.rs
+++ b/crates/rollout/tests/service.rs
@@ -1,5 +1,5 @@
-//! The service with agents' datagrams, in virtual time: one proxy that is the permit server and leads, and members that
-//! follow orders at once.
+//! The rollout service with agents' datagrams, in virtual time: one proxy that is the permit server and
+//! the leader, and members that follow orders immediately.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -9,7 +9,7 @@
     ServiceEvent, ServiceSetup,
 };
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 /// A member as its agent reports it.
 #[derive(Clone, Copy)]
@@ -23,7 +23,7 @@
     now: Micros,
     members: [Member; 3],
     restarts: usize,
-    /// Whether the ledger reaches the disk.
+    /// Whether the ledger is written to disk.
     disk_works: bool,
     events: Vec<ServiceEvent>,
 }
@@ -39,7 +39,7 @@
         let setup = ServiceSetup {
             identity: PeerIdentity { rank: 1, process: 77 << 12, permit_server: Some(0) },
             inventory: Inventory::new((0..3).map(node).collect(), budget),
-            config: RolloutConfig { soak_time: S, ..RolloutConfig::default() },
+            config: RolloutConfig { soak_time: SECOND, ..RolloutConfig::default() },
             proxies: vec![SocketAddrV4::new([127, 0, 0, 1].into(), 1)],
             agents: (0..3).map(|id| (id, agent(id))).collect(),
         };
@@ -56,8 +56,8 @@
     fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
-            self.now += S / 20;
-            if self.now % S == 0 {
+            self.now += SECOND / 20;
+            if self.now % SECOND == 0 {
                 self.service.on_view(self.view());
             }
             self.service.on_tick(self.now);
@@ -82,7 +82,7 @@
         FleetView { at: self.now, members }
     }
 
-    /// Follows a request to an agent, and answers it.
+    /// Executes a request to an agent and sends the reply.
     fn answer(&mut self, to: SocketAddrV4, bytes: &[u8]) {
         let id = u64::from(to.port()) - 100;
         let request = AgentRequest::from_bytes(bytes).expect("a request");
@@ -104,26 +104,26 @@
 }
 
 #[test]
-fn a_rollout_progresses_and_no_order_is_sent_before_the_ledger_is_stored() {
+fn rollout_proceeds_only_with_a_stored_ledger() {
     let mut simulation = Simulation::new(Some(PermitLedger::default()));
-    simulation.run(5 * S);
+    simulation.run(5 * SECOND);
     simulation.disk_works = false;
     simulation.service.on_command(1, "start 7 6");
-    simulation.run(10 * S);
-    assert_eq!(simulation.restarts, 0, "an order was sent by a permit that is on no disk");
+    simulation.run(10 * SECOND);
+    assert_eq!(simulation.restarts, 0, "an order was sent under a permit that is not on disk");
     simulation.disk_works = true;
-    simulation.run(60 * S);
-    // Replicas go first; the primary's group is not handed over by these agents.
+    simulation.run(60 * SECOND);
+    // Replicas are upgraded first. These agents do not hand over the primary's group.
     assert_eq!(simulation.restarts, 2);
     assert_eq!(simulation.versions(), [6, 7, 7]);
     simulation.service.on_command(2, "halt");
-    simulation.run(S);
+    simulation.run(SECOND);
     let is_halt = |event: &ServiceEvent| {
         matches!(event, ServiceEvent::Action(_, ControllerAction::PhaseChanged(Phase::Halted(_))))
     };
     assert_eq!(simulation.events.iter().filter(|event| is_halt(event)).count(), 1, "{:?}", simulation.events);
     simulation.service.on_command(3, "undo");
-    simulation.run(60 * S);
+    simulation.run(60 * SECOND);
     assert_eq!(simulation.versions(), [6, 6, 6]);
     let status = simulation.service.status();
     assert!(
@@ -134,16 +134,17 @@
     assert!(simulation.service.status().contains("answer no word=\"go\""));
 }
 
-/// Guards against a permit server that grants permits without its ledger, and against datagrams of unknown senders.
+/// Guards against a permit server that grants permits without its ledger, and against accepting datagrams
+/// from unknown senders.
 #[test]
-fn a_permit_server_without_a_ledger_waits_for_one() {
+fn permit_server_without_a_ledger_stays_closed() {
     let mut simulation = Simulation::new(None);
-    simulation.run(5 * S);
+    simulation.run(5 * SECOND);
     simulation.service.on_command(1, "start 7 6");
-    simulation.run(20 * S);
+    simulation.run(20 * SECOND);
     assert_eq!((simulation.restarts, simulation.service.is_permit_server_closed()), (0, true));
     simulation.service.open_permit_server(PermitLedger::default());
-    simulation.run(30 * S);
+    simulation.run(30 * SECOND);
     assert_eq!((simulation.restarts, simulation.service.is_permit_server_closed()), (2, false));
     let unknown = SocketAddrV4::new([127, 0, 0, 1].into(), 9);
     for bytes in [&b"x"[..], &[0, 0, 0, 9, 1], &[0, 0, 0, 0, 1]] {
--- a/crates/rollout/tests/signal_file.rs
+++ b/crates/rollout/tests/signal_file.rs
@@ -1,11 +1,12 @@
-//! When the signal file holds a new command.
+//! Detection of new commands in the signal file.
 
 use std::time::{Duration, SystemTime};
 use wharfplank_rollout::SignalFileWatcher;
 
-/// Guards against a command that is executed twice, after a restart, or before it is completely written.
+/// Guards against a command that is executed twice, executed again after a restart, or read before it is
+/// written completely.
 #[test]
-fn a_command_is_new_once() {
+fn command_is_new_once() {
     let at = |s: u64, length| Some((SystemTime::UNIX_EPOCH + Duration::from_secs(s), length));
     let mut watcher = SignalFileWatcher::default();
     let checks = [
@@ -27,14 +28,14 @@
     assert!(without_file.has_new_command(at(4, 5)), "the first command of a file that did not exist");
 }
 
-/// Guards against a command that is lost, since the file could not be read for a moment.
+/// Guards against a command that is lost because the file could not be read temporarily.
 #[test]
-fn a_command_that_could_not_be_read_is_new_again() {
+fn unreadable_command_is_new_again() {
     let at = |s: u64, length| Some((SystemTime::UNIX_EPOCH + Duration::from_secs(s), length));
     let mut watcher = SignalFileWatcher::default();
-    assert!(!watcher.has_new_command(at(1, 5)), "what it held before the start is old");
+    assert!(!watcher.has_new_command(at(1, 5)), "a command from before the start is not new");
     assert!(watcher.has_new_command(at(2, 5)));
     watcher.on_read_failed();
-    assert!(watcher.has_new_command(at(2, 5)), "it is read again");
-    assert!(!watcher.has_new_command(at(2, 5)), "it was read");
+    assert!(watcher.has_new_command(at(2, 5)), "a command that could not be read must be new again");
+    assert!(!watcher.has_new_command(at(2, 5)), "a command that was read is not new");
 }
