--- a/crates/rollout/tests/permits/main.rs
+++ b/crates/rollout/tests/permits/main.rs
@@ -212,7 +212,7 @@
                 state.out_by_order() <= 1
             })];
         if self.requests >= 2 && self.crashes == 0 && self.observations >= 2 {
-            all.push(Property::sometimes("both members were out, one after the other", |_, state: &State| {
+            all.push(Property::sometimes("both members were out, in sequence", |_, state: &State| {
                 state.members.iter().all(|member| member.incarnation > 1)
             }));
         }
