--- a/crates/routing/src/policy/attempts.rs
+++ b/crates/routing/src/policy/attempts.rs
@@ -1,39 +1,40 @@
-//! What is learned from the end of an attempt, and what becomes of its request.
+//! Evaluates the result of an attempt, and continues or ends its request.
 
 use super::member::AttemptInFlight;
 use super::outliers::{FaultKind, CONNECT_FAILED_SCORE, OVERLOADED_SCORE, RESET_SCORE};
-use super::probes::OVERLOADED_STRAIN;
+use super::probes::OVERLOADED_PRESSURE;
 use super::{AttemptOutcome, AttemptResult, Consistency, GroupId, HostId, Role, Router};
 
-/// Weight of one answer in the usual latency of its class.
-const USUAL_LATENCY_WEIGHT: f64 = 0.02;
-/// The least usual latency, in µs.
-pub(super) const LEAST_USUAL_LATENCY: f64 = 1e3;
-/// The largest relative latency that is counted; a member that is at capacity has it.
-const LARGEST_RELATIVE_LATENCY: f64 = 8.0;
-/// The strain of an attempt without an answer, in latency objectives. Not all of them are lost to load.
-const LOST_STRAIN: f64 = 0.7;
-
-/// An attempt that has just ended, with what the steps of its evaluation share. The values are those before
-/// any of the steps.
+/// The weight of one answer in the typical latency of its class.
+const TYPICAL_LATENCY_WEIGHT: f64 = 0.02;
+/// The minimum typical latency, in µs.
+pub(super) const MIN_TYPICAL_LATENCY: f64 = 1e3;
+/// The maximum of a relative latency, also used for rejections for overload.
+const MAX_RELATIVE_LATENCY: f64 = 8.0;
+/// The load pressure shown by an attempt without an answer, in latency objectives. Not all missing answers
+/// are due to load.
+const LOST_PRESSURE: f64 = 0.7;
+
+/// An attempt that has just ended, with the values that the evaluation steps share. They are computed before
+/// the first step.
 struct FinishedAttempt<'a> {
     result: &'a AttemptResult,
     attempt: AttemptInFlight,
     group: GroupId,
-    /// The role that the router took the member to have.
+    /// The member's role as the router knew it.
     role: Role,
     is_write: bool,
-    /// Whether the latency means anything: not if the router stood still after the send.
+    /// Whether the latency is meaningful. It is not if the router stalled after the send.
     is_timed: bool,
-    usual_latency: f64,
-    /// The latency as a part of the class's latency objective.
-    objective_part: f64,
-    /// The latency as a multiple of the usual one.
+    typical_latency: f64,
+    /// The latency as a fraction of the class's latency objective.
+    objective_fraction: f64,
+    /// The latency as a multiple of the class's typical one.
     relative_latency: f64,
-    /// The answers of the group within the last second.
+    /// The number of the group's answers within the last second.
     group_answers: f64,
-    /// The part of the demand for the member's role that is admitted.
-    admitted_part: f64,
+    /// The fraction of the demand for the member's role that is admitted.
+    admitted_fraction: f64,
 }
 
 impl FinishedAttempt<'_> {
@@ -45,18 +46,18 @@
         self.result.outcome == AttemptOutcome::Ok
     }
 
-    /// Whether a member that is not the primary rejected a write. It is not tried again in this round, but
-    /// for the request it counts as no failure.
+    /// Whether a member rejected a write because it is not the primary. The member is not tried again in this
+    /// round of the search, but the rejection does not count as a failure of the request there.
     fn is_misrouted_write(&self) -> bool {
         self.is_write && self.result.outcome == AttemptOutcome::Misrouted
     }
 
-    /// What the attempt shows about the load, in latency objectives; `None` if nothing.
-    fn strain(&self) -> Option<f64> {
+    /// The load pressure that the attempt shows, in latency objectives; `None` if it shows none.
+    fn load_pressure(&self) -> Option<f64> {
         match self.result.outcome {
-            AttemptOutcome::Ok if self.is_timed => Some(self.objective_part),
-            AttemptOutcome::Timeout | AttemptOutcome::Cancelled if self.is_timed => Some(LOST_STRAIN),
-            AttemptOutcome::Overloaded => Some(OVERLOADED_STRAIN),
+            AttemptOutcome::Ok if self.is_timed => Some(self.objective_fraction),
+            AttemptOutcome::Timeout | AttemptOutcome::Cancelled if self.is_timed => Some(LOST_PRESSURE),
+            AttemptOutcome::Overloaded => Some(OVERLOADED_PRESSURE),
             _ => None,
         }
     }
@@ -70,7 +71,7 @@
 }
 
 impl Router {
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub(super) fn on_attempt_finished(&mut self, result: &AttemptResult) {
         let Some(finished) = self.take_finished(result) else { return };
         self.record_role_and_position(&finished);
@@ -84,16 +85,16 @@
         self.dispatch_queued(finished.group);
     }
 
-    /// Takes the attempt from those in flight; `None` if it is not one of them.
+    /// Removes the attempt from those in flight; `None` if it is not one of them.
     fn take_finished<'a>(&mut self, result: &'a AttemptResult) -> Option<FinishedAttempt<'a>> {
         let group = self.members.get(&result.host)?.group;
         let role = self.role_of(result.host, group);
         let group_answers = self.group_answers(group);
-        let admitted_part = (-self.groups.get(&group)?.shed_level(role, self.now)).exp();
+        let admitted_fraction = (-self.groups.get(&group)?.shed_level(role, self.now)).exp();
         let member = self.members.get_mut(&result.host)?;
         let attempt = member.take_in_flight(result.id, result.attempt)?;
         let class = &self.settings.classes[attempt.class.0];
-        let usual_latency = self.usual_latency[attempt.class.0];
+        let typical_latency = self.typical_latency[attempt.class.0];
         let latency = result.latency as f64;
         Some(FinishedAttempt {
             result,
@@ -101,14 +102,14 @@
             role,
             is_write: class.consistency == Consistency::Write,
             is_timed: attempt.sent_at >= self.resumed_at,
-            usual_latency,
-            objective_part: latency / class.latency_objective.max(1) as f64,
+            typical_latency,
+            objective_fraction: latency / class.latency_objective.max(1) as f64,
             relative_latency: match result.outcome {
-                AttemptOutcome::Overloaded => LARGEST_RELATIVE_LATENCY,
-                _ => (latency / usual_latency).min(LARGEST_RELATIVE_LATENCY),
+                AttemptOutcome::Overloaded => MAX_RELATIVE_LATENCY,
+                _ => (latency / typical_latency).min(MAX_RELATIVE_LATENCY),
             },
             group_answers,
-            admitted_part,
+            admitted_fraction,
             attempt,
         })
     }
@@ -121,7 +122,8 @@
         if result.role == Some(Role::Replica) || (finished.is_write && finished.is_served()) {
             member.position.observe(result.position, now);
         } else if result.role == Some(Role::Primary) {
-            // It was the primary when it answered, at some time after the send.
+            // The member answered as primary at some time after the send, so its position is at least the
+            // send time.
             member.position.observe(Some(finished.attempt.sent_at), now);
         }
     }
@@ -135,11 +137,12 @@
                     member.latency.reset();
                 }
             }
-            // Only silence counts: an attempt that timed out while others were answered was merely long. And
-            // where answers are late everywhere, a late one says little about its member.
+            // Only the time without any answer counts: an attempt that timed out while others were answered
+            // was just slow. Under load shedding, when answers are late at all members, a timeout says little
+            // about this one and counts less.
             AttemptOutcome::Timeout => {
                 let silence = member.faults.silence(&finished.attempt, now, resumed_at);
-                member.faults.add(silence / finished.usual_latency * finished.admitted_part);
+                member.faults.add(silence / finished.typical_latency * finished.admitted_fraction);
             }
             AttemptOutcome::Overloaded => member.faults.add(OVERLOADED_SCORE),
             AttemptOutcome::ConnectFailed => member.faults.add(CONNECT_FAILED_SCORE),
@@ -148,22 +151,22 @@
         }
     }
 
-    /// Adapts the member's concurrency limit and latency, and how much load of its role is shed.
+    /// Adapts the member's concurrency limit and latency, and the shed level of its role.
     fn record_load(&mut self, finished: &FinishedAttempt) {
         let now = self.now;
-        let Some(strain) = finished.strain() else { return };
+        let Some(load_pressure) = finished.load_pressure() else { return };
         let Some(group) = self.groups.get_mut(&finished.group) else { return };
         let Some(member) = self.members.get_mut(&finished.host()) else { return };
         let others = member.in_flight.len();
-        member.concurrency_limit.observe(strain.max(finished.objective_part), others);
-        group.shedder_mut(finished.role).observe(strain, others, finished.group_answers, now);
+        member.concurrency_limit.observe(load_pressure.max(finished.objective_fraction), others);
+        group.shedder_mut(finished.role).observe(load_pressure, others, finished.group_answers, now);
         let is_slower = finished.relative_latency > member.latency.multiple();
         if finished.is_timed && (finished.is_served() || is_slower) {
             member.latency.observe(finished.relative_latency, now);
         }
     }
 
-    /// Adapts the member's rate of answers and the usual latency of the class.
+    /// Updates the member's answer rate and the typical latency of the class.
     fn record_answer(&mut self, finished: &FinishedAttempt) {
         if !finished.is_served() {
             return;
@@ -175,22 +178,22 @@
         if let Some(member) = self.members.get_mut(&finished.host()) {
             member.answer_rate.record(self.now);
         }
-        let usual_latency = &mut self.usual_latency[finished.attempt.class.0];
-        let weight = if finished.is_timed { USUAL_LATENCY_WEIGHT } else { 0.0 };
-        let difference = finished.result.latency as f64 - *usual_latency;
-        *usual_latency = (*usual_latency + weight * difference).max(LEAST_USUAL_LATENCY);
+        let typical_latency = &mut self.typical_latency[finished.attempt.class.0];
+        let weight = if finished.is_timed { TYPICAL_LATENCY_WEIGHT } else { 0.0 };
+        let difference = finished.result.latency as f64 - *typical_latency;
+        *typical_latency = (*typical_latency + weight * difference).max(MIN_TYPICAL_LATENCY);
     }
 
-    /// Ends the attempt's part in the search for the primary.
+    /// Updates the search for the primary.
     fn record_primary_search(&mut self, finished: &FinishedAttempt) {
         let Some(group) = self.groups.get_mut(&finished.group) else { return };
-        group.discovery.end_trial_write(finished.result.id);
+        group.discovery.end_search_by(finished.result.id);
         if finished.is_misrouted_write() {
             group.discovery.exclude(finished.host());
         }
     }
 
-    /// Remembers the commit for the session's later reads, unless its client does.
+    /// Stores the commit for the session's later reads, unless clients carry session tokens.
     fn record_commit(&mut self, finished: &FinishedAttempt) {
         let is_commit = finished.is_write && finished.is_served();
         if !is_commit || self.settings.sessions_carry_tokens {
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Ends the request, or makes it ready for a retry and dispatches it.
+    /// Ends the request, or prepares it for a retry and dispatches it.
     fn continue_request(&mut self, finished: &FinishedAttempt) {
         let result = finished.result;
         if result.terminal || finished.is_served() {
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -1,22 +1,23 @@
-//! The adaptive limit of this router's concurrent requests at one member.
+//! The adaptive limit on this router's concurrent requests at one member.
 
-/// The limit, in requests, of a member that has not answered yet.
+/// The initial limit, in requests.
 const INITIAL_LIMIT: f64 = 4.0;
-/// The limit never falls below one request, or the member could not prove itself again.
-const LEAST_LIMIT: f64 = 1.0;
-/// The limit never rises above this many requests.
-const LARGEST_LIMIT: f64 = 64.0;
-/// By how much an early answer raises the limit, divided by the limit: larger limits rise more slowly.
+/// The minimum limit. With less than one request the member would get none, and the limit could never rise
+/// again.
+const MIN_LIMIT: f64 = 1.0;
+/// The maximum limit, in requests.
+const MAX_LIMIT: f64 = 64.0;
+/// The increase per early answer is this number divided by the limit, so that larger limits rise more slowly.
 const LIMIT_INCREASE: f64 = 2.0;
-/// The share by which an answer that takes its whole latency objective lowers the limit.
-const LIMIT_DECREASE_PART: f64 = 0.3;
-/// Answers that take no more than this part of their latency objective raise the limit.
-const EARLY_OBJECTIVE_PART: f64 = 0.25;
-/// Lateness is counted up to this many latency objectives.
-const LONGEST_OBJECTIVE_PART: f64 = 2.0;
+/// The fraction by which an answer that takes exactly its latency objective lowers the limit.
+const LIMIT_DECREASE_FRACTION: f64 = 0.3;
+/// Answers within this fraction of their latency objective count as early and raise the limit.
+const EARLY_OBJECTIVE_FRACTION: f64 = 0.25;
+/// The maximum latency that is counted, in latency objectives.
+const MAX_OBJECTIVE_FRACTION: f64 = 2.0;
 
-/// How many requests of this router a member may have in flight, adapted by additive increase and
-/// multiplicative decrease to how early its answers come.
+/// The number of this router's requests that a member may have in flight, adapted to the latency of its
+/// answers by additive increase and multiplicative decrease.
 #[derive(Clone, Copy)]
 pub(super) struct ConcurrencyLimit(f64);
 
@@ -27,7 +28,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// The limit that another router learned.
+    /// Creates a limit from one that another router learned.
     pub(super) fn learned(limit: f64) -> Self {
         ConcurrencyLimit(limit)
     }
@@ -37,19 +38,21 @@
         self.0
     }
 
-    /// Whether another request may be sent while `in_flight` are out.
+    /// Whether another request may be sent with `in_flight` already in flight.
     pub(super) fn admits(self, in_flight: usize) -> bool {
         (in_flight as f64) < self.0
     }
 
-    /// Adapts to an answer that took `objective_part` of its latency objective, with `in_flight` others out.
-    /// The limit rises only while it is at least half used: unused capacity proves nothing.
-    pub(super) fn observe(&mut self, objective_part: f64, in_flight: usize) {
-        if objective_part > EARLY_OBJECTIVE_PART {
-            self.0 = (self.0 * (1.0 - LIMIT_DECREASE_PART * objective_part.min(LONGEST_OBJECTIVE_PART)))
-                .max(LEAST_LIMIT);
+    /// Adapts to an answer that took `objective_fraction` of its latency objective, with `in_flight` others
+    /// in flight. The limit rises only while at least half of it is used, since an early answer under less
+    /// load does not show that a higher limit is safe.
+    pub(super) fn observe(&mut self, objective_fraction: f64, in_flight: usize) {
+        if objective_fraction > EARLY_OBJECTIVE_FRACTION {
+            self.0 = (self.0
+                * (1.0 - LIMIT_DECREASE_FRACTION * objective_fraction.min(MAX_OBJECTIVE_FRACTION)))
+            .max(MIN_LIMIT);
         } else if in_flight as f64 + 1.0 >= self.0 / 2.0 {
-            self.0 = (self.0 + (LIMIT_INCREASE / self.0).min(1.0)).min(LARGEST_LIMIT);
+            self.0 = (self.0 + (LIMIT_INCREASE / self.0).min(1.0)).min(MAX_LIMIT);
         }
     }
 }
--- a/crates/routing/src/policy/group.rs
+++ b/crates/routing/src/policy/group.rs
@@ -6,24 +6,24 @@
 use super::{GroupId, HostId, Member, Micros, RequestId, Role, Router};
 use std::collections::BTreeSet;
 
-/// The span, in µs, over which a group's answers are counted together.
-pub(super) const GROUP_RATE_SPAN: f64 = 1e6;
+/// The window, in µs, over which a group's answers are counted.
+pub(super) const GROUP_RATE_WINDOW: f64 = 1e6;
 
 /// One primary and its replicas.
 #[derive(Default)]
 pub(super) struct Group {
     pub(super) members: BTreeSet<HostId>,
-    /// Requests that wait for a member to become available.
+    /// The requests waiting for a member to become available.
     pub(super) queued: BTreeSet<RequestId>,
     pub(super) discovery: PrimaryDiscovery,
-    /// The requests that arrive for the group.
+    /// The rate at which requests for the group arrive.
     pub(super) arrivals: EventRate,
     replica_shedder: LoadShedder,
     primary_shedder: LoadShedder,
 }
 
 impl Group {
-    /// How much of the demand for members of this role is shed, from 0 for none.
+    /// The shed level of the demand for members of this role; 0 if no load is shed.
     pub(super) fn shed_level(&self, role: Role, now: Micros) -> f64 {
         match role {
             Role::Primary => self.primary_shedder.level(now),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The shedder of the demand for members of this role.
+    /// The load shedder for members of this role.
     pub(super) fn shedder_mut(&mut self, role: Role) -> &mut LoadShedder {
         match role {
             Role::Primary => &mut self.primary_shedder,
@@ -47,9 +47,9 @@
         hosts.map(|host| (*host, &self.members[host]))
     }
 
-    /// The group's answers to this router within [`GROUP_RATE_SPAN`].
+    /// The number of answers that this router gets from the group within [`GROUP_RATE_WINDOW`].
     pub(super) fn group_answers(&self, group: GroupId) -> f64 {
         let rates = self.group_members(group).map(|(_, member)| member.answer_rate.at(self.now));
-        rates.sum::<f64>() * GROUP_RATE_SPAN
+        rates.sum::<f64>() * GROUP_RATE_WINDOW
     }
 }
--- a/crates/routing/src/policy/member.rs
+++ b/crates/routing/src/policy/member.rs
@@ -1,4 +1,4 @@
-//! The state of a member: its role, log position, latency and reported queue, and what it has in flight.
+//! The state of a member: its role, log position, latency, reported queue and attempts in flight.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::event_rate::EventRate;
@@ -8,34 +8,34 @@
     AttemptNo, ClassId, EndpointStatus, GroupId, LearnedTraits, Micros, RequestId, Role, SessionKey,
 };
 
-/// The time constant, in µs, in which a latency that is not measured again drifts back to the usual one, so
-/// that the member is tried again.
-const LATENCY_DRIFT_SPAN: f64 = 8e6;
-/// The largest age, in µs, of a latency that is counted.
-const LONGEST_SAMPLE_AGE: Micros = 1 << 40;
-/// Weight of one answer in a member's relative latency.
+/// The time constant, in µs, with which a latency that is not measured again decays to the typical one, so
+/// that the member gets requests again.
+const LATENCY_DECAY_TIME_CONSTANT: f64 = 8e6;
+/// The age, in µs, at which the age of a latency sample is capped.
+const MAX_SAMPLE_AGE: Micros = 1 << 40;
+/// The weight of one answer in a member's relative latency.
 const LATENCY_WEIGHT: f64 = 0.1;
-/// The cores that are assumed to work a member's queue off.
+/// The assumed number of cores that process a member's queue.
 const ASSUMED_CORES: f64 = 4.0;
-/// The reported queue, in usual latencies of waiting, from which on a member gets nothing.
-const LONGEST_QUEUE: f64 = 3.0;
-/// The time constant, in µs, in which a reported queue is assumed to be worked off.
-const QUEUE_DECAY_SPAN: f64 = 1e6;
-/// The largest age, in µs, of a load report that is counted.
-const LONGEST_REPORT_AGE: Micros = 1 << 30;
-
-/// An attempt that is in flight at a member.
+/// The expected wait in the reported queue, in typical latencies, from which on a member gets no requests.
+const MAX_QUEUE_WAIT: f64 = 3.0;
+/// The time constant, in µs, with which a reported queue is assumed to drain.
+const QUEUE_DECAY_TIME_CONSTANT: f64 = 1e6;
+/// The age, in µs, at which the age of a load report is capped.
+const MAX_REPORT_AGE: Micros = 1 << 30;
+
+/// An attempt in flight at a member.
 pub(super) struct AttemptInFlight {
     pub(super) id: RequestId,
     pub(super) attempt: AttemptNo,
     pub(super) class: ClassId,
-    /// Copied from the request: a commit counts for its session even if the client has disconnected.
+    /// Copied from the request, since a commit counts for its session even if the client has disconnected.
     pub(super) session: Option<SessionKey>,
     pub(super) sent_at: Micros,
     pub(super) cancelled: bool,
 }
 
-/// When a member was last known to be primary and replica; 0 for never.
+/// The times at which a member was last known to be the primary and a replica; 0 for never.
 #[derive(Clone, Copy, Default)]
 pub(super) struct RoleEvidence {
     pub(super) primary_at: Micros,
@@ -43,7 +43,7 @@
 }
 
 impl RoleEvidence {
-    /// Records the role that the member had at this time.
+    /// Records the member's role at this time.
     pub(super) fn observe(&mut self, role: Option<Role>, at: Micros) {
         match role {
             Some(Role::Primary) => self.primary_at = self.primary_at.max(at),
@@ -52,25 +52,25 @@
         }
     }
 
-    /// Whether the newest evidence is for the primary.
+    /// Whether the newest evidence shows the member as primary.
     pub(super) fn claims_primary(self) -> bool {
         self.primary_at > self.replica_at
     }
 }
 
-/// What is known of a member's log position.
+/// The known log position of a member.
 #[derive(Default)]
 pub(super) struct LogPosition {
-    /// The newest position known; a lower bound of the present one.
+    /// The newest known position, a lower bound of the current one.
     pub(super) newest: Micros,
-    /// When a position last came from the member itself; 0 for never.
+    /// When the member itself last reported a position; 0 for never.
     pub(super) seen_at: Micros,
-    /// How far behind the present the member was then.
+    /// How far the member lagged behind the router's clock at that time.
     pub(super) lag: Micros,
 }
 
 impl LogPosition {
-    /// Takes a position that the member itself reported.
+    /// Records a position that the member itself reported.
     pub(super) fn observe(&mut self, position: Option<Micros>, now: Micros) {
         let Some(position) = position else { return };
         self.lag = now - position;
@@ -78,13 +78,13 @@
         self.raise_to(position, now);
     }
 
-    /// Takes a lower bound of the position; one in the future counts as the present.
+    /// Raises the newest position to a known lower bound. A bound in the future counts as `now`.
     pub(super) fn raise_to(&mut self, position: Micros, now: Micros) {
         self.newest = self.newest.max(position.min(now));
     }
 }
 
-/// The mean latency of a member's answers, as a multiple of the usual latency of their classes.
+/// The moving average of a member's latencies, each as a multiple of its class's typical latency.
 pub(super) struct RelativeLatency {
     multiple: f64,
     sampled_at: Micros,
@@ -97,48 +97,48 @@
 }
 
 impl RelativeLatency {
-    /// The latency that another router learned.
+    /// Creates a relative latency from one that another router measured.
     pub(super) fn learned(multiple: f64, now: Micros) -> Self {
         RelativeLatency { multiple, sampled_at: now }
     }
 
-    /// The mean as it was last measured.
+    /// The average at the last sample.
     pub(super) fn multiple(&self) -> f64 {
         self.multiple
     }
 
-    /// The latency to expect at `now`.
+    /// The expected relative latency at `now`.
     pub(super) fn expected(&self, now: Micros) -> f64 {
-        let age = (now - self.sampled_at).min(LONGEST_SAMPLE_AGE) as f64;
-        1.0 + (self.multiple - 1.0) * (-age / LATENCY_DRIFT_SPAN).exp()
+        let age = (now - self.sampled_at).min(MAX_SAMPLE_AGE) as f64;
+        1.0 + (self.multiple - 1.0) * (-age / LATENCY_DECAY_TIME_CONSTANT).exp()
     }
 
-    /// Takes the latency of an answer into the mean.
+    /// Adds a sample to the average.
     pub(super) fn observe(&mut self, multiple: f64, now: Micros) {
         self.multiple += LATENCY_WEIGHT * (multiple - self.multiple);
         self.sampled_at = now;
     }
 
-    /// Assumes the usual latency again.
+    /// Resets the average to the typical latency.
     pub(super) fn reset(&mut self) {
         self.multiple = 1.0;
     }
 }
 
-/// The queue of a member as its last load report had it.
+/// The queue of a member according to its last load report.
 #[derive(Default)]
 pub(super) struct ReportedQueue {
-    /// Queued requests of all routers.
+    /// The number of queued requests, those of other routers included.
     pub(super) length: f64,
-    /// When a probe of the member last ended, with a report or without.
+    /// When a probe of the member last ended, with or without a report.
     pub(super) reported_at: Micros,
 }
 
 impl ReportedQueue {
-    /// The usual latencies that a request would wait behind what is left of the queue.
+    /// The expected wait in what is left of the queue, in typical latencies.
     pub(super) fn expected_wait(&self, now: Micros) -> f64 {
-        let age = (now - self.reported_at).clamp(0, LONGEST_REPORT_AGE) as f64;
-        self.length / ASSUMED_CORES * (-age / QUEUE_DECAY_SPAN).exp()
+        let age = (now - self.reported_at).clamp(0, MAX_REPORT_AGE) as f64;
+        self.length / ASSUMED_CORES * (-age / QUEUE_DECAY_TIME_CONSTANT).exp()
     }
 }
 
@@ -150,11 +150,11 @@
     /// Whether it is in the router's own zone.
     pub(super) local: bool,
     pub(super) zone: u32,
-    /// When its process started, as the endpoint list has it.
+    /// When its process started, according to the endpoint list.
     pub(super) listed_start: Option<Micros>,
-    /// Whether the endpoint list takes it for the primary.
+    /// Whether the endpoint list names it as the primary.
     pub(super) listed_primary: bool,
-    /// When the endpoint list first had it as removed; 0 while it is listed.
+    /// When the endpoint list first reported it as removed; 0 while it is listed.
     pub(super) removed_at: Micros,
     pub(super) roles: RoleEvidence,
     pub(super) position: LogPosition,
@@ -165,29 +165,29 @@
     pub(super) slow_start: SlowStart,
     pub(super) faults: FaultRecord,
     pub(super) in_flight: Vec<AttemptInFlight>,
-    /// When the probe was sent whose answer is awaited.
+    /// When the probe in flight was sent, if there is one.
     pub(super) probe_sent_at: Option<Micros>,
 }
 
 impl Member {
-    /// Whether it may be sent requests other than trials.
+    /// Whether it may be sent regular requests. Suspects get only trials.
     pub(super) fn is_usable(&self) -> bool {
         self.status == EndpointStatus::Up && !self.faults.is_suspected()
     }
 
-    /// Whether its concurrency limit and its reported queue leave room for another request.
+    /// Whether its concurrency limit and its reported queue admit another request.
     pub(super) fn has_capacity(&self, now: Micros) -> bool {
-        self.concurrency_limit.admits(self.in_flight.len()) && self.queue.expected_wait(now) < LONGEST_QUEUE
+        self.concurrency_limit.admits(self.in_flight.len()) && self.queue.expected_wait(now) < MAX_QUEUE_WAIT
     }
 
-    /// Removes an attempt from those in flight.
+    /// Removes an attempt from those in flight and returns it.
     pub(super) fn take_in_flight(&mut self, id: RequestId, attempt: AttemptNo) -> Option<AttemptInFlight> {
-        let is_wanted = |candidate: &AttemptInFlight| candidate.id == id && candidate.attempt == attempt;
-        let index = self.in_flight.iter().position(is_wanted)?;
+        let is_match = |candidate: &AttemptInFlight| candidate.id == id && candidate.attempt == attempt;
+        let index = self.in_flight.iter().position(is_match)?;
         Some(self.in_flight.remove(index))
     }
 
-    /// What a successor of this router should start from.
+    /// The traits that a successor of this router starts from.
     pub(super) fn learned_traits(&self, now: Micros) -> LearnedTraits {
         LearnedTraits {
             concurrency_limit: self.concurrency_limit.value(),
--- a/crates/routing/src/policy/membership.rs
+++ b/crates/routing/src/policy/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, and what other routers observed of members.
+//! Updates of the endpoint list, and observations of members by other routers.
 
 use super::member::{Member, RelativeLatency};
 use super::outliers::CONNECT_FAILED_SCORE;
@@ -8,20 +8,20 @@
 };
 use std::collections::BTreeSet;
 
-/// A member that has been off the endpoint list for this long is forgotten.
-const FORGET_AFTER: Micros = 60_000_000;
+/// The time after which a member that is off the endpoint list and silent is forgotten.
+const REMOVED_MEMBER_RETENTION: Micros = 60_000_000;
 
-/// What it means that the endpoint list has a member as removed.
+/// The effect of a member's removal from the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RemovalPolicy {
-    /// It may not be used any more.
+    /// The member may no longer be used.
     Binding,
-    /// It may be used as long as it answers, unless it was draining.
+    /// The member may be used as long as it answers, unless it was draining.
     Advisory,
 }
 
 impl Member {
-    /// Takes note that the endpoint list has it as removed.
+    /// Records that the endpoint list reports it as removed.
     fn mark_removed(&mut self, policy: RemovalPolicy, now: Micros) {
         if policy == RemovalPolicy::Binding || self.status != EndpointStatus::Up {
             self.status = EndpointStatus::Removed;
@@ -31,13 +31,13 @@
         }
     }
 
-    /// Whether it has been off the endpoint list and silent for so long that it can be forgotten.
+    /// Whether it has been off the endpoint list and silent for long enough to be forgotten.
     fn is_forgettable(&self, now: Micros) -> bool {
-        let last_sign = self.removed_at.max(self.faults.answered_at);
-        self.removed_at != 0 && now - last_sign >= FORGET_AFTER && self.in_flight.is_empty()
+        let last_activity = self.removed_at.max(self.faults.answered_at);
+        self.removed_at != 0 && now - last_activity >= REMOVED_MEMBER_RETENTION && self.in_flight.is_empty()
     }
 
-    /// Takes over what the router's predecessor learned.
+    /// Adopts the traits that the router's predecessor learned.
     fn adopt(&mut self, traits: &LearnedTraits, now: Micros) {
         self.concurrency_limit = ConcurrencyLimit::learned(traits.concurrency_limit);
         self.latency = RelativeLatency::learned(traits.relative_latency, now);
@@ -65,8 +65,8 @@
         self.dispatch_all_queued();
     }
 
-    /// Marks the members that are absent from a complete list as removed, and forgets those that long have
-    /// been.
+    /// Marks the members that are absent from a complete list as removed, and forgets those whose retention
+    /// time has passed.
     fn remove_absent(&mut self, endpoints: &[Endpoint]) {
         let (now, policy) = (self.now, self.removal_policy());
         let present: BTreeSet<HostId> = endpoints.iter().map(|endpoint| endpoint.host).collect();
@@ -99,7 +99,8 @@
         member.status = endpoint.status;
         member.local = endpoint.local;
         member.zone = endpoint.zone;
-        // Members of the first list may have run for long; one that joins later has just started.
+        // Members of the first list may have been running for a long time. One that joins later has just
+        // started.
         let has_joined = is_new && self.has_endpoint_list;
         if endpoint.started_at != member.listed_start || has_joined {
             member.listed_start = endpoint.started_at;
@@ -108,7 +109,7 @@
             self.restart_slow_start(endpoint.host, endpoint.started_at.unwrap_or(now));
         }
         let Some(member) = self.members.get_mut(&endpoint.host) else { return };
-        // The list may be old: any answer that said otherwise in the meantime stands.
+        // The list may be old, so any more recent answer takes precedence.
         if endpoint.primary && !member.listed_primary {
             member.roles.primary_at = member.roles.primary_at.max((now - LISTED_ROLE_AGE).max(1));
         }
@@ -116,8 +117,9 @@
         self.groups.entry(member.group).or_default().members.insert(endpoint.host);
     }
 
-    /// Takes what other routers observed. A position is a lower bound and no sign of life; a member that is
-    /// suspected there counts as having refused one connection, unless it has answered here since.
+    /// Applies observations of other routers. A position is a lower bound and does not show that the member
+    /// is alive. A member suspected by another router is scored like one refused connection, unless it has
+    /// answered this router since.
     pub(super) fn on_peer_observations(&mut self, observations: &[PeerObservation]) {
         for observation in observations {
             let Some(member) = self.members.get_mut(&observation.host) else { continue };
@@ -131,7 +133,7 @@
         self.dispatch_all_queued();
     }
 
-    /// The members as the router sees them now.
+    /// Returns the members as the router currently sees them.
     pub fn member_views(&self) -> impl Iterator<Item = MemberView> + '_ {
         self.members.iter().map(|(host, member)| MemberView {
             host: *host,
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,27 +1,28 @@
-//! The routing policy: every decision of a router. This module holds its state and passes each event to the
-//! module that handles it. The interface (settings, events, actions, ids) is in [`api`](super::api).
+//! The routing policy: all decisions of a router. This module holds the router's state and dispatches each
+//! event to the module that handles it. The interface (settings, events, actions, ids) is in
+//! [`api`](super::api).
 //!
 //! Reads go to the closest replica whose cached log position is fresh enough. If none is, one shared probe
-//! asks for a position; a read that still finds no replica goes to the primary, as do writes and strongly
-//! consistent reads.
+//! requests a member's position; a read that still finds no replica goes to the primary, as do writes and
+//! strongly consistent reads.
 //!
 //! Requests:
-//! - [`requests`]: from arrival to final answer: sent, queued, sent again, given up.
-//! - [`request_queue`]: requests that wait for a member.
-//! - [`attempts`]: what is learned from the end of an attempt, and what becomes of its request.
-//! - [`admission`]: which requests are shed under load.
-//! - [`read_routing`], [`read_candidates`]: the member that serves a read.
-//! - [`primary_discovery`]: the member that serves a write, and the search for the primary.
+//! - [`requests`]: the request life cycle: dispatching, queueing, retrying and giving up.
+//! - [`request_queue`]: requests waiting for a member.
+//! - [`attempts`]: evaluating the result of an attempt, and continuing its request.
+//! - [`admission`]: load shedding, and the zones' shares of reads.
+//! - [`read_routing`], [`read_candidates`]: choosing the member that serves a read.
+//! - [`primary_discovery`]: choosing the member that serves a write, and finding the primary.
 //!
 //! Members and groups:
-//! - [`member`], [`group`]: their state.
-//! - [`membership`]: the endpoint list and what other routers observed.
-//! - [`probes`]: load reports.
-//! - [`outliers`]: faults, suspicion and trials.
-//! - [`member_clock`]: what time it is for the members.
-//! - [`slow_start`]: how much a member that is warming up may be sent.
+//! - [`member`], [`group`]: the state of members and groups.
+//! - [`membership`]: endpoint list updates and observations of other routers.
+//! - [`probes`]: probes and load reports.
+//! - [`outliers`]: fault scores, suspicion and trial requests.
+//! - [`member_clock`]: an estimate of the time on the members' clock.
+//! - [`slow_start`]: the send rate to members that are warming up.
 //!
-//! Parts without knowledge of the others: [`event_rate`], [`concurrency_limit`], [`load_shedder`],
+//! Modules that do not depend on the others: [`event_rate`], [`concurrency_limit`], [`load_shedder`],
 //! [`request_work`], [`send_permits`], [`sessions`] and [`random`].
 
 mod admission;
@@ -53,7 +54,7 @@
     StaleReadPolicy,
 };
 use admission::ValueDensity;
-use attempts::LEAST_USUAL_LATENCY;
+use attempts::MIN_TYPICAL_LATENCY;
 use concurrency_limit::ConcurrencyLimit;
 use event_rate::EventRate;
 use group::Group;
@@ -65,16 +66,16 @@
 use slow_start::WarmAnswerRate;
 use std::collections::BTreeMap;
 
-/// The longest time between two checks while requests are queued.
+/// The maximum interval between checks of the pending requests while any is queued.
 const QUEUE_CHECK_INTERVAL: Micros = 10_000;
-/// The time between two checks while requests are in flight and none is queued.
+/// The interval between checks of the pending requests while some are in flight and none is queued.
 const IN_FLIGHT_CHECK_INTERVAL: Micros = 30_000;
-/// The router stood still if its timer expires this much too late.
+/// The router is assumed to have stalled if its timer expires this late.
 const STALL_THRESHOLD: Micros = 100_000;
-/// The assumed age of what the endpoint list, or a load report without a position, says about roles.
+/// The assumed age of a role taken from the endpoint list or from a load report without a position.
 const LISTED_ROLE_AGE: Micros = 20_000_000;
-/// The usual latency of a class before its first answer, as a part of its latency objective.
-const INITIAL_LATENCY_PART: f64 = 1.0 / 4.0;
+/// The typical latency of a class before its first answer, as a fraction of its latency objective.
+const INITIAL_LATENCY_FRACTION: f64 = 1.0 / 4.0;
 
 /// The decisions of one router.
 #[derive(Default)]
@@ -85,52 +86,52 @@
     groups: BTreeMap<GroupId, Group>,
     pending: BTreeMap<RequestId, PendingRequest>,
     session_commits: SessionCommits,
-    /// The part of the reads that each zone may take; `None` where the fleet does not decide on zones in
-    /// common.
+    /// The fraction of the reads that each zone may take; `None` if the fleet does not set zone shares.
     zone_read_shares: Option<BTreeMap<u32, f64>>,
-    /// By how much the latency of outliers is multiplied.
+    /// The factors by which the latency of outliers is multiplied when reads are routed.
     latency_factors: BTreeMap<HostId, f64>,
-    /// A quota of the fleet bars attempts beyond the first.
-    retries_barred: bool,
-    /// The process is shutting down: nothing is sent any more.
+    /// Whether a fleet-wide quota forbids retries.
+    retries_forbidden: bool,
+    /// Whether the process is shutting down and sends nothing more.
     sending_stopped: bool,
-    /// The usual latency of each class, in µs.
-    usual_latency: Vec<f64>,
+    /// The typical latency of each class, in µs.
+    typical_latency: Vec<f64>,
     request_work: RequestWork,
     value_density: ValueDensity,
     warm_rate: WarmAnswerRate,
     member_clock: MemberClock,
-    /// Whether the endpoint list has arrived at least once.
+    /// Whether an endpoint list has been received.
     has_endpoint_list: bool,
-    /// When the earliest timer that is set expires.
+    /// When the earliest pending timer expires.
     timer_due: Option<Micros>,
-    /// When the first request that was queued since the last check stops being worth sending.
+    /// The earliest time at which a request queued since the last check stops being worth sending.
     first_queued_expiry: Option<Micros>,
-    /// When the router last resumed after it stood still: earlier silence does not count against members.
+    /// When the router last resumed after a stall. Silence before that does not count against members.
     resumed_at: Micros,
-    /// What is to be done about the present event.
+    /// The actions for the event being handled.
     actions: Vec<Action>,
 }
 
 impl Router {
-    /// A router that knows only its settings.
+    /// Creates a router with these settings and no members.
     pub fn new(settings: Settings) -> Self {
-        let usual =
-            |class: &Class| (class.latency_objective as f64 * INITIAL_LATENCY_PART).max(LEAST_USUAL_LATENCY);
-        let usual_latency = settings.classes.iter().map(usual).collect();
+        let typical = |class: &Class| {
+            (class.latency_objective as f64 * INITIAL_LATENCY_FRACTION).max(MIN_TYPICAL_LATENCY)
+        };
+        let typical_latency = settings.classes.iter().map(typical).collect();
         let request_work = RequestWork::new(&settings.classes);
-        Router { usual_latency, request_work, settings, ..Router::default() }
+        Router { typical_latency, request_work, settings, ..Router::default() }
     }
 
-    /// Appends what is to be done before the first event.
+    /// Appends the actions to carry out before the first event.
     pub fn start(&mut self, actions: &mut Vec<Action>) {
         if self.settings.must_subscribe {
             actions.push(Action::Subscribe);
         }
     }
 
-    /// Handles an event and appends what is to be done about it. A `now` before that of an earlier event
-    /// counts as that one.
+    /// Handles an event and appends the resulting actions. Time never goes backwards: a `now` before that of
+    /// an earlier event is replaced by the latter.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.detect_stall();
@@ -159,12 +160,12 @@
             Event::SessionsCommittedElsewhere(until) => self.session_commits.raise_floor(until),
             Event::PeerObservations(observations) => self.on_peer_observations(&observations),
             Event::LatencyFactors(factors) => self.latency_factors = factors.into_iter().collect(),
-            Event::RetriesAllowed(allowed) => self.retries_barred = !allowed,
+            Event::RetriesAllowed(allowed) => self.retries_forbidden = !allowed,
         }
     }
 
-    /// Notices whether the router stood still: members that seemed silent meanwhile may have answered, so
-    /// silence counts from now.
+    /// Detects that the router has stalled. Members may have answered during the stall, so their silence is
+    /// counted from now.
     fn detect_stall(&mut self) {
         if self.timer_due.is_some_and(|due| self.now - due > STALL_THRESHOLD) {
             self.resumed_at = self.now;
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Sets a timer for the next check, unless one that is set expires before it. A timer that was set for
-    /// later stays set, and is ignored when it expires.
+    /// Sets a timer for the next check, unless a pending one expires by then. Timers cannot be cancelled: a
+    /// pending one that expires later is ignored when it does.
     fn set_timer(&mut self) {
         let Some(check_at) = self.next_check_at() else { return };
         if self.timer_due.is_some_and(|due| due <= check_at) {
@@ -183,7 +184,7 @@
         self.actions.push(Action::SetTimer(check_at - self.now));
     }
 
-    /// When the pending requests are to be checked next; `None` if there are none.
+    /// The time of the next check of the pending requests; `None` if there are none.
     fn next_check_at(&self) -> Option<Micros> {
         if self.pending.is_empty() {
             return None;
--- a/crates/routing/src/policy/primary_discovery.rs
+++ b/crates/routing/src/policy/primary_discovery.rs
@@ -1,4 +1,4 @@
-//! Which member of a group is its primary, whether it can be used, and how it is found if none is known.
+//! Identifies a group's primary, decides whether it can take a request, and searches for it if none is known.
 
 use super::group::Group;
 use super::member::Member;
@@ -6,84 +6,84 @@
 use super::{ClassId, EndpointStatus, GroupId, HostId, Micros, ProbePurpose, RequestId, Role, Router};
 use std::collections::BTreeSet;
 
-/// The first pause between rounds of probes for the primary; it doubles from round to round.
-const FIRST_PROBE_PAUSE: Micros = 150_000;
-/// The longest pause between rounds of probes for the primary.
-const LONGEST_PROBE_PAUSE: Micros = 1_200_000;
-/// The pause after a round of writes that tried all members.
-const TRIAL_ROUND_PAUSE: Micros = 1_000_000;
-/// A write that searches for the primary keeps this many attempts for the primary itself.
+/// The initial interval between rounds of probes for the primary; it doubles with each round.
+const INITIAL_PROBE_BACKOFF: Micros = 150_000;
+/// The maximum interval between rounds of probes for the primary.
+const MAX_PROBE_BACKOFF: Micros = 1_200_000;
+/// The interval after a round in which writes tried all members.
+const SEARCH_ROUND_INTERVAL: Micros = 1_000_000;
+/// The number of attempts that a write searching for the primary reserves for the primary itself.
 const RESERVED_ATTEMPTS: u32 = 2;
-/// The part of the primary's concurrency limit that reads may use which replicas could serve.
-const SPILLOVER_LIMIT_PART: f64 = 0.75;
-/// How much sooner reads are shed at the primary that replicas could serve.
+/// The fraction of the primary's concurrency limit that reads which replicas could serve may use.
+const SPILLOVER_LIMIT_FRACTION: f64 = 0.75;
+/// The factor by which reads that replicas could serve are shed more at the primary.
 const SPILLOVER_SHED_WEIGHT: f64 = 3.0;
 
-/// The search for a group's primary. Writes try members in turn, one write at a time for the whole group;
-/// after a round of rejections probes go on looking.
+/// The search for a group's primary. Writes try the members in turn, one write at a time for the whole group.
+/// After a round of rejections the search continues with probes.
 #[derive(Default)]
 pub(super) struct PrimaryDiscovery {
-    /// The write that tries members now.
-    trial_write: Option<RequestId>,
-    /// The members that were tried in this round.
+    /// The write that is trying members.
+    searching_write: Option<RequestId>,
+    /// The members already tried in this round.
     tried: BTreeSet<HostId>,
     next_round_at: Micros,
     next_probes_at: Micros,
-    probe_pause: Micros,
+    probe_backoff: Micros,
 }
 
 impl PrimaryDiscovery {
-    /// The write does not try members any more.
-    pub(super) fn end_trial_write(&mut self, id: RequestId) {
-        if self.trial_write == Some(id) {
-            self.trial_write = None;
+    /// Ends the search by this write, if it is the one trying members.
+    pub(super) fn end_search_by(&mut self, id: RequestId) {
+        if self.searching_write == Some(id) {
+            self.searching_write = None;
         }
     }
 
-    /// The member is not tried again in this round.
+    /// Excludes the member from the rest of this round.
     pub(super) fn exclude(&mut self, host: HostId) {
         self.tried.insert(host);
     }
 
-    /// Begins the backoff of probes anew: a primary is known.
-    fn reset_probe_pause(&mut self) {
-        self.probe_pause = FIRST_PROBE_PAUSE;
+    /// Resets the backoff of probes, once a primary is known.
+    fn reset_probe_backoff(&mut self) {
+        self.probe_backoff = INITIAL_PROBE_BACKOFF;
     }
 
-    /// Whether a round of probes is due; if so, the next one is planned with backoff.
+    /// Returns whether a round of probes is due, and if so schedules the next one with backoff.
     fn start_probe_round(&mut self, now: Micros) -> bool {
         if now < self.next_probes_at {
             return false;
         }
-        self.probe_pause = (self.probe_pause * 2).clamp(FIRST_PROBE_PAUSE, LONGEST_PROBE_PAUSE);
-        self.next_probes_at = now + self.probe_pause;
+        self.probe_backoff = (self.probe_backoff * 2).clamp(INITIAL_PROBE_BACKOFF, MAX_PROBE_BACKOFF);
+        self.next_probes_at = now + self.probe_backoff;
         true
     }
 
-    /// Lets the write try the next member. Without one the round is over.
+    /// Records that the write tries the next member. If there is none, the round ends.
     fn try_next(&mut self, id: RequestId, next: Option<HostId>, now: Micros) {
-        self.trial_write = next.map(|_| id);
+        self.searching_write = next.map(|_| id);
         match next {
             Some(host) => self.exclude(host),
             None => {
-                self.next_round_at = now + TRIAL_ROUND_PAUSE;
+                self.next_round_at = now + SEARCH_ROUND_INTERVAL;
                 self.tried.clear();
             }
         }
     }
 }
 
-/// What a read is sent to the primary for.
+/// Why a request is sent to the primary.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PrimaryUse {
     /// Only the primary may serve the request.
     Required,
-    /// Replicas could serve the read as well, but none is available.
+    /// Replicas could serve the read too, but none is available.
     Spillover,
 }
 
 impl Router {
-    /// The member with the newest evidence of being primary that no newer evidence contradicts.
+    /// The member with the newest evidence of being the primary that no newer evidence contradicts.
     pub(super) fn primary(&self, group: GroupId) -> Option<HostId> {
         self.group_members(group)
             .filter(|(_, member)| member.status == EndpointStatus::Up && member.roles.claims_primary())
@@ -91,7 +91,7 @@
             .map(|(host, _)| host)
     }
 
-    /// The role that the member has in the group as far as the router knows.
+    /// The member's role in the group, as far as the router knows.
     pub(super) fn role_of(&self, host: HostId, group: GroupId) -> Role {
         if self.primary(group) == Some(host) {
             Role::Primary
@@ -100,12 +100,12 @@
         }
     }
 
-    /// The primary, if it can take a request now that only the primary may serve.
+    /// The primary, if it can take a request that only the primary may serve.
     pub(super) fn choose_primary(&mut self, id: RequestId, group: GroupId) -> Option<HostId> {
         self.choose_primary_for(id, group, PrimaryUse::Required)
     }
 
-    /// The primary, if it can take a read now that replicas could serve.
+    /// The primary, if it can take a read that replicas could serve too.
     pub(super) fn choose_primary_for_spillover(&mut self, id: RequestId, group: GroupId) -> Option<HostId> {
         self.choose_primary_for(id, group, PrimaryUse::Spillover)
     }
@@ -115,7 +115,7 @@
             self.search_primary(group);
             return None;
         };
-        self.groups.get_mut(&group)?.discovery.reset_probe_pause();
+        self.groups.get_mut(&group)?.discovery.reset_probe_backoff();
         let member = &self.members[&host];
         if purpose == PrimaryUse::Spillover && !self.admits_spillover(id, member) {
             return None;
@@ -138,12 +138,12 @@
     /// Whether the primary has capacity for a read that replicas could serve.
     fn admits_spillover(&self, id: RequestId, primary: &Member) -> bool {
         let Some(pending) = self.pending.get(&id) else { return false };
-        let limit = primary.concurrency_limit.value() * SPILLOVER_LIMIT_PART;
+        let limit = primary.concurrency_limit.value() * SPILLOVER_LIMIT_FRACTION;
         let is_crowded = primary.in_flight.len() as f64 + 1.0 > limit;
         !is_crowded && self.admits(id, pending, Role::Primary, SPILLOVER_SHED_WEIGHT)
     }
 
-    /// The member to send a write to now: the primary, or while none is known the next member to try.
+    /// The member to send a write to: the primary, or if none is usable, the next member to try.
     pub(super) fn choose_for_write(&mut self, id: RequestId, group: GroupId) -> Option<HostId> {
         if self.usable_primary(group).is_some() {
             self.groups.get_mut(&group)?.discovery.tried.clear();
@@ -166,14 +166,14 @@
         let Some(pending) = self.pending.get(&id) else { return false };
         let discovery = &group.discovery;
         let other_write_tries =
-            discovery.trial_write.is_some_and(|other| other != id && self.pending.contains_key(&other));
+            discovery.searching_write.is_some_and(|other| other != id && self.pending.contains_key(&other));
         let has_spare_attempts = pending.attempts + RESERVED_ATTEMPTS < self.settings.max_attempts;
         let is_round_due = self.now >= discovery.next_round_at;
         let has_not_run = pending.may_have_run_since.is_none();
         !other_write_tries && is_round_due && has_spare_attempts && has_not_run
     }
 
-    /// The likeliest primary among the members that were not tried in this round.
+    /// The likeliest primary among the members not yet tried in this round.
     fn next_member_to_try(&self, id: RequestId, group: GroupId) -> Option<HostId> {
         let class = self.pending.get(&id)?.request.class;
         let tried = &self.groups.get(&group)?.discovery.tried;
@@ -194,7 +194,7 @@
             .map(|(host, _)| host)
     }
 
-    /// Probes the group's members for the primary, with backoff.
+    /// Probes all members of the group to find the primary, with backoff.
     fn search_primary(&mut self, group: GroupId) {
         let now = self.now;
         let Some(group) = self.groups.get_mut(&group) else { return };
--- a/crates/routing/src/policy/random.rs
+++ b/crates/routing/src/policy/random.rs
@@ -1,7 +1,7 @@
-//! Deterministic pseudo-random numbers: the same seed and input give the same number, so that decisions can
+//! Deterministic pseudo-random numbers. The same seed and input give the same number, so that decisions can
 //! be replayed.
 
-/// A number from 0 up to 1, determined by `seed` and `value`. The mixing steps are those of `SplitMix64`.
+/// A number in `[0, 1)` determined by `seed` and `value`, mixed with the steps of `SplitMix64`.
 pub(super) fn unit_interval(seed: u64, value: u64) -> f64 {
     let mix = |bits: u64, factor: u64| (bits ^ (bits >> 31)).wrapping_mul(factor);
     let mixed = mix(seed ^ value, 0xbf58_476d_1ce4_e5b9);
--- a/crates/routing/src/policy/read_candidates.rs
+++ b/crates/routing/src/policy/read_candidates.rs
@@ -1,27 +1,28 @@
-//! The replicas that may take a read, and the choice among them by distance, freshness and load.
+//! The replicas that may serve a read, and the choice among them by expected latency, freshness and load.
 
-use super::read_routing::SUSPECT_REPORT_INTERVAL;
+use super::read_routing::SUSPECT_PROBE_INTERVAL;
 use super::{HostId, Micros};
 
-/// Replicas whose latency exceeds the closest one's by no more than this part count as equally close.
-const TIE_BAND: f64 = 0.5;
-/// Long reads may go to a replica that is this many times as far as those that count as equally close.
-const LONG_READ_DISTANCE: f64 = 2.0;
-/// A log position is young for this long: until then a replica is not assumed to have caught up.
-const YOUNG_POSITION_AGE: Micros = 3 * SUSPECT_REPORT_INTERVAL;
-/// How much faster than time a replica that is behind may catch up.
+/// Replicas whose distance exceeds the closest one's by at most this fraction count as equally close.
+const TIE_TOLERANCE: f64 = 0.5;
+/// Long reads may go to a replica at up to this many times the distance of those that count as equally close.
+const LONG_READ_DISTANCE_FACTOR: f64 = 2.0;
+/// A log position counts as recent for this long. Until then the replica is not assumed to be catching up.
+const RECENT_POSITION_AGE: Micros = 3 * SUSPECT_PROBE_INTERVAL;
+/// The factor by which a lagging replica may apply the log faster than real time.
 const CATCH_UP_FACTOR: Micros = 3;
-/// The largest age of a log position that is counted, so that the catch-up does not overflow.
-const LONGEST_POSITION_AGE: Micros = 1 << 40;
-/// A measured lag is relied on for this long, where members reject reads that they are too far behind for.
-const LAG_LIFETIME: Micros = 2_000_000;
+/// The age at which the age of a log position is capped, so that the product with the catch-up factor does
+/// not overflow.
+const MAX_POSITION_AGE: Micros = 1 << 40;
+/// How long a measured lag is relied on, where members reject reads that they are too far behind for.
+const LAG_VALIDITY: Micros = 2_000_000;
 
-/// The log position that a read needs.
+/// The log position that a read requires.
 #[derive(Clone, Copy)]
 pub(super) struct RequiredPosition(pub(super) Option<Micros>);
 
 impl RequiredPosition {
-    /// The least position that serves the read; `None` if any does.
+    /// The minimum position that serves the read; `None` if any does.
     pub(super) fn minimum(self) -> Option<Micros> {
         self.0
     }
@@ -31,13 +32,13 @@
     }
 }
 
-/// A replica that may take the read.
+/// A replica that may serve the read.
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
     pub(super) host: HostId,
-    /// Latency to expect, as a multiple of the usual one.
+    /// The expected latency, as a multiple of the typical one.
     pub(super) distance: f64,
-    /// Its share of this router's recent traffic, with the router's own order of members.
+    /// Its weighted share of this router's recent traffic, with the router's own tie-break offset.
     pub(super) traffic: f64,
     /// Whether it is in the router's own zone.
     pub(super) local: bool,
@@ -51,36 +52,35 @@
 }
 
 impl Candidate {
-    /// Whether the replica may have reached the required position by `now`. Not if it was seen so far behind
-    /// that it cannot have caught up, nor, while its position is young, if it would still be short with all
-    /// the time since.
+    /// Whether the replica may have reached the required position by `now`. The last measured position is
+    /// assumed to have advanced in real time while it is recent, and at the catch-up factor later.
     pub(super) fn may_have_reached(&self, required: RequiredPosition, now: Micros) -> bool {
-        let age = (now - self.position_seen_at).min(LONGEST_POSITION_AGE);
-        let gain = if age < YOUNG_POSITION_AGE { age } else { CATCH_UP_FACTOR * age };
+        let age = (now - self.position_seen_at).min(MAX_POSITION_AGE);
+        let assumed_progress = if age < RECENT_POSITION_AGE { age } else { CATCH_UP_FACTOR * age };
         let Some(minimum) = required.minimum() else { return false };
-        self.position_seen_at == 0 || self.position + gain >= minimum
+        self.position_seen_at == 0 || self.position + assumed_progress >= minimum
     }
 
-    /// Whether the replica had, a short time ago, a lag that would serve the read.
+    /// Whether the replica's recently measured lag would serve the read.
     pub(super) fn had_sufficient_lag(&self, required: RequiredPosition, now: Micros) -> bool {
-        let is_recent = now - self.position_seen_at < LAG_LIFETIME;
+        let is_recent = now - self.position_seen_at < LAG_VALIDITY;
         is_recent && required.minimum().is_some_and(|minimum| now - self.lag >= minimum)
     }
 }
 
-/// The replicas that may take a read, closest first.
+/// The replicas that may serve a read, closest first.
 pub(super) struct Candidates {
     pub(super) by_distance: Vec<Candidate>,
-    /// Up to this distance they count as equally close.
+    /// The distance up to which replicas count as equally close.
     pub(super) tie_limit: f64,
-    /// Whether members in other zones come after all local ones.
+    /// Whether local members are preferred to all those in other zones.
     prefers_local: bool,
 }
 
 impl Candidates {
     pub(super) fn new(mut candidates: Vec<Candidate>, prefers_local: bool) -> Self {
         candidates.sort_by(|a, b| a.distance.total_cmp(&b.distance));
-        let tie_limit = candidates.first().map_or(0.0, |closest| closest.distance * (1.0 + TIE_BAND));
+        let tie_limit = candidates.first().map_or(0.0, |closest| closest.distance * (1.0 + TIE_TOLERANCE));
         Candidates { by_distance: candidates, tie_limit, prefers_local }
     }
 
@@ -94,10 +94,10 @@
             .map(|candidate| candidate.host)
     }
 
-    /// The replica for long reads, the same for all routers as long as it has capacity. None that is warming
-    /// up: few long reads are enough to overload it.
+    /// The replica for long reads: the one with the lowest id, so that all routers choose the same one while
+    /// it has capacity. Replicas that are warming up are left out, since a few long reads overload them.
     pub(super) fn for_long_reads(&self) -> Option<HostId> {
-        let limit = LONG_READ_DISTANCE * self.tie_limit;
+        let limit = LONG_READ_DISTANCE_FACTOR * self.tie_limit;
         self.by_distance
             .iter()
             .filter(|candidate| candidate.distance <= limit && !candidate.warming_up)
@@ -105,8 +105,8 @@
             .min()
     }
 
-    /// The replica whose position is worth probing for: among those that may have caught up, the one with the
-    /// least traffic that is close, or else the closest.
+    /// The replica to probe for its position: of those that may have caught up, the close one with the least
+    /// traffic, or if none is close, the closest.
     pub(super) fn to_probe(&self, required: RequiredPosition, now: Micros) -> Option<HostId> {
         let may_serve = |candidate: &&Candidate| candidate.may_have_reached(required, now);
         let close = self
--- a/crates/routing/src/policy/request_queue.rs
+++ b/crates/routing/src/policy/request_queue.rs
@@ -1,9 +1,9 @@
-//! The queues of requests that wait for a member to become available, one for each group.
+//! The queues of requests waiting for a member to become available, one per group.
 
 use super::{GroupId, Micros, RejectReason, RequestId, Router};
 use std::cmp::Ordering;
 
-/// A queued request's place in the order in which they are sent.
+/// The rank of a queued request in the order of dispatch.
 struct QueueRank {
     value_density: f64,
     arrived_at: Micros,
@@ -11,7 +11,7 @@
 }
 
 impl QueueRank {
-    /// Most value for the work first, then the newest, which has most time left.
+    /// Orders by highest value per work, then by newest arrival, which has the most time left.
     fn compare(&self, other: &Self) -> Ordering {
         let by_value = other.value_density.total_cmp(&self.value_density);
         by_value.then(other.arrived_at.cmp(&self.arrived_at)).then(self.id.cmp(&other.id))
@@ -31,7 +31,7 @@
         self.first_queued_expiry = Some(expiry);
     }
 
-    /// Tries to send the group's queued requests; what still cannot be sent is queued again.
+    /// Dispatches the group's queued requests. Those that still cannot be sent are queued again.
     pub(super) fn dispatch_queued(&mut self, group: GroupId) {
         let Some(group) = self.groups.get_mut(&group) else { return };
         let queued = std::mem::take(&mut group.queued);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Tries to send the queued requests of all groups.
+    /// Dispatches the queued requests of all groups.
     pub(super) fn dispatch_all_queued(&mut self) {
         let groups: Vec<GroupId> = self.groups.keys().copied().collect();
         for group in groups {
@@ -54,9 +54,10 @@
         let pending = self.pending.get(&id)?;
         let class = &self.settings.classes[pending.request.class.0];
         let is_in_time = self.now - pending.arrived_at < class.latency_objective;
-        let value_part = if is_in_time { 1.0 } else { class.late_weight };
+        let value_fraction = if is_in_time { 1.0 } else { class.late_weight };
         Some(QueueRank {
-            value_density: class.priority_weight * value_part / self.usual_latency[pending.request.class.0],
+            value_density: class.priority_weight * value_fraction
+                / self.typical_latency[pending.request.class.0],
             arrived_at: pending.arrived_at,
             id,
         })
--- a/crates/routing/src/policy/request_work.rs
+++ b/crates/routing/src/policy/request_work.rs
@@ -1,34 +1,35 @@
-//! How much work a request is, in requests of mean work. A member's capacity is counted in these, while
-//! members tell no work: it is judged by latency, as measured and as the settings expect it.
+//! The amount of work of a request, as a multiple of the mean request's. Members' capacity is counted in this
+//! unit. Members do not report work, so it is estimated from measured latencies and from the latency
+//! objectives in the settings.
 
 use super::{Class, ClassId};
 
-/// Arrivals of the class with the shortest objective that the means start from: a first long read must not
-/// pass for a usual request.
+/// The initial number of arrivals of the class with the shortest objective. Without it a long read that
+/// arrives first would be taken for a mean request.
 const INITIAL_ARRIVALS: f64 = 20.0;
-/// The means are taken over about this many arrivals.
+/// The means are taken over roughly this many arrivals.
 const AVERAGED_ARRIVALS: f64 = 400.0;
-/// The latency of a class counts as measured after so many answers.
-const LEAST_ANSWERS: f64 = 3.0;
-/// Least weight of an answer in the mean latency of its class.
-const LEAST_ANSWER_WEIGHT: f64 = 0.02;
+/// The number of answers from which on the latency of a class counts as measured.
+const MIN_ANSWERS: f64 = 3.0;
+/// The minimum weight of an answer in the mean latency of its class.
+const MIN_ANSWER_WEIGHT: f64 = 0.02;
 
-/// What is known of the requests of one class.
+/// The statistics of one class of requests.
 struct ClassRecord {
     arrivals: f64,
     latency_objective: f64,
     answers: f64,
-    /// The mean latency of its answers.
+    /// The mean latency of the answers.
     latency: f64,
 }
 
 impl ClassRecord {
     fn is_measured(&self) -> bool {
-        self.answers >= LEAST_ANSWERS
+        self.answers >= MIN_ANSWERS
     }
 }
 
-/// The work of the classes of requests, relative to the mean of those that arrive.
+/// The work of each request class, relative to the mean over all arrivals.
 #[derive(Default)]
 pub(super) struct RequestWork(Vec<ClassRecord>);
 
@@ -57,15 +58,15 @@
         }
     }
 
-    /// Takes the latency of an answer into the mean of its class.
+    /// Adds the latency of an answer to the mean of its class.
     pub(super) fn record_answer(&mut self, class: ClassId, latency: f64) {
         let record = &mut self.0[class.0];
         record.answers += 1.0;
-        record.latency += (latency - record.latency) * (1.0 / record.answers).max(LEAST_ANSWER_WEIGHT);
+        record.latency += (latency - record.latency) * (1.0 / record.answers).max(MIN_ANSWER_WEIGHT);
     }
 
-    /// The work of a request of this class, in requests of mean work. At least 1, since members that answer
-    /// short requests only answer more of them. Of the two measures the larger counts: queueing makes short
+    /// The work of a request of this class, in requests of mean work. At least 1, since a member that serves
+    /// only short requests serves more of them. The larger of the two estimates counts: queueing makes short
     /// requests look like long ones, and an objective may be tight.
     pub(super) fn of(&self, class: ClassId) -> f64 {
         let record = &self.0[class.0];
@@ -78,7 +79,7 @@
         measured.max(expected).max(1.0)
     }
 
-    /// The mean of a latency over the arrivals of some classes.
+    /// The mean of a latency over the arrivals of the included classes.
     fn mean(&self, includes: impl Fn(&ClassRecord) -> bool, latency: impl Fn(&ClassRecord) -> f64) -> f64 {
         let included = || self.0.iter().filter(|record| includes(record));
         let arrivals: f64 = included().map(|record| record.arrivals).sum();
--- a/crates/routing/src/policy/requests.rs
+++ b/crates/routing/src/policy/requests.rs
@@ -1,4 +1,5 @@
-//! The life of a request from its arrival to its final answer: sent, queued and sent again, or given up.
+//! The life cycle of a request from its arrival to its final answer: dispatching, queueing, retrying and
+//! giving up.
 
 use super::{
     Action, AttemptInFlight, AttemptNo, Consistency, EndpointStatus, GroupId, HostId, Idempotency, Micros,
@@ -6,12 +7,13 @@
 };
 use std::collections::BTreeSet;
 
-/// The part of its client's patience that a request may be queued for without having reached a member.
-const LONGEST_QUEUED_PART: f64 = 0.47;
-/// The Retry-After span of rejections: overload and failovers last longer than a retry takes.
+/// The fraction of the time to its deadline for which a request may be queued without having reached a
+/// member.
+const MAX_QUEUED_FRACTION: f64 = 0.47;
+/// The Retry-After span of rejections. Overload and failovers last longer than a retry takes.
 const RETRY_AFTER: Micros = 2_000_000;
 
-/// A position probe that a read waits for.
+/// A position probe that a read is waiting for.
 #[derive(Clone, Copy)]
 pub(super) struct PositionProbe {
     pub(super) host: HostId,
@@ -22,37 +24,37 @@
 pub(super) struct PendingRequest {
     pub(super) request: Request,
     pub(super) arrived_at: Micros,
-    /// When an answer stops being worth anything.
+    /// The time from which on an answer has no value.
     pub(super) useful_until: Micros,
     pub(super) attempts: u32,
-    /// The member at which an attempt is in flight.
+    /// The member at which an attempt is in flight, if there is one.
     pub(super) in_flight_at: Option<HostId>,
-    /// When the first attempt was sent that may have run.
+    /// When the first attempt that may have run was sent.
     pub(super) may_have_run_since: Option<Micros>,
-    /// The members at which attempts failed.
+    /// The members at which attempts have failed.
     pub(super) excluded: BTreeSet<HostId>,
     pub(super) position_probe: Option<PositionProbe>,
-    /// Whether an attempt reached a member.
+    /// Whether an attempt has reached a member.
     pub(super) has_reached_member: bool,
 }
 
 impl PendingRequest {
-    /// Until when a repeat of an attempt that may have run is recognised; `None` if nothing may have run, or
-    /// if nothing depends on it.
+    /// Until when members recognise a repeat of the request; `None` if no attempt may have run, or if
+    /// requests of this idempotency need no recognition.
     fn repeat_recognised_until(&self, idempotency: Idempotency) -> Option<Micros> {
         let Idempotency::Keyed { window, .. } = idempotency else { return None };
         Some(self.may_have_run_since?.saturating_add(window) - QUEUE_CHECK_INTERVAL)
     }
 
-    /// The part of its client's patience that has passed.
-    fn waited_part(&self, now: Micros) -> f64 {
+    /// The fraction of the time from arrival to deadline that has passed.
+    fn waited_fraction(&self, now: Micros) -> f64 {
         let patience = (self.request.deadline - self.arrived_at).max(1);
         (now - self.arrived_at) as f64 / patience as f64
     }
 }
 
 impl Router {
-    /// A client sent a request.
+    /// Handles a client's request.
     pub(super) fn on_request(&mut self, request: Request) {
         let id = request.id;
         if self.accept(request) {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// A client sent a request that exceeds a quota of the fleet.
+    /// Handles a client's request that exceeds a fleet-wide quota.
     pub(super) fn on_request_over_quota(&mut self, request: Request) {
         let id = request.id;
         if self.accept(request) {
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Records a request as pending. One of an unknown class is rejected at once; then the result is `false`.
+    /// Adds a request to those pending. Rejects one of an unknown class and returns `false`.
     fn accept(&mut self, request: Request) -> bool {
         let (id, now) = (request.id, self.now);
         let Some(class) = self.settings.classes.get(request.class.0) else {
@@ -77,7 +79,7 @@
         };
         let objective_ends =
             if class.late_weight > 0.0 { Micros::MAX } else { now.saturating_add(class.latency_objective) };
-        self.value_density.observe(class.priority_weight / self.usual_latency[request.class.0]);
+        self.value_density.observe(class.priority_weight / self.typical_latency[request.class.0]);
         self.request_work.record_arrival(request.class);
         if let Some(group) = self.groups.get_mut(&request.group) {
             group.arrivals.record(now);
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Why the request must be given up instead of being sent or queued.
+    /// Why the request must be given up rather than sent or queued; `None` if it need not be.
     fn reason_not_to_send(&self, id: RequestId, pending: &PendingRequest) -> Option<RejectReason> {
         let class = &self.settings.classes[pending.request.class.0];
         if self.sending_stopped {
@@ -121,17 +123,17 @@
         if class.idempotency == Idempotency::NotIdempotent && pending.may_have_run_since.is_some() {
             return Some(RejectReason::MayHaveRun);
         }
-        // A request that no member has seen is rejected while coming back is still worth the client's time.
-        if !pending.has_reached_member && pending.waited_part(self.now) > LONGEST_QUEUED_PART {
+        // A request that has not reached any member is rejected while the client still has time for a retry.
+        if !pending.has_reached_member && pending.waited_fraction(self.now) > MAX_QUEUED_FRACTION {
             return Some(RejectReason::QueuedTooLong);
         }
-        let most_attempts = if self.retries_barred { 1 } else { self.settings.max_attempts };
-        if pending.attempts >= most_attempts {
+        let attempt_limit = if self.retries_forbidden { 1 } else { self.settings.max_attempts };
+        if pending.attempts >= attempt_limit {
             return Some(RejectReason::AttemptsExhausted);
         }
         let repeat_ends = pending.repeat_recognised_until(class.idempotency).unwrap_or(Micros::MAX);
         let time_left = pending.useful_until.min(repeat_ends).saturating_sub(self.now) as f64;
-        if time_left < self.usual_latency[pending.request.class.0] {
+        if time_left < self.typical_latency[pending.request.class.0] {
             return Some(RejectReason::DeadlineExceeded);
         }
         let role = match class.consistency {
@@ -141,7 +143,7 @@
         (!self.admits(id, pending, role, 1.0)).then_some(RejectReason::LoadShed)
     }
 
-    /// The member to send the request to now.
+    /// The member to send the request to now; `None` if it must wait.
     fn choose_member(&mut self, id: RequestId, group: GroupId) -> Option<HostId> {
         let class = self.pending.get(&id)?.request.class;
         match self.settings.classes[class.0].consistency {
@@ -170,8 +172,8 @@
         pending.in_flight_at = Some(host);
         pending.position_probe = None;
         let class = &self.settings.classes[pending.request.class.0];
-        // A staleness bound counts from the last byte sent, and the position ages until then; a primary's
-        // does not.
+        // A staleness bound applies when the last byte is sent, and a replica's known position ages until
+        // then; a primary's does not.
         let fresh_until = match class.consistency {
             Consistency::BoundedStaleness(bound) if !member.roles.claims_primary() => {
                 Some(member.position.newest + bound)
@@ -184,18 +186,18 @@
         self.actions.push(Action::Send { id, host, timeout, holds_until });
     }
 
-    /// Answers the request finally: rejects it if a retry is harmless, otherwise fails it.
+    /// Sends the final answer: rejects the request if a retry is harmless, and otherwise fails it.
     pub(super) fn give_up(&mut self, id: RequestId, reason: RejectReason) {
         let Some(pending) = self.remove_pending(id) else { return };
         let only_waited = !pending.has_reached_member
             && matches!(reason, RejectReason::QueuedTooLong | RejectReason::DeadlineExceeded);
-        let lacked = if only_waited { self.lacked_resource(&pending) } else { None };
-        let reason = lacked.unwrap_or(reason);
+        let missing = if only_waited { self.missing_resource(&pending) } else { None };
+        let reason = missing.unwrap_or(reason);
         let is_repeatable_anywhere = matches!(
             self.settings.classes[pending.request.class.0].idempotency,
             Idempotency::Idempotent | Idempotency::Keyed { all_groups: true, .. }
         );
-        // An attempt may still be in flight, at the process's end, and may run.
+        // On shutdown an attempt may still be in flight and may run.
         let has_not_run = pending.may_have_run_since.is_none() && pending.in_flight_at.is_none();
         self.actions.push(if is_repeatable_anywhere || has_not_run {
             let retry_after = RETRY_AFTER.min(self.settings.max_retry_after);
@@ -205,8 +207,8 @@
         });
     }
 
-    /// What a request that never reached a member waited for in vain.
-    fn lacked_resource(&self, pending: &PendingRequest) -> Option<RejectReason> {
+    /// The missing resource because of which a request never reached a member.
+    fn missing_resource(&self, pending: &PendingRequest) -> Option<RejectReason> {
         let group = pending.request.group;
         self.groups.get(&group)?;
         let primary = self.primary(group);
@@ -225,7 +227,7 @@
         (known < needed).then_some(RejectReason::TooStale { needed, known })
     }
 
-    /// Removes the request from those pending, and from the queue.
+    /// Removes the request from those pending and from the queue.
     pub(super) fn remove_pending(&mut self, id: RequestId) -> Option<PendingRequest> {
         let pending = self.pending.remove(&id)?;
         if let Some(group) = self.groups.get_mut(&pending.request.group) {
@@ -234,7 +236,7 @@
         Some(pending)
     }
 
-    /// Gives up every pending request, at the process's end.
+    /// Gives up all pending requests on shutdown.
     pub(super) fn give_up_all(&mut self) {
         let ids: Vec<RequestId> = self.pending.keys().copied().collect();
         for id in ids {
--- a/crates/routing/src/policy/send_permits.rs
+++ b/crates/routing/src/policy/send_permits.rs
@@ -1,9 +1,10 @@
-//! Permits to send to a member in slow start. They are issued at a rate and expire soon: what all routers
-//! hold unused is bounded however many routers there are, and cannot be used all at once in a surge.
+//! Permits to send to a member in slow start. They are issued at a fixed rate and expire soon. This bounds
+//! the number of unused permits of all routers together, however many routers there are, so that a surge
+//! cannot use up a large stock of permits at once.
 
 use super::Micros;
 
-/// How fast permits are issued, and how long each is valid.
+/// The rate at which permits are issued, and how long each is valid.
 #[derive(Clone, Copy)]
 pub(super) struct PermitSchedule {
     /// Permits per µs.
@@ -13,40 +14,44 @@
 }
 
 impl PermitSchedule {
-    /// The requests that are expected to arrive within a permit's lifetime: a router with little traffic
-    /// keeps each permit for longer, until it has a request for it.
+    /// The number of requests expected to arrive within a permit's lifetime. On a router with little traffic
+    /// permits live longer, so that they are still valid when a request arrives.
     const ARRIVALS_PER_LIFETIME: f64 = 1.5;
-    /// The bounds of the lifetime, as parts of the span.
-    const LIFETIME_PARTS: (f64, f64) = (0.1, 1.5);
+    /// The bounds of the lifetime, as fractions of the span.
+    const LIFETIME_FRACTIONS: (f64, f64) = (0.1, 1.5);
 
-    /// A schedule under which no more than `most` permits, in the mean, can be used within any `span`: those
-    /// issued within it, and those issued before it that are still valid. `arrivals` are the requests per µs
-    /// that may use them.
-    pub(super) fn within(most: f64, span: f64, arrivals: f64) -> PermitSchedule {
-        let (shortest, longest) = Self::LIFETIME_PARTS;
-        let lifetime_part = (Self::ARRIVALS_PER_LIFETIME / (arrivals * span)).clamp(shortest, longest);
-        PermitSchedule { rate: most / span / (1.0 + lifetime_part), lifetime: lifetime_part * span }
+    /// Creates a schedule under which on average no more than `max_permits` can be used within any `span`,
+    /// counting both those issued within it and those issued earlier that are still valid. `arrivals` is the
+    /// rate, per µs, of the requests that may use them.
+    pub(super) fn within(max_permits: f64, span: f64, arrivals: f64) -> PermitSchedule {
+        let (shortest, longest) = Self::LIFETIME_FRACTIONS;
+        let lifetime_fraction = (Self::ARRIVALS_PER_LIFETIME / (arrivals * span)).clamp(shortest, longest);
+        PermitSchedule {
+            rate: max_permits / span / (1.0 + lifetime_fraction),
+            lifetime: lifetime_fraction * span,
+        }
     }
 }
 
 /// The permits of one router for one member.
 #[derive(Default)]
 pub(super) struct SendPermits {
-    /// The permits issued up to `updated_at`, with the part of the next one that is due.
+    /// The number of permits issued up to `updated_at`; the fractional part is the progress towards the next
+    /// one.
     issued: f64,
-    /// The number of the first permit that was not used, with the part of it that was.
+    /// The number of the first unused permit; the fractional part is how much of it was used.
     first_unused: f64,
     updated_at: Micros,
 }
 
-/// The permits that can be used at a moment.
+/// The permits that are valid at one moment.
 #[derive(Clone, Copy)]
 pub(super) struct ValidPermits {
-    /// The permits issued so far, with the part of the next one.
+    /// The number of permits issued so far; the fractional part is the progress towards the next one.
     issued: f64,
     /// The number of the oldest valid permit.
     first: f64,
-    /// How many there are.
+    /// The number of valid permits.
     pub(super) count: f64,
 }
 
@@ -58,9 +63,9 @@
 }
 
 impl SendPermits {
-    /// Begins anew; the first permit is issued once the part of it that is still missing has been earned.
-    pub(super) fn restart(&mut self, issued_part: f64, now: Micros) {
-        *self = SendPermits { issued: issued_part, first_unused: 0.0, updated_at: now };
+    /// Discards all permits and starts with this fraction of the first one.
+    pub(super) fn restart(&mut self, issued_fraction: f64, now: Micros) {
+        *self = SendPermits { issued: issued_fraction, first_unused: 0.0, updated_at: now };
     }
 
     /// The permits that are valid at `now` under this schedule.
@@ -72,7 +77,7 @@
         ValidPermits { issued, first, count: (issued.floor() - first).max(0.0) }
     }
 
-    /// Uses so many of the permits that were valid at `now`.
+    /// Uses `count` of the permits that were valid at `now`.
     pub(super) fn take(&mut self, valid: ValidPermits, count: f64, now: Micros) {
         self.issued = valid.issued;
         self.first_unused = valid.first + count;
--- a/crates/routing/src/policy/sessions.rs
+++ b/crates/routing/src/policy/sessions.rs
@@ -1,16 +1,17 @@
-//! The commit times that sessions must be able to read, where clients do not carry them.
+//! The commits that each session's reads must see. Used where clients do not carry session tokens.
 
 use super::{Micros, SessionKey};
 use std::collections::BTreeMap;
 
-/// The most sessions whose commits are remembered; beyond them the older half is replaced by one floor.
-const MOST_SESSIONS: usize = 100_000;
+/// The maximum number of sessions whose commits are stored; beyond it the older half is replaced by a common
+/// floor.
+const MAX_SESSIONS: usize = 100_000;
 
-/// The last commit of each session, in bounded memory.
+/// The latest commit of each session, in bounded memory.
 #[derive(Default)]
 pub(super) struct SessionCommits {
     latest: BTreeMap<SessionKey, Micros>,
-    /// The newest commit that is not remembered by session: any may have made it.
+    /// The newest commit that is no longer stored by session, so that any session may have made it.
     floor: Option<Micros>,
 }
 
@@ -18,7 +19,7 @@
     /// Records that a write of the session committed at this time.
     pub(super) fn record(&mut self, session: SessionKey, commit: Micros) {
         self.latest.entry(session).and_modify(|known| *known = commit.max(*known)).or_insert(commit);
-        if self.latest.len() > MOST_SESSIONS {
+        if self.latest.len() > MAX_SESSIONS {
             self.forget_older_half();
         }
     }
@@ -29,7 +30,7 @@
         own.max(self.floor)
     }
 
-    /// Any session may have committed until this time.
+    /// Records that any session may have committed until this time.
     pub(super) fn raise_floor(&mut self, until: Micros) {
         self.floor = self.floor.max(Some(until));
     }
