--- a/crates/routing/src/api.rs
+++ b/crates/routing/src/api.rs
@@ -1,7 +1,7 @@
 //! The interface of the decision module: settings, events, actions and ids.
 //!
-//! Times are microseconds on the caller's clock; a log position is such a time too: every commit
-//! up to it has been applied.
+//! Times are in microseconds on the caller's clock. A log position is such a time as well: the member has
+//! applied all commits up to it.
 
 mod actions;
 mod events;
@@ -14,22 +14,22 @@
 };
 pub use settings::{Class, Consistency, Idempotency, Settings, StaleReadPolicy};
 
-/// A time or a span of time, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// Identifies a request; never reused.
+/// The id of a request; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub [u8; 36]);
 
-/// Identifies a member of a group, on all routers alike.
+/// The id of a member of a group, the same on all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostId(pub u32);
 
-/// Identifies a group: one primary and its replicas.
+/// The id of a group: one primary and its replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u64);
 
-/// Identifies a session, whose reads must see its own writes.
+/// The id of a session, whose reads must see its own writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionKey(pub u64);
 
@@ -37,6 +37,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// The number of an attempt of one request, from 0 in the order of the sends.
+/// The number of an attempt of one request, counted from 0 in send order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub u32);
--- a/crates/routing/src/api/actions.rs
+++ b/crates/routing/src/api/actions.rs
@@ -1,29 +1,28 @@
-//! What a router asks its caller to do, why it gives requests up, and how it presents its members.
+//! A router's actions, its reasons for giving up requests, and its views of members.
 
 use super::{AttemptNo, GroupId, HostId, LearnedTraits, Micros, RequestId};
 
 /// Why a request is given up, whether by [`Action::Reject`] or by [`Action::Fail`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// No replica was fresh enough for the read, and the primary did not take it.
+    /// No replica was fresh enough for the read, and the primary could not take it.
     TooStale {
-        /// The log position that the read needed.
+        /// The log position that the read required.
         needed: Micros,
-        /// The newest log position known of any replica.
+        /// The newest known log position of any replica.
         known: Micros,
     },
     /// The group has no usable primary.
     NoPrimary,
     /// The group has no members.
     NoMember,
-    /// Load was shed because answers come late.
+    /// The request was shed because answers are late.
     LoadShed,
-    /// The request waited in the queue for too large a part of its client's patience without having reached a
-    /// member.
+    /// The request was queued for too large a fraction of the time to its deadline without reaching a member.
     QueuedTooLong,
     /// The deadline has passed, or is too close for an answer in time.
     DeadlineExceeded,
-    /// All permitted attempts have been made.
+    /// The maximum number of attempts has been made.
     AttemptsExhausted,
     /// An attempt may have run, and the request must not run twice.
     MayHaveRun,
@@ -31,30 +30,30 @@
     ShuttingDown,
     /// The settings have no such request class.
     UnknownClass,
-    /// A quota of the whole fleet is exhausted, for requests or for retries.
+    /// A fleet-wide quota is exhausted, for requests or for retries.
     OverQuota,
 }
 
-/// A member as the router sees it, for records and for health decisions of the fleet.
+/// A member as the router sees it, for records and for the fleet's health decisions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberView {
     /// The member.
     pub host: HostId,
     /// The member's group.
     pub group: GroupId,
-    /// Whether the router takes it for the group's primary.
+    /// Whether the router considers it the group's primary.
     pub primary: bool,
-    /// Whether the endpoint list lets it take work.
+    /// Whether the endpoint list reports it as up.
     pub active: bool,
-    /// The newest log position known; 0 if none is.
+    /// The newest known log position; 0 if none is known.
     pub position: Micros,
     /// When a log position was last received from it; 0 if never.
     pub position_seen_at: Micros,
-    /// Since when the router suspects it to be down.
+    /// Since when the router suspects it to be down; `None` if it does not.
     pub suspected_since: Option<Micros>,
-    /// This router's own requests in flight there.
+    /// The number of this router's requests in flight at the member.
     pub in_flight: usize,
-    /// What a successor of this router should start from.
+    /// The traits that a successor of this router starts from.
     pub traits: LearnedTraits,
 }
 
@@ -65,35 +64,35 @@
     pub host: HostId,
     /// The time since the start of its process.
     pub age: Micros,
-    /// The least part of its capacity that it may have by now, below 1.
+    /// The minimum fraction of its capacity that it has by now, below 1.
     pub capacity: f64,
-    /// The requests of mean work that this router may send it, per second.
+    /// The rate at which this router may send it requests of mean work, per second.
     pub sends_per_second: f64,
-    /// What this router has sent it since it was notified of the start.
+    /// What this router has sent it since the router was notified of the start.
     pub sent: SlowStartSends,
 }
 
 /// What a router has sent a member during slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartSends {
-    /// Attempts.
+    /// The number of attempts.
     pub attempts: u64,
-    /// Their work, in requests of mean work.
+    /// The work of the attempts, in requests of mean work.
     pub work: f64,
 }
 
-/// What a position probe is for.
+/// The purpose of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbePurpose {
-    /// A read needs to know the member's log position.
+    /// A read requires the member's log position.
     ReadPosition,
-    /// Find out whether a suspect's log position still advances.
+    /// Find out whether a suspect's log position is advancing.
     SuspectRecovery,
     /// Find out which member of a group is the primary.
     PrimarySearch,
 }
 
-/// Something that the router's caller is to do.
+/// An action that the router's caller must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send an attempt.
@@ -104,20 +103,21 @@
         host: HostId,
         /// How long to wait for the answer.
         timeout: Micros,
-        /// The last byte must be sent by this time. Later the member may be too far behind for the read, or
-        /// may no longer recognise the attempt as a repeat of one that has run.
+        /// The last byte must be sent by this time. After it the member may be too far behind for the read,
+        /// or may no longer recognise the attempt as a repeat of one that has run.
         holds_until: Option<Micros>,
     },
-    /// Answer the client finally: nothing has run, or a retry is harmless.
+    /// Send the client the final answer that the request was rejected: it has not run, or a retry is
+    /// harmless.
     Reject {
         /// The request.
         id: RequestId,
-        /// The Retry-After span to advise; 0 for no advice.
+        /// The Retry-After span to send; 0 for none.
         retry_after: Micros,
         /// Why the request is given up.
         reason: RejectReason,
     },
-    /// Answer the client finally: the request may have run.
+    /// Send the client the final answer that the request failed: it may have run.
     Fail {
         /// The request.
         id: RequestId,
@@ -131,15 +131,15 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Ask a member for its load report.
+    /// Request a load report from a member.
     Probe {
         /// The member.
         host: HostId,
-        /// What the answer is needed for.
+        /// The purpose of the probe.
         purpose: ProbePurpose,
     },
-    /// Call back with [`Event::Timer`](super::Event::Timer) after this span, and not before. Timers that were set
-    /// earlier stay set.
+    /// Deliver [`Event::Timer`](super::Event::Timer) after this span, and not before. Timers that were set
+    /// earlier remain set.
     SetTimer(Micros),
     /// Subscribe to the endpoint list.
     Subscribe,
--- a/crates/routing/src/api/events.rs
+++ b/crates/routing/src/api/events.rs
@@ -1,14 +1,14 @@
-//! What a router is notified of.
+//! The events that a router handles.
 
 use super::{AttemptNo, ClassId, GroupId, HostId, Micros, RequestId, SessionKey};
 
-/// Whether a member may take work, as the endpoint list has it.
+/// The status of a member in the endpoint list: whether it may take work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// The member's process runs and takes work.
+    /// The member is running and takes work.
     #[default]
     Up,
-    /// The member finishes what it has in flight and takes nothing new.
+    /// The member finishes its requests in flight and takes no new ones.
     Draining,
     /// The member has left the group.
     Removed,
@@ -23,7 +23,7 @@
     pub group: GroupId,
     /// Whether the member may take work.
     pub status: EndpointStatus,
-    /// Whether the endpoint list takes it for its group's primary.
+    /// Whether the endpoint list names it as its group's primary.
     pub primary: bool,
     /// When its process started; `None` if that was long ago.
     pub started_at: Option<Micros>,
@@ -40,51 +40,51 @@
     pub id: RequestId,
     /// The request's class.
     pub class: ClassId,
-    /// The group whose data it concerns.
+    /// The group that holds its data.
     pub group: GroupId,
     /// The client's session, if it has one.
     pub session: Option<SessionKey>,
-    /// When the client stops waiting for the answer.
+    /// The time at which the client stops waiting for the answer.
     pub deadline: Micros,
-    /// How long ago the session last wrote, where clients carry session tokens.
+    /// The time since the session's last write, where clients carry session tokens.
     pub last_write_age: Option<Micros>,
-    /// Whether an earlier router reported that this very request may have run.
+    /// Whether an earlier router reported that this request may have run.
     pub may_have_run: bool,
 }
 
 /// The role that a member claims in an answer or a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The member takes writes.
+    /// The member accepts writes.
     Primary,
-    /// The member follows the primary.
+    /// The member replicates from the primary.
     Replica,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The member served it.
+    /// The member served the request.
     Ok,
     /// The member answered with an error; the request may have run.
     Error,
-    /// The member rejected it unseen, since it is at capacity or draining.
+    /// The member rejected it without running it, because it is at capacity or draining.
     Overloaded,
-    /// No answer came in time; the request may have run, or may still run.
+    /// No answer arrived in time; the request may have run, or may still run.
     Timeout,
-    /// No connection could be had; the request never ran.
+    /// No connection could be established; the request did not run.
     ConnectFailed,
     /// The connection broke; the request may have run.
     Reset,
     /// The router cancelled it; the request may have run.
     Cancelled,
-    /// It was never sent.
+    /// It was not sent.
     NotSent,
-    /// The member rejected it without running it: it is not the primary, or is too far behind.
+    /// The member rejected it without running it, because it is not the primary or is too far behind.
     Misrouted,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The request.
@@ -95,11 +95,11 @@
     pub host: HostId,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// Whether the request is over as well.
+    /// Whether the request is finished as well.
     pub terminal: bool,
-    /// Time since the send.
+    /// The time since the send.
     pub latency: Micros,
-    /// The member's role, if the answer names it.
+    /// The member's role, if the answer states it.
     pub role: Option<Role>,
     /// The member's log position, or the commit time of a write.
     pub position: Option<Micros>,
@@ -116,14 +116,14 @@
     pub role: Option<Role>,
     /// Its log position at the time of the load report.
     pub position: Option<Micros>,
-    /// Requests of all routers that were queued at it at the time of the load report.
+    /// The number of requests, of all routers, queued at the member at the time of the load report.
     pub queued: Option<f64>,
 }
 
-/// Something that happened, for [`Router::handle`](crate::Router::handle).
+/// An event, passed to [`Router::handle`](crate::Router::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The complete endpoint list; members that are absent have left.
+    /// The complete endpoint list. Members that are absent have left.
     EndpointList(Vec<Endpoint>),
     /// The entries of the endpoint list that changed.
     EndpointsChanged(Vec<Endpoint>),
@@ -131,56 +131,57 @@
     SubscriptionLost,
     /// A client sent a request.
     Request(Request),
-    /// A client sent a request that exceeds a quota of the whole fleet: it is answered at once.
+    /// A client sent a request that exceeds a fleet-wide quota; it is answered immediately.
     RequestOverQuota(Request),
     /// An attempt ended.
     AttemptFinished(AttemptResult),
     /// A probe ended.
     ProbeFinished(ProbeResult),
-    /// The timer that was set has expired.
+    /// A timer has expired.
     Timer,
-    /// The client disconnected: the request needs no answer any more.
+    /// The client disconnected; the request no longer needs an answer.
     ClientDisconnected(RequestId),
-    /// The router's process shuts down: nothing is sent any more. [`Event::Shutdown`] follows once the
-    /// attempts that were not completely written have been taken back.
+    /// The router's process is shutting down and sends nothing more. [`Event::Shutdown`] follows once the
+    /// attempts that were not completely written have been withdrawn.
     StopSending,
-    /// The router's process shuts down: every request that is still open is given up now.
+    /// The router's process is shutting down and gives up all pending requests.
     Shutdown,
-    /// The part, from 0 to 1, of the reads that members of each named zone may take, as the fleet decided in
-    /// common; other zones take all. Writes, and reads that only the primary can serve, are not bound by it.
+    /// The fraction, from 0 to 1, of the reads that members of each listed zone may take, as agreed by the
+    /// fleet. Zones that are not listed take all. Does not apply to writes, nor to reads that only the
+    /// primary can serve.
     ZoneReadShares(Vec<(u32, f64)>),
-    /// Sessions of this router may have committed writes elsewhere until this time, at the process that it replaces or
-    /// that replaces it. Counts only where clients do not carry session tokens.
+    /// Sessions of this router may have committed writes through another process until this time: the one
+    /// that it replaces or that replaces it. Has an effect only where clients do not carry session tokens.
     SessionsCommittedElsewhere(Micros),
-    /// What other routers, or this router's predecessor, observed of members.
+    /// Observations of members by other routers, or by this router's predecessor.
     PeerObservations(Vec<PeerObservation>),
     /// All members that the fleet considers outliers, with the factor by which their latency is multiplied
-    /// when reads are routed; infinity for one that takes no reads. Replaces the previous set. Writes, and
-    /// reads that only the primary can serve, are not bound by it.
+    /// when reads are routed; infinity if the member takes no reads. Replaces the previous set. Does not
+    /// apply to writes, nor to reads that only the primary can serve.
     LatencyFactors(Vec<(HostId, f64)>),
-    /// Whether the quota of the whole fleet admits retries now.
+    /// Whether the fleet-wide quota currently allows retries.
     RetriesAllowed(bool),
 }
 
-/// What another router observed of a member.
+/// An observation of a member by another router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerObservation {
     /// The member.
     pub host: HostId,
-    /// A log position that the member reported since its last start; 0 for none.
+    /// A log position that the member has reported since its last start; 0 for none.
     pub position: Micros,
     /// When a router began to suspect the member; 0 if none does.
     pub suspected_at: Micros,
-    /// How the member answers, from the router that this one succeeds.
+    /// The member's traits, if the observation is from the router that this one succeeds.
     pub traits: Option<LearnedTraits>,
 }
 
-/// What a router learned of a member from its answers; its successor starts from that.
+/// The traits of a member that a router learned from its answers, from which its successor starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LearnedTraits {
-    /// The limit of this router's concurrent requests at the member, at least 1.
+    /// The limit on this router's concurrent requests at the member, at least 1.
     pub concurrency_limit: f64,
-    /// The member's mean latency as a multiple of the usual latency of the requests' classes.
+    /// The member's mean latency as a multiple of the typical latency of the requests' classes.
     pub relative_latency: f64,
     /// The rate of the member's answers to this router, per microsecond.
     pub answer_rate: f64,
--- a/crates/routing/src/api/settings.rs
+++ b/crates/routing/src/api/settings.rs
@@ -7,11 +7,11 @@
 pub enum Consistency {
     /// Any member may answer.
     Any,
-    /// The data may be this old at the time of the send.
+    /// The data may be this old when the request is sent.
     BoundedStaleness(Micros),
     /// The session's own writes must be visible.
     Session,
-    /// Every write made before the request arrived must be visible.
+    /// All writes made before the request arrived must be visible.
     Strong,
     /// The request is a write: only the primary takes it.
     Write,
@@ -22,7 +22,7 @@
 pub enum Idempotency {
     /// Repeats are harmless.
     Idempotent,
-    /// The request carries an idempotency key: a repeat within `window` of the first send that may have run
+    /// The request carries an idempotency key. A repeat within `window` of the first send that may have run
     /// is recognised and not run again.
     Keyed {
         /// How long a repeat is recognised.
@@ -41,18 +41,18 @@
     pub consistency: Consistency,
     /// Whether a request may be repeated.
     pub idempotency: Idempotency,
-    /// Answers within this span of the arrival count in full.
+    /// Answers within this time of the arrival have their full value.
     pub latency_objective: Micros,
     /// The value of one answer within the latency objective, relative to the other classes.
     pub priority_weight: f64,
-    /// The part of [`priority_weight`](Class::priority_weight) that a later answer is worth.
+    /// The fraction of [`priority_weight`](Class::priority_weight) that a later answer is worth.
     pub late_weight: f64,
 }
 
 /// What a member does with a read that needs a newer log position than it has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StaleReadPolicy {
-    /// The member serves stale data: only the router keeps reads from being stale.
+    /// The member serves stale data, so only the router prevents stale reads.
     #[default]
     Serve,
     /// The member rejects the read without running it, at once or after a short wait.
@@ -76,21 +76,21 @@
     pub may_probe: bool,
     /// Whether the endpoint list is sent only to subscribers.
     pub must_subscribe: bool,
-    /// The longest Retry-After span that clients obey; 0 if rejections carry none.
+    /// The maximum Retry-After span that clients respect; 0 if rejections carry none.
     pub max_retry_after: Micros,
-    /// The least part of its capacity that a member has when it starts.
+    /// The minimum fraction of its capacity that a member has when it starts.
     pub slow_start_from: f64,
-    /// The longest time that a member needs to reach its full capacity.
+    /// The maximum time that a member needs to reach its full capacity.
     pub slow_start_span: Micros,
-    /// The multiple of its present capacity that overloads a member which is warming up.
+    /// The multiple of its current capacity that overloads a member that is warming up.
     pub overload_multiple: f64,
-    /// For how long a member must be sent that multiple to fail.
+    /// The time for which a member must be sent that multiple to fail.
     pub overload_span: Micros,
-    /// What members do with reads that they are too far behind for.
+    /// How members handle reads that they are too far behind for.
     pub stale_reads: StaleReadPolicy,
-    /// Whether a member that the endpoint list drops or reports as removed may still be used; only draining
-    /// binds.
+    /// Whether a member that the endpoint list drops or reports as removed may still be used. A draining one
+    /// may not, in either case.
     pub removal_is_advisory: bool,
-    /// Whether sessions carry the age of their last write; otherwise the router remembers it.
+    /// Whether sessions carry the age of their last write; otherwise the router tracks it.
     pub sessions_carry_tokens: bool,
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! The routing decisions: which member of a replicated group serves each request. Reads go to the closest replica
-//! whose cached log position is fresh enough, writes to the primary.
+//! Routing decisions: chooses the member of a replicated group that serves each request. Reads go to the
+//! closest replica whose cached log position is fresh enough, writes to the primary.
 //!
-//! A [`Router`] does no I/O and reads no clock. Its caller notifies it of each [`Event`] with the present time, and
+//! A [`Router`] does no I/O and reads no clock. Its caller passes it each [`Event`] with the current time and
 //! carries out the [`Action`]s that it appends. The same events at the same times give the same actions.
 //!
 //! ```
