--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,4 +1,4 @@
-//! Translates an operator's settings into those of the router, for the proxy and for the simulator adapter alike.
+//! Translates the operator's settings into those of the router, for the proxy and the simulator adapter.
 
 mod classes;
 mod error;
@@ -7,9 +7,9 @@
 use super::api::{Micros, Settings, StaleReadPolicy};
 use classes::Classes;
 pub use error::{FieldError, FieldProblem};
-pub use fields::{Fields, LONGEST_SPAN};
+pub use fields::{Fields, MAX_SPAN};
 
-/// What the settings say beside those of the router.
+/// The parameters in the operator's settings that are not for the router.
 #[derive(Clone, Debug)]
 pub struct ProxyParameters {
     /// The names of the classes, in the order of [`Settings::classes`].
@@ -18,37 +18,38 @@
     pub zone: String,
     /// The names of the values in a load report.
     pub report_columns: Vec<String>,
-    /// The time from which the simulator counts log positions.
+    /// The origin of the simulator's log positions.
     pub position_origin: Micros,
-    /// A connection that is not established after this span never will be.
+    /// The time after which a connection that is not yet established is given up.
     pub connect_timeout: Micros,
-    /// A member closes a connection that has been idle for this span.
+    /// The time after which a member closes an idle connection.
     pub keepalive: Micros,
-    /// Sends to a member must end this long after the router was notified that it drains or is removed.
+    /// The time within which sends to a member must end once the router is notified that it drains or is
+    /// removed.
     pub drain_within: Micros,
     /// The longest deadline of any class; 0 if none has one.
     pub longest_deadline: Micros,
-    /// The time that may pass between polls of discovery, where it must be polled.
+    /// The maximum interval between polls of discovery, where it must be polled.
     pub poll_interval: Option<Micros>,
 }
 
-/// The largest priority weight of a class, and the largest overload multiple of a member.
-const LARGEST_FACTOR: f64 = 1e9;
-/// The largest time that is accepted, so that times convert to floating point without loss.
-const LATEST_TIME: u64 = 1 << 53;
-/// The connect timeout, in µs, where the settings have none.
+/// The maximum priority weight of a class, and the maximum overload multiple of a member.
+const MAX_FACTOR: f64 = 1e9;
+/// The maximum time that is accepted, so that times convert to floating point without loss.
+const MAX_TIME: u64 = 1 << 53;
+/// The default connect timeout, in µs.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
-/// How long a member keeps idle connections, in µs, where the settings do not say it.
+/// The default time, in µs, for which a member keeps idle connections.
 const DEFAULT_KEEPALIVE: Micros = 15_000_000;
-/// How soon sends to a draining member must end, in µs, where the settings do not say it.
+/// The default time, in µs, within which sends to a draining member must end.
 const DEFAULT_DRAIN_WITHIN: Micros = 1_000_000;
 
-/// Translates settings in the form of the simulator's first message. What is absent, null or empty has its default,
-/// and unknown fields are ignored.
+/// Translates settings in the form of the simulator's first message. Fields that are absent, null or empty
+/// get their defaults, and unknown fields are ignored.
 ///
 /// # Errors
 ///
-/// A value that is there and cannot be meant is an error that names its field.
+/// Returns an error that names the field if a value is present but invalid.
 pub fn translate(fields: &Fields<'_>) -> Result<(Settings, ProxyParameters), FieldError> {
     for section in ["Allowed", "Classes", "Report", "Rules", "Specifics"] {
         fields.section(section)?;
@@ -66,7 +67,7 @@
         must_subscribe: fields.word("Discovery")? == "ask",
         slow_start_from: fields.amount("Rules.ColdFrom", 1.0)?.unwrap_or(1.0),
         slow_start_span: fields.span("Rules.ColdUs")?.unwrap_or(0),
-        overload_multiple: fields.amount("Rules.FallMultiple", LARGEST_FACTOR)?.unwrap_or(1.0),
+        overload_multiple: fields.amount("Rules.FallMultiple", MAX_FACTOR)?.unwrap_or(1.0),
         overload_span: fields.span("Rules.OverloadForUs")?.unwrap_or(0),
         stale_reads: match fields.word("Specifics.WhenBehind")? {
             "bounce" | "await" => StaleReadPolicy::Reject,
@@ -94,7 +95,7 @@
     Ok(columns.into_iter().filter(|column| !column.is_empty()).map(str::to_string).collect())
 }
 
-/// The longest Retry-After span that clients obey; 0 if rejections carry none.
+/// The maximum Retry-After span that clients respect; 0 if rejections carry none.
 fn max_retry_after(fields: &Fields<'_>) -> Result<Micros, FieldError> {
     let carries_retry_after = fields.flag("Allowed.RetryAfter")?;
     let max = fields.span("Allowed.MaxRetryAfterUs")?.unwrap_or(0);
@@ -104,7 +105,7 @@
 fn position_origin(fields: &Fields<'_>) -> Result<Micros, FieldError> {
     let name = "Specifics.OriginTimeUs";
     let origin: Micros = fields.or(name, 0)?;
-    if origin.unsigned_abs() > LATEST_TIME {
+    if origin.unsigned_abs() > MAX_TIME {
         return Err(FieldError::new(name, FieldProblem::NotTime(origin)));
     }
     Ok(origin)
--- a/crates/routing/src/settings/classes.rs
+++ b/crates/routing/src/settings/classes.rs
@@ -1,9 +1,9 @@
 //! The request classes of the settings.
 
-use super::{FieldError, FieldProblem, Fields, LARGEST_FACTOR};
+use super::{FieldError, FieldProblem, Fields, MAX_FACTOR};
 use crate::api::{Class, Consistency, Idempotency, Micros};
 
-/// The request classes, with what the proxy needs to know about them beside the router.
+/// The request classes, with the parameters of them that the proxy needs.
 #[derive(Default)]
 pub(super) struct Classes {
     pub(super) classes: Vec<Class>,
@@ -39,8 +39,8 @@
             idempotency: idempotency(fields, index)?,
             latency_objective: latency_objective
                 .ok_or_else(|| FieldError::new(&path("TargetUs"), FieldProblem::MissingWithDeadline))?,
-            priority_weight: fields.amount(&path("Worth"), LARGEST_FACTOR)?.unwrap_or(0.0),
-            late_weight: fields.amount(&path("LateValue"), LARGEST_FACTOR)?.unwrap_or(0.0),
+            priority_weight: fields.amount(&path("Worth"), MAX_FACTOR)?.unwrap_or(0.0),
+            late_weight: fields.amount(&path("LateValue"), MAX_FACTOR)?.unwrap_or(0.0),
         });
         Ok(())
     }
@@ -61,7 +61,7 @@
     format!("Classes.{index}.{key}")
 }
 
-/// Checks that a list is absent or has one entry for each class.
+/// Checks that a list is absent or has one entry per class.
 fn check_count(field: &str, given: usize, count: usize) -> Result<(), FieldError> {
     if count != 0 && given != 0 && given != count {
         return Err(FieldError::new(field, FieldProblem::WrongCount { given, count }));
@@ -82,9 +82,10 @@
     }
 }
 
-/// Whether requests of the class may be repeated. An unknown value counts as the most careful one, that they must
-/// not run twice: no rule is broken by fewer repeats, while a start that fails serves nobody. (An unknown
-/// consistency has no careful reading: a write must not be routed as a read, nor a read as a write.)
+/// Whether requests of the class may be repeated. An unknown value is read as the safest one, that they must
+/// not run twice: fewer repeats violate no rule, while a proxy that fails to start serves no requests. An
+/// unknown consistency is an error, since it has no safe default: a write must not be routed as a read, nor a
+/// read as a write.
 fn idempotency(fields: &Fields<'_>, index: usize) -> Result<Idempotency, FieldError> {
     let path = |key: &str| class_field(index, key);
     let window = fields.span(&path("MemorySpanUs"))?.unwrap_or(0);
--- a/crates/routing/src/settings/error.rs
+++ b/crates/routing/src/settings/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with the settings.
+//! Errors in the settings.
 
-use super::fields::LONGEST_SPAN;
+use super::fields::MAX_SPAN;
 use crate::api::Micros;
 use thiserror::Error;
 
-/// A field that cannot be used, and why.
+/// An invalid field, and what is wrong with it.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("field {field}: {problem}")]
 pub struct FieldError {
@@ -13,70 +13,70 @@
 }
 
 impl FieldError {
-    /// An error of the field with this name.
+    /// Creates an error for the field with this name.
     pub fn new(field: &str, problem: FieldProblem) -> Self {
         FieldError { field: field.to_string(), problem }
     }
 }
 
-/// Why a field cannot be used.
+/// What is wrong with a field.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum FieldProblem {
-    /// The field must be there.
+    /// A required field is missing.
     #[error("is missing")]
     Missing,
     /// A class has neither a latency objective nor a deadline.
-    #[error("is missing, and DeadlineUs with it")]
+    #[error("is missing, and so is DeadlineUs")]
     MissingWithDeadline,
     /// A `name=value` pair has no `=`.
     #[error("has no value")]
     NoValue,
-    /// The name stands for an object, where a plain value belongs.
-    #[error("is no plain value")]
+    /// The field is an object where a plain value is expected.
+    #[error("is an object, expected a plain value")]
     NotPlainValue,
-    /// The name stands for a plain value, where an object belongs.
-    #[error("is no group of fields: '{0}'")]
+    /// The field is a plain value where an object is expected.
+    #[error("is not an object: '{0}'")]
     NotSection(String),
-    /// The text does not have the form of the value.
-    #[error("cannot be read from '{0}'")]
+    /// The text cannot be parsed as the expected type.
+    #[error("cannot be parsed: '{0}'")]
     Unreadable(String),
-    /// The number is infinite, or none.
+    /// The number is infinite or NaN.
     #[error("is not a finite number")]
     NotFinite,
-    /// The number must not be negative.
+    /// The number is negative.
     #[error("is negative: {0}")]
     Negative(f64),
-    /// The number is too large.
-    #[error("is over {most}: {value}")]
+    /// The number exceeds the maximum.
+    #[error("is larger than {max}: {value}")]
     TooLarge {
-        /// The largest number that is accepted.
-        most: f64,
+        /// The maximum.
+        max: f64,
         /// The number.
         value: f64,
     },
-    /// The span must not be negative.
+    /// The span is negative.
     #[error("is negative: {0}")]
     NegativeSpan(Micros),
-    /// The span is longer than [`LONGEST_SPAN`].
-    #[error("is over a year: {0}")]
+    /// The span is longer than [`MAX_SPAN`].
+    #[error("is longer than a year: {0}")]
     SpanTooLong(Micros),
-    /// The text in a list of spans is no span.
-    #[error("holds no span: '{0}'")]
+    /// An entry in a list of spans is not an integer.
+    #[error("contains an invalid span: '{0}'")]
     NotSpan(String),
-    /// The time is too far from the epoch.
-    #[error("is no time: {0}")]
+    /// The time is out of range.
+    #[error("is out of range: {0}")]
     NotTime(Micros),
-    /// The text must start with a letter.
-    #[error("'{0}' is no word")]
+    /// The text does not start with a letter.
+    #[error("does not start with a letter: '{0}'")]
     NotWord(String),
-    /// There must be at least one.
-    #[error("is 0: there is one at least")]
+    /// The number is 0 but must be at least 1.
+    #[error("is 0, must be at least 1")]
     Zero,
-    /// The value is not one of those that the field may have.
-    #[error("'{0}' is unknown")]
+    /// The value is not one of those that the field accepts.
+    #[error("has an unknown value: '{0}'")]
     Unknown(String),
-    /// A list has not one entry for each class.
-    #[error("names {given} classes of {count}")]
+    /// A list does not have one entry per class.
+    #[error("has {given} entries for {count} classes")]
     WrongCount {
         /// The number of entries in the list.
         given: usize,
@@ -84,14 +84,14 @@
         count: usize,
     },
     /// Two classes have the same name.
-    #[error("'{0}' is another class's name as well")]
+    #[error("duplicates the name of another class: '{0}'")]
     DuplicateClass(String),
 }
 
-/// Checks that a span is from 0 to [`LONGEST_SPAN`].
+/// Checks that a span is from 0 to [`MAX_SPAN`].
 pub(super) fn check_span(field: &str, span: Micros) -> Result<Micros, FieldError> {
     match span {
-        0..=LONGEST_SPAN => Ok(span),
+        0..=MAX_SPAN => Ok(span),
         ..0 => Err(FieldError::new(field, FieldProblem::NegativeSpan(span))),
         _ => Err(FieldError::new(field, FieldProblem::SpanTooLong(span))),
     }
--- a/crates/routing/src/settings/fields.rs
+++ b/crates/routing/src/settings/fields.rs
@@ -1,4 +1,4 @@
-//! Named values, read with errors that name the field.
+//! Named values, with typed accessors whose errors name the field.
 
 use super::error::{check_span, FieldError, FieldProblem};
 use crate::api::Micros;
@@ -6,16 +6,16 @@
 use std::borrow::Cow;
 use std::str::FromStr;
 
-/// The longest span that is taken, a year: sums of such spans and times stay far from the end of the clock.
-pub const LONGEST_SPAN: Micros = 365 * 24 * 3_600 * 1_000_000;
+/// The maximum span that is accepted, one year. Sums of such spans and times stay far from overflow.
+pub const MAX_SPAN: Micros = 365 * 24 * 3_600 * 1_000_000;
 
-/// Named values: the pairs of a line of the simulator's wire, or a JSON object laid out as that wire
-/// lays it out.
+/// Named values: the pairs of a line of the simulator's protocol, or a JSON object flattened to the same
+/// form.
 #[derive(Debug, Default)]
 pub struct Fields<'a>(Vec<(Cow<'a, str>, Cow<'a, str>)>);
 
 impl<'a> Fields<'a> {
-    /// Reads `name=value` parts.
+    /// Parses `name=value` parts.
     pub fn read(parts: impl Iterator<Item = &'a str>) -> Result<Self, FieldError> {
         let pair = |part: &'a str| {
             let (name, value) =
@@ -25,8 +25,8 @@
         Ok(Fields(parts.filter(|p| !p.is_empty()).map(pair).collect::<Result<_, _>>()?))
     }
 
-    /// Lays a JSON object out as the wire does: dotted paths, plain lists joined with commas, lists of
-    /// objects with their length under `.count`.
+    /// Flattens a JSON object as the simulator's protocol does: dotted paths, plain lists joined with commas,
+    /// and lists of objects with their length under `.count`.
     pub fn from_json(object: &Value) -> Fields<'static> {
         let mut fields = Fields(Vec::new());
         fields.flatten("", object);
@@ -51,22 +51,22 @@
         }
     }
 
-    /// Adds a value; it hides an earlier one of that name.
+    /// Adds a value, which hides any earlier one of that name.
     pub fn put(&mut self, name: &str, value: String) {
         self.0.push((Cow::Owned(name.to_string()), Cow::Owned(value)));
     }
 
-    /// The last value of that name, if there is one.
+    /// Returns the last value of that name, if there is one.
     pub fn find(&self, name: &str) -> Option<&str> {
         self.0.iter().rev().find(|(n, _)| n == name).map(|(_, value)| &**value)
     }
 
-    /// Whether the name stands for an object or a list of objects: there are values below it.
+    /// Whether the name denotes an object or a list of objects, with values below it.
     fn is_object(&self, name: &str) -> bool {
         self.0.iter().any(|(n, _)| n.strip_prefix(name).is_some_and(|rest| rest.starts_with('.')))
     }
 
-    /// The value, if it is there and not empty.
+    /// Returns the parsed value, if it is present and not empty.
     pub fn get<T: FromStr>(&self, name: &str) -> Result<Option<T>, FieldError> {
         if self.is_object(name) {
             return Err(FieldError::new(name, FieldProblem::NotPlainValue));
@@ -79,17 +79,17 @@
         Ok(Some(value))
     }
 
-    /// The value, which must be there.
+    /// Returns the parsed value, which must be present.
     pub fn need<T: FromStr>(&self, name: &str) -> Result<T, FieldError> {
         self.get(name)?.ok_or_else(|| FieldError::new(name, FieldProblem::Missing))
     }
 
-    /// The value, or another where it is absent.
+    /// Returns the parsed value, or a default if it is absent.
     pub fn or<T: FromStr>(&self, name: &str, absent: T) -> Result<T, FieldError> {
         Ok(self.get(name)?.unwrap_or(absent))
     }
 
-    /// A finite number.
+    /// Returns a finite number.
     pub fn number(&self, name: &str) -> Result<Option<f64>, FieldError> {
         match self.get::<f64>(name)? {
             Some(value) if !value.is_finite() => Err(FieldError::new(name, FieldProblem::NotFinite)),
@@ -97,21 +97,21 @@
         }
     }
 
-    /// A number from 0 to `most`.
-    pub fn amount(&self, name: &str, most: f64) -> Result<Option<f64>, FieldError> {
+    /// Returns a number from 0 to `max`.
+    pub fn amount(&self, name: &str, max: f64) -> Result<Option<f64>, FieldError> {
         match self.number(name)? {
             Some(value) if value < 0.0 => Err(FieldError::new(name, FieldProblem::Negative(value))),
-            Some(value) if value > most => Err(FieldError::new(name, FieldProblem::TooLarge { most, value })),
+            Some(value) if value > max => Err(FieldError::new(name, FieldProblem::TooLarge { max, value })),
             other => Ok(other),
         }
     }
 
-    /// A span in microseconds, from 0 to [`LONGEST_SPAN`].
+    /// Returns a span in microseconds, from 0 to [`MAX_SPAN`].
     pub fn span(&self, name: &str) -> Result<Option<Micros>, FieldError> {
         self.get(name)?.map(|span| check_span(name, span)).transpose()
     }
 
-    /// A span for each part between commas; an empty one, or null, is 0.
+    /// Returns a span for each part between commas; an empty part, or null, is 0.
     pub fn spans(&self, name: &str) -> Result<Vec<Micros>, FieldError> {
         let span = |text: &str| {
             let read = if text.is_empty() { Ok(0) } else { text.parse() };
@@ -123,7 +123,7 @@
         self.parts(name)?.into_iter().map(span).collect()
     }
 
-    /// A word, empty where it is absent. Letters come first: what is a number or a list was meant for
+    /// Returns a word, empty if it is absent. It must start with a letter: a number or a list was meant for
     /// another field.
     pub fn word(&self, name: &str) -> Result<&str, FieldError> {
         let text = self.plain(name)?;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Checks that the name stands for an object, or for nothing; a plain value in its place is an error.
+    /// Checks that the name denotes an object or is absent; a plain value is an error.
     pub fn section(&self, name: &str) -> Result<(), FieldError> {
         match self.text(name) {
             "" => Ok(()),
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A yes or no; absent means no.
+    /// Returns a boolean, `false` if it is absent.
     pub fn flag(&self, name: &str) -> Result<bool, FieldError> {
         if self.is_object(name) {
             return Err(FieldError::new(name, FieldProblem::NotPlainValue));
@@ -153,12 +153,12 @@
         }
     }
 
-    /// The text, empty where it is absent.
+    /// Returns the text, empty if it is absent.
     pub fn text(&self, name: &str) -> &str {
         self.find(name).unwrap_or_default()
     }
 
-    /// The text, which must be no object; empty where it is absent.
+    /// Returns the text, empty if it is absent; an object is an error.
     pub fn plain(&self, name: &str) -> Result<&str, FieldError> {
         match self.is_object(name) {
             true => Err(FieldError::new(name, FieldProblem::NotPlainValue)),
@@ -166,13 +166,13 @@
         }
     }
 
-    /// The parts between commas, each in its place.
+    /// Returns the parts between commas, empty ones included.
     pub fn parts(&self, name: &str) -> Result<Vec<&str>, FieldError> {
         let text = self.plain(name)?;
         Ok(if text.is_empty() { Vec::new() } else { text.split(',').collect() })
     }
 
-    /// The parts between commas that are not empty.
+    /// Returns the non-empty parts between commas.
     pub fn list(&self, name: &str) -> Vec<&str> {
         self.text(name).split(',').filter(|t| !t.is_empty()).collect()
     }
