--- a/crates/routing/tests/fleet/mod.rs
+++ b/crates/routing/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: many routers, two groups of members with cores and queues, and members that have just
-//! started. Counts of events only; no clock of the machine is read.
+//! A fleet simulated in virtual time: many routers, two groups of members with cores and queues, and members
+//! that have just started. The simulation counts events only and reads no system clock.
 
 mod overload;
 mod scenario;
@@ -17,17 +17,17 @@
 };
 
 pub const SECOND: Micros = 1_000_000;
-/// When the cold members start, and when the run ends.
+/// When the cold members start, and when the simulation ends.
 pub const MEMBERS_JOIN_AT: Micros = 8 * SECOND;
 const RUN_ENDS_AT: Micros = 26 * SECOND;
 const CORES: usize = 4;
-/// The length of a member's queue beyond the requests that are being served.
-const QUEUE_LENGTH: usize = 60;
-/// By how much faster than a warm member one works that shows no sign of its load.
-const FAST_PART: f64 = 8.0;
-/// How long before the cold members' start the hung ones fall silent.
-const HANGS_BEFORE: Micros = 2 * SECOND;
-/// Network round trip.
+/// The capacity of a member's queue, in addition to the requests being served.
+const QUEUE_CAPACITY: usize = 60;
+/// The factor by which a member whose latency does not show its load is faster than a warm one.
+const FAST_FACTOR: f64 = 8.0;
+/// How long before the cold members' start the hung members stop answering.
+const HANG_LEAD_TIME: Micros = 2 * SECOND;
+/// The network round-trip time.
 const ROUND_TRIP: Micros = 2_000;
 
 fn endpoint(host: u32, group: u64, primary: bool, started_at: Option<Micros>) -> Endpoint {
@@ -38,12 +38,12 @@
 struct Member {
     primary: bool,
     started_at: Option<Micros>,
-    /// When each core is free again, and when each accepted request is served.
+    /// When each core becomes free, and when each accepted request finishes.
     cores: [Micros; CORES],
     ends: Vec<Micros>,
 }
 
-/// An attempt that comes to its end.
+/// The result of an attempt, delivered when it ends.
 struct Answer {
     id: RequestId,
     attempt: AttemptNo,
@@ -59,11 +59,12 @@
     EndpointsChange(usize),
 }
 
-/// The result of a run.
+/// The result of a simulation.
 pub struct Outcomes {
-    /// Each send to a cold member: which, when, and its work in requests of mean work.
+    /// The sends to cold members: the member, the time since the cold members' start, and the work in
+    /// requests of mean work.
     pub sends: Vec<(u32, Micros, f64)>,
-    /// Requests to group 1 since the cold members' start, and those that were served.
+    /// The number of requests to group 1 since the cold members' start, and of those that were served.
     pub requested: f64,
     pub served: f64,
 }
@@ -74,11 +75,12 @@
     RequestId(id)
 }
 
-/// Arrivals of all routers together, a Poisson stream for each group: when, at which router, of which class.
+/// Returns the time, router and class of all arrivals for a group, which are a Poisson process over all
+/// routers.
 fn arrivals(scenario: &Scenario, rng: &mut SmallRng, group: u64) -> Vec<(Micros, usize, ClassId)> {
-    let drawn: Vec<f64> =
+    let weights: Vec<f64> =
         (0..scenario.routers).map(|_| scenario.traffic_skew.powf(rng.random::<f64>())).collect();
-    let total: f64 = drawn.iter().sum();
+    let total: f64 = weights.iter().sum();
     let size = if group == 1 { 3.0 } else { f64::from(scenario.others) };
     let load = if group == 1 { scenario.load } else { scenario.other_load };
     let rate = load * size * scenario.requests_per_second();
@@ -88,8 +90,8 @@
         let now = if group == 1 && (0..4 * SECOND).contains(&since) { rate * scenario.burst.0 } else { rate };
         at += -(1.0 - rng.random::<f64>()).ln() / now * 1e6;
         let (mut x, mut router) = (rng.random::<f64>() * total, 0);
-        while router + 1 < scenario.routers && x > drawn[router] {
-            x -= drawn[router];
+        while router + 1 < scenario.routers && x > weights[router] {
+            x -= weights[router];
             router += 1;
         }
         let (mut x, mut class) = (rng.random::<f64>(), 0);
@@ -105,7 +107,7 @@
     all
 }
 
-/// Plays a scenario.
+/// Simulates a scenario.
 pub fn simulate(scenario: &Scenario) -> Outcomes {
     let mut rng = SmallRng::seed_from_u64(scenario.seed);
     let mut members: BTreeMap<u32, Member> = BTreeMap::new();
@@ -115,8 +117,12 @@
         members.insert(host, Member { primary, started_at, cores: [0; CORES], ends: Vec::new() });
     };
     scenario.warm.iter().enumerate().for_each(|(i, h)| add(*h, 1, i == 0, None));
-    let headless = scenario.warm.first().is_none_or(|h| scenario.leaving.contains(h));
-    scenario.cold.iter().enumerate().for_each(|(i, h)| add(*h, 1, i == 0 && headless, Some(MEMBERS_JOIN_AT)));
+    let needs_new_primary = scenario.warm.first().is_none_or(|h| scenario.leaving.contains(h));
+    scenario
+        .cold
+        .iter()
+        .enumerate()
+        .for_each(|(i, h)| add(*h, 1, i == 0 && needs_new_primary, Some(MEMBERS_JOIN_AT)));
     (90..90 + scenario.others).filter(|_| scenario.has_second_group).for_each(|h| add(h, 2, h == 90, None));
     for host in &scenario.leaving {
         let status = EndpointStatus::Draining;
@@ -124,11 +130,11 @@
     }
     let mut routers: Vec<Router> = (0..scenario.routers).map(|r| Router::new(scenario.settings(r))).collect();
     let mut due: BinaryHeap<Reverse<(Micros, u64, usize)>> = BinaryHeap::new();
-    let mut what: Vec<Pending> = Vec::new();
+    let mut items: Vec<Pending> = Vec::new();
     let push =
-        |due: &mut BinaryHeap<_>, what: &mut Vec<Pending>, at: Micros, router: usize, item: Pending| {
-            what.push(item);
-            due.push(Reverse((at, what.len() as u64 - 1, router)));
+        |due: &mut BinaryHeap<_>, items: &mut Vec<Pending>, at: Micros, router: usize, item: Pending| {
+            items.push(item);
+            due.push(Reverse((at, items.len() as u64 - 1, router)));
         };
     let mut actions = Vec::new();
     for (number, router) in routers.iter_mut().enumerate() {
@@ -136,8 +142,8 @@
         actions.clear();
         let (delay, spread) = scenario.notice;
         let at = MEMBERS_JOIN_AT + delay + rng.random_range(0..spread);
-        push(&mut due, &mut what, at, number, Pending::EndpointsChange(1));
-        push(&mut due, &mut what, at + scenario.leave_delay, number, Pending::EndpointsChange(2));
+        push(&mut due, &mut items, at, number, Pending::EndpointsChange(1));
+        push(&mut due, &mut items, at + scenario.leave_delay, number, Pending::EndpointsChange(2));
     }
     let mut classes = HashMap::new();
     let mut number = 0;
@@ -145,15 +151,15 @@
         for (at, router, class) in arrivals(scenario, &mut rng, group) {
             number += 1;
             classes.insert(id_of(number), (class, group == 1 && at >= MEMBERS_JOIN_AT));
-            push(&mut due, &mut what, at, router, Pending::Request(number, class, group));
+            push(&mut due, &mut items, at, router, Pending::Request(number, class, group));
         }
     }
     let counted = classes.values().filter(|(_, counts)| *counts).count() as f64;
     let mut out = Outcomes { sends: Vec::new(), requested: counted, served: 0.0 };
     let mut attempts: HashMap<RequestId, u32> = HashMap::new();
-    let mut out_at: HashMap<(RequestId, AttemptNo), HostId> = HashMap::new();
+    let mut in_flight_at: HashMap<(RequestId, AttemptNo), HostId> = HashMap::new();
     while let Some(Reverse((now, index, router))) = due.pop() {
-        let event = match std::mem::replace(&mut what[index as usize], Pending::Timer) {
+        let event = match std::mem::replace(&mut items[index as usize], Pending::Timer) {
             Pending::Request(n, class, group) => Event::Request(Request {
                 id: id_of(n),
                 class,
@@ -164,7 +170,7 @@
                 may_have_run: false,
             }),
             Pending::Answer(Answer { id, attempt, host, sent, outcome }) => {
-                if out_at.remove(&(id, attempt)).is_none() {
+                if in_flight_at.remove(&(id, attempt)).is_none() {
                     continue;
                 }
                 let ok = outcome == AttemptOutcome::Ok;
@@ -195,9 +201,9 @@
         for action in actions.drain(..) {
             match action {
                 Action::Cancel { id, attempt } => {
-                    let Some(&host) = out_at.get(&(id, attempt)) else { continue };
+                    let Some(&host) = in_flight_at.get(&(id, attempt)) else { continue };
                     let answer = Answer { id, attempt, host, sent: now, outcome: AttemptOutcome::Cancelled };
-                    push(&mut due, &mut what, now, router, Pending::Answer(answer));
+                    push(&mut due, &mut items, now, router, Pending::Answer(answer));
                 }
                 Action::Send { id, host, timeout, .. } => {
                     let next = attempts.entry(id).or_insert(0);
@@ -219,17 +225,17 @@
                             scenario.class_mix[class.0].1 / scenario.mean_work(),
                         ));
                     }
-                    let hangs = scenario.hung.contains(&host.0) && now >= MEMBERS_JOIN_AT - HANGS_BEFORE;
+                    let hangs = scenario.hung.contains(&host.0) && now >= MEMBERS_JOIN_AT - HANG_LEAD_TIME;
                     let (outcome, at) = if hangs || at > now + timeout {
                         (AttemptOutcome::Timeout, now + timeout)
                     } else {
                         (outcome, at)
                     };
-                    out_at.insert((id, attempt), host);
+                    in_flight_at.insert((id, attempt), host);
                     let answer = Answer { id, attempt, host, sent: now, outcome };
-                    push(&mut due, &mut what, at, router, Pending::Answer(answer));
+                    push(&mut due, &mut items, at, router, Pending::Answer(answer));
                 }
-                Action::SetTimer(span) => push(&mut due, &mut what, now + span, router, Pending::Timer),
+                Action::SetTimer(span) => push(&mut due, &mut items, now + span, router, Pending::Timer),
                 _ => {}
             }
         }
@@ -237,22 +243,22 @@
     out
 }
 
-/// How an attempt ends at that member, and when its answer is back.
+/// Returns the outcome of an attempt at a member, and when its answer arrives.
 fn serve(scenario: &Scenario, m: &mut Member, class: ClassId, now: Micros) -> (AttemptOutcome, Micros) {
     m.ends.retain(|at| *at > now);
     if class.0 == 1 && !m.primary {
         return (AttemptOutcome::Misrouted, now + ROUND_TRIP);
     }
-    if m.ends.len() >= CORES + QUEUE_LENGTH {
+    if m.ends.len() >= CORES + QUEUE_CAPACITY {
         return (AttemptOutcome::Overloaded, now + ROUND_TRIP);
     }
-    let part = match m.started_at {
-        Some(_) if scenario.cold_answer_fast => FAST_PART,
-        Some(at) => scenario.capacity_part(now - at),
+    let speed = match m.started_at {
+        Some(_) if scenario.cold_answer_fast => FAST_FACTOR,
+        Some(at) => scenario.capacity_fraction(now - at),
         None => 1.0,
     };
     let core = m.cores.iter_mut().min().unwrap();
-    *core = (*core).max(now) + (scenario.class_mix[class.0].1 / part * 1e6) as Micros;
+    *core = (*core).max(now) + (scenario.class_mix[class.0].1 / speed * 1e6) as Micros;
     m.ends.push(*core);
     (AttemptOutcome::Ok, *core + ROUND_TRIP)
 }
--- a/crates/routing/tests/fleet/overload.rs
+++ b/crates/routing/tests/fleet/overload.rs
@@ -1,26 +1,27 @@
-//! What a run sent its cold members, compared with what overloads them.
+//! Compares what a simulation sent its cold members with what overloads them.
 
 use super::*;
 
 impl Scenario {
-    /// What a cold member survives within an overload span that begins at this age, in requests of mean work.
+    /// The work that a cold member tolerates within an overload span that begins at this age, in requests of
+    /// mean work.
     fn overload_limit(&self, age: Micros) -> f64 {
         let span = self.overload_span as f64 / 1e6;
-        let budget = OVERLOAD_MULTIPLE * self.capacity_part(age) * self.requests_per_second() * span;
+        let budget = OVERLOAD_MULTIPLE * self.capacity_fraction(age) * self.requests_per_second() * span;
         budget + 2.0 * budget.sqrt() + 2.0
     }
 }
 
-/// What a cold member was sent within an overload span.
+/// The requests that a cold member was sent within an overload span.
 #[derive(Clone, Debug, Default)]
 pub struct Span {
     pub host: u32,
     pub age: Micros,
-    /// The work as a part of what overloads the member.
-    pub part: f64,
+    /// The work as a fraction of what overloads the member.
+    pub fraction: f64,
     pub work: f64,
     pub sends: usize,
-    /// The sends of five times the mean work or more.
+    /// The number of sends of more than five times the mean work.
     pub long: usize,
 }
 
@@ -34,24 +35,24 @@
             result.sends += 1;
             result.long += usize::from(*work > 5.0);
         }
-        result.part = result.work / scenario.overload_limit(age);
+        result.fraction = result.work / scenario.overload_limit(age);
         result
     }
 
-    /// The span in which a cold member came closest to being overloaded, or went farthest beyond.
+    /// The span in which a cold member was sent the largest fraction of what overloads it.
     pub fn worst_span(&self, scenario: &Scenario) -> Span {
         let spans = self.sends.iter().map(|(host, age, _)| self.span_from(scenario, *host, *age));
-        spans.max_by(|a, b| a.part.total_cmp(&b.part)).unwrap_or_default()
+        spans.max_by(|a, b| a.fraction.total_cmp(&b.fraction)).unwrap_or_default()
     }
 
-    /// The mean part over spans that begin a tenth of a second apart.
-    pub fn mean_part(&self, scenario: &Scenario) -> f64 {
+    /// The mean fraction over spans that begin a tenth of a second apart.
+    pub fn mean_fraction(&self, scenario: &Scenario) -> f64 {
         let ages = (0..scenario.slow_start_span - scenario.overload_span).step_by(100_000);
         let hosts = scenario.cold.iter();
-        let parts: Vec<f64> = hosts
+        let fractions: Vec<f64> = hosts
             .flat_map(|host| ages.clone().map(move |age| (*host, age)))
-            .map(|(host, age)| self.span_from(scenario, host, age).part)
+            .map(|(host, age)| self.span_from(scenario, host, age).fraction)
             .collect();
-        parts.iter().sum::<f64>() / parts.len().max(1) as f64
+        fractions.iter().sum::<f64>() / fractions.len().max(1) as f64
     }
 }
--- a/crates/routing/tests/fleet/scenario.rs
+++ b/crates/routing/tests/fleet/scenario.rs
@@ -1,8 +1,8 @@
-//! The parameters of a run.
+//! The parameters of a simulation.
 
 use super::*;
 
-/// The parameters of a run. Times are in µs, work in core seconds.
+/// The parameters of a simulation. Times are in µs, work in core seconds.
 #[derive(Clone)]
 pub struct Scenario {
     pub seed: u64,
@@ -14,28 +14,30 @@
     /// The members of group 1 that drain `leave_delay` after the cold ones have started.
     pub leaving: Vec<u32>,
     pub leave_delay: Micros,
-    /// How long after the cold members' start the routers are notified, and within which span all of them are.
+    /// The delay between the cold members' start and the first notification of a router, and the span within
+    /// which all routers are notified.
     pub notice: (Micros, Micros),
-    /// Whether the leaving members reject all requests from the cold members' start on.
+    /// Whether the leaving members reject all requests after the cold members' start.
     pub leaving_reject: bool,
-    /// Whether the short reads of group 1 need the primary from the cold members' start on.
+    /// Whether the short reads of group 1 need the primary after the cold members' start.
     pub needs_primary: bool,
-    /// Whether cold members answer at once, whatever they are sent, so that nothing but slow start holds requests back.
+    /// Whether cold members answer fast regardless of their load, so that only slow start limits what they
+    /// are sent.
     pub cold_answer_fast: bool,
-    /// Whether there is a second group with traffic of its own.
+    /// Whether there is a second group with its own traffic.
     pub has_second_group: bool,
-    /// The members of the second group, and the part of their capacity that is requested.
+    /// The number of members of the second group, and the demand as a fraction of their capacity.
     pub others: u32,
     pub other_load: f64,
-    /// The members that fall silent shortly before the cold members' start.
+    /// The members that stop answering shortly before the cold members' start.
     pub hung: Vec<u32>,
-    /// The ratio of the largest to the least share of traffic of a router.
+    /// The maximum ratio between the traffic of two routers.
     pub traffic_skew: f64,
-    /// The factor of a burst of four seconds, and how long after the cold members' start it begins.
+    /// The factor of a burst of four seconds, and its delay after the cold members' start.
     pub burst: (f64, Micros),
-    /// Share and work of each class: reads, writes, long reads, and reads that need the primary.
+    /// The share and work of each class: reads, writes, long reads, and reads that need the primary.
     pub class_mix: [(f64, f64); 4],
-    /// The part of the capacity of three warm members that is requested of a group.
+    /// The demand for group 1, as a fraction of the capacity of three warm members.
     pub load: f64,
     pub slow_start_from: f64,
     pub slow_start_span: Micros,
@@ -49,13 +51,13 @@
         self.class_mix.iter().map(|(share, work)| share * work).sum()
     }
 
-    /// Requests of mean work that a warm member serves per second.
+    /// The number of requests of mean work that a warm member serves per second.
     pub fn requests_per_second(&self) -> f64 {
         CORES as f64 / self.mean_work()
     }
 
-    /// The part of its capacity that a member has at this age.
-    pub fn capacity_part(&self, age: Micros) -> f64 {
+    /// The fraction of its capacity that a member has at this age.
+    pub fn capacity_fraction(&self, age: Micros) -> f64 {
         let grown = (age as f64 / self.slow_start_span as f64).clamp(0.0, 1.0);
         self.slow_start_from + (1.0 - self.slow_start_from) * grown
     }
--- a/crates/routing/tests/idempotency.rs
+++ b/crates/routing/tests/idempotency.rs
@@ -1,4 +1,5 @@
-//! Repeats of what may have run: decided within the window in which members recognise them, and written within it.
+//! Retries of requests that may have run are dispatched, and sent completely, within the window in which
+//! members recognise repeats.
 
 use wharfplank_routing::{
     Action, AttemptNo, AttemptOutcome, AttemptResult, Class, ClassId, Consistency, Endpoint, EndpointStatus,
@@ -6,7 +7,7 @@
 };
 
 const START: Micros = 100_000_000;
-const LASTS: Micros = 3_000_000;
+const REQUEST_TIMEOUT: Micros = 3_000_000;
 const GROUP: GroupId = GroupId(1);
 const ID: RequestId = RequestId([b'1'; 36]);
 
@@ -16,7 +17,7 @@
 }
 
 impl Fixture {
-    /// A primary, and one class of writes with this idempotency.
+    /// Creates a router for a primary and a replica, with one class of writes of this idempotency.
     fn new(idempotency: Idempotency) -> Fixture {
         let classes = vec![Class {
             consistency: Consistency::Write,
@@ -55,7 +56,7 @@
     }
 
     fn send_request(&mut self) -> Vec<Action> {
-        let deadline = self.now + LASTS;
+        let deadline = self.now + REQUEST_TIMEOUT;
         let (class, session, last_write_age) = (ClassId(0), None, None);
         self.handle(Event::Request(Request {
             id: ID,
@@ -82,7 +83,7 @@
     }
 }
 
-/// The sends among actions: until when each may be written.
+/// The times until which the sends among the actions may be written.
 fn sends(actions: &[Action]) -> Vec<Option<Micros>> {
     let send = |a: &Action| match a {
         Action::Send { holds_until, .. } => Some(*holds_until),
@@ -99,37 +100,42 @@
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-/// Guards against a repeat that is decided within the window, waits for a connection and is written after it: by then
-/// members have forgotten the first, and it would run twice. The window counts from the first that may have run.
+/// Guards against a retry that is dispatched within the window, waits for a connection and is written after
+/// the window has ended: by then members no longer recognise it as a repeat, and it would run twice. The
+/// window counts from the first attempt that may have run.
 #[test]
-fn a_retry_is_sent_within_the_window_of_the_first_attempt_that_may_have_run() {
+fn retry_is_sent_within_window_of_first_attempt_that_may_have_run() {
     for window in [300_000, 1_000_000, 2_000_000] {
         let mut fixture = Fixture::new(Idempotency::Keyed { window, all_groups: false });
-        assert_eq!(sends(&fixture.send_request()), [None], "what has never run may go out at any time");
+        assert_eq!(
+            sends(&fixture.send_request()),
+            [None],
+            "a request that has never run may be sent at any time"
+        );
         fixture.now += 40_000;
-        // It never ran: the next is the first that may.
+        // The first attempt never ran; the next one is the first that may have run.
         assert_eq!(sends(&fixture.finish_attempt(0, AttemptOutcome::ConnectFailed)), [None]);
         let first = fixture.now;
         fixture.now += 60_000;
-        let again = sends(&fixture.finish_attempt(1, AttemptOutcome::Reset));
+        let second = sends(&fixture.finish_attempt(1, AttemptOutcome::Reset));
         assert!(
-            again.len() == 1 && again[0].is_some_and(|at| fixture.now < at && at <= first + window),
-            "{again:?}"
+            second.len() == 1 && second[0].is_some_and(|at| fixture.now < at && at <= first + window),
+            "{second:?}"
         );
-        // Neither a third, nor the end of one that was never sent, moves the window on.
+        // Neither a third attempt nor one that was never sent extends the window.
         fixture.now += 40_000;
         let third = sends(&fixture.finish_attempt(2, AttemptOutcome::Error));
-        assert_eq!(third, again, "window {window}");
+        assert_eq!(third, second, "window {window}");
         fixture.now = first + window;
         let late = fixture.finish_attempt(3, AttemptOutcome::NotSent);
         assert!(sends(&late).is_empty() && is_failed(&late) && !is_rejected(&late), "window {window}");
     }
 }
 
-/// Guards against a window that is shorter than one attempt: there is no repeat within it, and where only the group
-/// recognises repeats the client is not told that trying again is harmless.
+/// Guards against retries outside a window that is shorter than one attempt. Where only the group recognises
+/// repeats, the client must not be told that a retry is harmless either.
 #[test]
-fn a_window_shorter_than_an_attempt_allows_no_retry() {
+fn no_retry_if_window_is_shorter_than_attempt() {
     for (all_groups, outcome) in
         [(false, AttemptOutcome::Timeout), (false, AttemptOutcome::Reset), (true, AttemptOutcome::Reset)]
     {
@@ -142,9 +148,10 @@
     }
 }
 
-/// Guards against a refusal of a write that may have run where its idempotency does not permit that, whatever ended it.
+/// Guards against rejecting a write that may have run although its idempotency does not make a retry
+/// harmless, however its attempts ended.
 #[test]
-fn a_request_that_may_have_run_is_rejected_only_if_every_group_recognises_its_key() {
+fn request_that_may_have_run_is_rejected_only_if_retry_is_harmless() {
     let keyed = |all_groups| Idempotency::Keyed { window: 2_000_000, all_groups };
     let cases = [
         (Idempotency::Idempotent, true),
@@ -152,31 +159,36 @@
         (keyed(false), false),
         (Idempotency::NotIdempotent, false),
     ];
-    for (idempotency, harmless) in cases {
+    for (idempotency, retry_is_harmless) in cases {
         let mut fixture = Fixture::new(idempotency);
         fixture.send_request();
         fixture.now += 50_000;
         let mut actions = fixture.finish_attempt(0, AttemptOutcome::Error);
         assert_eq!(sends(&actions).is_empty(), idempotency == Idempotency::NotIdempotent);
-        fixture.now += LASTS;
+        fixture.now += REQUEST_TIMEOUT;
         actions.extend(fixture.finish_attempt(1, AttemptOutcome::Timeout));
-        assert_eq!((is_failed(&actions), is_rejected(&actions)), (!harmless, harmless), "{idempotency:?}");
+        assert_eq!(
+            (is_failed(&actions), is_rejected(&actions)),
+            (!retry_is_harmless, retry_is_harmless),
+            "{idempotency:?}"
+        );
     }
 }
 
-/// Guards against a wait that is no wait: a client that has almost no time left is answered at once, and once.
+/// Guards against queueing a request whose client has almost no time left: it is answered immediately, and
+/// only once.
 #[test]
-fn a_request_with_a_deadline_shorter_than_any_attempt_is_answered_at_once() {
-    for lasts in [1, 999] {
+fn request_without_time_left_is_answered_immediately_and_once() {
+    for time_left in [1, 999] {
         let mut fixture = Fixture::new(Idempotency::NotIdempotent);
         let (class, session, last_write_age) = (ClassId(0), None, None);
-        let deadline = fixture.now + lasts;
+        let deadline = fixture.now + time_left;
         let request =
             Request { id: ID, class, group: GROUP, session, deadline, last_write_age, may_have_run: false };
         let actions = fixture.handle(Event::Request(request));
         assert!(sends(&actions).is_empty() && is_rejected(&actions) && !is_failed(&actions), "{actions:?}");
         fixture.now += 10_000;
         let later = fixture.handle(Event::Timer);
-        assert!(!is_rejected(&later) && !is_failed(&later), "one answer");
+        assert!(!is_rejected(&later) && !is_failed(&later), "the request was answered twice");
     }
 }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! Many routers in virtual time against one member that is warming up: all that they send it together, counted in
-//! spans of the settings' `overload_span`, stays below what overloads it (`overload_multiple` times its capacity at
-//! that moment), and yet is a fair part of that. Counts of events only; no clock of the machine is read.
+//! Many routers and one member that is warming up, simulated in virtual time: what all routers together send
+//! it within any `overload_span` stays below what overloads it (`overload_multiple` times its capacity at
+//! that time), and yet is a fair fraction of that. The test counts events only and reads no system clock.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -13,17 +13,17 @@
 
 const ROUTERS: usize = 300;
 const SECOND: Micros = 1_000_000;
-/// Requests of all routers together, per second, and the latency of every answer.
+/// The requests of all routers together, per second, and the latency of all answers.
 const REQUESTS_PER_SECOND: f64 = 150.0;
 const LATENCY: Micros = 40_000;
-/// When the new member starts, and when the run ends.
+/// When the new member starts, and when the simulation ends.
 const MEMBER_JOINS_AT: Micros = 5 * SECOND;
 const RUN_ENDS_AT: Micros = 25 * SECOND;
 const SLOW_START_FROM: f64 = 0.24;
 const SLOW_START_SPAN: Micros = 15 * SECOND;
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 const OVERLOAD_SPAN: Micros = 1_500_000;
-/// The part of their capacity that the warm members use at this demand, which determines their capacity.
+/// The utilisation of the warm members at this demand, from which their capacity follows.
 const UTILISATION: f64 = 0.74;
 
 fn settings(seed: u64) -> Settings {
@@ -71,38 +71,39 @@
     MemberJoins,
 }
 
-/// Sends to the member that joins, by the tenth of a second from its start; and answers served in all.
+/// Returns the sends to the joining member by tenth of a second from its start, and the total number of
+/// answers.
 fn simulate(seed: u64) -> (Vec<u64>, u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut routers: Vec<Router> = (0..ROUTERS).map(|r| Router::new(settings(seed + r as u64))).collect();
     let mut due: BinaryHeap<Reverse<(Micros, u64, usize)>> = BinaryHeap::new();
-    let mut what: Vec<Pending> = Vec::new();
+    let mut items: Vec<Pending> = Vec::new();
     let push =
-        |due: &mut BinaryHeap<_>, what: &mut Vec<Pending>, at: Micros, router: usize, item: Pending| {
-            what.push(item);
-            due.push(Reverse((at, what.len() as u64 - 1, router)));
+        |due: &mut BinaryHeap<_>, items: &mut Vec<Pending>, at: Micros, router: usize, item: Pending| {
+            items.push(item);
+            due.push(Reverse((at, items.len() as u64 - 1, router)));
         };
     let mut actions = Vec::new();
     for router in &mut routers {
         router.handle(0, Event::EndpointList((1..=3).map(|h| endpoint(h, None)).collect()), &mut actions);
         actions.clear();
     }
-    // Arrivals of all routers together are a Poisson stream; each goes to a router at random.
+    // The arrivals of all routers together are a Poisson process; each goes to a random router.
     let mut at = 0;
     let mut number = 0;
     while at < RUN_ENDS_AT {
         at += (-(1.0 - rng.random::<f64>()).ln() / REQUESTS_PER_SECOND * 1e6) as Micros + 1;
         number += 1;
-        push(&mut due, &mut what, at, rng.random_range(0..ROUTERS), Pending::Request(number));
+        push(&mut due, &mut items, at, rng.random_range(0..ROUTERS), Pending::Request(number));
     }
     for router in 0..ROUTERS {
-        push(&mut due, &mut what, MEMBER_JOINS_AT, router, Pending::MemberJoins);
+        push(&mut due, &mut items, MEMBER_JOINS_AT, router, Pending::MemberJoins);
     }
     let mut sends = vec![0_u64; ((RUN_ENDS_AT - MEMBER_JOINS_AT) / 100_000) as usize + 1];
     let mut served = 0;
     let mut attempts = std::collections::HashMap::new();
     while let Some(Reverse((now, index, router))) = due.pop() {
-        let event = match std::mem::replace(&mut what[index as usize], Pending::Timer) {
+        let event = match std::mem::replace(&mut items[index as usize], Pending::Timer) {
             Pending::Request(n) => {
                 let mut id = [b'.'; 36];
                 id[..16].copy_from_slice(format!("{n:016x}").as_bytes());
@@ -144,9 +145,9 @@
                     }
                     let item = Pending::Answer { id, attempt: AttemptNo(*attempt), host, sent: now };
                     *attempt += 1;
-                    push(&mut due, &mut what, now + LATENCY, router, item);
+                    push(&mut due, &mut items, now + LATENCY, router, item);
                 }
-                Action::SetTimer(span) => push(&mut due, &mut what, now + span, router, Pending::Timer),
+                Action::SetTimer(span) => push(&mut due, &mut items, now + span, router, Pending::Timer),
                 _ => {}
             }
         }
@@ -154,16 +155,17 @@
     (sends, served)
 }
 
-/// The number of requests that overloads the member in a span that begins `after` its start: `overload_multiple` times
-/// what it can serve, at the least capacity that it may have then.
+/// The number of requests that overloads the member within an overload span that begins `after` its start:
+/// `overload_multiple` times what it can serve at the minimum capacity that it has then.
 fn overload_threshold(after: Micros) -> f64 {
     let capacity = REQUESTS_PER_SECOND / 3.0 / UTILISATION;
-    let part = SLOW_START_FROM + (1.0 - SLOW_START_FROM) * (after as f64 / SLOW_START_SPAN as f64).min(1.0);
-    OVERLOAD_MULTIPLE * part * capacity * OVERLOAD_SPAN as f64 / 1e6
+    let capacity_fraction =
+        SLOW_START_FROM + (1.0 - SLOW_START_FROM) * (after as f64 / SLOW_START_SPAN as f64).min(1.0);
+    OVERLOAD_MULTIPLE * capacity_fraction * capacity * OVERLOAD_SPAN as f64 / 1e6
 }
 
 #[test]
-fn all_routers_together_send_a_warming_member_a_fair_part_of_what_overloads_it_and_never_more() {
+fn routers_use_but_do_not_exceed_budget_of_warming_member() {
     let window = (OVERLOAD_SPAN / 100_000) as usize;
     let mut peaks = Vec::new();
     for seed in [1, 2, 3] {
@@ -173,23 +175,27 @@
             "answers were lost: {served}"
         );
         let warming = (SLOW_START_SPAN / 100_000) as usize;
-        let parts: Vec<f64> = (0..warming - window)
+        let fractions: Vec<f64> = (0..warming - window)
             .map(|start| {
                 let sent: u64 = sends[start..start + window].iter().sum();
                 sent as f64 / overload_threshold(start as Micros * 100_000)
             })
             .collect();
-        let peak = parts.iter().copied().fold(0.0, f64::max);
-        let mean = parts.iter().sum::<f64>() / parts.len() as f64;
-        assert!(peak < 1.0, "seed {seed}: all routers sent {peak:.2} of what overloads the warming member");
-        // The budgets of all routers together allow the overload multiple times the member's capacity at the time times
-        // what a warm member of its group answers, here 0.74 of what overloads it; each router's own order of ties keeps
-        // part of that away. Budgets of half of that (0.15 here) left requests waiting while the member had capacity.
+        let peak = fractions.iter().copied().fold(0.0, f64::max);
+        let mean = fractions.iter().sum::<f64>() / fractions.len() as f64;
+        assert!(
+            peak < 1.0,
+            "seed {seed}: the routers sent up to {peak:.2} times items overloads the warming member"
+        );
+        // The budgets of all routers together allow the overload multiple times the member's current capacity
+        // times what a warm member of its group answers, here 0.74 of what overloads it. Each router's own
+        // tie-break order diverts some of that to other members. Budgets of half that size (0.15 here) left
+        // requests queued while the member had capacity.
         assert!(
             mean >= 0.2,
-            "seed {seed}: the warming member got {mean:.2} of what overloads it, in the mean"
+            "seed {seed}: the warming member got on average only {mean:.2} of items overloads it"
         );
         peaks.push((peak, mean));
     }
-    println!("peak and mean part of what overloads the warming member, by seed: {peaks:.2?}");
+    println!("peak and mean fraction of items overloads the warming member, by seed: {peaks:.2?}");
 }
--- a/crates/routing/tests/slow_start_clock.rs
+++ b/crates/routing/tests/slow_start_clock.rs
@@ -1,5 +1,5 @@
-//! A router whose machine has the wrong time of day: members in slow start are taken for no older than they are, and
-//! become warm all the same.
+//! A router whose host has the wrong time of day: it must not assume that members in slow start are older
+//! than they are, and their slow start must still end.
 
 use rstest::rstest;
 use wharfplank_routing::{
@@ -10,7 +10,7 @@
 
 const SECOND: Micros = 1_000_000;
 const HOUR: Micros = 3_600 * SECOND;
-/// The time on the members' clock at which each test begins.
+/// The time on the members' clock at the start of each test.
 const MEMBERS_NOW: Micros = 1_800_000_000 * SECOND;
 const SLOW_START_SPAN: Micros = 15 * SECOND;
 const OVERLOAD_SPAN: Micros = 1_500_000;
@@ -79,15 +79,15 @@
         actions
     }
 
-    /// The first list, in which one member started `age` ago.
+    /// Delivers the first endpoint list, in which one member started `age` ago.
     fn list(&mut self, age: Micros) {
         let started_at = Some(self.now - age);
         let endpoints = vec![endpoint(PRIMARY, None), endpoint(WARM, None), endpoint(STARTED, started_at)];
         self.handle(Event::EndpointList(endpoints));
     }
 
-    /// The primary's load report, whose position is the present on the members' clock. The broker leaves out a position
-    /// that is in the future.
+    /// Delivers the primary's load report, whose position is the current time on the members' clock. The
+    /// broker omits a position that is in the future on the router's clock.
     fn report(&mut self) {
         let position = Some(self.now).filter(|position| *position <= self.now + self.ahead);
         self.handle(Event::ProbeFinished(ProbeResult {
@@ -99,12 +99,12 @@
         }));
     }
 
-    /// The age that the router takes the member to have; `None` if it takes it for warm.
+    /// The age of the started member according to the router; `None` if the router considers it warm.
     fn age(&self) -> Option<Micros> {
         self.router.slow_start_views().find(|view| view.host == STARTED).map(|view| view.age)
     }
 
-    /// Sends requests for a span, all answered at once, and returns how many the started member got.
+    /// Sends requests for a span, all answered immediately, and returns how many the started member got.
     fn serve(&mut self, span: Micros) -> usize {
         let end = self.now + span;
         let mut sent_to_started = 0;
@@ -149,11 +149,11 @@
     }
 }
 
-/// Guards against a member that has just started and is taken for warm, since the router's clock is ahead.
+/// Guards against treating a member that has just started as warm because the router's clock is ahead.
 #[rstest]
 #[case::an_hour(HOUR)]
 #[case::seconds(20 * SECOND)]
-fn a_clock_ahead_makes_no_member_older(#[case] ahead: Micros) {
+fn clock_ahead_does_not_make_members_older(#[case] ahead: Micros) {
     let mut router = SkewedRouter::new(ahead);
     router.list(2 * SECOND);
     router.report();
@@ -163,12 +163,12 @@
     assert_eq!(router.age(), Some(5 * SECOND));
     router.now += 10 * SECOND;
     router.report();
-    assert_eq!(router.age(), None, "it is warm once its own time is over");
+    assert_eq!(router.age(), None, "the slow start did not end");
 }
 
-/// Guards against the budget that does not bind, since the router's clock is ahead.
+/// Guards against a slow start budget that is not enforced because the router's clock is ahead.
 #[test]
-fn the_budget_binds_with_a_clock_ahead() {
+fn budget_is_enforced_with_clock_ahead() {
     let mut router = SkewedRouter::new(HOUR);
     router.list(0);
     router.report();
@@ -176,30 +176,30 @@
     let sent = router.serve(OVERLOAD_SPAN);
     let age = router.now - MEMBERS_NOW;
     let capacity = SLOW_START_FROM + (1.0 - SLOW_START_FROM) * age as f64 / SLOW_START_SPAN as f64;
-    // What a warm member can do is at least what all requests are worth, divided by the two warm members.
+    // The capacity of a warm member is at least the rate of all requests divided by the two warm members.
     let warm_rate = REQUESTS_PER_SECOND as f64 / 2.0;
     let budget = OVERLOAD_MULTIPLE * capacity * warm_rate * OVERLOAD_SPAN as f64 / SECOND as f64;
-    assert!((sent as f64) < budget + 2.0 * budget.sqrt() + 2.0, "{sent} sent, {budget:.0} allowed");
+    assert!((sent as f64) < budget + 2.0 * budget.sqrt() + 2.0, "{sent} requests sent, budget {budget:.0}");
 }
 
-/// Guards against a member that stays in slow start for as long as the router's clock is behind.
+/// Guards against members that stay in slow start for as long as the router's clock is behind.
 #[rstest]
 #[case::an_hour(HOUR)]
 #[case::seconds(20 * SECOND)]
-fn a_clock_behind_keeps_no_member_in_slow_start(#[case] behind: Micros) {
+fn clock_behind_does_not_prolong_slow_start(#[case] behind: Micros) {
     let mut router = SkewedRouter::new(-behind);
     router.list(2 * SECOND);
     router.report();
-    assert!(router.age().is_some_and(|age| age <= 2 * SECOND), "it is no older than it is");
+    assert!(router.age().is_some_and(|age| age <= 2 * SECOND), "the member is considered older than it is");
     router.now += SLOW_START_SPAN;
     router.report();
     assert_eq!(router.age(), None);
 }
 
-/// With a right clock the listed time counts, and a lagging replica's position does not make the member younger once the
-/// primary's was seen.
+/// With a correct clock the listed start time is used, and the position of a lagging replica does not lower
+/// the member's age once the primary's position is known.
 #[test]
-fn a_right_clock_is_trusted() {
+fn correct_clock_is_trusted() {
     let mut router = SkewedRouter::new(0);
     router.list(4 * SECOND);
     assert_eq!(router.age(), Some(4 * SECOND));
--- a/crates/routing/tests/slow_start_fleet.rs
+++ b/crates/routing/tests/slow_start_fleet.rs
@@ -1,5 +1,5 @@
-//! What a fleet sends to members that have just started: in any span of the settings' `overload_span` no more than
-//! N + 2 x root of N + 2 requests of mean work, N being `overload_multiple` times what the member can do then.
+//! What a fleet sends to members that have just started: within any `overload_span` no more than N + 2 √N + 2
+//! requests of mean work, where N is `overload_multiple` times what the member can do then.
 
 mod fleet;
 
@@ -10,10 +10,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// Shares and work of a usual day: reads, writes, and few reads that take long.
-const USUAL: [(f64, f64); 4] = [(0.85, 0.053), (0.13, 0.13), (0.02, 1.3), (0.0, 0.053)];
-/// Half of the work is in long reads.
-const HEAVY: [(f64, f64); 4] = [(0.83, 0.053), (0.12, 0.13), (0.05, 1.3), (0.0, 0.053)];
+/// The share and work of each class in a typical mix: reads, writes and a few long reads.
+const TYPICAL_MIX: [(f64, f64); 4] = [(0.85, 0.053), (0.13, 0.13), (0.02, 1.3), (0.0, 0.053)];
+/// A mix in which half of the work is in long reads.
+const LONG_READ_MIX: [(f64, f64); 4] = [(0.83, 0.053), (0.12, 0.13), (0.05, 1.3), (0.0, 0.053)];
 
 fn scenario(seed: u64, routers: usize) -> Scenario {
     Scenario {
@@ -33,7 +33,7 @@
         hung: vec![],
         traffic_skew: 1.0,
         burst: (1.0, 0),
-        class_mix: USUAL,
+        class_mix: TYPICAL_MIX,
         load: 0.7,
         slow_start_from: 0.24,
         slow_start_span: 15 * SECOND,
@@ -41,33 +41,34 @@
     }
 }
 
-/// A zone comes back: the news are quick, and reach all routers at once.
-fn comes_back(base: Scenario) -> Scenario {
+/// A zone recovers: all routers are notified soon, and almost simultaneously.
+fn zone_recovers(base: Scenario) -> Scenario {
     Scenario { notice: (315_000, 20_000), others: 12, other_load: base.load, warm: vec![10, 11], ..base }
 }
 
-/// The news come late, and reach all routers at once, since discovery was down.
-fn late_news(base: Scenario) -> Scenario {
+/// All routers are notified late, and almost simultaneously, since discovery was down.
+fn late_notice(base: Scenario) -> Scenario {
     Scenario { notice: (3_300_000, 20_000), ..base }
 }
 
-/// A cold primary that all reads of its group need, under twice the usual load, and that shows no sign of it.
+/// A cold primary that all short reads of its group need, at twice the capacity of three members, and whose
+/// latency does not show the overload.
 fn surge(base: Scenario) -> Scenario {
     Scenario { others: 12, load: 2.0, needs_primary: true, cold_answer_fast: true, leaving: vec![10], ..base }
 }
 
 type Variant = (&'static str, fn(Scenario) -> Scenario);
 
-/// Each variant of the scenario by its name.
+/// The variants of the scenario, by name.
 fn variants() -> Vec<Variant> {
     vec![
         ("joins", |base| base),
-        ("keeper", |base| Scenario { cold: vec![5], ..base }),
-        ("keeper, heavy", |base| Scenario { cold: vec![5], class_mix: HEAVY, ..base }),
+        ("lowest id", |base| Scenario { cold: vec![5], ..base }),
+        ("lowest id, many long reads", |base| Scenario { cold: vec![5], class_mix: LONG_READ_MIX, ..base }),
         ("burst", |base| Scenario { burst: (1.5, 0), load: 0.9, ..base }),
         ("late burst", |base| Scenario { burst: (1.5, 5 * SECOND), load: 0.9, ..base }),
-        ("few kin", |base| Scenario { warm: vec![10], load: 0.3, ..base }),
-        ("few kin, burst", |base| Scenario { warm: vec![10], load: 0.45, burst: (1.5, 0), ..base }),
+        ("few warm members", |base| Scenario { warm: vec![10], load: 0.3, ..base }),
+        ("few warm members, burst", |base| Scenario { warm: vec![10], load: 0.45, burst: (1.5, 0), ..base }),
         ("replaced", |base| Scenario { leaving: vec![11, 12], cold: vec![5, 13], ..base }),
         ("primary", |base| Scenario { leaving: vec![10], ..base }),
         ("primary, burst", |base| Scenario { leaving: vec![10], burst: (1.5, 0), load: 0.9, ..base }),
@@ -85,13 +86,13 @@
             has_second_group: false,
             ..base
         }),
-        ("kin leave", |base| Scenario {
+        ("warm members leave", |base| Scenario {
             leaving: vec![10, 11, 12],
             leave_delay: 5 * SECOND,
             cold: vec![13, 14, 15],
             ..base
         }),
-        ("kin leave, burst", |base| Scenario {
+        ("warm members leave, burst", |base| Scenario {
             leaving: vec![10, 11, 12],
             leave_delay: 4 * SECOND,
             cold: vec![13, 14, 15],
@@ -99,32 +100,34 @@
             load: 0.9,
             ..base
         }),
-        ("kin leave, one", |base| Scenario {
+        ("warm members leave, one cold", |base| Scenario {
             leaving: vec![10, 11, 12],
             leave_delay: 4 * SECOND,
             burst: (1.5, 4 * SECOND),
             ..base
         }),
-        ("lowest id comes back", |base| comes_back(Scenario { cold: vec![5], ..base })),
-        ("another comes back", |base| comes_back(Scenario { cold: vec![13], ..base })),
-        ("lowest id comes back, burst", |base| {
-            comes_back(Scenario { cold: vec![5], burst: (1.5, 0), ..base })
+        ("zone recovers, lowest id", |base| zone_recovers(Scenario { cold: vec![5], ..base })),
+        ("zone recovers, another id", |base| zone_recovers(Scenario { cold: vec![13], ..base })),
+        ("zone recovers, lowest id, burst", |base| {
+            zone_recovers(Scenario { cold: vec![5], burst: (1.5, 0), ..base })
         }),
-        ("lowest id, late news", |base| late_news(comes_back(Scenario { cold: vec![5], ..base }))),
-        ("all cold, late news", |base| {
-            late_news(comes_back(Scenario { cold: vec![5, 13, 14], leaving: vec![10, 11], ..base }))
+        ("zone recovers, lowest id, late notice", |base| {
+            late_notice(zone_recovers(Scenario { cold: vec![5], ..base }))
+        }),
+        ("all cold, late notice", |base| {
+            late_notice(zone_recovers(Scenario { cold: vec![5, 13, 14], leaving: vec![10, 11], ..base }))
         }),
         ("replaced, leaving reject", |base| {
             let leaving = vec![11, 12];
-            late_news(Scenario { leaving, cold: vec![5, 13], leaving_reject: true, ..base })
+            late_notice(Scenario { leaving, cold: vec![5, 13], leaving_reject: true, ..base })
         }),
         ("surge", surge),
-        ("surge, late news", |base| late_news(surge(base))),
-        ("surge, others busy", |base| late_news(surge(Scenario { other_load: 1.3, ..base }))),
+        ("surge, late notice", |base| late_notice(surge(base))),
+        ("surge, others busy", |base| late_notice(surge(Scenario { other_load: 1.3, ..base }))),
         ("surge, others hang", |base| {
-            late_news(surge(Scenario { other_load: 1.0, hung: vec![91, 94, 95, 99], ..base }))
+            late_notice(surge(Scenario { other_load: 1.0, hung: vec![91, 94, 95, 99], ..base }))
         }),
-        ("surge, many long reads", |base| surge(Scenario { class_mix: HEAVY, ..base })),
+        ("surge, many long reads", |base| surge(Scenario { class_mix: LONG_READ_MIX, ..base })),
         ("small", |base| Scenario {
             slow_start_from: 0.1,
             overload_span: 500_000,
@@ -142,8 +145,8 @@
     ]
 }
 
-/// Plays each variant with routers, skew and seed that `draw` chooses, on all cores, and fails with those runs in which a
-/// member was overloaded.
+/// Simulates each variant with the routers, skew and seed that `draw` chooses, on all cores, and fails if a
+/// member was overloaded in any run.
 fn assert_no_overload(runs: usize, draw: impl Fn(usize, usize) -> (usize, f64, u64) + Sync) {
     let (next, overloads) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     let (variants, largest) = (variants(), Mutex::new(0.0_f64));
@@ -154,14 +157,15 @@
         let scenario = vary(Scenario { traffic_skew, ..scenario(seed, routers) });
         let out = simulate(&scenario);
         let (worst, served) = (out.worst_span(&scenario), out.served / out.requested);
-        let mean = out.mean_part(&scenario);
+        let mean = out.mean_fraction(&scenario);
         let run = format!("{name}, {routers} routers x{traffic_skew}, seed {seed}");
-        println!("{run}: {:.2}, mean {mean:.2}, served {served:.3}", worst.part);
+        println!("{run}: {:.2} of its limit, mean {mean:.2}, served {served:.3}", worst.fraction);
         let mut largest = largest.lock().expect("no run panics");
-        *largest = largest.max(worst.part);
-        if worst.part > 1.0 {
-            let Span { host, age, part, work, sends, long } = worst;
-            let overload = format!("{part:.2} of its limit: work {work:.0} in {sends} sends, {long} long");
+        *largest = largest.max(worst.fraction);
+        if worst.fraction > 1.0 {
+            let Span { host, age, fraction, work, sends, long } = worst;
+            let overload =
+                format!("{fraction:.2} of its limit: work {work:.0} in {sends} sends, {long} of them long");
             overloads
                 .lock()
                 .expect("no run panics")
@@ -170,38 +174,38 @@
     };
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| (0..threads).for_each(|_| drop(scope.spawn(play))));
-    println!("largest {:.2}", largest.into_inner().expect("no run panics"));
+    println!("largest fraction of the limit: {:.2}", largest.into_inner().expect("no run panics"));
     let overloads = overloads.into_inner().expect("no run panics");
     assert!(overloads.is_empty(), "{overloads:#?}");
 }
 
-/// Guards against long reads that count as one request each, and so overload a member that has just started: they all go
-/// to one replica, by chance the cold one.
+/// Guards against long reads that count as one request each and so overload a member that has just started:
+/// all of them go to the same replica, which may be the cold one.
 #[test]
-fn no_fleet_sends_a_cold_member_more_than_fells_it() {
+fn typical_fleets_do_not_overload_members_in_slow_start() {
     let fleets = [(3, 1.0), (20, 10.0), (30, 1.0), (30, 10.0)];
     assert_no_overload(fleets.len(), |_, run| (fleets[run].0, fleets[run].1, 2));
 }
 
-/// The sizes of fleets that are drawn from.
+/// The fleet sizes to draw from.
 const FLEETS: [usize; 7] = [3, 8, 30, 60, 176, 400, 900];
 
-/// A fleet and a seed for a run of a variant, by a seed for all.
+/// Draws the fleet size, skew and seed for a run of a variant, from a seed for all runs.
 fn drawn(seed: u64, variant: usize, run: usize) -> (usize, f64, u64) {
     let mut rng = SmallRng::seed_from_u64(seed ^ ((variant as u64) << 32 | run as u64));
     let skew = if rng.random() { 10.0 } else { 1.0 };
     (FLEETS[rng.random_range(0..FLEETS.len())], skew, rng.random_range(0..1_000_000))
 }
 
-/// The seed is another one in each run, and printed with each fault.
+/// The seed is different each time and is printed, so that a failure can be reproduced.
 #[test]
-fn no_fleet_of_any_size_overloads_a_member_in_slow_start() {
+fn random_fleets_do_not_overload_members_in_slow_start() {
     let seed = RandomState::new().hash_one(0);
     println!("seed {seed}");
     assert_no_overload(1, |variant, run| drawn(seed, variant, run));
 }
 
-/// Run by hand: 200 draws of each variant.
+/// Simulates 200 draws of each variant; run manually.
 #[test]
 #[ignore = "takes minutes; see the Makefile"]
 fn no_fleet_overloads_a_member_in_slow_start_in_200_draws() {
--- a/crates/routing/tests/zone_shares.rs
+++ b/crates/routing/tests/zone_shares.rs
@@ -1,5 +1,5 @@
-//! Zones' shares of reads and members' latency factors, as the fleet decided them: a zone that was left takes no reads,
-//! one that recovers takes a part, and writes go to the primary in any zone.
+//! Zones' shares of reads and members' latency factors, as set by the fleet: a zone with share 0 takes no
+//! reads, a recovering one takes a fraction, and writes go to the primary in any zone.
 
 use wharfplank_routing::{
     Action, AttemptNo, AttemptOutcome, AttemptResult, Class, ClassId, Consistency, Endpoint, EndpointStatus,
@@ -47,24 +47,25 @@
     vec![endpoint(1, 10), endpoint(2, 10), endpoint(3, 20), endpoint(4, 20)]
 }
 
-/// Where 400 requests of a class go with these shares; `None`: the fleet does not decide zones.
+/// Returns how many of 400 requests of a class each member is sent with these zone shares; `None` if the
+/// fleet does not set any.
 fn sends_by_member(shares: Option<&[(u32, f64)]>, class: usize) -> [u32; 5] {
     sends_by_member_after(shares.map(|shares| Event::ZoneReadShares(shares.to_vec())), class)
 }
 
-/// Where they go with these latency factors.
+/// Returns how many of 400 requests each member is sent with these latency factors.
 fn sends_by_member_with_factors(factors: &[(u32, f64)], class: usize) -> [u32; 5] {
     let factors = factors.iter().map(|(host, factor)| (HostId(*host), *factor)).collect();
     sends_by_member_after([Event::LatencyFactors(factors)], class)
 }
 
-/// Where they go after those events.
+/// Returns how many of 400 requests each member is sent after these events.
 fn sends_by_member_after(events: impl IntoIterator<Item = Event>, class: usize) -> [u32; 5] {
     let mut router = Router::new(settings());
     let mut actions = Vec::new();
     router.handle(0, Event::EndpointList(endpoints()), &mut actions);
     events.into_iter().for_each(|event| router.handle(0, event, &mut actions));
-    let mut to = [0; 5];
+    let mut sends = [0; 5];
     for n in 0..400_u32 {
         let now = Micros::from(n) * 1_000;
         let mut id = [b'.'; 36];
@@ -84,9 +85,9 @@
             .iter()
             .filter_map(|a| if let Action::Send { host, .. } = a { Some(*host) } else { None })
             .collect();
-        // Each request is answered before the next, so that room never decides.
+        // Each request is answered before the next arrives, so that capacity has no influence on routing.
         for host in sent {
-            to[host.0 as usize] += 1;
+            sends[host.0 as usize] += 1;
             let role = Some(if host == HostId(1) { Role::Primary } else { Role::Replica });
             let outcome = AttemptResult {
                 id: RequestId(id),
@@ -101,45 +102,63 @@
             router.handle(now + 10_000, Event::AttemptFinished(outcome), &mut actions);
         }
     }
-    to
+    sends
 }
 
 #[test]
-fn reads_stay_local_where_the_fleet_sets_zone_shares_and_a_zone_without_a_share_takes_none() {
-    let alone = sends_by_member(None, 0);
-    assert!(alone[3] + alone[4] > 0, "without the fleet's decision, far replicas take reads too: {alone:?}");
-    let near = sends_by_member(Some(&[]), 0);
-    assert_eq!(near[2], 400, "with it, the near replica takes all while it can: {near:?}");
-    let left = sends_by_member(Some(&[(10, 0.0)]), 0);
-    assert_eq!(left[1] + left[2], 0, "the router's own zone is left, yet it took reads: {left:?}");
-    assert_eq!(left.iter().sum::<u32>(), 400);
-    let part = sends_by_member(Some(&[(10, 0.5)]), 0);
-    assert!(part[2] > 100 && part[2] < 300, "half a share took {} of 400: {part:?}", part[2]);
+fn reads_follow_zone_shares_and_prefer_local_replicas() {
+    let without_shares = sends_by_member(None, 0);
+    assert!(
+        without_shares[3] + without_shares[4] > 0,
+        "without zone shares, remote replicas take reads too: {without_shares:?}"
+    );
+    let empty_shares = sends_by_member(Some(&[]), 0);
+    assert_eq!(
+        empty_shares[2], 400,
+        "with zone shares, the local replica takes all reads while it can: {empty_shares:?}"
+    );
+    let own_zone_without_reads = sends_by_member(Some(&[(10, 0.0)]), 0);
+    assert_eq!(
+        own_zone_without_reads[1] + own_zone_without_reads[2],
+        0,
+        "the router's own zone has share 0, yet it took reads: {own_zone_without_reads:?}"
+    );
+    assert_eq!(own_zone_without_reads.iter().sum::<u32>(), 400);
+    let own_zone_with_half = sends_by_member(Some(&[(10, 0.5)]), 0);
+    assert!(
+        own_zone_with_half[2] > 100 && own_zone_with_half[2] < 300,
+        "with share 0.5 the zone took {} of 400: {own_zone_with_half:?}",
+        own_zone_with_half[2]
+    );
 }
 
 #[test]
-fn writes_go_to_the_primary_whatever_the_zone_shares() {
+fn writes_ignore_zone_shares() {
     assert_eq!(sends_by_member(Some(&[(10, 0.0), (20, 0.0)]), 1)[1], 400);
 }
 
 #[test]
-fn reads_prefer_others_to_an_outlier_and_avoid_one_that_is_ejected() {
-    let alone = sends_by_member(None, 0);
-    assert!(alone[2..].iter().all(|n| *n > 50), "all replicas take reads: {alone:?}");
-    assert_eq!(sends_by_member_with_factors(&[], 0), alone, "without a factor something changed");
+fn reads_avoid_outliers_and_ejected_members() {
+    let without_factors = sends_by_member(None, 0);
+    assert!(without_factors[2..].iter().all(|n| *n > 50), "not all replicas take reads: {without_factors:?}");
+    assert_eq!(
+        sends_by_member_with_factors(&[], 0),
+        without_factors,
+        "an empty set of factors changed the routing"
+    );
     assert_eq!(
         sends_by_member_with_factors(&[(3, 1.0), (9, 3.0)], 0),
-        alone,
-        "nor does one of 1, or of no member here"
+        without_factors,
+        "a factor of 1 or for an unknown member changed the routing"
     );
     let degraded = sends_by_member_with_factors(&[(3, 3.0)], 0);
     assert_eq!((degraded[3], degraded.iter().sum::<u32>()), (0, 400), "{degraded:?}");
-    // Where it is the best there is, a degraded one serves; one that is out does not.
+    // A degraded member serves if there is no better one; an ejected one does not.
     let all = sends_by_member_with_factors(&[(2, 3.0), (3, 3.0), (4, f64::INFINITY)], 0);
     assert_eq!((all[4], all[2] + all[3]), (0, 400), "{all:?}");
     assert_eq!(
         sends_by_member_with_factors(&[(1, f64::INFINITY)], 1)[1],
         400,
-        "writes go to the primary whatever its factor"
+        "a write did not go to the primary because of its factor"
     );
 }
