--- a/crates/routing/src/api.rs
+++ b/crates/routing/src/api.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision module: settings, events, actions and ids.
+//! The interface of the router: settings, events, actions and ids.
 //!
 //! Times are in microseconds on the caller's clock. A log position is such a time as well: the member has
 //! applied all commits up to it.
