--- a/crates/proxy/src/broker/attempts.rs
+++ b/crates/proxy/src/broker/attempts.rs
@@ -28,7 +28,7 @@
         id: RequestId,
         host: HostId,
         timeout: Micros,
-        holds_until: Option<Micros>,
+        send_deadline: Option<Micros>,
     ) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let key = AttemptKey::new(id, request.attempts);
@@ -42,7 +42,7 @@
         let Ok(write_until) = write else {
             return self.report_not_sent(now, key, host);
         };
-        let bound = holds_until.map(|until| until + SEND_MARGIN - WRITE_MARGIN);
+        let bound = send_deadline.map(|until| until + SEND_MARGIN - WRITE_MARGIN);
         let last_byte = bound.into_iter().chain(write_until).min();
         let limits = AttemptLimits {
             deadline: self.clock.to_instant(now.saturating_add(timeout)),
--- a/crates/proxy/src/broker/router_actions.rs
+++ b/crates/proxy/src/broker/router_actions.rs
@@ -56,8 +56,8 @@
 
     fn perform_action(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, host, timeout, holds_until } => {
-                self.send_attempt(now, id, host, timeout, holds_until);
+            Action::Send { id, host, timeout, send_deadline } => {
+                self.send_attempt(now, id, host, timeout, send_deadline);
             }
             Action::Reject { id, retry_after, reason } => self.reject(id, retry_after, reason),
             Action::Fail { id, reason } => self.fail(id, reason),
--- a/crates/routing/src/api/actions.rs
+++ b/crates/routing/src/api/actions.rs
@@ -105,7 +105,7 @@
         timeout: Micros,
         /// The last byte must be sent by this time. After it the member may be too far behind for the read,
         /// or may no longer recognise the attempt as a repeat of one that has run.
-        holds_until: Option<Micros>,
+        send_deadline: Option<Micros>,
     },
     /// Send the client the final answer that the request was rejected: it has not run, or a retry is
     /// harmless.
--- a/crates/routing/src/policy/requests.rs
+++ b/crates/routing/src/policy/requests.rs
@@ -48,8 +48,8 @@
 
     /// The fraction of the time from arrival to deadline that has passed.
     fn waited_fraction(&self, now: Micros) -> f64 {
-        let patience = (self.request.deadline - self.arrived_at).max(1);
-        (now - self.arrived_at) as f64 / patience as f64
+        let time_allowed = (self.request.deadline - self.arrived_at).max(1);
+        (now - self.arrived_at) as f64 / time_allowed as f64
     }
 }
 
@@ -181,9 +181,9 @@
             _ => None,
         };
         let repeat_until = pending.repeat_recognised_until(class.idempotency);
-        let holds_until = fresh_until.into_iter().chain(repeat_until).min();
+        let send_deadline = fresh_until.into_iter().chain(repeat_until).min();
         let timeout = (pending.useful_until - now).max(1);
-        self.actions.push(Action::Send { id, host, timeout, holds_until });
+        self.actions.push(Action::Send { id, host, timeout, send_deadline });
     }
 
     /// Sends the final answer: rejects the request if a retry is harmless, and otherwise fails it.
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -58,16 +58,16 @@
     let report_columns = report_columns(fields)?;
     let settings = Settings {
         max_retry_after: max_retry_after(fields)?,
-        seed: fields.or("RngSeed", 0)?,
+        seed: fields.get_or("RngSeed", 0)?,
         routers: at_least_one(fields, "Balancers")?.unwrap_or(1),
         classes,
         max_attempts: at_least_one(fields, "Allowed.MaxAttempts")?.unwrap_or(u32::MAX),
         may_cancel: fields.flag("Allowed.MayCancel")?,
         may_probe: fields.flag("Allowed.MayProbe")?,
         must_subscribe: fields.word("Discovery")? == "ask",
-        slow_start_from: fields.amount("Rules.ColdFrom", 1.0)?.unwrap_or(1.0),
+        slow_start_from: fields.number_up_to("Rules.ColdFrom", 1.0)?.unwrap_or(1.0),
         slow_start_span: fields.span("Rules.ColdUs")?.unwrap_or(0),
-        overload_multiple: fields.amount("Rules.FallMultiple", MAX_FACTOR)?.unwrap_or(1.0),
+        overload_multiple: fields.number_up_to("Rules.FallMultiple", MAX_FACTOR)?.unwrap_or(1.0),
         overload_span: fields.span("Rules.OverloadForUs")?.unwrap_or(0),
         stale_reads: match fields.word("Specifics.WhenBehind")? {
             "bounce" | "await" => StaleReadPolicy::Reject,
@@ -104,7 +104,7 @@
 
 fn position_origin(fields: &Fields<'_>) -> Result<Micros, FieldError> {
     let name = "Specifics.OriginTimeUs";
-    let origin: Micros = fields.or(name, 0)?;
+    let origin: Micros = fields.get_or(name, 0)?;
     if origin.unsigned_abs() > MAX_TIME {
         return Err(FieldError::new(name, FieldProblem::NotTime(origin)));
     }
--- a/crates/routing/src/settings/classes.rs
+++ b/crates/routing/src/settings/classes.rs
@@ -14,7 +14,7 @@
 
 impl Classes {
     pub(super) fn translate(fields: &Fields<'_>) -> Result<Self, FieldError> {
-        let count: usize = fields.or("Classes.count", 0)?;
+        let count: usize = fields.get_or("Classes.count", 0)?;
         let consistencies = fields.parts("Specifics.Consistency")?;
         let staleness_bounds = fields.spans("Specifics.MaxAgeUs")?;
         check_count("Specifics.Consistency", consistencies.len(), count)?;
@@ -39,8 +39,8 @@
             idempotency: idempotency(fields, index)?,
             latency_objective: latency_objective
                 .ok_or_else(|| FieldError::new(&path("TargetUs"), FieldProblem::MissingWithDeadline))?,
-            priority_weight: fields.amount(&path("Worth"), MAX_FACTOR)?.unwrap_or(0.0),
-            late_weight: fields.amount(&path("LateValue"), MAX_FACTOR)?.unwrap_or(0.0),
+            priority_weight: fields.number_up_to(&path("Worth"), MAX_FACTOR)?.unwrap_or(0.0),
+            late_weight: fields.number_up_to(&path("LateValue"), MAX_FACTOR)?.unwrap_or(0.0),
         });
         Ok(())
     }
--- a/crates/routing/src/settings/fields.rs
+++ b/crates/routing/src/settings/fields.rs
@@ -16,7 +16,7 @@
 
 impl<'a> Fields<'a> {
     /// Parses `name=value` parts.
-    pub fn read(parts: impl Iterator<Item = &'a str>) -> Result<Self, FieldError> {
+    pub fn parse(parts: impl Iterator<Item = &'a str>) -> Result<Self, FieldError> {
         let pair = |part: &'a str| {
             let (name, value) =
                 part.split_once('=').ok_or_else(|| FieldError::new(part, FieldProblem::NoValue))?;
@@ -80,13 +80,13 @@
     }
 
     /// Returns the parsed value, which must be present.
-    pub fn need<T: FromStr>(&self, name: &str) -> Result<T, FieldError> {
+    pub fn required<T: FromStr>(&self, name: &str) -> Result<T, FieldError> {
         self.get(name)?.ok_or_else(|| FieldError::new(name, FieldProblem::Missing))
     }
 
     /// Returns the parsed value, or a default if it is absent.
-    pub fn or<T: FromStr>(&self, name: &str, absent: T) -> Result<T, FieldError> {
-        Ok(self.get(name)?.unwrap_or(absent))
+    pub fn get_or<T: FromStr>(&self, name: &str, default: T) -> Result<T, FieldError> {
+        Ok(self.get(name)?.unwrap_or(default))
     }
 
     /// Returns a finite number.
@@ -98,7 +98,7 @@
     }
 
     /// Returns a number from 0 to `max`.
-    pub fn amount(&self, name: &str, max: f64) -> Result<Option<f64>, FieldError> {
+    pub fn number_up_to(&self, name: &str, max: f64) -> Result<Option<f64>, FieldError> {
         match self.number(name)? {
             Some(value) if value < 0.0 => Err(FieldError::new(name, FieldProblem::Negative(value))),
             Some(value) if value > max => Err(FieldError::new(name, FieldProblem::TooLarge { max, value })),
--- a/crates/routing/tests/idempotency.rs
+++ b/crates/routing/tests/idempotency.rs
@@ -86,7 +86,7 @@
 /// The times until which the sends among the actions may be written.
 fn sends(actions: &[Action]) -> Vec<Option<Micros>> {
     let send = |a: &Action| match a {
-        Action::Send { holds_until, .. } => Some(*holds_until),
+        Action::Send { send_deadline, .. } => Some(*send_deadline),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
--- a/src/bin/wharfplank-simulator-adapter/instance.rs
+++ b/src/bin/wharfplank-simulator-adapter/instance.rs
@@ -49,7 +49,7 @@
     }
 
     pub fn request(&self, fields: &Fields<'_>) -> Result<Event, LineError> {
-        let name = fields.need::<String>("Cls")?;
+        let name = fields.required::<String>("Cls")?;
         let class = self.parameters.class_names.iter().position(|class| *class == name);
         let class = class.ok_or(LineError::UnknownClass(name))?;
         let group = fields.number("GroupNo")?.ok_or_else(|| missing("GroupNo"))?;
@@ -59,22 +59,22 @@
             class: ClassId(class),
             group: GroupId(group as u64),
             session: fields.get("Key")?.map(SessionKey),
-            deadline: fields.need("GiveUpAtUs")?,
+            deadline: fields.required("GiveUpAtUs")?,
             last_write_age: last_write_millis.map(|millis| (millis * 1e3).floor() as Micros),
             may_have_run: false,
         }))
     }
 
     pub fn attempt_result(&self, fields: &Fields<'_>) -> Result<Event, LineError> {
-        let outcome = attempt_outcome(&fields.need::<String>("Rc")?)?;
-        let mark: Micros = fields.or("Mark", 0)?;
+        let outcome = attempt_outcome(&fields.required::<String>("Rc")?)?;
+        let mark: Micros = fields.get_or("Mark", 0)?;
         Ok(Event::AttemptFinished(AttemptResult {
             id: request_id(fields)?,
-            attempt: AttemptNo(fields.need("SendNo")?),
+            attempt: AttemptNo(fields.required("SendNo")?),
             host: host_id(fields)?,
             outcome,
             terminal: fields.flag("Terminal")?,
-            latency: fields.or("LatencyUs", 0)?,
+            latency: fields.get_or("LatencyUs", 0)?,
             role: role_of_mark(mark),
             position: self.position_of_mark(mark),
         }))
@@ -90,7 +90,7 @@
         let report = self.load_report(fields.text("Usage"))?;
         Ok(Event::ProbeFinished(ProbeResult {
             host: host_id(fields)?,
-            answered: fields.need::<String>("Rc")? == "done",
+            answered: fields.required::<String>("Rc")? == "done",
             role: report.role,
             position: report.position,
             queued: report.queued,
--- a/src/bin/wharfplank-simulator-adapter/message.rs
+++ b/src/bin/wharfplank-simulator-adapter/message.rs
@@ -74,11 +74,13 @@
 /// Reads one line, other than an entry of a ROSTER.
 pub fn parse(line: &str) -> Result<Message<'_>, LineError> {
     let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
-    let fields = Fields::read(rest.split(' '))?;
+    let fields = Fields::parse(rest.split(' '))?;
     match name {
-        "BATCH" => Ok(Message::BatchStart(fields.need("NowUs")?)),
+        "BATCH" => Ok(Message::BatchStart(fields.required("NowUs")?)),
         "COMMIT" => Ok(Message::Commit),
-        "ROSTER" => Ok(Message::Roster { page: fields.need("Page")?, members: fields.need("Members")? }),
+        "ROSTER" => {
+            Ok(Message::Roster { page: fields.required("Page")?, members: fields.required("Members")? })
+        }
         "CONFIGURE" | "EXIT" | "MEMBERSHIP" | "INCOMING" | "RESOLVED" | "ECHO" | "TIMER" | "GONE"
         | "FIRST_BYTE" | "NEIGHBOUR_SAYS" => parse_for_instance(name, fields),
         _ => Err(LineError::UnknownMessage(name.to_string())),
@@ -87,7 +89,7 @@
 
 /// Reads a line that is meant for one instance.
 fn parse_for_instance<'a>(name: &str, fields: Fields<'a>) -> Result<Message<'a>, LineError> {
-    let who = fields.need("Who")?;
+    let who = fields.required("Who")?;
     Ok(match name {
         "CONFIGURE" => {
             let (settings, parameters) = translate(&fields)?;
@@ -105,15 +107,15 @@
 }
 
 fn parse_membership<'a>(who: u64, fields: &Fields<'_>) -> Result<Message<'a>, LineError> {
-    let scope = match fields.need::<String>("Scope")?.as_str() {
+    let scope = match fields.required::<String>("Scope")?.as_str() {
         "patch" => MembershipScope::Patch,
         "whole" | "stale_copy" => MembershipScope::Complete,
         "broken" => MembershipScope::Broken,
         other => return Err(unknown_value("Scope", other)),
     };
     let page = match scope {
-        MembershipScope::Broken => fields.or("Page", 0)?,
-        _ => fields.need("Page")?,
+        MembershipScope::Broken => fields.get_or("Page", 0)?,
+        _ => fields.required("Page")?,
     };
     Ok(Message::Membership { who, page, scope })
 }
@@ -124,8 +126,8 @@
     if name != "M" {
         return Err(LineError::TooFewEndpoints);
     }
-    let fields = Fields::read(rest.split(' '))?;
-    let status = match fields.need::<String>("Health")?.as_str() {
+    let fields = Fields::parse(rest.split(' '))?;
+    let status = match fields.required::<String>("Health")?.as_str() {
         "up" => EndpointStatus::Up,
         "draining" => EndpointStatus::Draining,
         "removed" => EndpointStatus::Removed,
@@ -133,7 +135,7 @@
     };
     Ok(RosterEntry {
         host: host_id(&fields)?,
-        group: GroupId(fields.or("Shard", 0)?),
+        group: GroupId(fields.get_or("Shard", 0)?),
         status,
         primary: fields.number("Head")? == Some(1.0),
         started_at: fields.get("LaunchedUs")?.filter(|started_at| *started_at > 0),
@@ -150,5 +152,5 @@
 
 /// The member that a line names.
 pub fn host_id(fields: &Fields<'_>) -> Result<HostId, LineError> {
-    Ok(HostId(fields.need("Host")?))
+    Ok(HostId(fields.required("Host")?))
 }
