--- a/crates/routing/src/settings/fields.rs
+++ b/crates/routing/src/settings/fields.rs
@@ -16,7 +16,7 @@
 
 impl<'a> Fields<'a> {
     /// Parses `name=value` parts.
-    pub fn parse(parts: impl Iterator<Item = &'a str>) -> Result<Self, FieldError> {
+    pub fn from_pairs(parts: impl Iterator<Item = &'a str>) -> Result<Self, FieldError> {
         let pair = |part: &'a str| {
             let (name, value) =
                 part.split_once('=').ok_or_else(|| FieldError::new(part, FieldProblem::NoValue))?;
--- a/src/bin/wharfplank-simulator-adapter/message.rs
+++ b/src/bin/wharfplank-simulator-adapter/message.rs
@@ -74,7 +74,7 @@
 /// Reads one line, other than an entry of a ROSTER.
 pub fn parse(line: &str) -> Result<Message<'_>, LineError> {
     let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
-    let fields = Fields::parse(rest.split(' '))?;
+    let fields = Fields::from_pairs(rest.split(' '))?;
     match name {
         "BATCH" => Ok(Message::BatchStart(fields.required("NowUs")?)),
         "COMMIT" => Ok(Message::Commit),
@@ -126,7 +126,7 @@
     if name != "M" {
         return Err(LineError::TooFewEndpoints);
     }
-    let fields = Fields::parse(rest.split(' '))?;
+    let fields = Fields::from_pairs(rest.split(' '))?;
     let status = match fields.required::<String>("Health")?.as_str() {
         "up" => EndpointStatus::Up,
         "draining" => EndpointStatus::Draining,
