--- a/crates/settings/tests/settings_file.rs
+++ b/crates/settings/tests/settings_file.rs
@@ -126,8 +126,8 @@
     assert_eq!(
         parse(text).unwrap_err().iter().map(|f| f.to_string()).collect::<Vec<_>>(),
         [
-            "line 2: wharfplank/peers/@listen: invalid value '127.0.0.1'; expected an IPv4 address and a port, as 127.0.0.1:7001",
-            "line 2: wharfplank/peers/@seeds: invalid value '1.2.3.4:5  6.7.8.9:10'; expected 1 to 64 IPv4 addresses with ports, apart by single spaces",
+            "line 2: wharfplank/peers/@listen: invalid value '127.0.0.1'; expected an IPv4 address and a port, such as 127.0.0.1:7001",
+            "line 2: wharfplank/peers/@seeds: invalid value '1.2.3.4:5  6.7.8.9:10'; expected 1 to 64 IPv4 addresses with ports, separated by single spaces",
         ]
     );
     let text =
@@ -135,9 +135,9 @@
     assert_eq!(
         parse(text).unwrap_err().iter().map(|f| f.to_string()).collect::<Vec<_>>(),
         [
-            "line 2: wharfplank/budgets/@banks: invalid value 'x'; expected none, or 1 to 9 IPv4 addresses with ports, apart by single spaces",
+            "line 2: wharfplank/budgets/@banks: invalid value 'x'; expected none, or 1 to 9 IPv4 addresses with ports, separated by single spaces",
             "line 2: wharfplank/budgets/@even: invalid value '101'; expected a whole number from 0 to 100",
-            "line 2: wharfplank/budgets/@tenants: invalid value '3:5'; expected none, or 1 to 256 groups with their requests a second, as 3=200, apart by single spaces",
+            "line 2: wharfplank/budgets/@tenants: invalid value '3:5'; expected none, or 1 to 256 groups with their requests per second, such as 3=200, separated by single spaces",
         ]
     );
     assert_eq!(fault_places("<wharfplank><log/><log/></wharfplank>"), [(1, "wharfplank/log".to_string())]);
