--- a/crates/fleet-harness/src/budgets/faults.rs
+++ b/crates/fleet-harness/src/budgets/faults.rs
@@ -1,6 +1,6 @@
-//! What goes wrong in a run.
+//! Injects the fault of a run.
 
-use super::rig::Rig;
+use super::harness::Harness;
 use super::{Case, ALLOCATORS};
 use async_io::Timer;
 use rand::rngs::SmallRng;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A fault begins so long after the load, and up to [`MAX_FAULT_JITTER_MS`] later.
+/// The time from the start of the load to the fault, to which up to [`MAX_FAULT_JITTER_MS`] are added.
 const FAULT_AFTER_MS: u64 = 3_000;
 const MAX_FAULT_JITTER_MS: u64 = 1_000;
 const RESTART_AFTER_MS: u64 = 1_000;
@@ -20,8 +20,8 @@
     Timer::after(Duration::from_millis(milliseconds)).await;
 }
 
-impl Rig {
-    /// Carries a case's fault out.
+impl Harness {
+    /// Injects the fault of a case.
     pub(super) async fn inject_fault(self: Rc<Self>, case: Case, seed: u64) -> Result<(), String> {
         let mut rng = SmallRng::seed_from_u64(seed);
         sleep_ms(FAULT_AFTER_MS + rng.random_range(0..MAX_FAULT_JITTER_MS)).await;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Kills seven in ten proxies, and restarts them.
+    /// Kills seven in ten proxies, and restarts them [`RESTART_AFTER_MS`] later.
     async fn kill_most(&self, rng: &mut SmallRng) -> Result<(), String> {
         let count = self.cluster.len();
         let mut killed: Vec<usize> = (0..count).collect();
@@ -82,12 +82,12 @@
         let retired = ALLOCATORS - 1;
         self.kill(retired);
         sleep_ms(RESTART_AFTER_MS).await;
-        let declaration = format!("<budgets gone=\"{}\" set=\"2\"", self.cluster.mesh.inbox[retired]);
+        let declaration = format!("<budgets gone=\"{}\" set=\"2\"", self.cluster.mesh.addresses[retired]);
         for proxy in (0..self.cluster.len()).filter(|proxy| *proxy != retired) {
             self.kill(proxy);
-            let mut plan = self.cluster.plans[proxy].clone();
-            plan.more = plan.more.replace("<budgets", &declaration);
-            self.cluster.start_by(proxy, &plan)?;
+            let mut config = self.cluster.configs[proxy].clone();
+            config.extra_settings = config.extra_settings.replace("<budgets", &declaration);
+            self.cluster.start_with(proxy, &config)?;
         }
         Ok(())
     }
--- a/crates/fleet-harness/src/budgets/rig.rs
+++ b/crates/fleet-harness/src/budgets/harness.rs
@@ -1,10 +1,10 @@
-//! The processes of a run, and the network between them.
+//! The proxy processes of a run, and the network between them.
 
 use super::case::LIMIT_PER_PROXY;
 use super::{Case, ALLOCATORS, STATIC_PERCENT};
-use crate::agent;
 use crate::cluster::Cluster;
-use crate::proxies::Plan;
+use crate::discovery_agent;
+use crate::proxies::ProxyConfig;
 use crate::relay::{Links, Mesh};
 use crate::run::Place;
 use async_executor::LocalExecutor;
@@ -16,64 +16,70 @@
 use wharfplank_lab::stand_ins::StandIns;
 use wharfplank_lab::timeline::Timeline;
 
-/// What the clocks of the proxies are ahead in [`Case::Skew`], by turn, in milliseconds.
+/// The clock offsets in [`Case::Skew`] in milliseconds, assigned to the proxies in turn.
 const SKEWS_MS: [i64; 3] = [0, 500, -500];
 
-/// What the network does to datagrams in [`Case::Lossy`].
+/// The network conditions in [`Case::Lossy`].
 const LOSS: f64 = 0.2;
 const DUPLICATES: f64 = 0.1;
 const JITTER_MICROS: i64 = 100_000;
 
 /// The proxies of a run and the load of each.
-pub(super) struct Rig {
+pub(super) struct Harness {
     pub(super) cluster: Cluster,
     /// The load of each proxy.
     pub(super) loads: Vec<Rc<Load>>,
 }
 
-impl Rig {
-    /// The stand-ins, the network and the plans of a run; no proxy is started yet.
+impl Harness {
+    /// Prepares the stand-in members, the network and the proxy configurations of a run. No proxy is started
+    /// yet.
     pub(super) fn prepare(
         case: Case,
         proxies: usize,
         seed: u64,
         place: &Place,
         executor: &Rc<LocalExecutor<'static>>,
-    ) -> std::io::Result<Rc<Rig>> {
+    ) -> std::io::Result<Rc<Harness>> {
         let stand_ins = start_stand_ins(proxies, seed, executor)?;
-        let links = Links::start(executor, &stand_ins, (0..proxies).map(Plan::zone).collect())?;
+        let links = Links::start(executor, &stand_ins, (0..proxies).map(ProxyConfig::zone).collect())?;
         let mesh = Mesh::start(executor, proxies, seed)?;
         if case == Case::Lossy {
             make_lossy(&mesh);
         }
-        let mut plans = Vec::new();
+        let mut configs = Vec::new();
         for number in 0..proxies {
             let skew_ms = if case == Case::Skew { SKEWS_MS[number % SKEWS_MS.len()] } else { 0 };
-            plans.push(Plan {
+            configs.push(ProxyConfig {
                 program: place.program.clone(),
                 directory: place.directory.clone(),
                 number,
-                discovery: agent::start(executor, &stand_ins, &links, number)?,
-                known: agent::list(&stand_ins, &links, number),
+                discovery: discovery_agent::start(executor, &stand_ins, &links, number)?,
+                known_endpoints: discovery_agent::endpoint_list(&stand_ins, &links, number),
                 peers: None,
                 proxies,
                 replica_bytes: 0,
                 skew_ms: 0,
-                more: settings(&mesh.inbox[..ALLOCATORS], mesh.inbox[number], proxies, skew_ms),
+                extra_settings: settings(
+                    &mesh.addresses[..ALLOCATORS],
+                    mesh.addresses[number],
+                    proxies,
+                    skew_ms,
+                ),
             });
         }
-        Ok(Rc::new(Rig {
-            cluster: Cluster::new(plans, mesh),
+        Ok(Rc::new(Harness {
+            cluster: Cluster::new(configs, mesh),
             loads: (0..proxies).map(|_| Load::new(executor, 1)).collect(),
         }))
     }
 
-    /// Takes over the addresses that proxies have logged since the last call.
+    /// Registers the addresses that proxies have logged since the last call.
     pub(super) fn register_addresses(&self) {
         self.cluster.register_addresses(|index, addr| self.loads[index].proxy_addresses[0].set(Some(addr)));
     }
 
-    /// Kills a proxy, and tells its load.
+    /// Kills a proxy, and removes it from its load generator.
     pub(super) fn kill(&self, index: usize) {
         self.loads[index].remove_proxy(0);
         self.cluster.kill(index);
@@ -99,13 +105,13 @@
 }
 
 fn make_lossy(mesh: &Mesh) {
-    let mut wire = mesh.wire.borrow_mut();
-    wire.loss = LOSS;
-    wire.duplicate = DUPLICATES;
-    wire.jitter = JITTER_MICROS;
+    let mut conditions = mesh.conditions.borrow_mut();
+    conditions.loss = LOSS;
+    conditions.duplicate = DUPLICATES;
+    conditions.jitter = JITTER_MICROS;
 }
 
-/// The element of the settings that shares the budgets.
+/// Returns the `<budgets>` element of a proxy's settings.
 fn settings(allocators: &[SocketAddrV4], own: SocketAddrV4, proxies: usize, skew_ms: i64) -> String {
     let allocators: Vec<String> = allocators.iter().map(ToString::to_string).collect();
     let limit = LIMIT_PER_PROXY * proxies as u64;
--- a/crates/fleet-harness/src/budgets/log.rs
+++ b/crates/fleet-harness/src/budgets/log.rs
@@ -1,44 +1,44 @@
-//! What the proxies logged of their budgets: the leases in force, the units spent and the connections held open.
+//! The history of budgets from the proxies' logs: leases, units spent and connections held open.
 
-use crate::check::lines;
+use crate::check::log_entries;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::Path;
 
 const MICROS_PER_MS: i64 = 1000;
 
-/// A change of a level, as of what is leased out or held open.
+/// A change of a level, such as the amount leased out or held open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LevelChange {
-    /// When, in microseconds.
+    /// The time in microseconds.
     pub at: i64,
-    /// By how much.
+    /// The amount of the change.
     pub change: i64,
 }
 
-/// What happened to one budget at all proxies.
+/// The history of one budget at all proxies.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BudgetHistory {
-    /// How what is leased out and in force changed.
+    /// The changes of the amount leased out.
     pub leased: Vec<LevelChange>,
-    /// When each unit was spent.
+    /// The times at which units were spent.
     pub spends: Vec<i64>,
-    /// How what is held open changed.
+    /// The changes of the amount held open.
     pub in_use: Vec<LevelChange>,
 }
 
-/// What happened to the budgets at all proxies.
+/// The history of all budgets at all proxies.
 #[derive(Clone, Debug, Default)]
 pub(super) struct History {
     pub by_budget: BTreeMap<u32, BudgetHistory>,
-    /// Leases that were logged.
+    /// The number of leases in the logs.
     pub leases: u64,
-    /// Changes of what is held open that were logged.
+    /// The number of logged changes of the amount held open.
     pub in_use_changes: u64,
 }
 
 impl History {
-    /// Reads the logs of so many proxies.
+    /// Reads the logs of this number of proxies.
     pub fn read(directory: &Path, proxies: usize) -> History {
         let mut history = History::default();
         for proxy in 0..proxies {
@@ -54,7 +54,7 @@
         self.by_budget.entry(budget).or_default()
     }
 
-    /// A lease of an allocator replaces the one before it, in the same process.
+    /// Adds the logged leases. A lease replaces the previous one of the same allocator to the same process.
     fn add_leases(&mut self, log: &ProxyLog) {
         let mut by_allocator: BTreeMap<(usize, i64), Vec<Lease>> = BTreeMap::new();
         for line in log.lines("budget_leased") {
@@ -103,7 +103,8 @@
                 self.in_use_changes += 1;
             }
         }
-        // What a killed process held open is released once it is dead, at the latest when the next one starts.
+        // What a killed process held open is released when it dies, at the latest when the next process
+        // starts.
         for ((process, budget), count) in counts {
             let released = log.next_start(process).map(|at| LevelChange { at, change: -count });
             self.budget(budget).in_use.extend(released);
@@ -132,33 +133,33 @@
 struct ProxyLog<'a> {
     directory: &'a Path,
     proxy: usize,
-    /// When each process started.
+    /// The start times of the processes.
     starts: Vec<i64>,
 }
 
 impl<'a> ProxyLog<'a> {
     fn new(directory: &'a Path, proxy: usize) -> ProxyLog<'a> {
-        let lines = lines(directory, proxy, "budgets_started");
-        let starts = lines.iter().map(|line| number(line, "time_ms") * MICROS_PER_MS).collect();
+        let entries = log_entries(directory, proxy, "budgets_started");
+        let starts = entries.iter().map(|line| number(line, "time_ms") * MICROS_PER_MS).collect();
         ProxyLog { directory, proxy, starts }
     }
 
     fn lines(&self, event: &str) -> Vec<Value> {
-        lines(self.directory, self.proxy, event)
+        log_entries(self.directory, self.proxy, event)
     }
 
-    /// The number of the process that ran at a time, from one on.
+    /// Returns the number of the process that ran at a time, counted from one.
     fn process(&self, at: i64) -> usize {
         self.starts.iter().filter(|start| **start <= at).count()
     }
 
-    /// When the process after this one started.
+    /// Returns the time at which the next process started.
     fn next_start(&self, process: usize) -> Option<i64> {
         self.starts.get(process).copied()
     }
 }
 
-/// The entries of a line, as `budget@rest` or `budget=rest`, separated by commas.
+/// Returns the entries `budget@rest` or `budget=rest` of a line, which are separated by commas.
 fn entries(line: &Value, separator: char) -> impl Iterator<Item = (u32, &str)> {
     let what = line.get("what").and_then(Value::as_str).unwrap_or("");
     what.split(',').filter_map(move |entry| {
--- a/crates/fleet-harness/src/budgets/mod.rs
+++ b/crates/fleet-harness/src/budgets/mod.rs
@@ -1,54 +1,56 @@
-//! Runs whose proxies share budgets: processes of the program, each with a load of its own, on a network that loses,
-//! duplicates and cuts, killed, paused and with clocks apart; the checker adds all logs up. Every process is ended.
+//! Runs whose proxies share budgets. The proxies are processes, each with a load of its own. They are killed,
+//! paused or partitioned, or run with clock skew or on a lossy network. A checker totals the logs of all
+//! proxies. Every process is ended.
 //!
-//! - [`Case`]: what goes wrong.
-//! - [`play`]: one run, and its [`Report`].
+//! - [`Case`]: the fault of a run.
+//! - [`play`]: a single run, with its [`Report`].
 //! - [`check`]: the checker.
 
 mod case;
 pub mod check;
 mod faults;
+mod harness;
 mod log;
 mod report;
-mod rig;
 
 pub use case::Case;
 pub use log::LevelChange;
 pub use report::Report;
 
-use crate::proxies::{Plan, Proxy};
+use crate::proxies::{Proxy, ProxyConfig};
 use crate::run::Place;
 use async_executor::LocalExecutor;
 use async_io::Timer;
+use harness::Harness;
 use report::FinishedRun;
-use rig::Rig;
 use std::rc::Rc;
 use std::time::Duration;
 use wharfplank_lab::clock::now;
 use wharfplank_lab::load::LoadProfile;
 use wharfplank_lab::member_model::{ClassMix, Micros};
 
-/// Per cent of each limit that is divided into static quotas.
+/// The percentage of each limit that is divided into static quotas.
 const STATIC_PERCENT: u64 = 10;
 const ALLOCATORS: usize = 3;
-/// The load begins so long after the proxies have started: allocators then grant leases, and their quotas may be spent.
+/// The time from the start of the proxies to the load, after which allocators grant leases and their quotas
+/// may be spent.
 const SETTLE: Duration = Duration::from_millis(5_000);
-/// The length of the load.
+/// The duration of the load.
 const LOAD_SECONDS: u64 = 14;
-/// Groups of members that the load is spread over.
+/// The number of groups over which the load is spread.
 const GROUPS: usize = 3;
 const START_TIMEOUT: Micros = 30_000_000;
 const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const END_TIMEOUT: Duration = Duration::from_secs(8);
 const WATCH_INTERVAL: Duration = Duration::from_millis(5);
-/// Tells the seeds of the second half of the load from those of the first.
+/// The factor that separates the seeds of the second half of the load from those of the first.
 const SECOND_HALF_SEED_FACTOR: u64 = 7;
 
-/// Plays a case with so many proxies; logs and the report go into the place's directory.
+/// Runs a case with this number of proxies, and writes the logs and the report to the run's directory.
 pub fn play(case: Case, proxies: usize, seed: u64, place: &Place) -> Result<Report, String> {
     std::fs::create_dir_all(&place.directory).map_err(|e| format!("{}: {e}", place.directory.display()))?;
     for proxy in 0..proxies {
-        let _ = std::fs::remove_file(Plan::log(&place.directory, proxy));
+        let _ = std::fs::remove_file(ProxyConfig::log_path(&place.directory, proxy));
     }
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
     let run = run(case, proxies.max(ALLOCATORS), seed, place, &executor);
@@ -65,36 +67,39 @@
     place: &Place,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<FinishedRun, String> {
-    let rig = Rig::prepare(case, proxies, seed, place, executor).map_err(|e| e.to_string())?;
+    let harness = Harness::prepare(case, proxies, seed, place, executor).map_err(|e| e.to_string())?;
     let started_at_first = if case == Case::Join { (proxies / 2).max(1) } else { proxies };
-    (0..started_at_first).try_for_each(|proxy| rig.cluster.start(proxy))?;
-    let watcher = executor.spawn(watch_logs(Rc::clone(&rig)));
-    wait_until_ready(&rig, started_at_first, place).await?;
+    (0..started_at_first).try_for_each(|proxy| harness.cluster.start(proxy))?;
+    let watcher = executor.spawn(watch_logs(Rc::clone(&harness)));
+    wait_until_ready(&harness, started_at_first, place).await?;
     Timer::after(SETTLE).await;
     let load_began_at = now();
-    let fault = executor.spawn(Rc::clone(&rig).inject_fault(case, seed));
-    run_loads(&rig, case, seed, executor).await;
+    let fault = executor.spawn(Rc::clone(&harness).inject_fault(case, seed));
+    run_loads(&harness, case, seed, executor).await;
     fault.await?;
     let load_ended_at = now();
     watcher.cancel().await;
-    let crashed = end_all(&rig);
+    let crashed = end_all(&harness);
     Ok(FinishedRun { case, seed, proxies, load_began_at, load_ended_at, crashed })
 }
 
-/// Follows what the proxies' logs say of their addresses, until it is cancelled.
-async fn watch_logs(rig: Rc<Rig>) {
+/// Registers the addresses that proxies log, until it is cancelled.
+async fn watch_logs(harness: Rc<Harness>) {
     loop {
-        rig.register_addresses();
+        harness.register_addresses();
         Timer::after(WATCH_INTERVAL).await;
     }
 }
 
-async fn wait_until_ready(rig: &Rig, proxies: usize, place: &Place) -> Result<(), String> {
+async fn wait_until_ready(harness: &Harness, proxies: usize, place: &Place) -> Result<(), String> {
     let deadline = now() + START_TIMEOUT;
-    for (proxy, load) in rig.loads.iter().enumerate().take(proxies) {
+    for (proxy, load) in harness.loads.iter().enumerate().take(proxies) {
         while !(load.proxy_addresses[0].get().is_some() && load.is_ready(0).await) {
             if now() > deadline {
-                return Err(format!("proxy n{proxy} does not start; see {}", place.directory.display()));
+                return Err(format!(
+                    "proxy n{proxy} did not become ready in time; see {}",
+                    place.directory.display()
+                ));
             }
             Timer::after(START_POLL_INTERVAL).await;
         }
@@ -103,9 +108,9 @@
 }
 
 /// Runs the load of each proxy to its end.
-async fn run_loads(rig: &Rig, case: Case, seed: u64, executor: &Rc<LocalExecutor<'static>>) {
+async fn run_loads(harness: &Harness, case: Case, seed: u64, executor: &Rc<LocalExecutor<'static>>) {
     let half = LOAD_SECONDS / 2;
-    let loads: Vec<_> = rig
+    let loads: Vec<_> = harness
         .loads
         .iter()
         .enumerate()
@@ -136,8 +141,9 @@
     }
 }
 
-/// Ends all proxies; returns how many had ended on their own or did not end when told to.
-fn end_all(rig: &Rig) -> u64 {
-    let has_crashed = |mut proxy: Proxy| proxy.ended().is_some() || proxy.end(END_TIMEOUT).is_err();
-    rig.cluster.take_all().into_iter().map(|proxy| u64::from(has_crashed(proxy))).sum()
+/// Shuts all proxies down, and returns the number that had exited on their own or did not exit cleanly.
+fn end_all(harness: &Harness) -> u64 {
+    let has_crashed =
+        |mut proxy: Proxy| proxy.exit_status().is_some() || proxy.shut_down(END_TIMEOUT).is_err();
+    harness.cluster.take_all().into_iter().map(|proxy| u64::from(has_crashed(proxy))).sum()
 }
--- a/crates/fleet-harness/src/budgets/report.rs
+++ b/crates/fleet-harness/src/budgets/report.rs
@@ -1,4 +1,4 @@
-//! What a run showed.
+//! The report of a run.
 
 use super::case::{demand, Case, LIMIT_PER_PROXY};
 use super::check::{check, Findings, Limit};
@@ -7,51 +7,52 @@
 use std::path::Path;
 use wharfplank_lab::member_model::Micros;
 
-/// The budget of the requests in all, which is the first kind.
+/// The number of the budget of all requests, which is of the first kind.
 const MAIN_BUDGET: u32 = 1 << 27;
 const SECOND: Micros = 1_000_000;
 
-/// What a run showed. The encoded names are those of `budgets.json`.
+/// The report of a run. The encoded names are those of `budgets.json`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The case.
     pub case: Case,
-    /// The seed of all that was drawn.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// How many proxies there were.
+    /// The number of proxies.
     pub proxies: usize,
-    /// What the checker found.
+    /// The findings of the checker.
     #[serde(rename = "found")]
     pub findings: Findings,
-    /// The part of the limit that was spent while the load ran.
+    /// The fraction of the limit that was spent during the load.
     #[serde(rename = "used")]
     pub utilization: f64,
-    /// The part of the limit that an equal, fixed split could have spent.
+    /// The fraction of the limit that could have been spent if it were split equally and statically.
     #[serde(rename = "even")]
     pub equal_split_utilization: f64,
-    /// The part of the limit spent in each second of the load.
+    /// The fraction of the limit spent in each second of the load.
     #[serde(rename = "seconds")]
     pub utilization_by_second: Vec<f64>,
-    /// The part of what allocators may lease out that was in force a second before the load's end.
+    /// The fraction of the leasable amount that was leased out a second before the end of the load.
     #[serde(rename = "leased")]
     pub leased_part: f64,
-    /// Proxies that ended on their own or did not end when told to.
+    /// The number of proxies that exited on their own or did not exit cleanly.
     pub crashed: u64,
 }
 
-/// A run that is over.
+/// A finished run.
 pub(super) struct FinishedRun {
     pub case: Case,
     pub seed: u64,
     pub proxies: usize,
-    /// When the load began and ended.
+    /// When the load began.
     pub load_began_at: Micros,
+    /// When the load ended.
     pub load_ended_at: Micros,
     pub crashed: u64,
 }
 
 impl FinishedRun {
-    /// Reads the logs in a directory and judges the run by them.
+    /// Checks the logs in a directory and returns the report.
     pub fn report(self, directory: &Path) -> Report {
         let limit = self.limit();
         let findings = check(directory, self.proxies, MAIN_BUDGET, |_| limit);
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The limit of each budget: all have the same.
+    /// Returns the limit, which is the same for all budgets.
     fn limit(&self) -> Limit {
         let proxies = self.proxies as u64;
         let total = LIMIT_PER_PROXY * proxies;
--- a/crates/fleet-harness/src/goodput.rs
+++ b/crates/fleet-harness/src/goodput.rs
@@ -1,6 +1,6 @@
-//! The goodput of a run weighted by the classes' priorities: what the requests were worth, what of it was served, and
-//! what a router that always knows the truth could have served. Agreement among proxies is judged by this, not by
-//! itself.
+//! The goodput of a run, weighted by the priorities of the request classes: the weight of all requests, the
+//! weight served, and the weight that a router with perfect knowledge could have served. Agreement among
+//! proxies is judged by its effect on goodput, not as an end in itself.
 
 use crate::ground_truth::GroundTruth;
 use serde::{Deserialize, Serialize};
@@ -14,14 +14,14 @@
     /// The weight of all requests.
     #[serde(rename = "asked")]
     pub offered: f64,
-    /// The weight served: a late answer has the class's part of it.
+    /// The weight served; a late answer counts for the class's late fraction of it.
     pub served: f64,
-    /// The most that any router could have served.
+    /// The greatest weight that any router could have served.
     #[serde(rename = "bound")]
     pub upper_bound: f64,
     /// Answers within the class's latency objective.
     pub in_time: u64,
-    /// Answers that were later.
+    /// Answers after the latency objective.
     pub late: u64,
     /// Requests rejected.
     #[serde(rename = "refused")]
@@ -38,7 +38,7 @@
         self.rejected += other.rejected;
     }
 
-    /// The goodput of one request.
+    /// Returns the goodput of one request.
     fn of(request: &RequestRecord, truth: &GroundTruth, zone: &str) -> Goodput {
         let class = &CLASSES[request.class];
         let is_served = request.outcome == ClientOutcome::Served;
@@ -55,21 +55,22 @@
         }
     }
 
-    /// For people: the part of the weight that was served, the part that could be, and the late share of answers.
+    /// Formats the fraction of the weight that was served, its upper bound, and the fraction of answers that
+    /// were late.
     pub fn render(&self, name: &str) -> String {
-        let part = |value: f64| value / self.offered.max(f64::MIN_POSITIVE);
+        let fraction = |value: f64| value / self.offered.max(f64::MIN_POSITIVE);
         let late = self.late as f64 / (self.late + self.in_time).max(1) as f64;
         format!(
-            "worth of {name}: {:.3} served, {:.3} within reach; {:.3} of answers late, {} refused\n",
-            part(self.served),
-            part(self.upper_bound),
+            "goodput of {name}: {:.3} served, at most {:.3} possible; {:.3} of answers late, {} rejected\n",
+            fraction(self.served),
+            fraction(self.upper_bound),
             late,
             self.rejected
         )
     }
 }
 
-/// The weight of an answer to a request that was due at `due`.
+/// Returns the weight of an answer to a request that was due at `due`.
 fn weight(class: &RequestClass, due: Micros, answered_at: Micros) -> f64 {
     if answered_at - due <= class.latency_objective {
         class.weight
@@ -78,7 +79,7 @@
     }
 }
 
-/// The goodput by class; `zone_of` tells in which zone a proxy is.
+/// Returns the goodput by class; `zone_of` returns the zone of a proxy.
 pub fn by_class(
     truth: &GroundTruth,
     requests: &[RequestRecord],
@@ -93,7 +94,7 @@
     by_class
 }
 
-/// The goodput of all classes.
+/// Returns the goodput of all classes together.
 pub fn total(by_class: &BTreeMap<String, Goodput>) -> Goodput {
     let mut total = Goodput::default();
     by_class.values().for_each(|goodput| total.add(*goodput));
--- a/crates/fleet-harness/src/ground_truth.rs
+++ b/crates/fleet-harness/src/ground_truth.rs
@@ -1,10 +1,10 @@
-//! The members as they truly were through a run, sampled at the stand-ins: from it follows which requests any router
-//! could have served.
+//! The actual state of the members during a run, sampled from the stand-in members. It determines which
+//! requests a router could have served.
 //!
-//! A request could have been served if, at any time that its client would still wait, some member of its group could
-//! have answered it: reachable from its proxy's zone, running, the primary for a write, recent enough for a read. This
-//! ignores capacity and takes an answer to need no time, so it is an upper bound that no router reaches where members
-//! are busy.
+//! A request could have been served if, at some time before its client's timeout, a member of its group could
+//! have answered it: reachable from the proxy's zone, running, the primary for a write, recent enough for a
+//! read. This ignores capacity and assumes that an answer takes no time, so it is an upper bound that no
+//! router reaches where members are busy.
 
 use crate::relay::Links;
 use wharfplank_lab::load::RequestRecord;
@@ -12,13 +12,13 @@
 
 /// How often the members are sampled.
 pub const SAMPLE_INTERVAL: Micros = 20_000;
-/// The most samples that are kept: an hour's.
+/// The maximum number of samples kept, which cover an hour.
 const MAX_SAMPLES: usize = 180_000;
-/// How old the data of a bounded read may be.
+/// The maximum age of the data that a bounded read may return.
 const MAX_READ_AGE: Micros = 200_000;
 const MICROS_PER_MS: Micros = 1000;
 
-/// Where a member is.
+/// The group and zone of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberSite {
     /// Its group.
@@ -27,21 +27,21 @@
     pub zone: &'static str,
 }
 
-/// A member at one moment.
+/// The state of a member at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberState {
     /// Whether it accepts requests.
     pub is_serving: bool,
     /// Whether it is its group's primary.
     pub is_primary: bool,
-    /// The position that it has replicated up to.
+    /// The log position up to which it has replicated.
     pub position: Micros,
 }
 
-/// All members at one moment.
+/// The state of all members at one time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// When.
+    /// The time of the sample.
     pub at: Micros,
     /// The zone that is cut off from the others, if any.
     pub cut_zone: Option<String>,
@@ -50,7 +50,7 @@
 }
 
 impl Sample {
-    /// Whether a proxy of one zone reaches a member of another.
+    /// Returns whether a proxy in one zone can reach a member in another.
     fn is_reachable(&self, proxy_zone: &str, member_zone: &str) -> bool {
         match self.cut_zone.as_deref() {
             Some(cut) => (member_zone == cut) == (proxy_zone == cut),
@@ -59,7 +59,7 @@
     }
 }
 
-/// The members as they truly were through a run.
+/// The actual state of the members during a run.
 #[derive(Debug, Default)]
 pub struct GroundTruth {
     sites: Vec<MemberSite>,
@@ -67,12 +67,12 @@
 }
 
 impl GroundTruth {
-    /// The members of these sites, with samples in order of time.
+    /// Creates the ground truth of members at these sites from samples in chronological order.
     pub fn new(sites: Vec<MemberSite>, samples: Vec<Sample>) -> GroundTruth {
         GroundTruth { sites, samples }
     }
 
-    /// Samples the members, if the last sample is long enough ago.
+    /// Samples the members if [`SAMPLE_INTERVAL`] has passed since the last sample.
     pub fn sample(&mut self, now: Micros, model: &MemberModel, links: &Links) {
         let is_due = self.samples.last().is_none_or(|last| now - last.at >= SAMPLE_INTERVAL);
         if !is_due || self.samples.len() >= MAX_SAMPLES {
@@ -86,17 +86,18 @@
             is_primary: member.is_primary,
             position: model.position_ms(index) * MICROS_PER_MS,
         });
-        let cut_zone = links.cut.borrow().clone();
+        let cut_zone = links.cut_zone.borrow().clone();
         self.samples.push(Sample { at: now, cut_zone, members: states.collect() });
     }
 
-    /// The first time at which some member could have answered a request of a proxy in `zone` while its client waited.
+    /// Returns the first time before the client's timeout at which some member could have answered the
+    /// request from a proxy in `zone`.
     pub fn earliest_answer(&self, request: &RequestRecord, zone: &str) -> Option<Micros> {
         let deadline = request.due_at + CLASSES[request.class].timeout;
-        let first = self.samples.partition_point(|sample| sample.at + SAMPLE_INTERVAL < request.due_at);
-        let mut while_waiting = self.samples[first..].iter().take_while(|sample| sample.at <= deadline);
-        let answered = while_waiting.find(|sample| self.can_answer(sample, request, zone));
-        answered.map(|sample| sample.at.max(request.due_at))
+        let start = self.samples.partition_point(|sample| sample.at + SAMPLE_INTERVAL < request.due_at);
+        let mut before_deadline = self.samples[start..].iter().take_while(|sample| sample.at <= deadline);
+        let answering = before_deadline.find(|sample| self.can_answer(sample, request, zone));
+        answering.map(|sample| sample.at.max(request.due_at))
     }
 
     fn can_answer(&self, sample: &Sample, request: &RequestRecord, zone: &str) -> bool {
@@ -110,12 +111,12 @@
     }
 }
 
-/// Whether a member's data is recent enough for a request.
+/// Returns whether a member's data is recent enough for a request.
 fn meets_consistency(member: &MemberState, now: Micros, request: &RequestRecord) -> bool {
     match (CLASSES[request.class].name, request.min_position_ms) {
         ("write", _) => member.is_primary,
         ("bounded-read", _) => member.is_primary || member.position >= now - MAX_READ_AGE,
-        (_, Some(after_ms)) => member.is_primary || member.position >= after_ms * MICROS_PER_MS,
+        (_, Some(min_position_ms)) => member.is_primary || member.position >= min_position_ms * MICROS_PER_MS,
         _ => true,
     }
 }
--- a/crates/fleet-harness/src/health.rs
+++ b/crates/fleet-harness/src/health.rs
@@ -1,7 +1,7 @@
-//! Members judged in common: what the proxies' logs say they held of the slow member and of the others, and what its
-//! slowness cost.
+//! Outlier detection across the fleet: which verdicts on members the proxies logged, and the effect of a slow
+//! member on reads.
 
-use crate::check::lines;
+use crate::check::log_entries;
 use crate::schedule::{Fault, Schedule};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -10,37 +10,39 @@
 use wharfplank_lab::load::{ClientOutcome, RequestRecord};
 use wharfplank_lab::member_model::CLASSES;
 
-/// Seconds after a member is slow at which the proxies that hold it degraded are counted.
-pub const AFTER: [u64; 4] = [1, 2, 3, 5];
+/// The times after a slowdown begins, in seconds, at which the proxies with an adverse verdict are counted.
+pub const VERDICT_CHECKS_S: [u64; 4] = [1, 2, 3, 5];
 
-/// What a run showed of it.
+/// The results of outlier detection in a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Health {
-    /// For each slow member, the part of the proxies that held it degraded or out 1, 2, 3 and 5 s after it was slow.
+    /// For each slow member, the fraction of proxies that judged it degraded or ejected 1, 2, 3 and 5 s after
+    /// the slowdown began.
     pub held_after: Vec<[f64; 4]>,
-    /// For each, the part that held it so at any time while it was slow.
+    /// For each slow member, the fraction of proxies that gave such a verdict at any time while it was slow.
     pub held_ever: Vec<f64>,
-    /// Members that were not slow and a proxy held for it: a broken rule, as each proxy counts.
+    /// Adverse verdicts on members that were not slow, counted once for each proxy and member: a rule
+    /// violation.
     pub wrongly: u64,
-    /// Proxies that held something of a member when the load ended.
+    /// Proxies with an adverse verdict on any member when the load ended.
     pub held_at_end: u64,
-    /// Reads due while a member was slow, and those of them that came late or not at all.
+    /// Reads due while a member was slow, and those of them that were late or not served.
     pub reads: u64,
     /// See `reads`.
     pub late: u64,
 }
 
-/// When a proxy came to hold what of which member.
-fn held(directory: &Path, proxy: usize) -> Vec<(i64, String, bool)> {
+/// Returns a proxy's verdicts from its log: the time, the member, and whether the verdict was adverse.
+fn verdicts(directory: &Path, proxy: usize) -> Vec<(i64, String, bool)> {
     let read = |v: Value| {
-        let bad = v.get("verdict")?.as_str()? != "sound";
-        Some((v.get("time_ms")?.as_i64()? * 1000, v.get("name")?.as_str()?.to_string(), bad))
+        let is_adverse = v.get("verdict")?.as_str()? != "sound";
+        Some((v.get("time_ms")?.as_i64()? * 1000, v.get("name")?.as_str()?.to_string(), is_adverse))
     };
-    lines(directory, proxy, "member_health").into_iter().filter_map(read).collect()
+    log_entries(directory, proxy, "member_health").into_iter().filter_map(read).collect()
 }
 
-/// Counts it.
-pub fn check(schedule: &Schedule, start: i64, done: &[RequestRecord], directory: &Path) -> Health {
+/// Evaluates the verdicts that the proxies logged, and the reads that were late or failed.
+pub fn check(schedule: &Schedule, start: i64, requests: &[RequestRecord], directory: &Path) -> Health {
     let mut health = Health::default();
     let slow: Vec<(i64, i64, &str)> = schedule
         .faults
@@ -53,32 +55,35 @@
             _ => None,
         })
         .collect();
-    let held: Vec<Vec<(i64, String, bool)>> = (0..schedule.proxies).map(|n| held(directory, n)).collect();
+    let verdicts: Vec<Vec<(i64, String, bool)>> =
+        (0..schedule.proxies).map(|n| verdicts(directory, n)).collect();
     for (from, to, member) in &slow {
-        let part = |at: i64| {
+        let fraction_at = |at: i64| {
             let last = |h: &&Vec<(i64, String, bool)>| {
                 h.iter().rfind(|(t, m, _)| m == member && *t <= at).map(|h| h.2)
             };
-            held.iter().filter(|h| last(h) == Some(true)).count() as f64 / schedule.proxies as f64
+            verdicts.iter().filter(|h| last(h) == Some(true)).count() as f64 / schedule.proxies as f64
         };
-        health.held_after.push(AFTER.map(|s| part(from + s as i64 * 1_000_000)));
-        let ever = |h: &&Vec<(i64, String, bool)>| {
-            h.iter().any(|(t, m, bad)| m == member && *bad && (*from..*to).contains(t))
+        health.held_after.push(VERDICT_CHECKS_S.map(|s| fraction_at(from + s as i64 * 1_000_000)));
+        let at_any_time = |h: &&Vec<(i64, String, bool)>| {
+            h.iter().any(|(t, m, is_adverse)| m == member && *is_adverse && (*from..*to).contains(t))
         };
-        health.held_ever.push(held.iter().filter(ever).count() as f64 / schedule.proxies as f64);
+        health.held_ever.push(verdicts.iter().filter(at_any_time).count() as f64 / schedule.proxies as f64);
     }
-    for held in &held {
-        let named = held.iter().filter(|(_, member, bad)| *bad && slow.iter().all(|(_, _, m)| m != member));
-        health.wrongly += named.map(|(_, member, _)| member).collect::<BTreeSet<_>>().len() as u64;
-        let members: BTreeSet<&String> = held.iter().map(|(_, member, _)| member).collect();
-        let last = |member: &&String| held.iter().rfind(|(_, m, _)| m == *member).is_some_and(|h| h.2);
+    for verdicts in &verdicts {
+        let wrong = verdicts
+            .iter()
+            .filter(|(_, member, is_adverse)| *is_adverse && slow.iter().all(|(_, _, m)| m != member));
+        health.wrongly += wrong.map(|(_, member, _)| member).collect::<BTreeSet<_>>().len() as u64;
+        let members: BTreeSet<&String> = verdicts.iter().map(|(_, member, _)| member).collect();
+        let last = |member: &&String| verdicts.iter().rfind(|(_, m, _)| m == *member).is_some_and(|h| h.2);
         health.held_at_end += u64::from(members.iter().any(last));
     }
-    for d in done {
-        let in_time = d.outcome == ClientOutcome::Served
-            && d.finished_at - d.due_at <= CLASSES[d.class].latency_objective;
-        if slow.iter().any(|(from, to, _)| (*from..*to).contains(&d.due_at))
-            && CLASSES[d.class].name != "write"
+    for request in requests {
+        let in_time = request.outcome == ClientOutcome::Served
+            && request.finished_at - request.due_at <= CLASSES[request.class].latency_objective;
+        if slow.iter().any(|(from, to, _)| (*from..*to).contains(&request.due_at))
+            && CLASSES[request.class].name != "write"
         {
             health.reads += 1;
             health.late += u64::from(!in_time);
@@ -88,16 +93,16 @@
 }
 
 impl Health {
-    /// Lines for people; none where no member was slow.
+    /// Formats the results as text; empty if no member was slow.
     pub fn render(&self) -> String {
-        let held = |(h, ever): (&[f64; 4], &f64)| {
-            let parts: Vec<String> = h.iter().map(|p| format!("{p:.2}")).collect();
-            format!("held the slow member degraded after 1, 2, 3, 5 s: {}; ever {ever:.2}\n", parts.join(" "))
+        let line = |(h, at_any_time): (&[f64; 4], &f64)| {
+            let fractions: Vec<String> = h.iter().map(|p| format!("{p:.2}")).collect();
+            format!("proxies that judged the slow member degraded after 1, 2, 3, 5 s: {}; at any time {at_any_time:.2}\n", fractions.join(" "))
         };
-        let mut out: String = self.held_after.iter().zip(&self.held_ever).map(held).collect();
+        let mut out: String = self.held_after.iter().zip(&self.held_ever).map(line).collect();
         if !out.is_empty() {
             out.push_str(&format!(
-                "sound members named: {}; reads late or lost while it was slow: {} of {}; proxies that held something at the end: {}\n",
+                "wrong verdicts on sound members: {}; reads late or lost while it was slow: {} of {}; proxies with a verdict at the end: {}\n",
                 self.wrongly, self.late, self.reads, self.held_at_end
             ));
         }
--- a/crates/fleet-harness/src/proxies.rs
+++ b/crates/fleet-harness/src/proxies.rs
@@ -1,5 +1,5 @@
-//! The proxies of a run: processes of the program under test, each with its configuration, settings and log, started,
-//! paused, resumed and killed by their process ids, and always ended when the run ends.
+//! The proxies of a run: processes of the program under test, each with its own configuration, settings and
+//! log. They are started, paused, resumed and killed by their process ids, and always end with the run.
 
 use crate::schedule::ZONES;
 use rustix::process::{kill_process, Pid, Signal};
@@ -12,70 +12,70 @@
 use wharfplank_lab::member_model::CLASSES;
 use wharfplank_shared_state::{hash_name, MemberStatus, SharedState, SharedStateConfig};
 
-/// What a proxy's log said that the rig must know at once.
+/// An address that a proxy has logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// Clients can connect there.
-    Listens(SocketAddr),
-    /// It takes datagrams of peers, of budgets or of releases there.
-    Peers(SocketAddr),
+pub enum LoggedAddress {
+    /// The address for client connections.
+    Clients(SocketAddr),
+    /// The address for datagrams of gossip, budgets or rollouts.
+    Datagrams(SocketAddr),
 }
 
-/// What a proxy is told.
+/// The configuration of a proxy process.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// The program.
+pub struct ProxyConfig {
+    /// The executable.
     pub program: PathBuf,
-    /// Where its files go.
+    /// The directory for its files.
     pub directory: PathBuf,
-    /// Its number.
+    /// Its number in the run.
     pub number: usize,
-    /// Its discovery.
+    /// The address of its discovery agent.
     pub discovery: SocketAddr,
-    /// The list as last known.
-    pub known: Value,
-    /// Where the others send to it, and its seeds; `None`: it talks to no peer.
+    /// The endpoint list that it starts with.
+    pub known_endpoints: Value,
+    /// The address that it advertises to its peers, and its seeds; `None` if it takes no part in gossip.
     pub peers: Option<(SocketAddrV4, Vec<SocketAddrV4>)>,
-    /// Proxies of the run: the platform's `Balancers`.
+    /// The number of proxies of the run, which is the setting `Balancers`.
     pub proxies: usize,
-    /// Further elements of its settings.
-    pub more: String,
-    /// Bytes a second for the replicated state, and what this proxy's clock of the talk is ahead.
+    /// Additional XML elements for its settings.
+    pub extra_settings: String,
+    /// The byte rate for replicated state, and the offset of this proxy's gossip clock.
     pub replica_bytes: u64,
     /// See `replica_bytes`.
     pub skew_ms: i64,
 }
 
-impl Plan {
-    /// The zone of proxy `number`.
+impl ProxyConfig {
+    /// Returns the zone of proxy `number`.
     pub fn zone(number: usize) -> &'static str {
         ZONES[number % ZONES.len()]
     }
 
-    fn file(&self, end: &str) -> PathBuf {
-        self.directory.join(format!("n{}.{end}", self.number))
+    fn file_path(&self, suffix: &str) -> PathBuf {
+        self.directory.join(format!("n{}.{suffix}", self.number))
     }
 
-    /// The log of proxy `number` in a directory.
-    pub fn log(directory: &Path, number: usize) -> PathBuf {
+    /// Returns the path of the log of proxy `number` in a directory.
+    pub fn log_path(directory: &Path, number: usize) -> PathBuf {
         directory.join(format!("n{number}.log"))
     }
 
-    /// Puts a snapshot an hour old in the place of the proxy's own: every member of the stand-ins suspected and far
-    /// ahead, as none of them is.
-    pub fn age_snapshot(&self, now: i64) -> std::io::Result<()> {
+    /// Replaces the proxy's snapshot of replicated state by one that is an hour old and wrong: in it every
+    /// stand-in member is suspected and far ahead in the log.
+    pub fn write_outdated_snapshot(&self, now: i64) -> std::io::Result<()> {
         let hour = 3_600_000_000;
-        let mut old = SharedState::new(0, SharedStateConfig::default(), 0, now - hour);
-        for name in self.known.get("hosts").and_then(Value::as_array).into_iter().flatten() {
+        let mut outdated = SharedState::new(0, SharedStateConfig::default(), 0, now - hour);
+        for name in self.known_endpoints.get("hosts").and_then(Value::as_array).into_iter().flatten() {
             let name = name.get("host").and_then(Value::as_str).unwrap_or_default();
             let member = hash_name(name);
-            old.record_member_status(now - hour, member, MemberStatus::Suspected);
-            old.record_position(now - hour, member, 0, now + hour);
+            outdated.record_member_status(now - hour, member, MemberStatus::Suspected);
+            outdated.record_position(now - hour, member, 0, now + hour);
         }
-        std::fs::write(self.file("replica"), old.snapshot(now - hour))
+        std::fs::write(self.file_path("replica"), outdated.snapshot(now - hour))
     }
 
-    /// Writes its configuration and settings.
+    /// Writes the configuration and settings files.
     fn write(&self) -> std::io::Result<()> {
         let classes: Vec<Value> = CLASSES
             .iter()
@@ -87,10 +87,10 @@
             .collect();
         let config = json!({
             "name": format!("n{}", self.number), "listen": "127.0.0.1:0", "discovery": self.discovery.to_string(),
-            "seed": format!("{:016x}", 0x51ed + self.number), "known": self.known,
+            "seed": format!("{:016x}", 0x51ed + self.number), "known": self.known_endpoints,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": {
-                "Az": Plan::zone(self.number), "Balancers": self.proxies,
+                "Az": ProxyConfig::zone(self.number), "Balancers": self.proxies,
                 "Allowed": {"ConnectTimeoutUs": 250_000, "KeepaliveUs": 15_000_000, "MaxAttempts": 8,
                             "MaxRetryAfterUs": 2_000_000, "MayCancel": true, "MayProbe": true, "RetryAfter": true},
                 "Classes": classes, "Report": {"Columns": ["x0", "x1", "inflight", "util"]},
@@ -99,7 +99,7 @@
                           "OverloadForUs": wharfplank_lab::member_model::COLLAPSE_WINDOW},
                 "Specifics": {"Consistency": ["lag_bound", "causal", "eventual", "mutate"],
                               "MaxAgeUs": [200_000, 0, 0, 0], "SessionMarks": "brought", "WhenBehind": "none"}}});
-        std::fs::write(self.file("json"), config.to_string())?;
+        std::fs::write(self.file_path("json"), config.to_string())?;
         let peers = self.peers.as_ref().map_or_else(String::new, |(advertise, seeds)| {
             let seeds: Vec<String> = seeds.iter().map(ToString::to_string).collect();
             format!(
@@ -109,29 +109,29 @@
                 self.proxies,
                 self.skew_ms,
                 self.replica_bytes,
-                self.file("replica").display()
+                self.file_path("replica").display()
             )
         });
         let settings = format!(
             "<wharfplank>\n  <log format=\"json\" level=\"debug\"/>\n{peers}{}</wharfplank>\n",
-            self.more
+            self.extra_settings
         );
-        std::fs::write(self.file("xml"), settings)
+        std::fs::write(self.file_path("xml"), settings)
     }
 }
 
-/// One proxy's process: killed when it is dropped, so that none outlives the run.
+/// A proxy process. It is killed on drop, so that none outlives the run.
 pub struct Proxy {
     child: Child,
-    /// What its log said that the rig must know.
-    pub heard: Receiver<Heard>,
+    /// The addresses that it has logged.
+    pub logged_addresses: Receiver<LoggedAddress>,
     /// Whether it is paused.
-    pub paused: bool,
+    pub is_paused: bool,
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        if self.paused {
+        if self.is_paused {
             self.send(Signal::CONT);
         }
         let _ = self.child.kill();
@@ -140,78 +140,83 @@
 }
 
 impl Proxy {
-    /// Writes the plan's files and starts the process; its log is appended to, so that a restart keeps the past.
-    pub fn start(plan: &Plan) -> Result<Proxy, String> {
-        plan.write().map_err(|e| format!("{}: {e}", plan.directory.display()))?;
-        let mut command = Command::new(&plan.program);
-        command.arg("serve").arg("--settings").arg(plan.file("xml"));
-        command.env("BALANCER_CONFIG", plan.file("json")).stdin(Stdio::null()).stdout(Stdio::null());
+    /// Writes the configuration files and starts the process. The log is appended to, so that a restart keeps
+    /// the earlier entries.
+    pub fn start(config: &ProxyConfig) -> Result<Proxy, String> {
+        config.write().map_err(|e| format!("{}: {e}", config.directory.display()))?;
+        let mut command = Command::new(&config.program);
+        command.arg("serve").arg("--settings").arg(config.file_path("xml"));
+        command.env("BALANCER_CONFIG", config.file_path("json")).stdin(Stdio::null()).stdout(Stdio::null());
         for name in ["BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_NAME"] {
             command.env_remove(name);
         }
-        let mut child =
-            command.stderr(Stdio::piped()).spawn().map_err(|e| format!("{}: {e}", plan.program.display()))?;
-        let lines = BufReader::new(child.stderr.take().ok_or("no standard error")?);
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(plan.file("log"));
-        let mut log = log.map_err(|e| format!("{}: {e}", plan.file("log").display()))?;
-        let (sender, heard) = channel();
+        let mut child = command
+            .stderr(Stdio::piped())
+            .spawn()
+            .map_err(|e| format!("{}: {e}", config.program.display()))?;
+        let lines = BufReader::new(child.stderr.take().ok_or("proxy process has no standard error pipe")?);
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(config.file_path("log"));
+        let mut log = log.map_err(|e| format!("{}: {e}", config.file_path("log").display()))?;
+        let (sender, logged_addresses) = channel();
         std::thread::spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
-                if let Some(heard) = read(&line) {
-                    let _ = sender.send(heard);
+                if let Some(address) = parse_address(&line) {
+                    let _ = sender.send(address);
                 }
                 let _ = writeln!(log, "{line}");
             }
         });
-        Ok(Proxy { child, heard, paused: false })
+        Ok(Proxy { child, logged_addresses, is_paused: false })
     }
 
-    /// Stops its process until it is resumed.
+    /// Suspends the process until it is resumed.
     pub fn pause(&mut self) {
         if self.send(Signal::STOP) {
-            self.paused = true;
+            self.is_paused = true;
         }
     }
 
-    /// Lets its process go on.
+    /// Resumes the process.
     pub fn resume(&mut self) {
         if self.send(Signal::CONT) {
-            self.paused = false;
+            self.is_paused = false;
         }
     }
 
-    /// Whether a signal could be sent to its process.
+    /// Sends a signal to the process and returns whether that succeeded.
     fn send(&self, signal: Signal) -> bool {
         kill_process(Pid::from_child(&self.child), signal).is_ok()
     }
 
-    /// Whether it has ended, and how.
-    pub fn ended(&mut self) -> Option<String> {
+    /// Returns the exit status if the process has exited.
+    pub fn exit_status(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
-    /// Asks it to end (SIGTERM), and kills it if it has not after `most`.
-    pub fn end(mut self, most: std::time::Duration) -> Result<(), String> {
+    /// Terminates the process with SIGTERM, and kills it if it has not exited after `time_limit`.
+    pub fn shut_down(mut self, time_limit: std::time::Duration) -> Result<(), String> {
         self.resume();
         self.send(Signal::TERM);
-        let end = std::time::Instant::now() + most;
-        while std::time::Instant::now() < end {
+        let deadline = std::time::Instant::now() + time_limit;
+        while std::time::Instant::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
-                return if status.success() { Ok(()) } else { Err(format!("a proxy ended with {status}")) };
+                return if status.success() { Ok(()) } else { Err(format!("proxy exited with {status}")) };
             }
             std::thread::sleep(std::time::Duration::from_millis(10));
         }
-        Err("a proxy did not end on SIGTERM".to_string())
+        Err("proxy did not exit on SIGTERM".to_string())
     }
 }
 
-/// The addresses that a line of the log names.
-fn read(line: &str) -> Option<Heard> {
+/// Returns the address that a log line announces.
+fn parse_address(line: &str) -> Option<LoggedAddress> {
     let value: Value = serde_json::from_str(line).ok()?;
     let address = |name: &str| value.get(name)?.as_str()?.parse().ok();
     match value.get("event")?.as_str()? {
-        "started" => address("listen").map(Heard::Listens),
-        "peers_started" | "budgets_started" | "release_started" => address("listen").map(Heard::Peers),
+        "started" => address("listen").map(LoggedAddress::Clients),
+        "peers_started" | "budgets_started" | "release_started" => {
+            address("listen").map(LoggedAddress::Datagrams)
+        }
         _ => None,
     }
 }
--- a/crates/fleet-harness/src/relay.rs
+++ b/crates/fleet-harness/src/relay.rs
@@ -1,8 +1,9 @@
-//! The relays of the rig: every datagram between two proxies and every byte between a proxy and a member passes
-//! through one, which loses, duplicates, delays, reorders or holds it as the faults in force say.
+//! Relays for the traffic of a run. Every datagram between two proxies and every byte between a proxy and a
+//! member passes through a relay, which loses, duplicates, delays, reorders or blocks it according to the
+//! active faults.
 
 mod links;
 mod mesh;
 
-pub use links::{Links, Way};
-pub use mesh::{Carried, Mesh, Wire};
+pub use links::{Links, Route};
+pub use mesh::{Mesh, NetworkConditions, SentTraffic};
--- a/crates/fleet-harness/src/relay/links.rs
+++ b/crates/fleet-harness/src/relay/links.rs
@@ -1,4 +1,4 @@
-//! The connections between proxies and members.
+//! Relays for connections between proxies and members.
 
 use crate::schedule::ZONES;
 use async_executor::LocalExecutor;
@@ -13,46 +13,47 @@
 use wharfplank_lab::stand_ins::StandIns;
 use wharfplank_protocol::request_comment;
 
-/// Bytes between a proxy and a member of another zone take this much longer each way, as between data centres.
-const FAR: Duration = Duration::from_millis(2);
-/// What a member needs to have taken a write in, whose connection then breaks.
-const TAKEN: Duration = Duration::from_millis(3);
+/// The additional one-way delay between a proxy and a member in different zones, as between data centres.
+const CROSS_ZONE_DELAY: Duration = Duration::from_millis(2);
+/// The time that a member needs to receive a write before its connection is broken.
+const WRITE_RECEIPT_DELAY: Duration = Duration::from_millis(3);
 
-/// Where reads went, by the zone of the proxy and of the member, and whether a zone was in trouble meanwhile.
+/// The class and path of a query, by which queries are counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Way {
-    /// The class's number.
+pub struct Route {
+    /// The number of the request class.
     pub class: usize,
-    /// Whether proxy and member stand in the same zone.
-    pub near: bool,
-    /// Whether a zone fault was on.
-    pub troubled: bool,
-    /// Whether the member was its group's primary, which serves where it stands.
-    pub primary: bool,
+    /// Whether the proxy and the member are in the same zone.
+    pub is_same_zone: bool,
+    /// Whether a zone fault was active.
+    pub has_zone_fault: bool,
+    /// Whether the member was its group's primary, which serves whatever zone it is in.
+    pub is_primary: bool,
 }
 
-/// The connections between proxies and members: each proxy is told its own address for each member, which leads
-/// here; a zone that is cut off holds all bytes, and new connections never come up.
+/// The relays between proxies and members. Each proxy has an address of its own for each member. While a zone
+/// is cut off, all bytes across the cut are held back and new connections are not established.
 pub struct Links {
     stand_ins: Rc<StandIns>,
     /// The zone of each proxy and of each member.
     proxy_zones: Vec<&'static str>,
     member_zones: Vec<&'static str>,
-    /// Where proxy `i` dials member `m`: `dials[i][m]`.
-    pub dials: Vec<Vec<SocketAddr>>,
-    /// The zone cut off now, if any.
-    pub cut: RefCell<Option<String>>,
-    /// The part of writes whose connection breaks once the member has them, before its answer.
-    pub unanswered: Cell<f64>,
-    /// Writes that passed so far: which of them break is told by counting.
-    asked_writes: Cell<u64>,
-    /// Whether some zone is in trouble now, for the counts of ways.
-    pub troubled: Cell<bool>,
-    /// Queries that went each way.
-    pub ways: RefCell<BTreeMap<Way, u64>>,
+    /// The address at which proxy `i` dials member `m`: `dial_addresses[i][m]`.
+    pub dial_addresses: Vec<Vec<SocketAddr>>,
+    /// The zone that is currently cut off, if any.
+    pub cut_zone: RefCell<Option<String>>,
+    /// The fraction of writes whose connection is broken after the member has received them and before its
+    /// answer.
+    pub lost_answer_fraction: Cell<f64>,
+    /// The number of writes so far, which determines the writes whose answers are lost.
+    write_count: Cell<u64>,
+    /// Whether a zone fault is active, for the query counts.
+    pub has_zone_fault: Cell<bool>,
+    /// The number of queries by route.
+    pub query_counts: RefCell<BTreeMap<Route, u64>>,
 }
 
-/// The address and the zone of each member.
+/// Returns the address and the zone of each member.
 fn member_addresses(stand_ins: &StandIns) -> Vec<(SocketAddr, &'static str)> {
     let list = stand_ins.endpoint_list();
     let hosts = list.get("hosts").and_then(Value::as_array).cloned().unwrap_or_default();
@@ -65,14 +66,14 @@
 }
 
 impl Links {
-    /// Listeners for each proxy and member, leading to the stand-in members.
+    /// Starts a listener for each pair of proxy and member that relays to the stand-in member.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         stand_ins: &Rc<StandIns>,
         proxy_zones: Vec<&'static str>,
     ) -> std::io::Result<Rc<Links>> {
         let members = member_addresses(stand_ins);
-        let mut dials = Vec::new();
+        let mut dial_addresses = Vec::new();
         let mut listeners = Vec::new();
         for _ in &proxy_zones {
             let mut row = Vec::new();
@@ -81,29 +82,29 @@
                 row.push(listener.get_ref().local_addr()?);
                 listeners.push(listener);
             }
-            dials.push(row);
+            dial_addresses.push(row);
         }
         let member_zones = members.iter().map(|(_, zone)| *zone).collect();
         let links = Rc::new(Links {
             stand_ins: Rc::clone(stand_ins),
             proxy_zones,
             member_zones,
-            dials,
-            cut: RefCell::new(None),
-            unanswered: Cell::new(0.0),
-            asked_writes: Cell::new(0),
-            troubled: Cell::new(false),
-            ways: RefCell::default(),
+            dial_addresses,
+            cut_zone: RefCell::new(None),
+            lost_answer_fraction: Cell::new(0.0),
+            write_count: Cell::new(0),
+            has_zone_fault: Cell::new(false),
+            query_counts: RefCell::default(),
         });
         let count = members.len();
         for (n, listener) in listeners.into_iter().enumerate() {
             let (proxy, member) = (n / count, n % count);
-            let (at, target, ex) = (Rc::clone(&links), members[member].0, Rc::clone(executor));
+            let (relays, target, ex) = (Rc::clone(&links), members[member].0, Rc::clone(executor));
             executor
                 .spawn(async move {
                     while let Ok((stream, _)) = listener.accept().await {
-                        let at = Rc::clone(&at);
-                        ex.spawn(async move { at.link(proxy, member, stream, target).await }).detach();
+                        let relays = Rc::clone(&relays);
+                        ex.spawn(async move { relays.relay(proxy, member, stream, target).await }).detach();
                     }
                 })
                 .detach();
@@ -111,115 +112,126 @@
         Ok(links)
     }
 
-    /// Whether nothing passes between the proxy and the member now.
-    fn held(&self, proxy: usize, member: usize) -> bool {
-        let cut = self.cut.borrow();
+    /// Returns whether traffic between the proxy and the member is currently blocked.
+    fn is_blocked(&self, proxy: usize, member: usize) -> bool {
+        let cut = self.cut_zone.borrow();
         cut.as_deref()
             .is_some_and(|zone| (self.proxy_zones[proxy] == zone) != (self.member_zones[member] == zone))
     }
 
-    /// Whether the answer of the write in hand is to be lost: one in so many, by counting.
-    fn breaks(&self) -> bool {
-        let asked = self.asked_writes.get() + 1;
-        self.asked_writes.set(asked);
-        let part = self.unanswered.get();
-        part > 0.0 && (asked as f64 * part).floor() > ((asked - 1) as f64 * part).floor()
+    /// Counts a write, and returns whether its answer is to be lost. Losses are spread evenly over the
+    /// writes.
+    fn loses_answer(&self) -> bool {
+        let writes = self.write_count.get() + 1;
+        self.write_count.set(writes);
+        let fraction = self.lost_answer_fraction.get();
+        fraction > 0.0 && (writes as f64 * fraction).floor() > ((writes - 1) as f64 * fraction).floor()
     }
 
-    async fn link(self: Rc<Self>, proxy: usize, member: usize, client: Async<TcpStream>, target: SocketAddr) {
-        // Behind a cut the connection never comes up: the member is not even dialled until the cut is over.
-        while self.held(proxy, member) {
+    async fn relay(
+        self: Rc<Self>,
+        proxy: usize,
+        member: usize,
+        client: Async<TcpStream>,
+        target: SocketAddr,
+    ) {
+        // The member is not dialled until the cut is over.
+        while self.is_blocked(proxy, member) {
             Timer::after(Duration::from_millis(10)).await;
         }
         let Ok(server) = Async::<TcpStream>::connect(target).await else { return };
         let (client, server) = (Rc::new(client), Rc::new(server));
-        let up = self.clone().pump(proxy, member, Rc::clone(&client), Rc::clone(&server), true);
-        let down = self.pump(proxy, member, server, client, false);
+        let up = self.clone().forward(proxy, member, Rc::clone(&client), Rc::clone(&server), true);
+        let down = self.forward(proxy, member, server, client, false);
         futures_lite::future::or(up, down).await;
     }
 
-    async fn pump(
+    async fn forward(
         self: Rc<Self>,
         proxy: usize,
         member: usize,
         from: Rc<Async<TcpStream>>,
         to: Rc<Async<TcpStream>>,
-        asks: bool,
+        is_from_proxy: bool,
     ) {
         let mut buffer = vec![0_u8; 65_536];
-        let mut parse = Messages::default();
+        let mut parser = QueryParser::default();
         loop {
             let Ok(count) = (&*from).read(&mut buffer).await else { return };
             if count == 0 {
                 let _ = to.get_ref().shutdown(std::net::Shutdown::Write);
                 return;
             }
-            while self.held(proxy, member) {
+            while self.is_blocked(proxy, member) {
                 Timer::after(Duration::from_millis(10)).await;
             }
-            let near = self.proxy_zones[proxy] == self.member_zones[member];
-            if !near {
-                Timer::after(FAR).await;
+            let is_same_zone = self.proxy_zones[proxy] == self.member_zones[member];
+            if !is_same_zone {
+                Timer::after(CROSS_ZONE_DELAY).await;
             }
-            let mut breaks = false;
-            if asks {
-                for class in parse.feed(&buffer[..count]) {
-                    breaks |= wharfplank_lab::member_model::CLASSES[class].name == "write" && self.breaks();
-                    let primary = self.stand_ins.model().members.get(member).is_some_and(|m| m.is_primary);
-                    let way = Way { class, near, troubled: self.troubled.get(), primary };
-                    *self.ways.borrow_mut().entry(way).or_default() += 1;
+            let mut loses_answer = false;
+            if is_from_proxy {
+                for class in parser.feed(&buffer[..count]) {
+                    loses_answer |=
+                        wharfplank_lab::member_model::CLASSES[class].name == "write" && self.loses_answer();
+                    let is_primary = self.stand_ins.model().members.get(member).is_some_and(|m| m.is_primary);
+                    let route =
+                        Route { class, is_same_zone, has_zone_fault: self.has_zone_fault.get(), is_primary };
+                    *self.query_counts.borrow_mut().entry(route).or_default() += 1;
                 }
             }
             if (&*to).write_all(&buffer[..count]).await.is_err() {
                 return;
             }
-            if breaks {
-                // The member takes it in; then the connection is gone on both sides.
-                Timer::after(TAKEN).await;
+            if loses_answer {
+                // The member receives the write; then the connection is closed on both sides.
+                Timer::after(WRITE_RECEIPT_DELAY).await;
                 return;
             }
         }
     }
 }
 
-/// The messages of a client's side of PostgreSQL, enough to find its queries' classes.
+/// A parser for the client side of the PostgreSQL protocol that extracts the classes of queries.
 #[derive(Default)]
-struct Messages {
+struct QueryParser {
     bytes: Vec<u8>,
-    started: bool,
+    is_started: bool,
 }
 
-impl Messages {
-    /// The classes of the queries that are now whole, by their number in the laboratory's list.
+impl QueryParser {
+    /// Takes further bytes and returns the classes of the queries completed by them, as indices into
+    /// `CLASSES`.
     fn feed(&mut self, data: &[u8]) -> Vec<usize> {
         self.bytes.extend_from_slice(data);
         let mut classes = Vec::new();
         loop {
-            let (head, tag) = if self.started { (5, self.bytes.first().copied()) } else { (4, None) };
-            if self.bytes.len() < head {
+            let (header_length, tag) =
+                if self.is_started { (5, self.bytes.first().copied()) } else { (4, None) };
+            if self.bytes.len() < header_length {
                 break;
             }
-            let at = head - 4;
+            let length_offset = header_length - 4;
             let length = u32::from_be_bytes([
-                self.bytes[at],
-                self.bytes[at + 1],
-                self.bytes[at + 2],
-                self.bytes[at + 3],
+                self.bytes[length_offset],
+                self.bytes[length_offset + 1],
+                self.bytes[length_offset + 2],
+                self.bytes[length_offset + 3],
             ]);
-            let whole = at + length as usize;
-            if self.bytes.len() < whole || length < 4 {
+            let end = length_offset + length as usize;
+            if self.bytes.len() < end || length < 4 {
                 break;
             }
             if tag == Some(b'Q') {
-                let text = String::from_utf8_lossy(&self.bytes[head..whole]);
+                let text = String::from_utf8_lossy(&self.bytes[header_length..end]);
                 let text = text.trim_end_matches('\0');
                 let names = wharfplank_lab::member_model::CLASSES.iter().map(|c| c.name);
                 let class =
                     request_comment::parse(text).ok().and_then(|c| names.clone().position(|n| n == c.class));
                 classes.extend(class);
             }
-            self.started = true;
-            self.bytes.drain(..whole);
+            self.is_started = true;
+            self.bytes.drain(..end);
         }
         classes
     }
--- a/crates/fleet-harness/src/relay/mesh.rs
+++ b/crates/fleet-harness/src/relay/mesh.rs
@@ -1,4 +1,4 @@
-//! The datagrams between proxies.
+//! Relays for datagrams between proxies.
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -11,177 +11,179 @@
 use std::time::Duration;
 use wharfplank_lab::clock::now;
 
-/// Datagrams kept of each proxy to be sent again by a liar; older ones go.
-const KEPT_MOST: usize = 2048;
-/// A datagram is sent again by a liar once it is this old, every so often.
+/// The maximum number of datagrams kept for replay; the oldest are discarded first.
+const MAX_KEPT_DATAGRAMS: usize = 2048;
+/// The minimum age of a datagram that is replayed.
 const REPLAY_AGE: i64 = 3_000_000;
 const REPLAY_EVERY: Duration = Duration::from_millis(50);
-/// A datagram kept for a liar: when it went, from whom, to whom, and what.
-type Kept = (i64, usize, usize, Vec<u8>);
+/// A datagram kept for replay: the time, the sender, the receiver and the bytes.
+type KeptDatagram = (i64, usize, usize, Vec<u8>);
 
-/// What the wire between proxies does now.
+/// The conditions on the network between proxies.
 #[derive(Clone, Debug, Default)]
-pub struct Wire {
-    /// The part of datagrams lost.
+pub struct NetworkConditions {
+    /// The fraction of datagrams that are lost.
     pub loss: f64,
-    /// The part that arrive twice.
+    /// The fraction of datagrams that are duplicated.
     pub duplicate: f64,
-    /// A further delay drawn up to this, in µs.
+    /// The upper limit of the random additional delay, in µs.
     pub jitter: i64,
-    /// Pairs (from, to) that nothing passes between.
+    /// The (from, to) pairs between which all datagrams are dropped.
     pub blocked: BTreeSet<(usize, usize)>,
-    /// Proxies whose old datagrams are sent again.
-    pub liars: BTreeSet<usize>,
+    /// The proxies whose old datagrams are replayed.
+    pub replayed_proxies: BTreeSet<usize>,
 }
 
-/// Counts of what went over the wire between proxies.
+/// The datagrams that a proxy sent to its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Carried {
-    /// Datagrams that a proxy sent, and their bytes.
+pub struct SentTraffic {
+    /// The number of datagrams, and of their bytes.
     pub datagrams: u64,
     /// See `datagrams`.
     pub bytes: u64,
 }
 
-/// The datagrams between proxies: proxy `i` is told that its peers are at their inboxes here, and each inbox passes
-/// on to the proxy whose it is.
+/// The relays between proxies. Each proxy has an inbox here, which its peers use as its address and which
+/// forwards to the proxy.
 pub struct Mesh {
     executor: Rc<LocalExecutor<'static>>,
     inboxes: Vec<Rc<Async<UdpSocket>>>,
-    /// Where each proxy is to be sent to: its inbox here.
-    pub inbox: Vec<SocketAddrV4>,
-    /// Where each proxy takes datagrams, once it said so.
-    outs: Vec<Cell<Option<SocketAddr>>>,
+    /// The address of each proxy's inbox, to which its peers send.
+    pub addresses: Vec<SocketAddrV4>,
+    /// The address at which each proxy receives datagrams, once it has logged it.
+    destinations: Vec<Cell<Option<SocketAddr>>>,
     senders: RefCell<HashMap<SocketAddr, usize>>,
-    /// What the wire does now.
-    pub wire: RefCell<Wire>,
+    /// The current network conditions.
+    pub conditions: RefCell<NetworkConditions>,
     rng: RefCell<SmallRng>,
-    kept: RefCell<VecDeque<Kept>>,
-    /// What each proxy sent.
-    pub carried: Vec<Cell<Carried>>,
-    /// Datagrams dropped by faults, and those from an address that no proxy had said was its own.
+    kept: RefCell<VecDeque<KeptDatagram>>,
+    /// The traffic that each proxy has sent.
+    pub sent: Vec<Cell<SentTraffic>>,
+    /// The number of datagrams dropped by faults, and of those from an address that no proxy has logged.
     pub dropped: Cell<u64>,
     /// See `dropped`.
-    pub unknown: Cell<u64>,
-    /// Old datagrams sent again.
+    pub unknown_senders: Cell<u64>,
+    /// The number of datagrams replayed.
     pub replayed: Cell<u64>,
 }
 
 impl Mesh {
-    /// Inboxes for so many proxies.
+    /// Starts the inboxes for this number of proxies.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         proxies: usize,
         seed: u64,
     ) -> std::io::Result<Rc<Mesh>> {
         let mut inboxes = Vec::new();
-        let mut inbox = Vec::new();
+        let mut addresses = Vec::new();
         for _ in 0..proxies {
             let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0))?;
             match socket.get_ref().local_addr()? {
-                SocketAddr::V4(at) => inbox.push(at),
-                SocketAddr::V6(_) => return Err(std::io::Error::other("an inbox on IPv6")),
+                SocketAddr::V4(at) => addresses.push(at),
+                SocketAddr::V6(_) => return Err(std::io::Error::other("relay inbox has an IPv6 address")),
             }
             inboxes.push(Rc::new(socket));
         }
         let mesh = Rc::new(Mesh {
             executor: Rc::clone(executor),
             inboxes,
-            inbox,
-            outs: (0..proxies).map(|_| Cell::new(None)).collect(),
+            addresses,
+            destinations: (0..proxies).map(|_| Cell::new(None)).collect(),
             senders: RefCell::default(),
-            wire: RefCell::default(),
+            conditions: RefCell::default(),
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
             kept: RefCell::default(),
-            carried: (0..proxies).map(|_| Cell::default()).collect(),
+            sent: (0..proxies).map(|_| Cell::default()).collect(),
             dropped: Cell::new(0),
-            unknown: Cell::new(0),
+            unknown_senders: Cell::new(0),
             replayed: Cell::new(0),
         });
         for to in 0..proxies {
             let at = Rc::clone(&mesh);
-            executor.spawn(async move { at.carry(to).await }).detach();
+            executor.spawn(async move { at.forward(to).await }).detach();
         }
         let at = Rc::clone(&mesh);
-        executor.spawn(async move { at.lie().await }).detach();
+        executor.spawn(async move { at.replay_old_datagrams().await }).detach();
         Ok(mesh)
     }
 
-    /// Proxy `i` takes datagrams there from now on, and sends from there.
+    /// Registers the address at which proxy `i` receives datagrams and from which it sends.
     pub fn register(&self, i: usize, address: SocketAddr) {
-        if let Some(old) = self.outs[i].replace(Some(address)) {
-            self.senders.borrow_mut().remove(&old);
+        if let Some(previous) = self.destinations[i].replace(Some(address)) {
+            self.senders.borrow_mut().remove(&previous);
         }
         self.senders.borrow_mut().insert(address, i);
     }
 
-    async fn carry(self: Rc<Self>, to: usize) {
+    async fn forward(self: Rc<Self>, to: usize) {
         let mut buffer = vec![0_u8; 65_536];
-        let inbox = Rc::clone(&self.inboxes[to]);
-        while let Ok((count, from)) = inbox.recv_from(&mut buffer).await {
+        let socket = Rc::clone(&self.inboxes[to]);
+        while let Ok((count, from)) = socket.recv_from(&mut buffer).await {
             let Some(from) = self.senders.borrow().get(&from).copied() else {
-                self.unknown.set(self.unknown.get() + 1);
+                self.unknown_senders.set(self.unknown_senders.get() + 1);
                 continue;
             };
-            let mut carried = self.carried[from].get();
-            carried.datagrams += 1;
-            carried.bytes += count as u64;
-            self.carried[from].set(carried);
+            let mut sent = self.sent[from].get();
+            sent.datagrams += 1;
+            sent.bytes += count as u64;
+            self.sent[from].set(sent);
             let datagram = buffer[..count].to_vec();
             let mut kept = self.kept.borrow_mut();
-            if kept.len() >= KEPT_MOST {
+            if kept.len() >= MAX_KEPT_DATAGRAMS {
                 kept.pop_front();
             }
             kept.push_back((now(), from, to, datagram.clone()));
             drop(kept);
-            self.pass(from, to, datagram);
+            self.deliver(from, to, datagram);
         }
     }
 
-    /// Passes a datagram on as the wire does now.
-    pub(crate) fn pass(self: &Rc<Self>, from: usize, to: usize, datagram: Vec<u8>) {
-        let wire = self.wire.borrow();
+    /// Delivers a datagram under the current network conditions.
+    pub(crate) fn deliver(self: &Rc<Self>, from: usize, to: usize, datagram: Vec<u8>) {
+        let conditions = self.conditions.borrow();
         let mut rng = self.rng.borrow_mut();
-        if wire.blocked.contains(&(from, to)) || rng.random::<f64>() < wire.loss {
+        if conditions.blocked.contains(&(from, to)) || rng.random::<f64>() < conditions.loss {
             self.dropped.set(self.dropped.get() + 1);
             return;
         }
-        let copies = if rng.random::<f64>() < wire.duplicate { 2 } else { 1 };
+        let copies = if rng.random::<f64>() < conditions.duplicate { 2 } else { 1 };
         for _ in 0..copies {
-            let delay = if wire.jitter > 0 { rng.random_range(0..wire.jitter) } else { 0 };
+            let delay = if conditions.jitter > 0 { rng.random_range(0..conditions.jitter) } else { 0 };
             let (at, datagram) = (Rc::clone(self), datagram.clone());
             self.executor
                 .spawn(async move {
                     if delay > 0 {
                         Timer::after(Duration::from_micros(delay as u64)).await;
                     }
-                    if let Some(out) = at.outs[to].get() {
-                        let _ = at.inboxes[from.min(at.inboxes.len() - 1)].send_to(&datagram, out).await;
+                    if let Some(destination) = at.destinations[to].get() {
+                        let _ =
+                            at.inboxes[from.min(at.inboxes.len() - 1)].send_to(&datagram, destination).await;
                     }
                 })
                 .detach();
         }
     }
 
-    /// Sends old datagrams of liars again, to whom they went at first.
-    async fn lie(self: Rc<Self>) {
+    /// Replays old datagrams of the proxies in `replayed_proxies` to their original receivers.
+    async fn replay_old_datagrams(self: Rc<Self>) {
         loop {
             Timer::after(REPLAY_EVERY).await;
-            let liars = self.wire.borrow().liars.clone();
-            if liars.is_empty() {
+            let replayed_proxies = self.conditions.borrow().replayed_proxies.clone();
+            if replayed_proxies.is_empty() {
                 continue;
             }
-            let old = {
+            let chosen = {
                 let kept = self.kept.borrow();
-                let old: Vec<&Kept> = kept
+                let candidates: Vec<&KeptDatagram> = kept
                     .iter()
-                    .filter(|(at, from, ..)| liars.contains(from) && now() - at > REPLAY_AGE)
+                    .filter(|(at, from, ..)| replayed_proxies.contains(from) && now() - at > REPLAY_AGE)
                     .collect();
-                (!old.is_empty()).then(|| old[self.rng.borrow_mut().random_range(0..old.len())].clone())
+                (!candidates.is_empty())
+                    .then(|| candidates[self.rng.borrow_mut().random_range(0..candidates.len())].clone())
             };
-            if let Some((_, from, to, datagram)) = old {
+            if let Some((_, from, to, datagram)) = chosen {
                 self.replayed.set(self.replayed.get() + 1);
-                self.pass(from, to, datagram);
+                self.deliver(from, to, datagram);
             }
         }
     }
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -1,52 +1,54 @@
-//! What a run showed, for programs and for people.
+//! The report of a run, as JSON and as text.
 
 use crate::goodput::{total, Goodput};
 use crate::health::Health;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a run showed.
+/// The report of a run. The encoded names are those of `report.json`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The scenario, the seed and the size.
+    /// The scenario, the seed, and the number of proxies.
     pub scenario: String,
     /// See `scenario`.
     pub seed: u64,
     /// See `scenario`.
     pub proxies: usize,
-    /// Whether the proxies talked.
+    /// Whether the proxies exchanged gossip.
     pub peers: bool,
-    /// Requests by what their clients saw.
+    /// The number of requests by the outcome that their clients saw.
     pub requests: BTreeMap<String, u64>,
-    /// What they were worth, by class, and what a router could have served that knows the truth.
+    /// The goodput by class, with the upper bound of a router with perfect knowledge.
     #[serde(default, rename = "worth")]
     pub goodput: BTreeMap<String, Goodput>,
-    /// Requests given up by all proxies, by class, group and reason; and by the second of the load.
+    /// Requests that the proxies left unserved, by class, group and reason, and by second of the load.
     #[serde(default)]
     pub given_up: BTreeMap<String, u64>,
     /// See `given_up`.
     #[serde(default)]
     pub given_up_at: BTreeMap<u64, u64>,
-    /// Requests without an answer whose proxy was neither killed nor paused meanwhile: lost, a broken rule.
+    /// Requests without an answer although their proxy was neither killed nor paused: a rule violation.
     pub lost: u64,
-    /// The first of the lost: which proxy and class, when it was due and ended in ms of the load, and what was seen.
+    /// The first lost requests: the proxy, the class, when each was due and ended in ms of the load, and the
+    /// outcome.
     pub lost_named: Vec<String>,
-    /// Requests without an answer while their proxy was killed or paused: what the platform's front costs.
+    /// Requests without an answer while their proxy was killed or paused. They are attributed to the
+    /// platform's front end, and are no rule violation.
     pub unanswered_at_a_dead_proxy: u64,
-    /// Reads served from data older than their class allows, at the members.
+    /// Reads that members served from data older than their class allows.
     pub stale: u64,
-    /// Writes that ran twice, at the members.
+    /// Writes that members executed twice.
     pub twice: u64,
-    /// Members that fell over under more than three times what they could do while cold.
+    /// Members that collapsed under more than three times their capacity while cold.
     pub fallen: u64,
-    /// Writes that were answered as failed and sent again by their clients at another proxy, by what came then.
+    /// Failed writes that their clients retried at another proxy, by the outcome of the retry.
     pub again: BTreeMap<String, u64>,
-    /// Proxies that held another replicated state than most long after the load, and the time until none did.
+    /// Proxies whose replicated state still differed after the load, and the time until all were equal.
     pub diverged: u64,
     /// See `diverged`.
     pub converged_ms: u64,
-    /// Bytes of replicated state that a proxy sent a second; the most entries that one held; exchanges begun by all,
-    /// and messages of them that found a difference.
+    /// Bytes of replicated state that a proxy sent per second, the greatest number of entries at a proxy, the
+    /// exchanges that all proxies began, and their messages that found a difference.
     pub replica_bytes_a_second: f64,
     /// See `replica_bytes_a_second`.
     pub replica_entries: u64,
@@ -54,82 +56,88 @@
     pub exchanges: u64,
     /// See `replica_bytes_a_second`.
     pub exchanges_differed: u64,
-    /// The most that the rig itself was late: much of it, and the machine had no time for the proxies either.
+    /// The greatest delay of the harness's own timers. If it is large, the machine delayed the proxies as
+    /// well.
     pub late_ms: u64,
-    /// Whether it was played again since the machine had no time the first time.
+    /// Whether the run was repeated because the machine was overloaded the first time.
     #[serde(default)]
     pub again_starved: bool,
-    /// All broken rules: lost, stale, twice, fallen, proxies that crashed, and proxies that diverged.
+    /// All rule violations: lost requests, stale reads, duplicate writes, collapsed members, crashed and
+    /// diverged proxies, and wrong verdicts on members.
     pub broken: u64,
-    /// Proxies that ended on their own.
+    /// Proxies that exited on their own.
     pub crashed: u64,
-    /// For each zone fault, the part of the live proxies that had left the zone 1, 2 and 5 s after it began, and
-    /// that no longer held it left 1, 2 and 5 s after it ended.
+    /// For each zone fault, the fraction of live proxies that had evacuated the zone 1, 2 and 5 s after the
+    /// fault began, and that had returned to it 1, 2 and 5 s after the fault ended.
     pub left_after: Vec<[f64; 3]>,
     /// See `left_after`.
     pub back_after: Vec<[f64; 3]>,
-    /// Proxies that held a zone left when the load ended.
+    /// Proxies that had a zone evacuated when the load ended.
     pub left_at_end: usize,
-    /// The part of reads sent to a replica of another zone while no zone was in trouble (the primary serves where it
-    /// stands).
+    /// The fraction of reads sent to a replica in another zone while no zone fault was active. Reads at a
+    /// primary are not counted, as it serves whatever zone it is in.
     pub far_reads: f64,
-    /// The most that all proxies sent a member of a lost zone over 1.5 s, as a part of what fells it.
+    /// The peak load of all proxies on a member of a lost zone over 1.5 s, as a fraction of the load under
+    /// which the member collapses.
     pub cold_peak: f64,
-    /// What the fleet held of members, where one was slow.
+    /// The results of outlier detection, if a member was slow.
     #[serde(default)]
     pub health: Health,
-    /// Bytes and datagrams that a proxy sent its peers a second, in the mean.
+    /// The mean rates of bytes and datagrams that a proxy sent to its peers.
     pub udp_bytes_a_second: f64,
     /// See `udp_bytes_a_second`.
     pub udp_datagrams_a_second: f64,
 }
 
 impl Report {
-    /// The report for people.
+    /// Formats the report as text.
     pub fn render(&self) -> String {
         let mut out = format!(
             "{} seed {} at {} proxies, {}\n",
             self.scenario,
             self.seed,
             self.proxies,
-            if self.peers { "talking" } else { "each alone" }
+            if self.peers { "with gossip" } else { "without gossip" }
         );
         let requests: Vec<String> = self.requests.iter().map(|(k, v)| format!("{k} {v}")).collect();
         out.push_str(&format!("requests: {}\n", requests.join(", ")));
         out.push_str(&format!(
-            "broken rules {}: lost {}, stale reads {}, writes twice {}, cold members fallen {}, crashes {}, diverged {}\n",
+            "rule violations {}: lost requests {}, stale reads {}, duplicate writes {}, collapsed members {}, crashed proxies {}, diverged proxies {}\n",
             self.broken, self.lost, self.stale, self.twice, self.fallen, self.crashed, self.diverged
         ));
         out.push_str(&total(&self.goodput).render("all"));
         self.goodput.iter().for_each(|(class, goodput)| out.push_str(&goodput.render(class)));
-        self.given_up.iter().for_each(|(what, count)| out.push_str(&format!("given up: {count} {what}\n")));
+        self.given_up.iter().for_each(|(what, count)| out.push_str(&format!("unserved: {count} {what}\n")));
         let seconds: Vec<String> = self.given_up_at.iter().map(|(s, n)| format!("{s}:{n}")).collect();
-        out.push_str(&format!("given up by second: {}\n", seconds.join(" ")));
-        self.lost_named.iter().for_each(|lost| out.push_str(&format!("lost: {lost}\n")));
-        out.push_str(&format!("unanswered at a dead or paused proxy: {}\n", self.unanswered_at_a_dead_proxy));
+        out.push_str(&format!("unserved by second: {}\n", seconds.join(" ")));
+        self.lost_named.iter().for_each(|lost| out.push_str(&format!("lost request: {lost}\n")));
+        out.push_str(&format!(
+            "unanswered at a killed or paused proxy: {}\n",
+            self.unanswered_at_a_dead_proxy
+        ));
         for (left, back) in self.left_after.iter().zip(&self.back_after) {
             out.push_str(&format!(
-                "left the zone 1, 2, 5 s after it was lost: {:.2} {:.2} {:.2}; no longer 1, 2, 5 s after its return: {:.2} {:.2} {:.2}\n",
+                "proxies that evacuated the zone 1, 2, 5 s after its loss: {:.2} {:.2} {:.2}; that returned 1, 2, 5 s after its end: {:.2} {:.2} {:.2}\n",
                 left[0], left[1], left[2], back[0], back[1], back[2]
             ));
         }
         out.push_str(&format!(
-            "reads to a far replica while no zone was in trouble: {:.4}; peak on a returning member: {:.2} of what fells it\n",
+            "reads to another zone's replica without a zone fault: {:.4}; peak load on a returning member: {:.2} of its collapse load\n",
             self.far_reads, self.cold_peak
         ));
         let again: Vec<String> = self.again.iter().map(|(k, v)| format!("{k} {v}")).collect();
         out.push_str(&format!(
-            "failed writes sent again elsewhere: {}\n",
+            "failed writes retried at another proxy: {}\n",
             if again.is_empty() { "none".to_string() } else { again.join(", ") }
         ));
         out.push_str(&format!(
-            "replicated state: equal {} ms after the load, {} entries, {:.0} bytes a proxy a second, {} exchanges, {} messages of them found a difference\n",
+            "replicated state: equal {} ms after the load, {} entries, {:.0} bytes/s per proxy, {} exchanges, {} messages with a difference\n",
             self.converged_ms, self.replica_entries, self.replica_bytes_a_second, self.exchanges, self.exchanges_differed
         ));
         out.push_str(&self.health.render());
-        out.push_str(&format!("the rig itself was {} ms late at most\n", self.late_ms));
+        out.push_str(&format!("greatest delay of the harness: {} ms\n", self.late_ms));
         out.push_str(&format!(
-            "between proxies: {:.0} bytes and {:.1} datagrams a proxy a second\n",
+            "between proxies: {:.0} bytes/s and {:.1} datagrams/s per proxy\n",
             self.udp_bytes_a_second, self.udp_datagrams_a_second
         ));
         out
--- a/crates/fleet-harness/src/rollouts/case.rs
+++ b/crates/fleet-harness/src/rollouts/case.rs
@@ -1,4 +1,4 @@
-//! The hard cases of a rollout, drawn from a seed.
+//! The cases of a rollout, and scenarios generated from a seed.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -10,25 +10,25 @@
 /// The target version of a second rollout.
 pub const OTHER_VERSION: u64 = 8;
 
-/// Tells the random numbers of the scenario from others of the same seed.
+/// Separates the random numbers of the scenario from others of the same seed.
 const SCENARIO_SEED: u64 = 0x02e1_ea5e;
-/// Requests a second for each group.
+/// The load on each group, in requests per second.
 const REQUEST_RATE_PER_GROUP: u64 = 30;
 
-/// What goes wrong in a rollout.
+/// A fault case of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// Nothing.
+    /// No fault.
     Clean,
-    /// A second rollout is started at another proxy at once.
+    /// A second rollout is started at another proxy at almost the same time.
     TwoAtOnce,
     /// The leader is killed in the middle of a wave, and restarted.
     LeaderKilled,
-    /// The leader is paused in the middle of a wave, and continues with the state that it had.
+    /// The leader is paused in the middle of a wave, and continues with its outdated state.
     LeaderPaused,
     /// A third of the proxies are partitioned from the others for a while, in the middle of a wave.
     Partition,
-    /// A permit server that does not lead is killed and restarted.
+    /// A permit server that is not the leader is killed and restarted.
     PermitServerKilled,
     /// The new version rejects half of its requests.
     Rejects,
@@ -42,7 +42,7 @@
     Drained,
     /// A fifth of all datagrams are lost, a fifth are duplicated, and all are delayed and reordered.
     Lossy,
-    /// No rollout: all members drain and restart by themselves at once.
+    /// There is no rollout: all members drain and restart on their own at once.
     WithoutRollout,
 }
 
@@ -63,7 +63,7 @@
         Case::Lossy,
     ];
 
-    /// Its name in directories, reports and variables.
+    /// Returns the name in directories, reports and environment variables.
     pub fn name(self) -> &'static str {
         match self {
             Case::Clean => "clean",
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether proxies or members have a fault during the rollout.
+    /// Returns whether proxies or members have a fault during the rollout.
     pub fn has_fault(self) -> bool {
         matches!(
             self,
@@ -95,25 +95,25 @@
         )
     }
 
-    /// Whether the new version is bad: the rollout is to roll back by itself.
+    /// Returns whether the new version is bad, so that the rollout must roll back.
     pub fn has_bad_version(self) -> bool {
         matches!(self, Case::Rejects | Case::Slow | Case::NeverReady)
     }
 }
 
-/// When the fault of a run begins.
+/// The condition for the start of a run's fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultTrigger {
-    /// After so many orders were followed.
+    /// The number of orders that must have been followed.
     pub followed_orders: usize,
-    /// So long after the last of them, in milliseconds.
+    /// The delay after the last of these orders, in milliseconds.
     pub delay_ms: u64,
 }
 
-/// Everything that a run is determined by.
+/// The parameters of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// What goes wrong.
+    /// The fault case.
     pub case: Case,
     /// The number of proxies; the first three are the permit servers.
     pub proxies: usize,
@@ -121,24 +121,24 @@
     pub groups: usize,
     /// The number of members of each group.
     pub members_per_group: usize,
-    /// Requests a second.
+    /// The load in requests per second.
     pub request_rate: u64,
-    /// The least duration of the load in seconds; 0: until the rollout has finished.
+    /// The duration of the load in seconds, or 0 for a load that ends with the rollout.
     pub load_seconds: u64,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// When the fault begins.
+    /// The condition for the start of the fault.
     pub fault_trigger: FaultTrigger,
-    /// How long the fault lasts, in milliseconds.
+    /// The duration of the fault in milliseconds.
     pub fault_duration_ms: u64,
     /// The member that crashes or is drained.
     pub faulty_member: usize,
-    /// How long a restart of a member takes, in milliseconds.
+    /// The duration of a member's restart in milliseconds.
     pub restart_ms: u64,
 }
 
 impl Scenario {
-    /// Draws a scenario from a seed.
+    /// Generates a scenario from a seed.
     pub fn from_seed(
         case: Case,
         proxies: usize,
--- a/crates/fleet-harness/src/rollouts/events.rs
+++ b/crates/fleet-harness/src/rollouts/events.rs
@@ -1,40 +1,40 @@
-//! What members did in a run, as their agents recorded it.
+//! The events of members in a run, as their agents recorded them.
 
 use serde::Serialize;
 use wharfplank_lab::member_model::Micros;
 
-/// Why a member stopped serving. The encoded names are those of the run's files.
+/// The reason why a member stopped serving. The encoded names are those of the run's files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum StopCause {
-    /// A rollout ordered it.
+    /// A rollout ordered the restart.
     #[serde(rename = "Order")]
     Ordered,
-    /// It crashed.
+    /// The member crashed.
     #[serde(rename = "Fell")]
     Crashed,
-    /// Discovery drained it.
+    /// Service discovery drained the member.
     Drained,
 }
 
-/// Something that a member did.
+/// An event of a member.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MemberEvent {
-    /// When.
+    /// The time of the event.
     pub at: Micros,
     /// The member's number.
     pub member: usize,
-    /// What it did.
+    /// The kind of event.
     #[serde(rename = "what")]
     pub kind: MemberEventKind,
 }
 
-/// What a member did.
+/// A kind of member event.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum MemberEventKind {
-    /// It stopped serving.
+    /// The member stopped serving.
     #[serde(rename = "Out")]
     Stopped {
-        /// Why.
+        /// The reason.
         #[serde(rename = "why")]
         cause: StopCause,
         /// The incarnation that ended.
@@ -47,7 +47,7 @@
         #[serde(rename = "served")]
         was_serving: bool,
     },
-    /// It serves again.
+    /// The member serves again.
     #[serde(rename = "Back")]
     Started {
         /// Its new incarnation.
--- a/crates/fleet-harness/src/rollouts/faults.rs
+++ b/crates/fleet-harness/src/rollouts/faults.rs
@@ -2,7 +2,7 @@
 
 use super::case::{Case, NEW_VERSION, OLD_VERSION, OTHER_VERSION};
 use super::events::StopCause;
-use super::rig::Rig;
+use super::harness::Harness;
 use super::settings::signal_file;
 use async_io::Timer;
 use std::rc::Rc;
@@ -10,26 +10,26 @@
 
 /// The longest time between the starts of two rollouts, in milliseconds.
 const MAX_START_GAP_MS: u64 = 400;
-/// A member crashes while so many others are out.
+/// The number of members that are restarting when a member crashes.
 const RESTARTING_AT_CRASH: usize = 2;
 const TRIGGER_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The proxy with the least rank leads.
+/// The leader, which is the proxy with the lowest rank.
 const LEADER: usize = 0;
-/// The next one is a permit server too.
+/// A permit server that is not the leader.
 const OTHER_PERMIT_SERVER: usize = 1;
 
-/// What the network does to datagrams in [`Case::Lossy`].
+/// The network conditions in [`Case::Lossy`].
 const LOSS: f64 = 0.2;
 const DUPLICATES: f64 = 0.2;
 const JITTER_MICROS: i64 = 300_000;
 
-impl Rig {
-    /// Starts the rollouts, or what is played in place of one.
+impl Harness {
+    /// Starts the rollouts, or the restarts of all members in [`Case::WithoutRollout`].
     pub(super) async fn start_rollouts(&self) -> Result<(), String> {
         match self.scenario.case {
             Case::WithoutRollout => {
                 for member in 0..self.agents.addresses.len() {
-                    self.agents.take_out(member, NEW_VERSION, StopCause::Ordered);
+                    self.agents.stop_and_restart(member, NEW_VERSION, StopCause::Ordered);
                 }
                 return Ok(());
             }
@@ -52,13 +52,13 @@
     }
 
     fn make_lossy(&self) {
-        let mut wire = self.cluster.mesh.wire.borrow_mut();
-        wire.loss = LOSS;
-        wire.duplicate = DUPLICATES;
-        wire.jitter = JITTER_MICROS;
+        let mut conditions = self.cluster.mesh.conditions.borrow_mut();
+        conditions.loss = LOSS;
+        conditions.duplicate = DUPLICATES;
+        conditions.jitter = JITTER_MICROS;
     }
 
-    /// Injects the fault once the rollout has gone far enough, and ends it after its time.
+    /// Injects the fault once its trigger is met, and ends it after its duration.
     pub(super) async fn inject_fault(self: Rc<Self>) -> Result<(), String> {
         while !self.is_fault_due() {
             Timer::after(TRIGGER_POLL_INTERVAL).await;
@@ -87,7 +87,8 @@
         Ok(())
     }
 
-    /// Whether the fault is due. What members did decides that and not a clock, so that it is during the rollout.
+    /// Returns whether the fault is due. That depends on member events and not on time, so that the fault
+    /// occurs during the rollout.
     fn is_fault_due(&self) -> bool {
         let restarting = self.agents.states.borrow().iter().filter(|state| state.is_restarting).count();
         let needs_outages = self.scenario.case == Case::MemberCrashes;
@@ -113,12 +114,12 @@
         self.cluster.reconnect(&minority);
     }
 
-    /// Crashes the scenario's member, or the next one that serves.
+    /// Crashes the scenario's faulty member, or the next one that serves.
     fn crash_member(&self) {
         let states = self.agents.states.borrow().clone();
         let faulty = self.scenario.faulty_member;
         let mut candidates = (0..states.len()).map(|offset| (faulty + offset) % states.len());
         let member = candidates.find(|member| states[*member].ready).unwrap_or(faulty);
-        self.agents.take_out(member, states[member].version, StopCause::Crashed);
+        self.agents.stop_and_restart(member, states[member].version, StopCause::Crashed);
     }
 }
--- a/crates/fleet-harness/src/rollouts/rig.rs
+++ b/crates/fleet-harness/src/rollouts/harness.rs
@@ -6,9 +6,9 @@
 use super::report::are_rollouts_finished;
 use super::rules::Site;
 use super::settings::{release_element, sites, status_file};
-use crate::agent;
 use crate::cluster::Cluster;
-use crate::proxies::Plan;
+use crate::discovery_agent;
+use crate::proxies::ProxyConfig;
 use crate::relay::{Links, Mesh};
 use crate::run::Place;
 use async_executor::LocalExecutor;
@@ -21,7 +21,7 @@
 use wharfplank_lab::timeline::Timeline;
 
 /// The proxies of a run, the members' agents and the load.
-pub(super) struct Rig {
+pub(super) struct Harness {
     pub(super) place: Place,
     pub(super) scenario: Scenario,
     pub(super) agents: Rc<MemberAgents>,
@@ -32,61 +32,61 @@
     stand_ins: Rc<StandIns>,
 }
 
-impl Rig {
-    /// Starts the stand-ins, the agents and the network of a run; no proxy is started yet.
+impl Harness {
+    /// Starts the stand-in members, the agents and the network of a run. No proxy is started yet.
     pub(super) fn prepare(
         scenario: &Scenario,
         place: &Place,
         load_seconds: u64,
         executor: &Rc<LocalExecutor<'static>>,
-    ) -> std::io::Result<Rc<Rig>> {
+    ) -> std::io::Result<Rc<Harness>> {
         let stand_ins = start_stand_ins(scenario, load_seconds, executor)?;
         let agents = MemberAgents::start(executor, &stand_ins, scenario)?;
-        let zones = (0..scenario.proxies).map(Plan::zone).collect();
+        let zones = (0..scenario.proxies).map(ProxyConfig::zone).collect();
         let links = Links::start(executor, &stand_ins, zones)?;
         let mesh = Mesh::start(executor, scenario.proxies, scenario.seed)?;
-        let mut plans = Vec::new();
+        let mut configs = Vec::new();
         for number in 0..scenario.proxies {
-            let mut plan = Plan {
+            let mut config = ProxyConfig {
                 program: place.program.clone(),
                 directory: place.directory.clone(),
                 number,
-                discovery: agent::start(executor, &stand_ins, &links, number)?,
-                known: agent::list(&stand_ins, &links, number),
+                discovery: discovery_agent::start(executor, &stand_ins, &links, number)?,
+                known_endpoints: discovery_agent::endpoint_list(&stand_ins, &links, number),
                 peers: None,
                 proxies: scenario.proxies,
                 replica_bytes: 0,
                 skew_ms: 0,
-                more: String::new(),
+                extra_settings: String::new(),
             };
             if scenario.case != Case::WithoutRollout {
-                plan.more = release_element(scenario, &stand_ins, &agents, &mesh, &plan);
+                config.extra_settings = release_element(scenario, &stand_ins, &agents, &mesh, &config);
             }
-            plans.push(plan);
+            configs.push(config);
         }
-        Ok(Rc::new(Rig {
+        Ok(Rc::new(Harness {
             place: place.clone(),
             scenario: scenario.clone(),
             agents,
-            cluster: Cluster::new(plans, mesh),
+            cluster: Cluster::new(configs, mesh),
             load: Load::new(executor, scenario.proxies),
             had_fault: Cell::new(false),
             stand_ins,
         }))
     }
 
-    /// Kills a proxy, and tells the load.
+    /// Kills a proxy, and removes it from the load generator.
     pub(super) fn kill(&self, proxy: usize) {
         self.load.remove_proxy(proxy);
         self.cluster.kill(proxy);
     }
 
-    /// Takes over the addresses that proxies have logged since the last call.
+    /// Registers the addresses that proxies have logged since the last call.
     pub(super) fn register_addresses(&self) {
         self.cluster.register_addresses(|proxy, addr| self.load.proxy_addresses[proxy].set(Some(addr)));
     }
 
-    /// Whether all rollouts have finished at all proxies, and all members serve.
+    /// Returns whether all rollouts have finished at all proxies, and all members serve.
     pub(super) fn is_finished(&self) -> bool {
         let is_finished_at = |proxy: usize| are_rollouts_finished(&status_file(&self.place.directory, proxy));
         let are_finished =
@@ -94,7 +94,7 @@
         are_finished && self.agents.states.borrow().iter().all(|state| state.ready)
     }
 
-    /// The number of orders that were followed so far.
+    /// Returns the number of orders that were followed so far.
     pub(super) fn followed_orders(&self) -> usize {
         let is_order = |event: &&MemberEvent| {
             matches!(event.kind, MemberEventKind::Stopped { cause: StopCause::Ordered, .. })
@@ -102,7 +102,7 @@
         self.agents.events.borrow().iter().filter(is_order).count()
     }
 
-    /// The site of each member.
+    /// Returns the site of each member.
     pub(super) fn sites(&self) -> Vec<Site> {
         sites(&self.stand_ins)
     }
--- a/crates/fleet-harness/src/rollouts/member_agents.rs
+++ b/crates/fleet-harness/src/rollouts/member_agents.rs
@@ -1,5 +1,5 @@
-//! The agents on the members' machines: each takes requests on a port of its own, follows an order at the incarnation
-//! that it names, and logs what its member did.
+//! The agents on the members' machines. Each receives requests on its own port, follows an order if it names
+//! the member's current incarnation, and records the events of its member.
 
 use super::case::{Case, Scenario, NEW_VERSION, OLD_VERSION};
 use super::events::{MemberEvent, MemberEventKind, StopCause};
@@ -16,32 +16,33 @@
 use wharfplank_lab::stand_ins::StandIns;
 use wharfplank_rollout::{AgentCommand, AgentRequest, AgentStatus};
 
-/// A member takes no new requests for so long before its process ends, so that proxies learn of the drain.
+/// The time for which a member takes no new requests before its process exits, so that proxies learn of the
+/// drain.
 const DRAIN_TIME: Duration = Duration::from_millis(400);
-/// Tells the random numbers of the agents from others of the same seed.
+/// Separates the random numbers of the agents from others of the same seed.
 const AGENT_SEED: u64 = 0xa9e27;
-/// The number of copies of a request in [`Case::Lossy`], of which one is drawn.
+/// The possible numbers of copies of a request in [`Case::Lossy`], of which one is chosen at random.
 const LOSSY_COPIES: [usize; 5] = [0, 2, 1, 1, 1];
-/// One reply in so many is lost in [`Case::Lossy`].
+/// One reply in this many is lost in [`Case::Lossy`].
 const LOSSY_REPLIES: i32 = 5;
 /// The longest delay of a request in [`Case::Lossy`], in milliseconds.
 const LOSSY_DELAY_MS: u64 = 300;
 /// The fraction of requests that the new version rejects in [`Case::Rejects`].
 const REJECTED_FRACTION: f64 = 0.5;
-/// How much longer the new version takes in [`Case::Slow`].
+/// The factor by which the new version is slower in [`Case::Slow`].
 const SLOWNESS: f64 = 20.0;
 const MICROS_PER_MS: i64 = 1000;
 
 /// The state of a member on its machine.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberState {
-    /// The version that it runs, or is to run.
+    /// The version that the member runs, or is to run.
     pub version: u64,
-    /// Its incarnation.
+    /// The member's incarnation.
     pub incarnation: u64,
-    /// Whether it serves.
+    /// Whether the member serves.
     pub ready: bool,
-    /// Whether it is on its way out or back.
+    /// Whether the member is stopping or starting.
     pub is_restarting: bool,
 }
 
@@ -60,10 +61,10 @@
     pub addresses: Vec<SocketAddr>,
     /// The state of each member.
     pub states: RefCell<Vec<MemberState>>,
-    /// What the members did.
+    /// The events of the members.
     pub events: RefCell<Vec<MemberEvent>>,
     rng: RefCell<SmallRng>,
-    /// The number of orders that named another incarnation than the member's.
+    /// The number of orders for another incarnation than the member's current one.
     pub stale_orders: Cell<u64>,
 }
 
@@ -123,7 +124,7 @@
         }
     }
 
-    /// The copies of a request that arrive: one at once, unless the network is lossy.
+    /// Returns the copies of a request that arrive: one without delay, unless the network is lossy.
     fn arrivals(&self) -> Vec<Arrival> {
         if self.scenario.case != Case::Lossy {
             return vec![Arrival { delay: Duration::ZERO, is_answered: true }];
@@ -149,7 +150,7 @@
                 if incarnation != state.incarnation {
                     self.stale_orders.set(self.stale_orders.get() + 1);
                 } else if !is_rejected {
-                    self.take_out(member, version, StopCause::Ordered);
+                    self.stop_and_restart(member, version, StopCause::Ordered);
                 }
             }
             AgentCommand::HandOver { incarnation } => {
@@ -162,8 +163,8 @@
         AgentStatus { sequence: request.sequence, incarnation, version, ready }
     }
 
-    /// Takes a member out, and brings it back with this version. One that crashes goes without a drain.
-    pub fn take_out(self: &Rc<Self>, member: usize, version: u64, cause: StopCause) {
+    /// Stops a member, and restarts it with this version. A member that crashes is not drained.
+    pub fn stop_and_restart(self: &Rc<Self>, member: usize, version: u64, cause: StopCause) {
         let state = self.states.borrow()[member];
         if state.is_restarting {
             return;
@@ -171,7 +172,7 @@
         self.states.borrow_mut()[member] = MemberState { is_restarting: true, ready: false, ..state };
         let was_primary = self.stand_ins.model().members[member].is_primary;
         let (incarnation, was_serving) = (state.incarnation, state.ready);
-        self.log(member, MemberEventKind::Stopped { cause, incarnation, was_primary, was_serving });
+        self.record(member, MemberEventKind::Stopped { cause, incarnation, was_primary, was_serving });
         let drain_time = if cause == StopCause::Crashed { Duration::ZERO } else { DRAIN_TIME };
         self.set_behavior(member, MemberBehavior { is_draining: true, ..MemberBehavior::default() });
         let agents = Rc::clone(self);
@@ -182,12 +183,12 @@
                 MemberBehavior { is_draining: true, is_down: true, ..MemberBehavior::default() },
             );
             Timer::after(Duration::from_millis(agents.scenario.restart_ms)).await;
-            agents.bring_back(member, version);
+            agents.restart_finished(member, version);
         };
         self.executor.spawn(restart).detach();
     }
 
-    fn bring_back(&self, member: usize, version: u64) {
+    fn restart_finished(&self, member: usize, version: u64) {
         let started_at_ms = now() / MICROS_PER_MS;
         let incarnation = started_at_ms as u64;
         let behavior = self.behavior_of(version);
@@ -198,18 +199,18 @@
         });
         self.states.borrow_mut()[member] = MemberState { version, incarnation, ready, is_restarting: false };
         if ready {
-            self.log(member, MemberEventKind::Started { incarnation, version });
+            self.record(member, MemberEventKind::Started { incarnation, version });
         }
     }
 
-    /// How a member behaves with this version.
+    /// Returns the behavior of a member with this version.
     fn behavior_of(&self, version: u64) -> MemberBehavior {
         let normal = MemberBehavior::default();
         if version != NEW_VERSION {
             return normal;
         }
         match self.scenario.case {
-            // It stays on the list as it was, and answers nothing.
+            // The member stays on the endpoint list as it was, and answers nothing.
             Case::NeverReady => MemberBehavior { is_draining: true, is_down: true, ..normal },
             Case::Rejects => MemberBehavior { rejection_rate: REJECTED_FRACTION, ..normal },
             Case::Slow => MemberBehavior { slowdown: SLOWNESS, ..normal },
@@ -221,7 +222,7 @@
         self.stand_ins.update_model(|model| model.members[member].behavior = behavior);
     }
 
-    /// Makes the ready replica with the most of the log the primary.
+    /// Makes the ready replica with the highest log position the primary.
     fn hand_over(&self, member: usize) {
         let states = self.states.borrow();
         self.stand_ins.update_model(|model| {
@@ -241,7 +242,7 @@
         });
     }
 
-    /// Has service discovery drain a member.
+    /// Starts a drain of a member by service discovery.
     pub fn start_drain(&self, member: usize) {
         self.set_drained(member, true, |state| MemberEventKind::Stopped {
             cause: StopCause::Drained,
@@ -270,10 +271,10 @@
             return;
         }
         self.stand_ins.update_model(|model| model.members[member].behavior.is_draining = is_drained);
-        self.log(member, event(state));
+        self.record(member, event(state));
     }
 
-    fn log(&self, member: usize, kind: MemberEventKind) {
+    fn record(&self, member: usize, kind: MemberEventKind) {
         self.events.borrow_mut().push(MemberEvent { at: now(), member, kind });
     }
 }
--- a/crates/fleet-harness/src/rollouts/mod.rs
+++ b/crates/fleet-harness/src/rollouts/mod.rs
@@ -1,17 +1,18 @@
-//! Rollouts by processes: proxies with `<release>`, the laboratory's members with stand-in agents that follow orders, and
-//! faults between them. A checker reads what the members' agents and the proxies logged.
+//! Rollouts by proxy processes that have a `<release>` element in their settings. The lab crate's members
+//! have agents that follow orders, and faults are injected. A checker reads the events of the members and the
+//! logs of the proxies.
 //!
-//! - [`Case`], [`Scenario`]: the hard cases, drawn from a seed.
-//! - [`events`]: what members did, as their agents recorded it.
+//! - [`Case`], [`Scenario`]: the fault cases, and scenarios generated from a seed.
+//! - [`events`]: the events of members, as their agents recorded them.
 //! - [`rules`]: the rules of a rollout, and the checker that counts their violations.
-//! - [`play`]: one run, and its [`Report`].
+//! - [`play`]: a single run, with its [`Report`].
 
 mod case;
 pub mod events;
 mod faults;
+mod harness;
 mod member_agents;
 mod report;
-mod rig;
 pub mod rules;
 mod run;
 mod settings;
--- a/crates/fleet-harness/src/rollouts/report.rs
+++ b/crates/fleet-harness/src/rollouts/report.rs
@@ -1,4 +1,4 @@
-//! What a run showed.
+//! The report of a run.
 
 use super::rules::RuleViolations;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 use wharfplank_lab::load::{ClientOutcome, RequestRecord};
 use wharfplank_lab::member_model::{Micros, RequestClass, CLASSES};
 
-/// What a run showed. The encoded names are those of `outcome.json`.
+/// The report of a run. The encoded names are those of `outcome.json`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
     /// The name of the case.
@@ -31,13 +31,13 @@
     /// The number of members that ran the new version at any time.
     #[serde(rename = "touched")]
     pub touched_members: usize,
-    /// The number of orders for incarnations that were over.
+    /// The number of orders for incarnations that had already ended.
     #[serde(rename = "void")]
     pub stale_orders: u64,
     /// The time from the first command until everything was finished, in milliseconds.
     #[serde(rename = "took_ms")]
     pub duration_ms: i64,
-    /// The halts and rollbacks with their reasons, by the proxies' logs.
+    /// The halts and rollbacks with their reasons, from the proxies' logs.
     #[serde(rename = "turned")]
     pub halts: Vec<String>,
     /// The number of requests.
@@ -47,13 +47,13 @@
     /// The weight of all requests.
     #[serde(rename = "worth_asked")]
     pub offered_weight: f64,
-    /// The weight served: a late answer has the class's part of it.
+    /// The weight served; a late answer counts for the class's late fraction of it.
     #[serde(rename = "worth_served")]
     pub served_weight: f64,
 }
 
 impl Report {
-    /// Adds up what clients saw of the requests that were due in a span of time.
+    /// Adds the outcomes of the requests that were due in a span of time.
     pub(super) fn add_requests(&mut self, requests: &[RequestRecord], from: Micros, until: Micros) {
         for request in requests.iter().filter(|request| (from..until).contains(&request.due_at)) {
             let class = &CLASSES[request.class];
@@ -66,7 +66,7 @@
         }
     }
 
-    /// One line for people.
+    /// Formats the report as one line of text.
     pub fn line(&self) -> String {
         format!(
             "{} seed {}: broken {:?} ended {} version {:?} followed {} touched {} void {} took {} ms turned {:?} \
@@ -89,7 +89,7 @@
     }
 }
 
-/// The weight of an answer with this latency.
+/// Returns the weight of an answer with this latency.
 fn weight(class: &RequestClass, latency: Micros) -> f64 {
     if latency <= class.latency_objective {
         class.weight
@@ -100,14 +100,14 @@
     }
 }
 
-/// Whether a proxy's status file names a rollout, and all that it names are finished.
+/// Returns whether a proxy's status file lists a rollout, and all listed rollouts are finished.
 pub(super) fn are_rollouts_finished(status_file: &Path) -> bool {
     let text = std::fs::read_to_string(status_file).unwrap_or_default();
     let mut rollouts = text.lines().filter(|line| line.starts_with("release ")).peekable();
     rollouts.peek().is_some() && rollouts.all(|line| line.contains(" over=true "))
 }
 
-/// The halts and rollbacks in a proxy's log with their reasons, in order.
+/// Returns the halts and rollbacks in a proxy's log with their reasons, in order.
 pub(super) fn halts(log: &Path) -> Vec<String> {
     std::fs::read_to_string(log).unwrap_or_default().lines().filter_map(halt).collect()
 }
--- a/crates/fleet-harness/src/rollouts/rules.rs
+++ b/crates/fleet-harness/src/rollouts/rules.rs
@@ -1,14 +1,16 @@
-//! The rules of a rollout, and the checker that counts where what members did broke them.
+//! The rules of a rollout, and the checker that counts their violations.
 
 use super::events::{MemberEvent, MemberEventKind, StopCause};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_lab::member_model::Micros;
 
-/// A crash or a drain so shortly before an order may not have been known when the order was permitted: the permits are
-/// looked at each second, the agents are polled each half, and an order is repeated each second until it comes through.
+/// The time within which a crash or a drain may not yet have been known when a later order was permitted.
+/// Permits are checked every second, agents are polled every half second, and an order is repeated every
+/// second until it arrives.
 pub const DETECTION_TIME: Micros = 6_000_000;
-/// Members of a group that must be left where it has more than two: the primary, and a replica that serves reads.
+/// The number of members that must keep serving in a group of more than two: the primary, and a replica for
+/// reads.
 const MIN_MEMBERS_LEFT: usize = 2;
 
 /// A member's group and zone.
@@ -20,25 +22,25 @@
     pub zone: &'static str,
 }
 
-/// How many members may be down at once.
+/// The maximum numbers of members that may be down at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DisruptionLimits {
-    /// Of a group.
+    /// In a group.
     pub group: usize,
-    /// Of a zone.
+    /// In a zone.
     pub zone: usize,
-    /// Of the fleet.
+    /// In the fleet.
     pub fleet: usize,
 }
 
-/// The rules that were broken, counted.
+/// The numbers of rule violations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RuleViolations {
-    /// Members that an order stopped although as many of their group were down as may be.
+    /// Orders that stopped a member when the limit of its group was already reached.
     pub group: usize,
-    /// Of their zone.
+    /// Orders that stopped a member when the limit of its zone was already reached.
     pub zone: usize,
-    /// Of the fleet.
+    /// Orders that stopped a member when the limit of the fleet was already reached.
     pub fleet: usize,
     /// Primaries that an order stopped.
     pub primary: usize,
@@ -49,13 +51,13 @@
 }
 
 impl RuleViolations {
-    /// All of them.
+    /// Returns the number of all violations.
     pub fn count(&self) -> usize {
         self.group + self.zone + self.fleet + self.primary + self.last_replica + self.twice
     }
 }
 
-/// Counts the broken rules of a run.
+/// Counts the rule violations of a run.
 pub fn check(events: &[MemberEvent], sites: &[Site], limits: DisruptionLimits) -> RuleViolations {
     let mut checker = Checker { sites, limits, down: BTreeMap::new(), violations: RuleViolations::default() };
     let mut ended: BTreeSet<(usize, u64)> = BTreeSet::new();
@@ -64,11 +66,11 @@
             checker.down.remove(&event.member);
             continue;
         };
-        // A drained member that an order ends did not end by the drain.
+        // A drain does not end an incarnation, so an order may still end it.
         if cause != StopCause::Drained && !ended.insert((event.member, incarnation)) {
             checker.violations.twice += 1;
         }
-        // What was down already adds nothing.
+        // Stopping a member that is already down is no disruption.
         let is_disruption = was_serving && !checker.down.contains_key(&event.member);
         if cause == StopCause::Ordered && is_disruption {
             checker.check_order(event);
@@ -87,7 +89,7 @@
 }
 
 impl Down {
-    /// Whether it could be known when an order was permitted that came through at `at`.
+    /// Returns whether it could be known when an order that arrived at `at` was permitted.
     fn was_known(&self, at: Micros) -> bool {
         self.cause == StopCause::Ordered || at - self.since > DETECTION_TIME
     }
@@ -101,14 +103,14 @@
 }
 
 impl Checker<'_> {
-    /// Counts the limits that an order breaks which stops a serving member.
+    /// Counts the limits that are exceeded by an order that stops a serving member.
     fn check_order(&mut self, order: &MemberEvent) {
         let site = &self.sites[order.member];
         let is_in_group = |other: &Site| other.group == site.group;
         let down_of_group = self.down_with(order, is_in_group);
         let down_of_zone = self.down_with(order, |other| other.zone == site.zone);
         let down_of_fleet = self.down_with(order, |_| true);
-        // One of those that are left is the primary; in a group of two it serves the reads.
+        // One of the remaining members is the primary; in a group of two it serves the reads.
         let group_size = self.sites.iter().filter(|other| is_in_group(other)).count();
         let is_last_replica = group_size > 2 && group_size - down_of_group < MIN_MEMBERS_LEFT;
         self.violations.group += usize::from(down_of_group > self.limits.group);
@@ -117,7 +119,8 @@
         self.violations.last_replica += usize::from(is_last_replica);
     }
 
-    /// How many of the members at certain sites are down once the ordered one is, as far as that could be known.
+    /// Returns the number of members at the counted sites that are down, as far as could be known, including
+    /// the one that the order stops.
     fn down_with(&self, order: &MemberEvent, is_counted: impl Fn(&Site) -> bool) -> usize {
         let known = self.down.iter().filter(|(_, down)| down.was_known(order.at));
         known.filter(|(member, _)| is_counted(&self.sites[**member])).count() + 1
--- a/crates/fleet-harness/src/rollouts/run.rs
+++ b/crates/fleet-harness/src/rollouts/run.rs
@@ -1,14 +1,14 @@
-//! One run: the proxies as processes, the load, the rollout and its fault, and the checker at the end. Every process that
-//! it starts ends, whatever happens.
+//! A single run: starts the proxy processes and the load, starts the rollouts, injects the fault, and checks
+//! the result. Every process that it starts is ended, also on failure.
 
 use super::case::{Scenario, NEW_VERSION};
 use super::events::{MemberEvent, MemberEventKind};
+use super::harness::Harness;
 use super::member_agents::MemberState;
 use super::report::{halts, Report};
-use super::rig::Rig;
 use super::rules::check;
 use super::settings::{ledger_file, permit_servers, LIMITS};
-use crate::proxies::Plan;
+use crate::proxies::ProxyConfig;
 use crate::run::Place;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
@@ -25,26 +25,27 @@
 const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const WATCH_INTERVAL: Duration = Duration::from_millis(5);
 const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The time before the rollout: a proxy leads once it could have heard from those of lesser rank.
+/// The time before the rollout, after which a proxy may lead because it would have heard from proxies of
+/// lower rank.
 const SETTLE: Duration = Duration::from_secs(5);
-/// A rollout that takes longer does not finish.
+/// The time after which a rollout counts as not finished.
 const ROLLOUT_TIMEOUT: Micros = 150_000_000;
 const END_TIMEOUT: Duration = Duration::from_secs(8);
 const MAX_LOAD_SECONDS: u64 = 200;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 const MICROS_PER_MS: Micros = 1_000;
 
-/// The span of time that a run's report is about.
+/// The span of time that a report covers.
 struct Span {
     began_at: Micros,
     finished_at: Micros,
 }
 
-/// Plays a run; its files are in the place's directory.
+/// Runs a scenario; its files are in the run's directory.
 ///
 /// # Errors
 ///
-/// If the run can't be played, as a text for people.
+/// If the run can't be completed, as a message.
 pub fn play(scenario: &Scenario, place: &Place) -> Result<Report, String> {
     std::fs::create_dir_all(&place.directory).map_err(|e| format!("{}: {e}", place.directory.display()))?;
     create_ledgers(scenario, &place.directory).map_err(|e| format!("{}: {e}", place.directory.display()))?;
@@ -70,41 +71,41 @@
     place: &Place,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<Report, String> {
-    let rig = Rig::prepare(scenario, place, MAX_LOAD_SECONDS, executor).map_err(|e| e.to_string())?;
-    (0..scenario.proxies).try_for_each(|proxy| rig.cluster.start(proxy))?;
-    let _watcher = executor.spawn(watch_logs(Rc::clone(&rig)));
-    wait_until_ready(&rig).await?;
-    let load = start_load(&rig, executor);
+    let harness = Harness::prepare(scenario, place, MAX_LOAD_SECONDS, executor).map_err(|e| e.to_string())?;
+    (0..scenario.proxies).try_for_each(|proxy| harness.cluster.start(proxy))?;
+    let _watcher = executor.spawn(watch_logs(Rc::clone(&harness)));
+    wait_until_ready(&harness).await?;
+    let load = start_load(&harness, executor);
     Timer::after(SETTLE).await;
     let began_at = now();
-    rig.start_rollouts().await?;
-    let fault = executor.spawn(Rc::clone(&rig).inject_fault());
-    wait_until_finished(&rig, began_at).await;
-    let is_finished = rig.is_finished();
+    harness.start_rollouts().await?;
+    let fault = executor.spawn(Rc::clone(&harness).inject_fault());
+    wait_until_finished(&harness, began_at).await;
+    let is_finished = harness.is_finished();
     let finished_at = now();
     fault.cancel().await.transpose()?;
     end_load(scenario, load).await;
-    let report = report(&rig, is_finished, &Span { began_at, finished_at });
-    write_json(&place.directory.join("diary.json"), &*rig.agents.events.borrow())?;
-    rig.cluster.take_all().into_iter().try_for_each(|proxy| proxy.end(END_TIMEOUT))?;
+    let report = report(&harness, is_finished, &Span { began_at, finished_at });
+    write_json(&place.directory.join("diary.json"), &*harness.agents.events.borrow())?;
+    harness.cluster.take_all().into_iter().try_for_each(|proxy| proxy.shut_down(END_TIMEOUT))?;
     Ok(report)
 }
 
-/// Follows what the proxies' logs say of their addresses, until it is cancelled.
-async fn watch_logs(rig: Rc<Rig>) {
+/// Registers the addresses that proxies log, until it is cancelled.
+async fn watch_logs(harness: Rc<Harness>) {
     loop {
-        rig.register_addresses();
+        harness.register_addresses();
         Timer::after(WATCH_INTERVAL).await;
     }
 }
 
-async fn wait_until_ready(rig: &Rig) -> Result<(), String> {
+async fn wait_until_ready(harness: &Harness) -> Result<(), String> {
     let deadline = now() + START_TIMEOUT;
-    for proxy in 0..rig.scenario.proxies {
-        while rig.load.proxy_addresses[proxy].get().is_none() || !rig.load.is_ready(proxy).await {
+    for proxy in 0..harness.scenario.proxies {
+        while harness.load.proxy_addresses[proxy].get().is_none() || !harness.load.is_ready(proxy).await {
             if now() > deadline {
-                let log = Plan::log(&rig.place.directory, proxy);
-                return Err(format!("proxy n{proxy} does not start; see {}", log.display()));
+                let log = ProxyConfig::log_path(&harness.place.directory, proxy);
+                return Err(format!("proxy n{proxy} did not become ready in time; see {}", log.display()));
             }
             Timer::after(START_POLL_INTERVAL).await;
         }
@@ -112,15 +113,15 @@
     Ok(())
 }
 
-async fn wait_until_finished(rig: &Rig, began_at: Micros) {
-    while !rig.is_finished() && now() - began_at < ROLLOUT_TIMEOUT {
+async fn wait_until_finished(harness: &Harness, began_at: Micros) {
+    while !harness.is_finished() && now() - began_at < ROLLOUT_TIMEOUT {
         Timer::after(FINISH_POLL_INTERVAL).await;
     }
 }
 
-fn start_load(rig: &Rig, executor: &Rc<LocalExecutor<'static>>) -> Task<()> {
-    let load = Rc::clone(&rig.load);
-    let Scenario { request_rate, groups, seed, load_seconds, .. } = rig.scenario;
+fn start_load(harness: &Harness, executor: &Rc<LocalExecutor<'static>>) -> Task<()> {
+    let load = Rc::clone(&harness.load);
+    let Scenario { request_rate, groups, seed, load_seconds, .. } = harness.scenario;
     let seconds = if load_seconds > 0 { load_seconds } else { MAX_LOAD_SECONDS };
     let seconds = seconds + SETTLE.as_secs();
     let profile =
@@ -130,7 +131,7 @@
     })
 }
 
-/// Waits for the end of a load with a duration; another one ends with the rollout.
+/// Waits for the end of the load if it has a duration, and cancels it otherwise.
 async fn end_load(scenario: &Scenario, load: Task<()>) {
     if scenario.load_seconds > 0 {
         load.await;
@@ -139,45 +140,46 @@
     }
 }
 
-fn report(rig: &Rig, is_finished: bool, span: &Span) -> Report {
-    let events = rig.agents.events.borrow();
+fn report(harness: &Harness, is_finished: bool, span: &Span) -> Report {
+    let events = harness.agents.events.borrow();
     let mut report = Report {
-        case: rig.scenario.case.name().to_string(),
-        seed: rig.scenario.seed,
-        violations: check(&events, &rig.sites(), LIMITS),
+        case: harness.scenario.case.name().to_string(),
+        seed: harness.scenario.seed,
+        violations: check(&events, &harness.sites(), LIMITS),
         is_finished,
-        had_fault: rig.had_fault.get(),
-        final_version: common_version(&rig.agents.states.borrow()),
-        followed_orders: rig.followed_orders(),
+        had_fault: harness.had_fault.get(),
+        final_version: common_version(&harness.agents.states.borrow()),
+        followed_orders: harness.followed_orders(),
         touched_members: touched_members(&events),
-        stale_orders: rig.agents.stale_orders.get(),
+        stale_orders: harness.agents.stale_orders.get(),
         duration_ms: (span.finished_at - span.began_at) / MICROS_PER_MS,
-        halts: all_halts(rig),
+        halts: all_halts(harness),
         ..Report::default()
     };
-    let load_seconds = rig.scenario.load_seconds as Micros;
+    let load_seconds = harness.scenario.load_seconds as Micros;
     let until =
         if load_seconds > 0 { span.began_at + load_seconds * MICROS_PER_SECOND } else { span.finished_at };
-    report.add_requests(&rig.load.finished.borrow(), span.began_at, until);
+    report.add_requests(&harness.load.finished.borrow(), span.began_at, until);
     report
 }
 
-/// The version that all members serve with; none if they differ or some do not serve.
+/// Returns the version with which all members serve, or `None` if they differ or some do not serve.
 fn common_version(states: &[MemberState]) -> Option<u64> {
     let version = states.first()?.version;
     states.iter().all(|state| state.ready && state.version == version).then_some(version)
 }
 
-/// The number of members that ran the new version at any time.
+/// Returns the number of members that ran the new version at any time.
 fn touched_members(events: &[MemberEvent]) -> usize {
     let is_upgrade =
         |event: &&MemberEvent| matches!(event.kind, MemberEventKind::Started { version: NEW_VERSION, .. });
     events.iter().filter(is_upgrade).map(|event| event.member).collect::<BTreeSet<_>>().len()
 }
 
-/// The halts and rollbacks in all proxies' logs, each once.
-fn all_halts(rig: &Rig) -> Vec<String> {
-    let logs = (0..rig.scenario.proxies).map(|proxy| Plan::log(&rig.place.directory, proxy));
+/// Returns the distinct halts and rollbacks in all proxies' logs.
+fn all_halts(harness: &Harness) -> Vec<String> {
+    let logs =
+        (0..harness.scenario.proxies).map(|proxy| ProxyConfig::log_path(&harness.place.directory, proxy));
     let distinct: BTreeSet<String> = logs.flat_map(|log| halts(&log)).collect();
     distinct.into_iter().collect()
 }
--- a/crates/fleet-harness/src/rollouts/settings.rs
+++ b/crates/fleet-harness/src/rollouts/settings.rs
@@ -1,61 +1,61 @@
-//! The settings of a run's proxies for rollouts, and the files that they name.
+//! The rollout settings of a run's proxies, and the paths of the files that they name.
 
 use super::case::Scenario;
 use super::member_agents::MemberAgents;
 use super::rules::{DisruptionLimits, Site};
-use crate::proxies::Plan;
+use crate::proxies::ProxyConfig;
 use crate::relay::Mesh;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 use wharfplank_lab::stand_ins::StandIns;
 
-/// One of each group, and one of each zone and one of the fleet for each permit server.
+/// The limits: one member of each group, and for a zone and the fleet one for each permit server.
 pub(super) const LIMITS: DisruptionLimits = DisruptionLimits { group: 1, zone: 3, fleet: 3 };
 const MAX_PERMIT_SERVERS: usize = 3;
-/// How long a member may be out before the rollout halts.
+/// How long a member may be down before the rollout halts.
 const READY_TIMEOUT_S: u64 = 12;
-/// How long a wave is watched at most.
+/// The maximum time for which a wave is observed.
 const SOAK_TIME_S: u64 = 3;
 
-/// The signal file of a proxy.
+/// Returns the path of a proxy's signal file.
 pub(super) fn signal_file(directory: &Path, proxy: usize) -> PathBuf {
     directory.join(format!("n{proxy}.signal"))
 }
 
-/// The status file of a proxy, beside its signal file.
+/// Returns the path of a proxy's status file, which is next to its signal file.
 pub(super) fn status_file(directory: &Path, proxy: usize) -> PathBuf {
     signal_file(directory, proxy).with_extension("signal.status")
 }
 
-/// The ledger of a proxy that is a permit server.
+/// Returns the path of the ledger of a permit server.
 pub(super) fn ledger_file(directory: &Path, proxy: usize) -> PathBuf {
     directory.join(format!("n{proxy}.ledger"))
 }
 
-/// The number of permit servers among so many proxies.
+/// Returns the number of permit servers among this number of proxies.
 pub(super) fn permit_servers(proxies: usize) -> usize {
     proxies.min(MAX_PERMIT_SERVERS)
 }
 
-/// The site of each member.
+/// Returns the site of each member.
 pub(super) fn sites(stand_ins: &StandIns) -> Vec<Site> {
     let members = &stand_ins.model().members;
     members.iter().map(|member| Site { group: member.group, zone: member.zone }).collect()
 }
 
-/// The `<release>` element of one proxy's settings.
+/// Returns the `<release>` element of a proxy's settings.
 pub(super) fn release_element(
     scenario: &Scenario,
     stand_ins: &StandIns,
     agents: &MemberAgents,
     mesh: &Mesh,
-    plan: &Plan,
+    config: &ProxyConfig,
 ) -> String {
-    let proxy = plan.number;
+    let proxy = config.number;
     let servers = permit_servers(scenario.proxies);
     let DisruptionLimits { group, zone, fleet } = LIMITS;
     let ledger = if proxy < servers {
-        ledger_file(&plan.directory, proxy).display().to_string()
+        ledger_file(&config.directory, proxy).display().to_string()
     } else {
         String::from("no")
     };
@@ -64,11 +64,11 @@
          fleet=\"{fleet}\" ledger=\"{ledger}\" signal=\"{}\" ready-within-s=\"{READY_TIMEOUT_S}\" \
          watch-s=\"{SOAK_TIME_S}\">\n",
         proxy + 1,
-        signal_file(&plan.directory, proxy).display()
+        signal_file(&config.directory, proxy).display()
     );
     // Writing to a string can't fail.
-    for inbox in &mesh.inbox {
-        let _ = writeln!(text, "    <proxy address=\"{inbox}\"/>");
+    for address in &mesh.addresses {
+        let _ = writeln!(text, "    <proxy address=\"{address}\"/>");
     }
     for (member, agent) in stand_ins.model().members.iter().zip(&agents.addresses) {
         let (name, group, zone) = (&member.name, member.group, member.zone);
--- a/crates/fleet-harness/src/run.rs
+++ b/crates/fleet-harness/src/run.rs
@@ -1,21 +1,22 @@
-//! One run of the rig: the stand-ins and relays, the proxies as processes, the load, the schedule's faults carried out
-//! at their times, and the checker at the end. Every process that it starts it ends by its id, whatever happens.
+//! A single run of a schedule: starts the stand-in members, the relays and the proxy processes, generates
+//! load, injects the faults at their times, and checks the result. Every process that it starts is ended by
+//! its id, also on failure.
 
-mod counted;
+mod counters;
 mod faults;
-mod script;
+mod member_timeline;
 
-use crate::agent;
-use crate::check::{check, differing, Report};
+use crate::check::{check, count_diverged, Report};
 use crate::cluster::Cluster;
+use crate::discovery_agent;
 use crate::goodput;
 use crate::ground_truth::GroundTruth;
-use crate::proxies::Plan;
+use crate::proxies::ProxyConfig;
 use crate::relay::{Links, Mesh};
 use crate::schedule::{Fault, Schedule};
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use script::timeline;
+use member_timeline::timeline;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -26,69 +27,72 @@
 use wharfplank_lab::member_model::{ClassMix, MemberModel, Micros};
 use wharfplank_lab::stand_ins::StandIns;
 
-/// How long proxies may take to start, and the time before the load in which they find each other.
-const START_MOST: Duration = Duration::from_secs(30);
-const SETTLE: Micros = 4_000_000;
-/// An answer that comes this long after its request's time earns nothing; later, or never, the request is lost: the
-/// platform's rule on its days, kept here so that a machine that is busy for a moment breaks no rule.
-const GRACE: Micros = 500_000;
-/// Clients whose write was answered as failed send it again so much later, at another proxy on their side of a cut.
-const AGAIN_AFTER: Duration = Duration::from_millis(300);
-/// How long proxies may take after the load to hold the same.
-const CONVERGE_MOST: Micros = 15_000_000;
-const END_MOST: Duration = Duration::from_secs(8);
+/// The maximum time for the proxies to start.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time before the load in which the proxies discover each other.
+const SETTLE_TIME: Micros = 4_000_000;
+/// An answer up to this long after its request's timeout has no value, and one after that counts as lost. The
+/// platform has the same rule; here it also keeps a machine that is busy for a moment from causing rule
+/// violations.
+const ANSWER_GRACE: Micros = 500_000;
+/// The delay after which a client retries a failed write, at another proxy on its side of a partition.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// The maximum time after the load for the replicated state of all proxies to become equal.
+const CONVERGENCE_TIMEOUT: Micros = 15_000_000;
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The program under test and where a run keeps its files.
 #[derive(Clone, Debug)]
 pub struct Place {
-    /// The program.
+    /// The executable.
     pub program: PathBuf,
-    /// A directory for configurations, logs, the schedule and the report.
+    /// The directory for configurations, logs, the schedule and the report.
     pub directory: PathBuf,
 }
 
-/// Plays a schedule; writes it, the logs and the report into the place's directory.
+/// Runs a schedule, and writes the schedule, the logs and the report to the run's directory.
 pub fn play(schedule: &Schedule, place: &Place) -> Result<Report, String> {
     std::fs::create_dir_all(&place.directory).map_err(|e| format!("{}: {e}", place.directory.display()))?;
     for n in 0..schedule.proxies {
-        let _ = std::fs::remove_file(Plan::log(&place.directory, n));
+        let _ = std::fs::remove_file(ProxyConfig::log_path(&place.directory, n));
     }
     let text = serde_json::to_string_pretty(schedule).map_err(|e| e.to_string())?;
     std::fs::write(place.directory.join("schedule.json"), text).map_err(|e| e.to_string())?;
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
-    let report = async_io::block_on(executor.run(playing(schedule, place, &executor)))?;
+    let report = async_io::block_on(executor.run(run_schedule(schedule, place, &executor)))?;
     let json = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
     std::fs::write(place.directory.join("report.json"), json).map_err(|e| e.to_string())?;
     Ok(report)
 }
 
-/// Everything that a run holds, shared by the tasks that carry faults out.
-struct Rig {
+/// The state of a run, shared by the tasks that inject faults.
+struct Harness {
     place: Place,
     cluster: Cluster,
     links: Rc<Links>,
     load: Rc<Load>,
     crashed: RefCell<u64>,
     old_snapshot: bool,
-    /// The members as they truly were.
+    /// The actual state of the members.
     truth: RefCell<GroundTruth>,
-    /// The most that the rig itself was late: a machine that has no time for the rig has none for the proxies.
-    late: std::cell::Cell<Micros>,
+    /// The greatest delay of the harness's own timers. If the machine delays the harness, it delays the
+    /// proxies too.
+    max_delay: std::cell::Cell<Micros>,
 }
 
-impl Rig {
-    /// Takes over the addresses that proxies have logged since the last call.
+impl Harness {
+    /// Registers the addresses that proxies have logged since the last call.
     fn register_addresses(&self) {
         self.cluster.register_addresses(|n, addr| self.load.proxy_addresses[n].set(Some(addr)));
     }
 
-    /// Kills a proxy, and tells the load.
+    /// Kills a proxy, and removes it from the load generator.
     fn kill(&self, n: usize) {
         self.load.remove_proxy(n);
         self.cluster.kill(n);
     }
 
-    /// Counts each proxy that ended on its own as a crash, and starts it again so that the run goes on.
+    /// Counts each proxy that exited on its own as a crash, and restarts it so that the run continues.
     fn restart_crashed(&self) -> Result<(), String> {
         for n in self.cluster.crashed() {
             *self.crashed.borrow_mut() += 1;
@@ -99,95 +103,103 @@
     }
 }
 
-async fn playing(
+async fn run_schedule(
     schedule: &Schedule,
     place: &Place,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<Report, String> {
-    let fault = |e: std::io::Error| e.to_string();
-    // The script waits for the load, the members' log does not: ahead of the clock no read could be stale.
-    let mut fleet = MemberModel::new(&timeline(schedule), now());
-    fleet.start_script(now() + 600_000_000);
-    let stand_ins = StandIns::start(executor, fleet).map_err(fault)?;
-    let proxy_zones = (0..schedule.proxies).map(Plan::zone).collect();
-    let links = Links::start(executor, &stand_ins, proxy_zones).map_err(fault)?;
-    let mesh = Mesh::start(executor, schedule.proxies, schedule.seed).map_err(fault)?;
+    let to_message = |e: std::io::Error| e.to_string();
+    // The timeline starts with the load, but the members' log must start now: if it started in the future, no
+    // read could be stale.
+    let mut member_model = MemberModel::new(&timeline(schedule), now());
+    member_model.start_script(now() + 600_000_000);
+    let stand_ins = StandIns::start(executor, member_model).map_err(to_message)?;
+    let proxy_zones = (0..schedule.proxies).map(ProxyConfig::zone).collect();
+    let links = Links::start(executor, &stand_ins, proxy_zones).map_err(to_message)?;
+    let mesh = Mesh::start(executor, schedule.proxies, schedule.seed).map_err(to_message)?;
     let load = Load::new(executor, schedule.proxies);
-    load.grace.set(GRACE);
+    load.grace.set(ANSWER_GRACE);
     *load.write_retries.borrow_mut() = WriteRetries {
-        delay: AGAIN_AFTER,
+        delay: WRITE_RETRY_DELAY,
         reachable_proxies: vec![(0..schedule.proxies).collect(); schedule.proxies],
     };
-    let mut plans = Vec::new();
+    let mut configs = Vec::new();
     for number in 0..schedule.proxies {
-        let discovery = agent::start(executor, &stand_ins, &links, number).map_err(fault)?;
+        let discovery = discovery_agent::start(executor, &stand_ins, &links, number).map_err(to_message)?;
         let seeds: Vec<SocketAddrV4> =
-            (0..schedule.proxies.min(4)).filter(|s| *s != number).map(|s| mesh.inbox[s]).collect();
-        let peers = schedule.peers.then(|| (mesh.inbox[number], seeds));
+            (0..schedule.proxies.min(4)).filter(|s| *s != number).map(|s| mesh.addresses[s]).collect();
+        let peers = schedule.peers.then(|| (mesh.addresses[number], seeds));
         let program = place.program.clone();
-        let (directory, known, proxies) =
-            (place.directory.clone(), agent::list(&stand_ins, &links, number), schedule.proxies);
+        let (directory, known_endpoints, proxies) = (
+            place.directory.clone(),
+            discovery_agent::endpoint_list(&stand_ins, &links, number),
+            schedule.proxies,
+        );
         let skew_ms = schedule.skew_ms.get(number).copied().unwrap_or(0);
-        let more = if schedule.peers { schedule.scenario.more() } else { String::new() };
-        plans.push(Plan {
+        let extra_settings = if schedule.peers { schedule.scenario.extra_settings() } else { String::new() };
+        configs.push(ProxyConfig {
             program,
             directory,
             number,
             discovery,
-            known,
+            known_endpoints,
             peers,
             proxies,
             replica_bytes: schedule.replica_bytes,
-            more,
+            extra_settings,
             skew_ms,
         });
     }
-    let rig = Rc::new(Rig {
+    let harness = Rc::new(Harness {
         place: place.clone(),
-        cluster: Cluster::new(plans, mesh),
+        cluster: Cluster::new(configs, mesh),
         links,
         load: Rc::clone(&load),
         crashed: RefCell::new(0),
         old_snapshot: schedule.old_snapshot,
         truth: RefCell::default(),
-        late: std::cell::Cell::new(0),
+        max_delay: std::cell::Cell::new(0),
     });
-    (0..schedule.proxies).try_for_each(|n| rig.cluster.start(n))?;
-    let deadline = now() + START_MOST.as_micros() as Micros;
+    (0..schedule.proxies).try_for_each(|n| harness.cluster.start(n))?;
+    let deadline = now() + START_TIMEOUT.as_micros() as Micros;
     for n in 0..schedule.proxies {
         loop {
-            rig.register_addresses();
+            harness.register_addresses();
             if load.proxy_addresses[n].get().is_some() && load.is_ready(n).await {
                 break;
             }
             if now() > deadline {
                 return Err(format!(
-                    "proxy n{n} does not start; see {}",
-                    Plan::log(&rig.place.directory, n).display()
+                    "proxy n{n} did not become ready in time; see {}",
+                    ProxyConfig::log_path(&harness.place.directory, n).display()
                 ));
             }
             Timer::after(Duration::from_millis(20)).await;
         }
     }
-    // The members' clock starts with the load; the proxies get a moment to find each other first.
-    let begin = now() + SETTLE;
-    stand_ins.start_script(begin);
-    Timer::after(Duration::from_micros(SETTLE as u64)).await;
+    // The timeline of the stand-in members starts with the load, after the proxies have discovered each
+    // other.
+    let load_start = now() + SETTLE_TIME;
+    stand_ins.start_script(load_start);
+    Timer::after(Duration::from_micros(SETTLE_TIME as u64)).await;
     let watcher: Task<Result<(), String>> = {
-        let (rig, stand_ins) = (Rc::clone(&rig), Rc::clone(&stand_ins));
+        let (harness, stand_ins) = (Rc::clone(&harness), Rc::clone(&stand_ins));
         executor.spawn(async move {
             loop {
-                rig.register_addresses();
-                rig.truth.borrow_mut().sample(now(), &stand_ins.model(), &rig.links);
-                rig.restart_crashed()?;
+                harness.register_addresses();
+                harness.truth.borrow_mut().sample(now(), &stand_ins.model(), &harness.links);
+                harness.restart_crashed()?;
                 let due = now() + 5_000;
                 Timer::after(Duration::from_millis(5)).await;
-                rig.late.set(rig.late.get().max(now() - due));
+                harness.max_delay.set(harness.max_delay.get().max(now() - due));
             }
         })
     };
-    let tasks: Vec<Task<Result<(), String>>> =
-        schedule.faults.iter().map(|f| executor.spawn(Rc::clone(&rig).carry(f.clone(), begin))).collect();
+    let tasks: Vec<Task<Result<(), String>>> = schedule
+        .faults
+        .iter()
+        .map(|f| executor.spawn(Rc::clone(&harness).inject(f.clone(), load_start)))
+        .collect();
     let profile = LoadProfile {
         requests_per_second: schedule.rate,
         mix: ClassMix::usual(),
@@ -199,25 +211,27 @@
     for task in tasks {
         task.await?;
     }
-    // Once nothing changes any more, all must come to hold the same.
-    let quiet = now();
-    let mut diverged = differing(&rig.place.directory, schedule);
-    while diverged > 0 && now() - quiet < CONVERGE_MOST {
+    // Once nothing changes any more, the replicated state of all proxies must converge.
+    let load_end = now();
+    let mut diverged = count_diverged(&harness.place.directory, schedule);
+    while diverged > 0 && now() - load_end < CONVERGENCE_TIMEOUT {
         Timer::after(Duration::from_millis(200)).await;
-        diverged = differing(&rig.place.directory, schedule);
+        diverged = count_diverged(&harness.place.directory, schedule);
     }
-    let converged_ms = (now() - quiet) / 1000;
-    if let Some(Err(what)) = watcher.cancel().await {
-        return Err(what);
+    let converged_ms = (now() - load_end) / 1000;
+    if let Some(Err(error)) = watcher.cancel().await {
+        return Err(error);
     }
-    let counted = rig.counted(schedule, &stand_ins, diverged, converged_ms);
-    let ends: Vec<_> = rig.cluster.take_all().into_iter().map(|proxy| proxy.end(END_MOST)).collect();
+    let counters = harness.counters(schedule, &stand_ins, diverged, converged_ms);
+    let exits: Vec<_> =
+        harness.cluster.take_all().into_iter().map(|proxy| proxy.shut_down(SHUTDOWN_TIMEOUT)).collect();
     let requests = load.finished.borrow().clone();
     let retry_outcomes = load.retry_outcomes.borrow().clone();
-    let mut report = check(schedule, begin, &requests, &retry_outcomes, &counted, &rig.place.directory);
-    report.goodput = goodput::by_class(&rig.truth.borrow(), &requests, Plan::zone);
-    let bad_ends = ends.iter().filter(|e| e.is_err()).count() as u64;
-    report.crashed += bad_ends;
-    report.broken += bad_ends;
+    let mut report =
+        check(schedule, load_start, &requests, &retry_outcomes, &counters, &harness.place.directory);
+    report.goodput = goodput::by_class(&harness.truth.borrow(), &requests, ProxyConfig::zone);
+    let failed_exits = exits.iter().filter(|e| e.is_err()).count() as u64;
+    report.crashed += failed_exits;
+    report.broken += failed_exits;
     Ok(report)
 }
--- a/crates/fleet-harness/src/run/script.rs
+++ b/crates/fleet-harness/src/run/member_timeline.rs
@@ -1,10 +1,10 @@
-//! What the stand-ins play of a schedule.
+//! The timeline of the stand-in members.
 
 use crate::schedule::{Fault, Schedule};
 use wharfplank_lab::member_model::USUAL_REPORTS_PER_MILLE;
 use wharfplank_lab::timeline::{Kind, Timeline, Trouble};
 
-/// The stand-ins' script: the faults of zones and members.
+/// Returns the timeline of the zone and member faults that the stand-in members carry out.
 pub(super) fn timeline(schedule: &Schedule) -> Timeline {
     let troubles = schedule.faults.iter().filter_map(|fault| match fault {
         Fault::Zone { at_s, for_s, zone, lose } => Some(Trouble {
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -1,49 +1,53 @@
-//! The hard cases, and the faults that they are made of.
+//! Fault scenarios, and the faults of which they consist.
 
 use serde::{Deserialize, Serialize};
 
-/// The hard cases that the rig plays.
+/// A fault scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scenario {
-    /// A zone's members are lost for 5 s and return cold.
+    /// A zone's members crash, and restart cold after 5 s.
     ZoneLoss,
-    /// A zone is cut off from the others: its proxies reach only its members and hear only each other.
+    /// A zone is partitioned from the others: its proxies reach only each other and the members of the zone.
     ZoneCut,
-    /// A zone is lost every other 2 s.
+    /// A zone is alternately lost for 2 s and in service for 2 s.
     ZoneFlap,
-    /// A third of the proxies hear none of the others, while all reach the members; a zone is lost meanwhile.
+    /// A third of the proxies are partitioned from the others, while all reach the members; a zone is lost
+    /// meanwhile.
     Minority,
-    /// A proxy is paused for 10 s while a zone is lost, and goes on with what it held.
+    /// A proxy is paused for 10 s while a zone is lost, and resumes with its outdated state.
     Pause,
-    /// Seven in ten proxies are killed at once and started again.
+    /// Seven in ten proxies are killed at once and restarted; a zone is lost afterwards.
     Kill70,
-    /// A fifth of the datagrams between proxies are lost, a tenth come twice, all are reordered; a zone is lost.
+    /// A fifth of the datagrams between proxies are lost, a tenth are duplicated, all are reordered; a zone
+    /// is lost.
     Lossy,
-    /// One proxy sends again what it sent long before, while a zone is lost.
+    /// Old datagrams of one proxy are replayed while a zone is lost.
     Liar,
-    /// A proxy is killed and started again while its peers move on.
+    /// A proxy is killed and restarted, and its peers' state changes in between.
     Restart,
-    /// A third of the proxies hear none of the others for 10 s, and both sides change.
+    /// A third of the proxies are partitioned for 10 s while the state changes on both sides.
     Heal,
     /// The proxies' clocks differ by up to 500 ms; a zone is lost.
     Skew,
-    /// A proxy comes back with a snapshot an hour old, by which every member is suspected and far ahead.
+    /// A proxy restarts from a snapshot that is an hour old, in which every member is suspected and far ahead
+    /// in the log.
     OldSnapshot,
-    /// More changes than the bytes a second allow; a zone is lost.
+    /// The replicated state changes faster than its byte rate allows; a zone is lost.
     Burst,
-    /// One write in twenty loses its answer: its member ran it, and its client sends it again at another proxy.
+    /// One write in twenty is executed but its answer is lost, and its client retries it at another proxy.
     Doubts,
     /// Nothing goes wrong.
     Calm,
-    /// A primary takes three times as long as it usually does; members are judged in common.
+    /// A primary takes three times its usual time, with outlier detection across the fleet.
     SlowMember,
-    /// The same, while one proxy says that the slow one is well, and that another is out.
+    /// As [`Scenario::SlowMember`], while one proxy reports the slow member as healthy and another one as
+    /// failed.
     SlowLiar,
 }
 
 impl Scenario {
-    /// All of them, in the order of the list above.
+    /// All scenarios.
     pub const ALL: [Scenario; 17] = [
         Scenario::ZoneLoss,
         Scenario::ZoneCut,
@@ -64,7 +68,7 @@
         Scenario::SlowLiar,
     ];
 
-    /// Its name on the command line.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Scenario::ZoneLoss => "zone-loss",
@@ -87,124 +91,131 @@
         }
     }
 
-    /// The further elements of the proxies' settings in it.
-    pub fn more(self) -> String {
-        if self.judges() { "  <health/>\n" } else { "" }.to_string()
+    /// Returns the additional XML elements of the proxies' settings.
+    pub fn extra_settings(self) -> String {
+        if self.has_outlier_detection() { "  <health/>\n" } else { "" }.to_string()
     }
 
-    /// Whether the proxies judge members in common in it.
-    pub fn judges(self) -> bool {
+    /// Returns whether the proxies use outlier detection across the fleet.
+    pub fn has_outlier_detection(self) -> bool {
         matches!(self, Scenario::SlowMember | Scenario::SlowLiar)
     }
 
-    /// The scenario of a name.
+    /// Returns the scenario with this name.
     pub fn named(name: &str) -> Option<Scenario> {
         Scenario::ALL.into_iter().find(|s| s.name() == name)
     }
 }
 
-/// One fault, from `at_ms` after the load begins.
+/// A fault. Times count from the start of the load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Fault {
-    /// What the wire between proxies does meanwhile.
-    Wire {
-        /// From.
+    /// Datagrams between proxies are lost, duplicated and delayed.
+    #[serde(rename = "wire")]
+    Lossy {
+        /// The start.
         at_ms: u64,
-        /// Until.
+        /// The end.
         until_ms: u64,
-        /// The part of datagrams lost.
+        /// The fraction of datagrams that are lost.
         loss: f64,
-        /// The part that arrive twice.
+        /// The fraction of datagrams that are duplicated.
         duplicate: f64,
-        /// A further delay drawn up to this, which reorders them.
+        /// The upper limit of the random additional delay, which reorders datagrams.
         jitter_ms: u64,
     },
-    /// The proxies named hear none of the others, nor the others them.
-    Split {
-        /// From.
+    /// Some proxies are partitioned from the others.
+    #[serde(rename = "split")]
+    Partition {
+        /// The start.
         at_ms: u64,
-        /// Until.
+        /// The end.
         until_ms: u64,
-        /// The proxies of one side.
+        /// The proxies on one side.
         side: Vec<usize>,
     },
-    /// A zone's members are silent; `lose`: they die and start again cold when it is over.
+    /// A zone's members stop answering, or crash if `lose` is set.
     Zone {
-        /// From, in whole seconds, as the stand-ins' script counts.
+        /// The start, in whole seconds because the timeline of the stand-in members counts in these.
         at_s: u64,
-        /// For so many seconds.
+        /// The duration in seconds.
         for_s: u64,
         /// The zone.
         zone: String,
-        /// Whether they come back cold.
+        /// Whether the members crash, and restart cold at the end.
         lose: bool,
     },
-    /// A zone is cut off from the others: between its proxies and members and all others, nothing passes.
+    /// A zone is partitioned: no traffic passes between its proxies and members and those of the other zones.
     Cut {
-        /// From.
+        /// The start.
         at_ms: u64,
-        /// Until.
+        /// The end.
         until_ms: u64,
         /// The zone.
         zone: String,
     },
-    /// A proxy is paused (SIGSTOP) and goes on (SIGCONT).
+    /// A proxy is paused (SIGSTOP) and resumed (SIGCONT).
     Pause {
-        /// From.
+        /// The start.
         at_ms: u64,
-        /// For so long.
+        /// The duration.
         for_ms: u64,
         /// The proxy.
         proxy: usize,
     },
-    /// Proxies are killed (SIGKILL) and started again.
+    /// Proxies are killed (SIGKILL) and restarted.
     Kill {
-        /// When.
+        /// The time of the kill.
         at_ms: u64,
-        /// Started again so much later.
+        /// The time from the kill to the restart.
         back_ms: u64,
         /// The proxies.
         proxies: Vec<usize>,
     },
-    /// The answers of a part of the writes are lost: their members ran them, and the connections break.
-    Answers {
-        /// From.
+    /// The answers of some writes are lost: the member executes the write, and then its connection breaks.
+    #[serde(rename = "answers")]
+    LostAnswers {
+        /// The start.
         at_ms: u64,
-        /// Until.
+        /// The end.
         until_ms: u64,
-        /// The part.
-        part: f64,
+        /// The fraction of writes.
+        #[serde(rename = "part")]
+        fraction: f64,
     },
-    /// A member takes so many per cent of its usual time.
+    /// A member is slow.
     Slow {
-        /// From, in whole seconds, as the stand-ins' script counts.
+        /// The start, in whole seconds because the timeline of the stand-in members counts in these.
         at_s: u64,
-        /// For so many seconds.
+        /// The duration in seconds.
         for_s: u64,
         /// The member.
         member: String,
-        /// Of its usual time.
+        /// Its processing time in per cent of the usual.
         percent: u64,
     },
-    /// In a proxy's name, its peers are told with the greatest weight that one member is well, and another is out.
-    Lie {
-        /// From.
+    /// False health observations with the greatest weight are sent to a proxy's peers in its name.
+    #[serde(rename = "lie")]
+    FalseHealth {
+        /// The start.
         at_ms: u64,
-        /// Until.
+        /// The end.
         until_ms: u64,
         /// The proxy.
         proxy: usize,
-        /// The member that is well, and the one that is out.
-        well: String,
-        /// See `well`.
-        out: String,
+        /// The member that is reported as healthy.
+        #[serde(rename = "well")]
+        healthy: String,
+        /// The member that is reported as failed.
+        #[serde(rename = "out")]
+        failed: String,
     },
-    /// A proxy's datagrams of long before are sent again meanwhile, as a stale or lying peer would.
+    /// Old datagrams of a proxy are replayed, as a stale or faulty peer would send them.
     Replay {
-        /// From.
+        /// The start.
         at_ms: u64,
-        /// Until.
+        /// The end.
         until_ms: u64,
         /// The proxy.
         proxy: usize,
--- a/crates/fleet-harness/src/sweep.rs
+++ b/crates/fleet-harness/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Many runs of the rig, some beside each other, added up by scenario: what seeded runs show that one does not.
+//! Sweeps: many seeded runs, some in parallel, totalled by scenario.
 
 use crate::check::Report;
 use crate::schedule::{Scenario, Schedule};
@@ -8,40 +8,49 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// The most runs of a sweep.
+/// The maximum number of runs of a sweep.
 pub const MAX_RUNS: usize = 10_000;
-/// The most runs of a sweep at a time.
+/// The maximum number of runs in parallel.
 pub const MAX_PARALLEL_RUNS: usize = 64;
 
-/// A run with a broken rule in which the rig itself was later than this is played again, so often at most.
+/// The delay of the harness above which a run with rule violations is repeated, because the machine was
+/// overloaded.
 pub const LATE_MS: u64 = 100;
+/// The maximum number of repetitions of such a run.
 const MAX_REPEATS: usize = 2;
 
-/// What one run of a sweep came to: its report, or why it could not be played.
+/// A run of a sweep: its schedule, and its report or the reason why it did not complete.
 pub type Played = (Schedule, Result<Report, String>);
 
-/// Plays the schedules, `beside` at a time, each as a process of its own (`lab fleet --replay`) in a directory of its own below `directory`; those without a broken
-/// rule leave nothing behind. The reports come in the order of the schedules.
-pub fn play_all(schedules: Vec<Schedule>, program: &Path, directory: &Path, beside: usize) -> Vec<Played> {
+/// Runs the schedules, `parallel_runs` at a time, each as a separate process (`lab fleet --replay`) with a
+/// directory of its own below `directory`. Directories of runs without rule violations are removed. The
+/// reports are in the order of the schedules.
+pub fn play_all(
+    schedules: Vec<Schedule>,
+    program: &Path,
+    directory: &Path,
+    parallel_runs: usize,
+) -> Vec<Played> {
     let schedules: Vec<Schedule> = schedules.into_iter().take(MAX_RUNS).collect();
     let next = AtomicUsize::new(0);
     let reports: Mutex<Vec<Option<Result<Report, String>>>> = Mutex::new(vec![None; schedules.len()]);
     std::thread::scope(|scope| {
-        for _ in 0..beside.clamp(1, MAX_PARALLEL_RUNS).min(schedules.len()) {
+        for _ in 0..parallel_runs.clamp(1, MAX_PARALLEL_RUNS).min(schedules.len()) {
             scope.spawn(|| loop {
                 let number = next.fetch_add(1, Ordering::Relaxed);
                 let Some(schedule) = schedules.get(number) else { return };
-                let place = of(directory, schedule);
-                let mut report = play_one(schedule, program, &place);
-                // A run for which the machine had no time shows nothing of the program: it is played again.
+                let run_directory = directory_of(directory, schedule);
+                let mut report = play_one(schedule, program, &run_directory);
+                // A run on an overloaded machine says nothing about the program, so it is repeated.
                 for _ in 0..MAX_REPEATS {
                     if !report.as_ref().is_ok_and(|r| r.broken > 0 && r.late_ms > LATE_MS) {
                         break;
                     }
-                    report = play_one(schedule, program, &place).map(|r| Report { again_starved: true, ..r });
+                    report = play_one(schedule, program, &run_directory)
+                        .map(|r| Report { again_starved: true, ..r });
                 }
                 if report.as_ref().is_ok_and(|r| r.broken == 0) {
-                    let _ = std::fs::remove_dir_all(&place);
+                    let _ = std::fs::remove_dir_all(&run_directory);
                 }
                 if let Ok(mut reports) = reports.lock() {
                     reports[number] = Some(report);
@@ -50,43 +59,50 @@
         }
     });
     let reports = reports.into_inner().unwrap_or_default();
-    let unplayed = || Err("not played".to_string());
-    schedules.into_iter().zip(reports).map(|(s, r)| (s, r.unwrap_or_else(unplayed))).collect()
+    let no_result = || Err("the run has no result".to_string());
+    schedules.into_iter().zip(reports).map(|(s, r)| (s, r.unwrap_or_else(no_result))).collect()
 }
 
-/// Plays one schedule as a process; what it printed is in `run.txt`, and its report is read back.
-fn play_one(schedule: &Schedule, program: &Path, place: &Path) -> Result<Report, String> {
-    let fault = |e: std::io::Error| format!("{}: {e}", place.display());
-    std::fs::create_dir_all(place).map_err(fault)?;
-    let (drawn, report) = (place.join("drawn.json"), place.join("report.json"));
+/// Runs a schedule as a process, with its standard error in `run.txt`, and reads its report.
+fn play_one(schedule: &Schedule, program: &Path, run_directory: &Path) -> Result<Report, String> {
+    let to_message = |e: std::io::Error| format!("{}: {e}", run_directory.display());
+    std::fs::create_dir_all(run_directory).map_err(to_message)?;
+    let (schedule_file, report) = (run_directory.join("drawn.json"), run_directory.join("report.json"));
     let text = serde_json::to_string_pretty(schedule).map_err(|e| e.to_string())?;
-    std::fs::write(&drawn, text).map_err(fault)?;
-    let said = std::fs::File::create(place.join("run.txt")).map_err(fault)?;
+    std::fs::write(&schedule_file, text).map_err(to_message)?;
+    let error_output = std::fs::File::create(run_directory.join("run.txt")).map_err(to_message)?;
     let mut command = Command::new(program);
-    command.args(["lab", "fleet", "--replay"]).arg(&drawn).arg("--out").arg(place);
-    let status = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(said).status().map_err(fault)?;
-    let text = std::fs::read_to_string(&report)
-        .map_err(|_| format!("the run ended with {status}; see {}", place.join("run.txt").display()))?;
+    command.args(["lab", "fleet", "--replay"]).arg(&schedule_file).arg("--out").arg(run_directory);
+    let status = command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(error_output)
+        .status()
+        .map_err(to_message)?;
+    let text = std::fs::read_to_string(&report).map_err(|_| {
+        format!("the run exited with {status}; see {}", run_directory.join("run.txt").display())
+    })?;
     serde_json::from_str(&text).map_err(|e| format!("{}: {e}", report.display()))
 }
 
-/// Where a schedule's run keeps its files.
-fn of(directory: &Path, schedule: &Schedule) -> PathBuf {
-    let talk = if schedule.peers { "" } else { "-alone" };
+/// Returns the directory of a schedule's run.
+fn directory_of(directory: &Path, schedule: &Schedule) -> PathBuf {
+    let suffix = if schedule.peers { "" } else { "-alone" };
     let (name, proxies, seed) = (schedule.scenario.name(), schedule.proxies, schedule.seed);
-    directory.join(format!("{name}-{proxies}-{seed}{talk}"))
+    directory.join(format!("{name}-{proxies}-{seed}{suffix}"))
 }
 
-/// The runs of one scenario, added up.
+/// The totals of a scenario's runs. The encoded names are those of `sums.json`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Sum {
     /// The scenario.
     pub scenario: String,
-    /// Runs that were played to their end, and those that could not be.
+    /// The number of runs that completed, and the errors of those that did not.
     pub runs: usize,
     /// See `runs`.
     pub failed: Vec<String>,
-    /// Broken rules, and of them requests lost, reads too old, writes twice, members fallen, proxies crashed.
+    /// Rule violations, and of them lost requests, stale reads, duplicate writes, collapsed members and
+    /// crashed proxies.
     pub broken: u64,
     /// See `broken`.
     pub lost: u64,
@@ -98,36 +114,37 @@
     pub fallen: u64,
     /// See `broken`.
     pub crashed: u64,
-    /// See `broken`: proxies that held another state than most long after the load.
+    /// See `broken`: proxies whose replicated state still differed after the load.
     pub diverged: u64,
-    /// Runs that were played again, since the machine had no time for them.
+    /// Runs that were repeated because the machine was overloaded.
     pub starved: usize,
-    /// Writes sent again elsewhere after no success, by what their clients saw then.
+    /// Failed writes that were retried at another proxy, by the outcome of the retry.
     pub again: std::collections::BTreeMap<String, u64>,
-    /// The seeds of runs in which a rule was broken.
+    /// The seeds of runs with rule violations.
     pub broken_seeds: Vec<u64>,
-    /// The mean over runs and zone faults of the part of live proxies that held the zone left 1, 2, 5 s after it was
-    /// lost, and that no longer did 1, 2, 5 s after it returned.
+    /// The mean over runs and zone faults of the fraction of live proxies that had evacuated the zone 1, 2
+    /// and 5 s after its loss, and that had returned to it 1, 2 and 5 s after the fault ended.
     pub left_after: [f64; 3],
     /// See `left_after`.
     pub back_after: [f64; 3],
-    /// The most of any run: reads to far replicas in calm, load on a returning member as a part of what fells it.
+    /// The maxima over all runs: the fraction of reads to another zone's replica without a zone fault, and
+    /// the load on a returning member as a fraction of its collapse load.
     pub far_reads: f64,
     /// See `far_reads`.
     pub cold_peak: f64,
-    /// Requests seen by clients, by what they saw, over all runs.
+    /// The number of requests in all runs by the outcome that their clients saw.
     pub requests: std::collections::BTreeMap<String, u64>,
-    /// The mean of the bytes that a proxy sent its peers a second.
+    /// The mean rate of bytes that a proxy sent to its peers.
     pub udp_bytes_a_second: f64,
 }
 
-/// Adds the runs of each scenario up.
+/// Totals the runs of each scenario.
 pub fn sums(played: &[Played]) -> Vec<Sum> {
-    let of = |scenario: &Scenario| {
-        let mine: Vec<&Played> = played.iter().filter(|(s, _)| s.scenario == *scenario).collect();
-        (!mine.is_empty()).then(|| sum(*scenario, &mine))
+    let sum_of = |scenario: &Scenario| {
+        let runs: Vec<&Played> = played.iter().filter(|(s, _)| s.scenario == *scenario).collect();
+        (!runs.is_empty()).then(|| sum(*scenario, &runs))
     };
-    Scenario::ALL.iter().filter_map(of).collect()
+    Scenario::ALL.iter().filter_map(sum_of).collect()
 }
 
 fn sum(scenario: Scenario, played: &[&Played]) -> Sum {
@@ -136,8 +153,8 @@
     for (schedule, report) in played {
         let r = match report {
             Ok(report) => report,
-            Err(what) => {
-                sum.failed.push(format!("seed {}: {what}", schedule.seed));
+            Err(error) => {
+                sum.failed.push(format!("seed {}: {error}", schedule.seed));
                 continue;
             }
         };
@@ -174,21 +191,21 @@
 }
 
 impl Sum {
-    /// One line for people.
+    /// Formats the totals as text.
     pub fn render(&self) -> String {
-        let three = |p: &[f64; 3]| format!("{:.2} {:.2} {:.2}", p[0], p[1], p[2]);
+        let fractions = |p: &[f64; 3]| format!("{:.2} {:.2} {:.2}", p[0], p[1], p[2]);
         let mut line = format!(
-            "{:<10} {:>4} runs: broken {} (lost {}, stale {}, twice {}, fallen {}, crashed {}, diverged {}); left {}; back {}; far {:.4}; cold peak {:.2}; {:.0} B/s",
+            "{:<10} {:>4} runs: violations {} (lost {}, stale {}, duplicate {}, collapsed {}, crashed {}, diverged {}); evacuated {}; returned {}; cross-zone {:.4}; peak cold load {:.2}; {:.0} B/s",
             self.scenario, self.runs, self.broken, self.lost, self.stale, self.twice, self.fallen, self.crashed, self.diverged,
-            three(&self.left_after), three(&self.back_after), self.far_reads, self.cold_peak,
+            fractions(&self.left_after), fractions(&self.back_after), self.far_reads, self.cold_peak,
             self.udp_bytes_a_second
         );
         let again: Vec<String> = self.again.iter().map(|(k, v)| format!("{k} {v}")).collect();
-        line.push_str(&format!("; {} played again; writes sent again: {}", self.starved, again.join(" ")));
+        line.push_str(&format!("; {} repeated; writes retried: {}", self.starved, again.join(" ")));
         if !self.broken_seeds.is_empty() {
-            line.push_str(&format!("; broken at seeds {:?}", self.broken_seeds));
+            line.push_str(&format!("; violations at seeds {:?}", self.broken_seeds));
         }
-        self.failed.iter().for_each(|what| line.push_str(&format!("\n  not played: {what}")));
+        self.failed.iter().for_each(|error| line.push_str(&format!("\n  failed: {error}")));
         line
     }
 }
--- a/crates/fleet-harness/tests/goodput.rs
+++ b/crates/fleet-harness/tests/goodput.rs
@@ -1,4 +1,4 @@
-//! What a router that knows the truth could have served, and what requests were worth.
+//! Tests of weighted goodput and of its upper bound.
 
 use wharfplank_fleet_harness::goodput::{by_class, total};
 use wharfplank_fleet_harness::ground_truth::{GroundTruth, MemberSite, MemberState, Sample, SAMPLE_INTERVAL};
@@ -17,7 +17,12 @@
     MemberState { is_serving, is_primary, position }
 }
 
-fn done(class: usize, due_at: Micros, min_position_ms: Option<i64>, outcome: ClientOutcome) -> RequestRecord {
+fn finished_request(
+    class: usize,
+    due_at: Micros,
+    min_position_ms: Option<i64>,
+    outcome: ClientOutcome,
+) -> RequestRecord {
     RequestRecord {
         proxy: 0,
         class,
@@ -29,43 +34,50 @@
     }
 }
 
-/// Guards against a bound that calls served what nobody could have served, and the other way round.
+/// Guards against an upper bound that counts requests which no member could have answered, or misses ones
+/// that some member could.
 #[test]
-fn the_upper_bound_is_what_a_router_could_have_done_that_knows_the_truth() {
+fn upper_bound_is_what_a_perfect_router_could_serve() {
     let sites = vec![site(0, "a"), site(0, "b"), site(1, "a")];
-    // The primary of group 0 is away from 1 s to 3 s, its replica stands still meanwhile.
+    // The primary of group 0 is down from 1 s to 3 s, and its replica's position does not advance meanwhile.
     let samples = (0..200).map(|i| {
         let at = i * SAMPLE_INTERVAL;
-        let is_away = (1_000_000..3_000_000).contains(&at);
-        let position = if is_away { 1_000_000 } else { at };
-        let members = vec![state(!is_away, true, at), state(true, false, position), state(true, true, at)];
+        let is_down = (1_000_000..3_000_000).contains(&at);
+        let position = if is_down { 1_000_000 } else { at };
+        let members = vec![state(!is_down, true, at), state(true, false, position), state(true, true, at)];
         Sample { at, cut_zone: None, members }
     });
     let truth = GroundTruth::new(sites, samples.collect());
-    let first = |request: RequestRecord| truth.earliest_answer(&request, "a");
-    assert_eq!(first(done(WRITE, 500_000, None, ClientOutcome::Served)), Some(500_000));
+    let earliest = |request: RequestRecord| truth.earliest_answer(&request, "a");
+    assert_eq!(earliest(finished_request(WRITE, 500_000, None, ClientOutcome::Served)), Some(500_000));
     assert_eq!(
-        first(done(WRITE, 1_500_000, None, ClientOutcome::Served)),
+        earliest(finished_request(WRITE, 1_500_000, None, ClientOutcome::Served)),
         Some(3_000_000),
-        "once it is back"
+        "once the primary is back"
     );
-    assert_eq!(first(done(WRITE, 900_000, None, ClientOutcome::Served)), Some(900_000));
+    assert_eq!(earliest(finished_request(WRITE, 900_000, None, ClientOutcome::Served)), Some(900_000));
     assert_eq!(
-        first(done(BOUNDED_READ, 1_100_000, None, ClientOutcome::Served)),
+        earliest(finished_request(BOUNDED_READ, 1_100_000, None, ClientOutcome::Served)),
         Some(1_100_000),
         "not yet too old"
     );
     assert_eq!(
-        first(done(BOUNDED_READ, 1_500_000, None, ClientOutcome::Served)),
+        earliest(finished_request(BOUNDED_READ, 1_500_000, None, ClientOutcome::Served)),
         None,
-        "too old, and given up by 2.5 s"
+        "too old until the client times out at 2.5 s"
     );
-    assert_eq!(first(done(SESSION_READ, 1_500_000, Some(900), ClientOutcome::Served)), Some(1_500_000));
-    assert_eq!(first(done(SESSION_READ, 1_500_000, Some(1_400), ClientOutcome::Served)), None);
+    assert_eq!(
+        earliest(finished_request(SESSION_READ, 1_500_000, Some(900), ClientOutcome::Served)),
+        Some(1_500_000)
+    );
+    assert_eq!(earliest(finished_request(SESSION_READ, 1_500_000, Some(1_400), ClientOutcome::Served)), None);
     let all = [
-        done(BOUNDED_READ, 1_500_000, None, ClientOutcome::Rejected),
-        done(WRITE, 500_000, None, ClientOutcome::Served),
-        RequestRecord { finished_at: 4_000_000, ..done(WRITE, 2_500_000, None, ClientOutcome::Served) },
+        finished_request(BOUNDED_READ, 1_500_000, None, ClientOutcome::Rejected),
+        finished_request(WRITE, 500_000, None, ClientOutcome::Served),
+        RequestRecord {
+            finished_at: 4_000_000,
+            ..finished_request(WRITE, 2_500_000, None, ClientOutcome::Served)
+        },
     ];
     let sum = total(&by_class(&truth, &all, |_| "a"));
     let (read, write) = (&CLASSES[BOUNDED_READ], &CLASSES[WRITE]);
@@ -75,17 +87,20 @@
     assert_eq!((sum.in_time, sum.late, sum.rejected), (1, 1, 1));
 }
 
-/// Guards against a bound that reaches over a cut.
+/// Guards against an upper bound that counts members on the other side of a cut.
 #[test]
-fn a_cut_zone_reaches_only_itself() {
+fn proxies_do_not_reach_members_across_a_cut() {
     let samples = (0..100).map(|i| {
         let at = i * SAMPLE_INTERVAL;
         let members = vec![state(true, true, at), state(true, false, at)];
         Sample { at, cut_zone: Some("b".to_string()), members }
     });
     let truth = GroundTruth::new(vec![site(0, "a"), site(0, "b")], samples.collect());
-    let write = done(WRITE, 0, None, ClientOutcome::Served);
+    let write = finished_request(WRITE, 0, None, ClientOutcome::Served);
     assert_eq!(truth.earliest_answer(&write, "a"), Some(0));
     assert_eq!(truth.earliest_answer(&write, "b"), None, "the primary is on the other side");
-    assert_eq!(truth.earliest_answer(&done(BOUNDED_READ, 0, None, ClientOutcome::Served), "b"), Some(0));
+    assert_eq!(
+        truth.earliest_answer(&finished_request(BOUNDED_READ, 0, None, ClientOutcome::Served), "b"),
+        Some(0)
+    );
 }
--- a/crates/fleet-harness/tests/schedule.rs
+++ b/crates/fleet-harness/tests/schedule.rs
@@ -1,9 +1,9 @@
-//! Schedules that are drawn, written out and read back.
+//! Tests of generating, writing and reading schedules.
 
 use wharfplank_fleet_harness::schedule::{Fault, Scenario, Schedule, ScheduleError};
 
 #[test]
-fn a_schedule_is_drawn_alike_from_a_seed_and_read_back_as_written() {
+fn schedules_are_deterministic_and_round_trip() {
     for scenario in Scenario::ALL {
         let one = Schedule::draw(scenario, 7, 11, true);
         assert_eq!(one, Schedule::draw(scenario, 7, 11, true));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_schedule_that_names_what_the_run_lacks_is_rejected() {
+fn schedules_with_unknown_targets_are_rejected() {
     let mut schedule = Schedule::draw(Scenario::Pause, 5, 1, true);
     schedule.faults.push(Fault::Pause { at_ms: 0, for_ms: 1, proxy: 9 });
     let text = serde_json::to_string(&schedule).unwrap();
--- a/crates/fleet-harness/tests/sweep.rs
+++ b/crates/fleet-harness/tests/sweep.rs
@@ -1,11 +1,11 @@
-//! The sums over many runs.
+//! Tests of the totals of a sweep.
 
 use wharfplank_fleet_harness::check::Report;
 use wharfplank_fleet_harness::schedule::{Scenario, Schedule};
 use wharfplank_fleet_harness::sweep::sums;
 
 #[test]
-fn runs_are_added_up_by_scenario_and_a_run_not_played_is_named() {
+fn runs_are_totalled_by_scenario() {
     let schedule = |scenario, seed| Schedule::draw(scenario, 3, seed, true);
     let report = Report {
         broken: 2,
