--- a/crates/fleet-harness/src/budgets/faults.rs
+++ b/crates/fleet-harness/src/budgets/faults.rs
@@ -82,7 +82,8 @@
         let retired = ALLOCATORS - 1;
         self.kill(retired);
         sleep_ms(RESTART_AFTER_MS).await;
-        let declaration = format!("<budgets gone=\"{}\" set=\"2\"", self.cluster.mesh.addresses[retired]);
+        let declaration =
+            format!("<budgets gone=\"{}\" set=\"2\"", self.cluster.mesh.inbox_addresses[retired]);
         for proxy in (0..self.cluster.len()).filter(|proxy| *proxy != retired) {
             self.kill(proxy);
             let mut config = self.cluster.configs[proxy].clone();
--- a/crates/fleet-harness/src/budgets/log.rs
+++ b/crates/fleet-harness/src/budgets/log.rs
@@ -139,8 +139,8 @@
 
 impl<'a> ProxyLog<'a> {
     fn new(directory: &'a Path, proxy: usize) -> ProxyLog<'a> {
-        let entries = log_entries(directory, proxy, "budgets_started");
-        let starts = entries.iter().map(|line| number(line, "time_ms") * MICROS_PER_MS).collect();
+        let start_events = log_entries(directory, proxy, "budgets_started");
+        let starts = start_events.iter().map(|line| number(line, "time_ms") * MICROS_PER_MS).collect();
         ProxyLog { directory, proxy, starts }
     }
 
--- a/crates/fleet-harness/src/check.rs
+++ b/crates/fleet-harness/src/check.rs
@@ -201,9 +201,8 @@
         report.back_after.push(AGREEMENT_CHECKS_S.map(|s| fraction_at(to + s as i64 * 1_000_000, false)));
     }
     let end = start + schedule.seconds as i64 * 1_000_000;
-    let evacuated_any = |decisions: &&Vec<(i64, String, bool)>| {
-        ZONES.iter().any(|zone| is_evacuated_at(decisions, zone, end))
-    };
+    let evacuated_any =
+        |d: &&Vec<(i64, String, bool)>| ZONES.iter().any(|zone| is_evacuated_at(d, zone, end));
     report.left_at_end = zone_decisions.iter().filter(evacuated_any).count();
     report.far_reads = counters.cross_zone_reads as f64
         / (counters.same_zone_reads + counters.cross_zone_reads).max(1) as f64;
--- a/crates/fleet-harness/src/cluster.rs
+++ b/crates/fleet-harness/src/cluster.rs
@@ -84,8 +84,8 @@
             let Some(proxy) = proxy.as_mut() else { continue };
             while let Ok(address) = proxy.logged_addresses.try_recv() {
                 match address {
-                    LoggedAddress::Clients(addr) => on_client_address(index, addr),
-                    LoggedAddress::Datagrams(addr) => self.mesh.register(index, addr),
+                    LoggedAddress::Tcp(addr) => on_client_address(index, addr),
+                    LoggedAddress::Udp(addr) => self.mesh.register(index, addr),
                 }
             }
         }
--- a/crates/fleet-harness/src/discovery_agent.rs
+++ b/crates/fleet-harness/src/discovery_agent.rs
@@ -38,16 +38,16 @@
 }
 
 /// Returns the endpoint list as this proxy sees it.
-pub fn endpoint_list(stand_ins: &StandIns, links: &Links, proxy: usize) -> Value {
-    let mut endpoint_list = stand_ins.endpoint_list();
-    if let Some(hosts) = endpoint_list.get_mut("hosts").and_then(Value::as_array_mut) {
+pub fn proxy_endpoint_list(stand_ins: &StandIns, links: &Links, proxy: usize) -> Value {
+    let mut list = stand_ins.endpoint_list();
+    if let Some(hosts) = list.get_mut("hosts").and_then(Value::as_array_mut) {
         for (member, host) in hosts.iter_mut().enumerate() {
             if let Some(dial) = links.dial_addresses[proxy].get(member) {
                 host["dial"] = json!(dial.to_string());
             }
         }
     }
-    endpoint_list
+    list
 }
 
 async fn serve(
@@ -72,19 +72,19 @@
             let value = request.split_once(&format!("{name}="))?.1;
             value.chars().take_while(char::is_ascii_digit).collect::<String>().parse::<u64>().ok()
         };
-        let version = |endpoint_list: &Value| endpoint_list.get("seq").and_then(Value::as_u64).unwrap_or(0);
-        let mut endpoint_list = endpoint_list(stand_ins, links, proxy);
+        let version = |list: &Value| list.get("seq").and_then(Value::as_u64).unwrap_or(0);
+        let mut list = proxy_endpoint_list(stand_ins, links, proxy);
         if let Some(index) = parameter("index") {
             let deadline = now() + (parameter("wait").unwrap_or(0).min(60_000) * 1000) as i64;
-            while version(&endpoint_list) <= index && now() < deadline {
+            while version(&list) <= index && now() < deadline {
                 Timer::after(Duration::from_millis(20)).await;
-                endpoint_list = self::endpoint_list(stand_ins, links, proxy);
+                list = self::proxy_endpoint_list(stand_ins, links, proxy);
             }
-            if version(&endpoint_list) <= index {
-                endpoint_list = json!({"seq": version(&endpoint_list), "whole": false, "hosts": []});
+            if version(&list) <= index {
+                list = json!({"seq": version(&list), "whole": false, "hosts": []});
             }
         }
-        let body = endpoint_list.to_string();
+        let body = list.to_string();
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         stream.write_all(response.as_bytes()).await?;
     }
--- a/crates/fleet-harness/src/ground_truth.rs
+++ b/crates/fleet-harness/src/ground_truth.rs
@@ -86,7 +86,7 @@
             is_primary: member.is_primary,
             position: model.position_ms(index) * MICROS_PER_MS,
         });
-        let cut_zone = links.cut_zone.borrow().clone();
+        let cut_zone = links.cut_off_zone.borrow().clone();
         self.samples.push(Sample { at: now, cut_zone, members: states.collect() });
     }
 
@@ -116,7 +116,7 @@
     match (CLASSES[request.class].name, request.min_position_ms) {
         ("write", _) => member.is_primary,
         ("bounded-read", _) => member.is_primary || member.position >= now - MAX_READ_AGE,
-        (_, Some(min_position_ms)) => member.is_primary || member.position >= min_position_ms * MICROS_PER_MS,
+        (_, Some(required_ms)) => member.is_primary || member.position >= required_ms * MICROS_PER_MS,
         _ => true,
     }
 }
--- a/crates/fleet-harness/src/proxies.rs
+++ b/crates/fleet-harness/src/proxies.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoggedAddress {
     /// The address for client connections.
-    Clients(SocketAddr),
+    Tcp(SocketAddr),
     /// The address for datagrams of gossip, budgets or rollouts.
-    Datagrams(SocketAddr),
+    Udp(SocketAddr),
 }
 
 /// The configuration of a proxy process.
@@ -213,10 +213,8 @@
     let value: Value = serde_json::from_str(line).ok()?;
     let address = |name: &str| value.get(name)?.as_str()?.parse().ok();
     match value.get("event")?.as_str()? {
-        "started" => address("listen").map(LoggedAddress::Clients),
-        "peers_started" | "budgets_started" | "release_started" => {
-            address("listen").map(LoggedAddress::Datagrams)
-        }
+        "started" => address("listen").map(LoggedAddress::Tcp),
+        "peers_started" | "budgets_started" | "release_started" => address("listen").map(LoggedAddress::Udp),
         _ => None,
     }
 }
--- a/crates/fleet-harness/src/relay/links.rs
+++ b/crates/fleet-harness/src/relay/links.rs
@@ -24,11 +24,11 @@
     /// The number of the request class.
     pub class: usize,
     /// Whether the proxy and the member are in the same zone.
-    pub is_same_zone: bool,
+    pub same_zone: bool,
     /// Whether a zone fault was active.
-    pub has_zone_fault: bool,
+    pub zone_fault: bool,
     /// Whether the member was its group's primary, which serves whatever zone it is in.
-    pub is_primary: bool,
+    pub to_primary: bool,
 }
 
 /// The relays between proxies and members. Each proxy has an address of its own for each member. While a zone
@@ -41,7 +41,7 @@
     /// The address at which proxy `i` dials member `m`: `dial_addresses[i][m]`.
     pub dial_addresses: Vec<Vec<SocketAddr>>,
     /// The zone that is currently cut off, if any.
-    pub cut_zone: RefCell<Option<String>>,
+    pub cut_off_zone: RefCell<Option<String>>,
     /// The fraction of writes whose connection is broken after the member has received them and before its
     /// answer.
     pub lost_answer_fraction: Cell<f64>,
@@ -90,7 +90,7 @@
             proxy_zones,
             member_zones,
             dial_addresses,
-            cut_zone: RefCell::new(None),
+            cut_off_zone: RefCell::new(None),
             lost_answer_fraction: Cell::new(0.0),
             write_count: Cell::new(0),
             has_zone_fault: Cell::new(false),
@@ -114,7 +114,7 @@
 
     /// Returns whether traffic between the proxy and the member is currently blocked.
     fn is_blocked(&self, proxy: usize, member: usize) -> bool {
-        let cut = self.cut_zone.borrow();
+        let cut = self.cut_off_zone.borrow();
         cut.as_deref()
             .is_some_and(|zone| (self.proxy_zones[proxy] == zone) != (self.member_zones[member] == zone))
     }
@@ -165,8 +165,8 @@
             while self.is_blocked(proxy, member) {
                 Timer::after(Duration::from_millis(10)).await;
             }
-            let is_same_zone = self.proxy_zones[proxy] == self.member_zones[member];
-            if !is_same_zone {
+            let same_zone = self.proxy_zones[proxy] == self.member_zones[member];
+            if !same_zone {
                 Timer::after(CROSS_ZONE_DELAY).await;
             }
             let mut loses_answer = false;
@@ -174,9 +174,8 @@
                 for class in parser.feed(&buffer[..count]) {
                     loses_answer |=
                         wharfplank_lab::member_model::CLASSES[class].name == "write" && self.loses_answer();
-                    let is_primary = self.stand_ins.model().members.get(member).is_some_and(|m| m.is_primary);
-                    let route =
-                        Route { class, is_same_zone, has_zone_fault: self.has_zone_fault.get(), is_primary };
+                    let to_primary = self.stand_ins.model().members.get(member).is_some_and(|m| m.is_primary);
+                    let route = Route { class, same_zone, zone_fault: self.has_zone_fault.get(), to_primary };
                     *self.query_counts.borrow_mut().entry(route).or_default() += 1;
                 }
             }
--- a/crates/fleet-harness/src/relay/mesh.rs
+++ b/crates/fleet-harness/src/relay/mesh.rs
@@ -49,7 +49,7 @@
     executor: Rc<LocalExecutor<'static>>,
     inboxes: Vec<Rc<Async<UdpSocket>>>,
     /// The address of each proxy's inbox, to which its peers send.
-    pub addresses: Vec<SocketAddrV4>,
+    pub inbox_addresses: Vec<SocketAddrV4>,
     /// The address at which each proxy receives datagrams, once it has logged it.
     destinations: Vec<Cell<Option<SocketAddr>>>,
     senders: RefCell<HashMap<SocketAddr, usize>>,
@@ -75,11 +75,11 @@
         seed: u64,
     ) -> std::io::Result<Rc<Mesh>> {
         let mut inboxes = Vec::new();
-        let mut addresses = Vec::new();
+        let mut inbox_addresses = Vec::new();
         for _ in 0..proxies {
             let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0))?;
             match socket.get_ref().local_addr()? {
-                SocketAddr::V4(at) => addresses.push(at),
+                SocketAddr::V4(at) => inbox_addresses.push(at),
                 SocketAddr::V6(_) => return Err(std::io::Error::other("relay inbox has an IPv6 address")),
             }
             inboxes.push(Rc::new(socket));
@@ -87,7 +87,7 @@
         let mesh = Rc::new(Mesh {
             executor: Rc::clone(executor),
             inboxes,
-            addresses,
+            inbox_addresses,
             destinations: (0..proxies).map(|_| Cell::new(None)).collect(),
             senders: RefCell::default(),
             conditions: RefCell::default(),
@@ -117,8 +117,8 @@
 
     async fn forward(self: Rc<Self>, to: usize) {
         let mut buffer = vec![0_u8; 65_536];
-        let socket = Rc::clone(&self.inboxes[to]);
-        while let Ok((count, from)) = socket.recv_from(&mut buffer).await {
+        let receiver = Rc::clone(&self.inboxes[to]);
+        while let Ok((count, from)) = receiver.recv_from(&mut buffer).await {
             let Some(from) = self.senders.borrow().get(&from).copied() else {
                 self.unknown_senders.set(self.unknown_senders.get() + 1);
                 continue;
--- a/crates/fleet-harness/src/rollouts/harness.rs
+++ b/crates/fleet-harness/src/rollouts/harness.rs
@@ -52,7 +52,7 @@
                 directory: place.directory.clone(),
                 number,
                 discovery: discovery_agent::start(executor, &stand_ins, &links, number)?,
-                known_endpoints: discovery_agent::endpoint_list(&stand_ins, &links, number),
+                known_endpoints: discovery_agent::proxy_endpoint_list(&stand_ins, &links, number),
                 peers: None,
                 proxies: scenario.proxies,
                 replica_bytes: 0,
--- a/crates/fleet-harness/src/rollouts/settings.rs
+++ b/crates/fleet-harness/src/rollouts/settings.rs
@@ -67,7 +67,7 @@
         signal_file(&config.directory, proxy).display()
     );
     // Writing to a string can't fail.
-    for address in &mesh.addresses {
+    for address in &mesh.inbox_addresses {
         let _ = writeln!(text, "    <proxy address=\"{address}\"/>");
     }
     for (member, agent) in stand_ins.model().members.iter().zip(&agents.addresses) {
--- a/crates/fleet-harness/src/run.rs
+++ b/crates/fleet-harness/src/run.rs
@@ -127,12 +127,12 @@
     for number in 0..schedule.proxies {
         let discovery = discovery_agent::start(executor, &stand_ins, &links, number).map_err(to_message)?;
         let seeds: Vec<SocketAddrV4> =
-            (0..schedule.proxies.min(4)).filter(|s| *s != number).map(|s| mesh.addresses[s]).collect();
-        let peers = schedule.peers.then(|| (mesh.addresses[number], seeds));
+            (0..schedule.proxies.min(4)).filter(|s| *s != number).map(|s| mesh.inbox_addresses[s]).collect();
+        let peers = schedule.peers.then(|| (mesh.inbox_addresses[number], seeds));
         let program = place.program.clone();
         let (directory, known_endpoints, proxies) = (
             place.directory.clone(),
-            discovery_agent::endpoint_list(&stand_ins, &links, number),
+            discovery_agent::proxy_endpoint_list(&stand_ins, &links, number),
             schedule.proxies,
         );
         let skew_ms = schedule.skew_ms.get(number).copied().unwrap_or(0);
--- a/crates/fleet-harness/src/run/counters.rs
+++ b/crates/fleet-harness/src/run/counters.rs
@@ -27,15 +27,10 @@
             .map(|m| m.peak_overload)
             .fold(0.0, f64::max);
         let query_counts = self.links.query_counts.borrow();
-        let reads_without_fault = |is_same_zone: bool| {
+        let reads_without_fault = |same_zone: bool| {
             query_counts
                 .iter()
-                .filter(|(route, _)| {
-                    route.class <= 1
-                        && !route.has_zone_fault
-                        && !route.is_primary
-                        && route.is_same_zone == is_same_zone
-                })
+                .filter(|(r, _)| r.class <= 1 && !r.zone_fault && !r.to_primary && r.same_zone == same_zone)
                 .map(|(_, n)| n)
                 .sum()
         };
--- a/crates/fleet-harness/src/run/faults.rs
+++ b/crates/fleet-harness/src/run/faults.rs
@@ -63,11 +63,11 @@
                 sleep_until(at_ms).await;
                 let side: Vec<usize> =
                     (0..self.cluster.len()).filter(|n| ProxyConfig::zone(*n) == zone).collect();
-                *self.links.cut_zone.borrow_mut() = Some(zone);
+                *self.links.cut_off_zone.borrow_mut() = Some(zone);
                 self.links.has_zone_fault.set(true);
                 self.cut_off(&side);
                 sleep_until(until_ms).await;
-                *self.links.cut_zone.borrow_mut() = None;
+                *self.links.cut_off_zone.borrow_mut() = None;
                 self.reconnect(&side);
                 sleep_until(until_ms + 15_000).await;
                 self.links.has_zone_fault.set(false);
@@ -119,7 +119,7 @@
     /// Sends observations in a proxy's name to all of its peers by which one member is healthy and another
     /// has failed. They are dated ahead, so that the proxy's own observations do not replace them.
     fn send_false_health(&self, proxy: usize, healthy: &str, failed: &str) {
-        let (address, now) = (self.cluster.mesh.addresses[proxy], now());
+        let (address, now) = (self.cluster.mesh.inbox_addresses[proxy], now());
         let router = u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port());
         let newest_window = MemberSummary::window_at(now) + 4;
         let entry = |member: &str, log_ratio| {
--- a/crates/fleet-harness/src/sweep.rs
+++ b/crates/fleet-harness/src/sweep.rs
@@ -79,9 +79,8 @@
         .stderr(error_output)
         .status()
         .map_err(to_message)?;
-    let text = std::fs::read_to_string(&report).map_err(|_| {
-        format!("the run exited with {status}; see {}", run_directory.join("run.txt").display())
-    })?;
+    let text = std::fs::read_to_string(&report)
+        .map_err(|_| format!("run exited with {status}; see {}", run_directory.join("run.txt").display()))?;
     serde_json::from_str(&text).map_err(|e| format!("{}: {e}", report.display()))
 }
 
