--- a/crates/fleet-harness/src/check.rs
+++ b/crates/fleet-harness/src/check.rs
@@ -186,7 +186,7 @@
             }
         }
     }
-    let zone_decisions = zone_decisions(directory, schedule.proxies);
+    let decisions = zone_decisions(directory, schedule.proxies);
     for (from_ms, to_ms, zone) in schedule.zone_spans() {
         let (from, to) = (start + from_ms as i64 * 1000, start + to_ms as i64 * 1000);
         let fraction_at = |at: i64, evacuated: bool| {
@@ -194,7 +194,7 @@
                 .filter(|p| !outages[*p].iter().any(|(a, b)| (*a..=*b).contains(&at)))
                 .collect();
             let count =
-                live.iter().filter(|p| is_evacuated_at(&zone_decisions[**p], &zone, at) == evacuated).count();
+                live.iter().filter(|p| is_evacuated_at(&decisions[**p], &zone, at) == evacuated).count();
             count as f64 / live.len().max(1) as f64
         };
         report.left_after.push(AGREEMENT_CHECKS_S.map(|s| fraction_at(from + s as i64 * 1_000_000, true)));
@@ -203,7 +203,7 @@
     let end = start + schedule.seconds as i64 * 1_000_000;
     let evacuated_any =
         |d: &&Vec<(i64, String, bool)>| ZONES.iter().any(|zone| is_evacuated_at(d, zone, end));
-    report.left_at_end = zone_decisions.iter().filter(evacuated_any).count();
+    report.left_at_end = decisions.iter().filter(evacuated_any).count();
     report.far_reads = counters.cross_zone_reads as f64
         / (counters.same_zone_reads + counters.cross_zone_reads).max(1) as f64;
     let seconds = schedule.seconds.max(1) as f64 * schedule.proxies.max(1) as f64;
--- a/crates/fleet-harness/src/proxies.rs
+++ b/crates/fleet-harness/src/proxies.rs
@@ -142,26 +142,29 @@
 impl Proxy {
     /// Writes the configuration files and starts the process. The log is appended to, so that a restart keeps
     /// the earlier entries.
-    pub fn start(config: &ProxyConfig) -> Result<Proxy, String> {
-        config.write().map_err(|e| format!("{}: {e}", config.directory.display()))?;
-        let mut command = Command::new(&config.program);
-        command.arg("serve").arg("--settings").arg(config.file_path("xml"));
-        command.env("BALANCER_CONFIG", config.file_path("json")).stdin(Stdio::null()).stdout(Stdio::null());
+    pub fn start(proxy_config: &ProxyConfig) -> Result<Proxy, String> {
+        proxy_config.write().map_err(|e| format!("{}: {e}", proxy_config.directory.display()))?;
+        let mut command = Command::new(&proxy_config.program);
+        command.arg("serve").arg("--settings").arg(proxy_config.file_path("xml"));
+        command
+            .env("BALANCER_CONFIG", proxy_config.file_path("json"))
+            .stdin(Stdio::null())
+            .stdout(Stdio::null());
         for name in ["BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_NAME"] {
             command.env_remove(name);
         }
         let mut child = command
             .stderr(Stdio::piped())
             .spawn()
-            .map_err(|e| format!("{}: {e}", config.program.display()))?;
+            .map_err(|e| format!("{}: {e}", proxy_config.program.display()))?;
         let lines = BufReader::new(child.stderr.take().ok_or("proxy process has no standard error pipe")?);
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(config.file_path("log"));
-        let mut log = log.map_err(|e| format!("{}: {e}", config.file_path("log").display()))?;
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(proxy_config.file_path("log"));
+        let mut log = log.map_err(|e| format!("{}: {e}", proxy_config.file_path("log").display()))?;
         let (sender, logged_addresses) = channel();
         std::thread::spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
-                if let Some(address) = parse_address(&line) {
-                    let _ = sender.send(address);
+                if let Some(logged) = parse_address(&line) {
+                    let _ = sender.send(logged);
                 }
                 let _ = writeln!(log, "{line}");
             }
--- a/crates/fleet-harness/src/sweep.rs
+++ b/crates/fleet-harness/src/sweep.rs
@@ -140,8 +140,8 @@
 /// Totals the runs of each scenario.
 pub fn sums(played: &[Played]) -> Vec<Sum> {
     let sum_of = |scenario: &Scenario| {
-        let runs: Vec<&Played> = played.iter().filter(|(s, _)| s.scenario == *scenario).collect();
-        (!runs.is_empty()).then(|| sum(*scenario, &runs))
+        let scenario_runs: Vec<&Played> = played.iter().filter(|(s, _)| s.scenario == *scenario).collect();
+        (!scenario_runs.is_empty()).then(|| sum(*scenario, &scenario_runs))
     };
     Scenario::ALL.iter().filter_map(sum_of).collect()
 }
