--- a/crates/fleet-harness/src/budgets/harness.rs
+++ b/crates/fleet-harness/src/budgets/harness.rs
@@ -6,7 +6,7 @@
 use crate::discovery_agent;
 use crate::proxies::ProxyConfig;
 use crate::relay::{Links, Mesh};
-use crate::run::Place;
+use crate::run::RunPaths;
 use async_executor::LocalExecutor;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
         case: Case,
         proxies: usize,
         seed: u64,
-        place: &Place,
+        paths: &RunPaths,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> std::io::Result<Rc<Harness>> {
         let stand_ins = start_stand_ins(proxies, seed, executor)?;
@@ -51,8 +51,8 @@
         for number in 0..proxies {
             let skew_ms = if case == Case::Skew { SKEWS_MS[number % SKEWS_MS.len()] } else { 0 };
             configs.push(ProxyConfig {
-                program: place.program.clone(),
-                directory: place.directory.clone(),
+                program: paths.program.clone(),
+                directory: paths.directory.clone(),
                 number,
                 discovery: discovery_agent::start(executor, &stand_ins, &links, number)?,
                 known_endpoints: discovery_agent::proxy_endpoint_list(&stand_ins, &links, number),
--- a/crates/fleet-harness/src/budgets/mod.rs
+++ b/crates/fleet-harness/src/budgets/mod.rs
@@ -18,7 +18,7 @@
 pub use report::Report;
 
 use crate::proxies::{Proxy, ProxyConfig};
-use crate::run::Place;
+use crate::run::RunPaths;
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use harness::Harness;
@@ -47,16 +47,16 @@
 const SECOND_HALF_SEED_FACTOR: u64 = 7;
 
 /// Runs a case with this number of proxies, and writes the logs and the report to the run's directory.
-pub fn play(case: Case, proxies: usize, seed: u64, place: &Place) -> Result<Report, String> {
-    std::fs::create_dir_all(&place.directory).map_err(|e| format!("{}: {e}", place.directory.display()))?;
+pub fn play(case: Case, proxies: usize, seed: u64, paths: &RunPaths) -> Result<Report, String> {
+    std::fs::create_dir_all(&paths.directory).map_err(|e| format!("{}: {e}", paths.directory.display()))?;
     for proxy in 0..proxies {
-        let _ = std::fs::remove_file(ProxyConfig::log_path(&place.directory, proxy));
+        let _ = std::fs::remove_file(ProxyConfig::log_path(&paths.directory, proxy));
     }
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
-    let run = run(case, proxies.max(ALLOCATORS), seed, place, &executor);
-    let report = async_io::block_on(executor.run(run))?.report(&place.directory);
+    let run = run(case, proxies.max(ALLOCATORS), seed, paths, &executor);
+    let report = async_io::block_on(executor.run(run))?.report(&paths.directory);
     let json = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
-    std::fs::write(place.directory.join("budgets.json"), json).map_err(|e| e.to_string())?;
+    std::fs::write(paths.directory.join("budgets.json"), json).map_err(|e| e.to_string())?;
     Ok(report)
 }
 
@@ -64,14 +64,14 @@
     case: Case,
     proxies: usize,
     seed: u64,
-    place: &Place,
+    paths: &RunPaths,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<FinishedRun, String> {
-    let harness = Harness::prepare(case, proxies, seed, place, executor).map_err(|e| e.to_string())?;
+    let harness = Harness::prepare(case, proxies, seed, paths, executor).map_err(|e| e.to_string())?;
     let started_at_first = if case == Case::Join { (proxies / 2).max(1) } else { proxies };
     (0..started_at_first).try_for_each(|proxy| harness.cluster.start(proxy))?;
     let watcher = executor.spawn(watch_logs(Rc::clone(&harness)));
-    wait_until_ready(&harness, started_at_first, place).await?;
+    wait_until_ready(&harness, started_at_first, paths).await?;
     Timer::after(SETTLE).await;
     let load_began_at = now();
     let fault = executor.spawn(Rc::clone(&harness).inject_fault(case, seed));
@@ -91,14 +91,14 @@
     }
 }
 
-async fn wait_until_ready(harness: &Harness, proxies: usize, place: &Place) -> Result<(), String> {
+async fn wait_until_ready(harness: &Harness, proxies: usize, paths: &RunPaths) -> Result<(), String> {
     let deadline = now() + START_TIMEOUT;
     for (proxy, load) in harness.loads.iter().enumerate().take(proxies) {
         while !(load.proxy_addresses[0].get().is_some() && load.is_ready(0).await) {
             if now() > deadline {
                 return Err(format!(
                     "proxy n{proxy} did not become ready in time; see {}",
-                    place.directory.display()
+                    paths.directory.display()
                 ));
             }
             Timer::after(START_POLL_INTERVAL).await;
--- a/crates/fleet-harness/src/check.rs
+++ b/crates/fleet-harness/src/check.rs
@@ -125,36 +125,36 @@
         seed: schedule.seed,
         proxies: schedule.proxies,
         peers: schedule.peers,
-        stale: counters.stale_reads,
-        twice: counters.duplicate_writes,
-        fallen: counters.collapsed_members,
+        stale_reads: counters.stale_reads,
+        duplicate_writes: counters.duplicate_writes,
+        collapsed_members: counters.collapsed_members,
         crashed: counters.crashed,
-        cold_peak: counters.peak_cold_load,
+        peak_cold_load: counters.peak_cold_load,
         diverged: counters.diverged,
         converged_ms: counters.converged_ms,
-        late_ms: counters.harness_delay_ms,
+        harness_delay_ms: counters.harness_delay_ms,
         ..Report::default()
     };
     for outcome in retry_outcomes {
-        *report.again.entry(outcome.to_string()).or_default() += 1;
+        *report.write_retries.entry(outcome.to_string()).or_default() += 1;
     }
     for proxy in 0..schedule.proxies {
         let states = log_entries(directory, proxy, "replica");
         let of = |name: &str| states.last().and_then(|v| v.get(name)?.as_u64()).unwrap_or(0);
-        report.replica_bytes_a_second += (of("rumour_bytes") + of("sync_bytes")) as f64;
+        report.replica_bytes_per_second += (of("rumour_bytes") + of("sync_bytes")) as f64;
         report.replica_entries = report.replica_entries.max(of("entries"));
         report.exchanges += of("asked");
         report.exchanges_differed += of("differed");
     }
-    report.replica_bytes_a_second /= schedule.seconds.max(1) as f64 * schedule.proxies as f64;
+    report.replica_bytes_per_second /= schedule.seconds.max(1) as f64 * schedule.proxies as f64;
     for proxy in 0..schedule.proxies {
         for line in log_entries(directory, proxy, "request_unserved") {
             let of = |name: &str| line.get(name).and_then(Value::as_str).unwrap_or("-").to_string();
             let group = line.get("group").and_then(Value::as_u64).unwrap_or(0);
             let (class, why) = (of("class"), of("why"));
-            *report.given_up.entry(format!("{class} of group {group}: {why}")).or_default() += 1;
+            *report.unserved.entry(format!("{class} of group {group}: {why}")).or_default() += 1;
             let at = line.get("time_ms").and_then(Value::as_i64).unwrap_or(0) * 1000 - start;
-            *report.given_up_at.entry((at / 1_000_000).max(0) as u64).or_default() += 1;
+            *report.unserved_by_second.entry((at / 1_000_000).max(0) as u64).or_default() += 1;
         }
     }
     let outages = outages(schedule, start);
@@ -172,15 +172,15 @@
             ClientOutcome::TimedOut | ClientOutcome::ConnectionLost | ClientOutcome::Unreachable
         ) {
             if was_at_unavailable_proxy(request) {
-                report.unanswered_at_a_dead_proxy += 1;
+                report.unanswered_at_unavailable_proxy += 1;
             } else if request.outcome != ClientOutcome::Unreachable {
                 report.lost += 1;
-                if report.lost_named.len() < MAX_LOST_EXAMPLES {
+                if report.lost_examples.len() < MAX_LOST_EXAMPLES {
                     let ms = |at: i64| (at - start) / 1000;
                     let class = wharfplank_lab::member_model::CLASSES[request.class].name;
                     let (due, at) = (ms(request.due_at), ms(request.finished_at));
                     report
-                        .lost_named
+                        .lost_examples
                         .push(format!("n{} {class} due {due} ended {at} {}", request.proxy, request.outcome));
                 }
             }
@@ -197,21 +197,27 @@
                 live.iter().filter(|p| is_evacuated_at(&decisions[**p], &zone, at) == evacuated).count();
             count as f64 / live.len().max(1) as f64
         };
-        report.left_after.push(AGREEMENT_CHECKS_S.map(|s| fraction_at(from + s as i64 * 1_000_000, true)));
-        report.back_after.push(AGREEMENT_CHECKS_S.map(|s| fraction_at(to + s as i64 * 1_000_000, false)));
+        report
+            .evacuated_after
+            .push(AGREEMENT_CHECKS_S.map(|s| fraction_at(from + s as i64 * 1_000_000, true)));
+        report.returned_after.push(AGREEMENT_CHECKS_S.map(|s| fraction_at(to + s as i64 * 1_000_000, false)));
     }
     let end = start + schedule.seconds as i64 * 1_000_000;
     let evacuated_any =
         |d: &&Vec<(i64, String, bool)>| ZONES.iter().any(|zone| is_evacuated_at(d, zone, end));
-    report.left_at_end = decisions.iter().filter(evacuated_any).count();
-    report.far_reads = counters.cross_zone_reads as f64
+    report.evacuated_at_end = decisions.iter().filter(evacuated_any).count();
+    report.cross_zone_read_fraction = counters.cross_zone_reads as f64
         / (counters.same_zone_reads + counters.cross_zone_reads).max(1) as f64;
     let seconds = schedule.seconds.max(1) as f64 * schedule.proxies.max(1) as f64;
-    report.udp_bytes_a_second = counters.bytes as f64 / seconds;
-    report.udp_datagrams_a_second = counters.datagrams as f64 / seconds;
+    report.udp_bytes_per_second = counters.bytes as f64 / seconds;
+    report.udp_datagrams_per_second = counters.datagrams as f64 / seconds;
     report.health = health::check(schedule, start, requests, directory);
-    report.broken =
-        report.lost + report.stale + report.twice + report.fallen + report.crashed + report.diverged;
-    report.broken += report.health.wrongly;
+    report.violations = report.lost
+        + report.stale_reads
+        + report.duplicate_writes
+        + report.collapsed_members
+        + report.crashed
+        + report.diverged;
+    report.violations += report.health.wrong_verdicts;
     report
 }
--- a/crates/fleet-harness/src/fault_plan.rs
+++ b/crates/fleet-harness/src/fault_plan.rs
@@ -51,14 +51,14 @@
             Scenario::Pause => self.pause(),
             Scenario::Kill70 => self.kill_most(),
             Scenario::Lossy => self.lossy(),
-            Scenario::Liar => self.stale_replay(),
+            Scenario::StaleReplay => self.stale_replay(),
             Scenario::Restart => self.restart(4_000),
             Scenario::OldSnapshot => self.restart(1_000),
             Scenario::Heal => self.heal(),
-            Scenario::Doubts => self.lost_write_answers(),
+            Scenario::InDoubtWrites => self.lost_write_answers(),
             Scenario::Calm => self.with_load(ZONE_LOSS_S, vec![]),
             Scenario::SlowMember => self.slow_member(),
-            Scenario::SlowLiar => self.false_health_reports(),
+            Scenario::SlowMemberFalseHealth => self.false_health_reports(),
         }
     }
 
@@ -140,7 +140,8 @@
     fn lossy(self) -> FaultPlan {
         let mut plan = self.zone_loss();
         let until_ms = to_ms(plan.seconds);
-        let lossy_network = Fault::Lossy { at_ms: 0, until_ms, loss: 0.2, duplicate: 0.1, jitter_ms: 20 };
+        let lossy_network =
+            Fault::LossyNetwork { at_ms: 0, until_ms, loss: 0.2, duplicate: 0.1, jitter_ms: 20 };
         plan.faults.insert(0, lossy_network);
         plan
     }
--- a/crates/fleet-harness/src/health.rs
+++ b/crates/fleet-harness/src/health.rs
@@ -18,18 +18,23 @@
 pub struct Health {
     /// For each slow member, the fraction of proxies that judged it degraded or ejected 1, 2, 3 and 5 s after
     /// the slowdown began.
-    pub held_after: Vec<[f64; 4]>,
+    #[serde(rename = "held_after")]
+    pub adverse_after: Vec<[f64; 4]>,
     /// For each slow member, the fraction of proxies that gave such a verdict at any time while it was slow.
-    pub held_ever: Vec<f64>,
+    #[serde(rename = "held_ever")]
+    pub adverse_ever: Vec<f64>,
     /// Adverse verdicts on members that were not slow, counted once for each proxy and member: a rule
     /// violation.
-    pub wrongly: u64,
+    #[serde(rename = "wrongly")]
+    pub wrong_verdicts: u64,
     /// Proxies with an adverse verdict on any member when the load ended.
-    pub held_at_end: u64,
+    #[serde(rename = "held_at_end")]
+    pub adverse_at_end: u64,
     /// Reads due while a member was slow, and those of them that were late or not served.
     pub reads: u64,
     /// See `reads`.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub late_reads: u64,
 }
 
 /// Returns a proxy's verdicts from its log: the time, the member, and whether the verdict was adverse.
@@ -64,20 +69,22 @@
             };
             verdicts.iter().filter(|h| last(h) == Some(true)).count() as f64 / schedule.proxies as f64
         };
-        health.held_after.push(VERDICT_CHECKS_S.map(|s| fraction_at(from + s as i64 * 1_000_000)));
+        health.adverse_after.push(VERDICT_CHECKS_S.map(|s| fraction_at(from + s as i64 * 1_000_000)));
         let at_any_time = |h: &&Vec<(i64, String, bool)>| {
             h.iter().any(|(t, m, is_adverse)| m == member && *is_adverse && (*from..*to).contains(t))
         };
-        health.held_ever.push(verdicts.iter().filter(at_any_time).count() as f64 / schedule.proxies as f64);
+        health
+            .adverse_ever
+            .push(verdicts.iter().filter(at_any_time).count() as f64 / schedule.proxies as f64);
     }
     for verdicts in &verdicts {
         let wrong = verdicts
             .iter()
             .filter(|(_, member, is_adverse)| *is_adverse && slow.iter().all(|(_, _, m)| m != member));
-        health.wrongly += wrong.map(|(_, member, _)| member).collect::<BTreeSet<_>>().len() as u64;
+        health.wrong_verdicts += wrong.map(|(_, member, _)| member).collect::<BTreeSet<_>>().len() as u64;
         let members: BTreeSet<&String> = verdicts.iter().map(|(_, member, _)| member).collect();
         let last = |member: &&String| verdicts.iter().rfind(|(_, m, _)| m == *member).is_some_and(|h| h.2);
-        health.held_at_end += u64::from(members.iter().any(last));
+        health.adverse_at_end += u64::from(members.iter().any(last));
     }
     for request in requests {
         let in_time = request.outcome == ClientOutcome::Served
@@ -86,7 +93,7 @@
             && CLASSES[request.class].name != "write"
         {
             health.reads += 1;
-            health.late += u64::from(!in_time);
+            health.late_reads += u64::from(!in_time);
         }
     }
     health
@@ -99,11 +106,11 @@
             let fractions: Vec<String> = h.iter().map(|p| format!("{p:.2}")).collect();
             format!("proxies that judged the slow member degraded after 1, 2, 3, 5 s: {}; at any time {at_any_time:.2}\n", fractions.join(" "))
         };
-        let mut out: String = self.held_after.iter().zip(&self.held_ever).map(line).collect();
+        let mut out: String = self.adverse_after.iter().zip(&self.adverse_ever).map(line).collect();
         if !out.is_empty() {
             out.push_str(&format!(
                 "wrong verdicts on sound members: {}; reads late or lost while it was slow: {} of {}; proxies with a verdict at the end: {}\n",
-                self.wrongly, self.late, self.reads, self.held_at_end
+                self.wrong_verdicts, self.late_reads, self.reads, self.adverse_at_end
             ));
         }
         out
--- a/crates/fleet-harness/src/rollouts/faults.rs
+++ b/crates/fleet-harness/src/rollouts/faults.rs
@@ -46,7 +46,7 @@
 
     /// Writes the command to start a rollout to a proxy's signal file.
     fn start_rollout(&self, proxy: usize, target: u64) -> Result<(), String> {
-        let path = signal_file(&self.place.directory, proxy);
+        let path = signal_file(&self.paths.directory, proxy);
         let command = format!("start {target} {OLD_VERSION}\n");
         std::fs::write(&path, command).map_err(|e| format!("{}: {e}", path.display()))
     }
--- a/crates/fleet-harness/src/rollouts/harness.rs
+++ b/crates/fleet-harness/src/rollouts/harness.rs
@@ -10,7 +10,7 @@
 use crate::discovery_agent;
 use crate::proxies::ProxyConfig;
 use crate::relay::{Links, Mesh};
-use crate::run::Place;
+use crate::run::RunPaths;
 use async_executor::LocalExecutor;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 
 /// The proxies of a run, the members' agents and the load.
 pub(super) struct Harness {
-    pub(super) place: Place,
+    pub(super) paths: RunPaths,
     pub(super) scenario: Scenario,
     pub(super) agents: Rc<MemberAgents>,
     pub(super) cluster: Cluster,
@@ -36,7 +36,7 @@
     /// Starts the stand-in members, the agents and the network of a run. No proxy is started yet.
     pub(super) fn prepare(
         scenario: &Scenario,
-        place: &Place,
+        paths: &RunPaths,
         load_seconds: u64,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> std::io::Result<Rc<Harness>> {
@@ -48,8 +48,8 @@
         let mut configs = Vec::new();
         for number in 0..scenario.proxies {
             let mut config = ProxyConfig {
-                program: place.program.clone(),
-                directory: place.directory.clone(),
+                program: paths.program.clone(),
+                directory: paths.directory.clone(),
                 number,
                 discovery: discovery_agent::start(executor, &stand_ins, &links, number)?,
                 known_endpoints: discovery_agent::proxy_endpoint_list(&stand_ins, &links, number),
@@ -65,7 +65,7 @@
             configs.push(config);
         }
         Ok(Rc::new(Harness {
-            place: place.clone(),
+            paths: paths.clone(),
             scenario: scenario.clone(),
             agents,
             cluster: Cluster::new(configs, mesh),
@@ -88,7 +88,7 @@
 
     /// Returns whether all rollouts have finished at all proxies, and all members serve.
     pub(super) fn is_finished(&self) -> bool {
-        let is_finished_at = |proxy: usize| are_rollouts_finished(&status_file(&self.place.directory, proxy));
+        let is_finished_at = |proxy: usize| are_rollouts_finished(&status_file(&self.paths.directory, proxy));
         let are_finished =
             self.scenario.case == Case::WithoutRollout || (0..self.cluster.len()).all(is_finished_at);
         are_finished && self.agents.states.borrow().iter().all(|state| state.ready)
--- a/crates/fleet-harness/src/rollouts/run.rs
+++ b/crates/fleet-harness/src/rollouts/run.rs
@@ -9,7 +9,7 @@
 use super::rules::check;
 use super::settings::{ledger_file, permit_servers, LIMITS};
 use crate::proxies::ProxyConfig;
-use crate::run::Place;
+use crate::run::RunPaths;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use serde::Serialize;
@@ -46,12 +46,12 @@
 /// # Errors
 ///
 /// If the run can't be completed, as a message.
-pub fn play(scenario: &Scenario, place: &Place) -> Result<Report, String> {
-    std::fs::create_dir_all(&place.directory).map_err(|e| format!("{}: {e}", place.directory.display()))?;
-    create_ledgers(scenario, &place.directory).map_err(|e| format!("{}: {e}", place.directory.display()))?;
+pub fn play(scenario: &Scenario, paths: &RunPaths) -> Result<Report, String> {
+    std::fs::create_dir_all(&paths.directory).map_err(|e| format!("{}: {e}", paths.directory.display()))?;
+    create_ledgers(scenario, &paths.directory).map_err(|e| format!("{}: {e}", paths.directory.display()))?;
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
-    let report = async_io::block_on(executor.run(run(scenario, place, &executor)))?;
-    write_json(&place.directory.join("outcome.json"), &report)?;
+    let report = async_io::block_on(executor.run(run(scenario, paths, &executor)))?;
+    write_json(&paths.directory.join("outcome.json"), &report)?;
     Ok(report)
 }
 
@@ -68,10 +68,10 @@
 
 async fn run(
     scenario: &Scenario,
-    place: &Place,
+    paths: &RunPaths,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<Report, String> {
-    let harness = Harness::prepare(scenario, place, MAX_LOAD_SECONDS, executor).map_err(|e| e.to_string())?;
+    let harness = Harness::prepare(scenario, paths, MAX_LOAD_SECONDS, executor).map_err(|e| e.to_string())?;
     (0..scenario.proxies).try_for_each(|proxy| harness.cluster.start(proxy))?;
     let _watcher = executor.spawn(watch_logs(Rc::clone(&harness)));
     wait_until_ready(&harness).await?;
@@ -86,7 +86,7 @@
     fault.cancel().await.transpose()?;
     end_load(scenario, load).await;
     let report = report(&harness, is_finished, &Span { began_at, finished_at });
-    write_json(&place.directory.join("diary.json"), &*harness.agents.events.borrow())?;
+    write_json(&paths.directory.join("diary.json"), &*harness.agents.events.borrow())?;
     harness.cluster.take_all().into_iter().try_for_each(|proxy| proxy.shut_down(END_TIMEOUT))?;
     Ok(report)
 }
@@ -104,7 +104,7 @@
     for proxy in 0..harness.scenario.proxies {
         while harness.load.proxy_addresses[proxy].get().is_none() || !harness.load.is_ready(proxy).await {
             if now() > deadline {
-                let log = ProxyConfig::log_path(&harness.place.directory, proxy);
+                let log = ProxyConfig::log_path(&harness.paths.directory, proxy);
                 return Err(format!("proxy n{proxy} did not become ready in time; see {}", log.display()));
             }
             Timer::after(START_POLL_INTERVAL).await;
@@ -179,7 +179,7 @@
 /// Returns the distinct halts and rollbacks in all proxies' logs.
 fn all_halts(harness: &Harness) -> Vec<String> {
     let logs =
-        (0..harness.scenario.proxies).map(|proxy| ProxyConfig::log_path(&harness.place.directory, proxy));
+        (0..harness.scenario.proxies).map(|proxy| ProxyConfig::log_path(&harness.paths.directory, proxy));
     let distinct: BTreeSet<String> = logs.flat_map(|log| halts(&log)).collect();
     distinct.into_iter().collect()
 }
--- a/crates/fleet-harness/src/run.rs
+++ b/crates/fleet-harness/src/run.rs
@@ -41,9 +41,9 @@
 const CONVERGENCE_TIMEOUT: Micros = 15_000_000;
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The program under test and where a run keeps its files.
+/// The paths of the program under test and of a run's files.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct RunPaths {
     /// The executable.
     pub program: PathBuf,
     /// The directory for configurations, logs, the schedule and the report.
@@ -51,23 +51,23 @@
 }
 
 /// Runs a schedule, and writes the schedule, the logs and the report to the run's directory.
-pub fn play(schedule: &Schedule, place: &Place) -> Result<Report, String> {
-    std::fs::create_dir_all(&place.directory).map_err(|e| format!("{}: {e}", place.directory.display()))?;
+pub fn play(schedule: &Schedule, paths: &RunPaths) -> Result<Report, String> {
+    std::fs::create_dir_all(&paths.directory).map_err(|e| format!("{}: {e}", paths.directory.display()))?;
     for n in 0..schedule.proxies {
-        let _ = std::fs::remove_file(ProxyConfig::log_path(&place.directory, n));
+        let _ = std::fs::remove_file(ProxyConfig::log_path(&paths.directory, n));
     }
     let text = serde_json::to_string_pretty(schedule).map_err(|e| e.to_string())?;
-    std::fs::write(place.directory.join("schedule.json"), text).map_err(|e| e.to_string())?;
+    std::fs::write(paths.directory.join("schedule.json"), text).map_err(|e| e.to_string())?;
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
-    let report = async_io::block_on(executor.run(run_schedule(schedule, place, &executor)))?;
+    let report = async_io::block_on(executor.run(run_schedule(schedule, paths, &executor)))?;
     let json = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
-    std::fs::write(place.directory.join("report.json"), json).map_err(|e| e.to_string())?;
+    std::fs::write(paths.directory.join("report.json"), json).map_err(|e| e.to_string())?;
     Ok(report)
 }
 
 /// The state of a run, shared by the tasks that inject faults.
 struct Harness {
-    place: Place,
+    paths: RunPaths,
     cluster: Cluster,
     links: Rc<Links>,
     load: Rc<Load>,
@@ -105,7 +105,7 @@
 
 async fn run_schedule(
     schedule: &Schedule,
-    place: &Place,
+    paths: &RunPaths,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<Report, String> {
     let to_message = |e: std::io::Error| e.to_string();
@@ -129,9 +129,9 @@
         let seeds: Vec<SocketAddrV4> =
             (0..schedule.proxies.min(4)).filter(|s| *s != number).map(|s| mesh.inbox_addresses[s]).collect();
         let peers = schedule.peers.then(|| (mesh.inbox_addresses[number], seeds));
-        let program = place.program.clone();
+        let program = paths.program.clone();
         let (directory, known_endpoints, proxies) = (
-            place.directory.clone(),
+            paths.directory.clone(),
             discovery_agent::proxy_endpoint_list(&stand_ins, &links, number),
             schedule.proxies,
         );
@@ -151,7 +151,7 @@
         });
     }
     let harness = Rc::new(Harness {
-        place: place.clone(),
+        paths: paths.clone(),
         cluster: Cluster::new(configs, mesh),
         links,
         load: Rc::clone(&load),
@@ -171,7 +171,7 @@
             if now() > deadline {
                 return Err(format!(
                     "proxy n{n} did not become ready in time; see {}",
-                    ProxyConfig::log_path(&harness.place.directory, n).display()
+                    ProxyConfig::log_path(&harness.paths.directory, n).display()
                 ));
             }
             Timer::after(Duration::from_millis(20)).await;
@@ -213,10 +213,10 @@
     }
     // Once nothing changes any more, the replicated state of all proxies must converge.
     let load_end = now();
-    let mut diverged = count_diverged(&harness.place.directory, schedule);
+    let mut diverged = count_diverged(&harness.paths.directory, schedule);
     while diverged > 0 && now() - load_end < CONVERGENCE_TIMEOUT {
         Timer::after(Duration::from_millis(200)).await;
-        diverged = count_diverged(&harness.place.directory, schedule);
+        diverged = count_diverged(&harness.paths.directory, schedule);
     }
     let converged_ms = (now() - load_end) / 1000;
     if let Some(Err(error)) = watcher.cancel().await {
@@ -228,10 +228,10 @@
     let requests = load.finished.borrow().clone();
     let retry_outcomes = load.retry_outcomes.borrow().clone();
     let mut report =
-        check(schedule, load_start, &requests, &retry_outcomes, &counters, &harness.place.directory);
+        check(schedule, load_start, &requests, &retry_outcomes, &counters, &harness.paths.directory);
     report.goodput = goodput::by_class(&harness.truth.borrow(), &requests, ProxyConfig::zone);
     let failed_exits = exits.iter().filter(|e| e.is_err()).count() as u64;
     report.crashed += failed_exits;
-    report.broken += failed_exits;
+    report.violations += failed_exits;
     Ok(report)
 }
--- a/crates/fleet-harness/src/run/faults.rs
+++ b/crates/fleet-harness/src/run/faults.rs
@@ -34,7 +34,7 @@
                 .await
         };
         match fault {
-            Fault::Lossy { at_ms, until_ms, loss, duplicate, jitter_ms } => {
+            Fault::LossyNetwork { at_ms, until_ms, loss, duplicate, jitter_ms } => {
                 sleep_until(at_ms).await;
                 {
                     let mut conditions = self.cluster.mesh.conditions.borrow_mut();
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -23,7 +23,8 @@
     /// is lost.
     Lossy,
     /// Old datagrams of one proxy are replayed while a zone is lost.
-    Liar,
+    #[serde(rename = "liar")]
+    StaleReplay,
     /// A proxy is killed and restarted, and its peers' state changes in between.
     Restart,
     /// A third of the proxies are partitioned for 10 s while the state changes on both sides.
@@ -36,14 +37,16 @@
     /// The replicated state changes faster than its byte rate allows; a zone is lost.
     Burst,
     /// One write in twenty is executed but its answer is lost, and its client retries it at another proxy.
-    Doubts,
+    #[serde(rename = "doubts")]
+    InDoubtWrites,
     /// Nothing goes wrong.
     Calm,
     /// A primary takes three times its usual time, with outlier detection across the fleet.
     SlowMember,
     /// As [`Scenario::SlowMember`], while one proxy reports the slow member as healthy and another one as
     /// failed.
-    SlowLiar,
+    #[serde(rename = "slow-liar")]
+    SlowMemberFalseHealth,
 }
 
 impl Scenario {
@@ -56,16 +59,16 @@
         Scenario::Pause,
         Scenario::Kill70,
         Scenario::Lossy,
-        Scenario::Liar,
+        Scenario::StaleReplay,
         Scenario::Restart,
         Scenario::Heal,
         Scenario::Skew,
         Scenario::OldSnapshot,
         Scenario::Burst,
-        Scenario::Doubts,
+        Scenario::InDoubtWrites,
         Scenario::Calm,
         Scenario::SlowMember,
-        Scenario::SlowLiar,
+        Scenario::SlowMemberFalseHealth,
     ];
 
     /// Returns the name on the command line.
@@ -78,16 +81,16 @@
             Scenario::Pause => "pause",
             Scenario::Kill70 => "kill70",
             Scenario::Lossy => "lossy",
-            Scenario::Liar => "liar",
+            Scenario::StaleReplay => "liar",
             Scenario::Restart => "restart",
             Scenario::Heal => "heal",
             Scenario::Skew => "skew",
             Scenario::OldSnapshot => "old-snapshot",
             Scenario::Burst => "burst",
-            Scenario::Doubts => "doubts",
+            Scenario::InDoubtWrites => "doubts",
             Scenario::Calm => "calm",
             Scenario::SlowMember => "slow-member",
-            Scenario::SlowLiar => "slow-liar",
+            Scenario::SlowMemberFalseHealth => "slow-liar",
         }
     }
 
@@ -98,11 +101,11 @@
 
     /// Returns whether the proxies use outlier detection across the fleet.
     pub fn has_outlier_detection(self) -> bool {
-        matches!(self, Scenario::SlowMember | Scenario::SlowLiar)
+        matches!(self, Scenario::SlowMember | Scenario::SlowMemberFalseHealth)
     }
 
     /// Returns the scenario with this name.
-    pub fn named(name: &str) -> Option<Scenario> {
+    pub fn from_name(name: &str) -> Option<Scenario> {
         Scenario::ALL.into_iter().find(|s| s.name() == name)
     }
 }
@@ -113,7 +116,7 @@
 pub enum Fault {
     /// Datagrams between proxies are lost, duplicated and delayed.
     #[serde(rename = "wire")]
-    Lossy {
+    LossyNetwork {
         /// The start.
         at_ms: u64,
         /// The end.
--- a/crates/fleet-harness/src/schedule.rs
+++ b/crates/fleet-harness/src/schedule.rs
@@ -72,7 +72,7 @@
 
 impl Schedule {
     /// Generates a run of a scenario from a seed.
-    pub fn draw(scenario: Scenario, proxies: usize, seed: u64, peers: bool) -> Schedule {
+    pub fn from_seed(scenario: Scenario, proxies: usize, seed: u64, peers: bool) -> Schedule {
         let proxies = proxies.clamp(MIN_PROXIES, MAX_PROXIES);
         let FaultPlan { seconds, faults } = generate(scenario, proxies, GROUPS, seed);
         let skews = (0..proxies).map(|proxy| SKEWS_MS[proxy % SKEWS_MS.len()]);
@@ -117,7 +117,7 @@
             Fault::Kill { proxies, .. } => proxies.iter().all(has_proxy),
             Fault::Zone { zone, .. } | Fault::Cut { zone, .. } => ZONES.contains(&zone.as_str()),
             Fault::LostAnswers { fraction, .. } => is_fraction(fraction),
-            Fault::Lossy { loss, duplicate, .. } => is_fraction(loss) && is_fraction(duplicate),
+            Fault::LossyNetwork { loss, duplicate, .. } => is_fraction(loss) && is_fraction(duplicate),
         }
     }
 
--- a/crates/fleet-harness/src/sweep.rs
+++ b/crates/fleet-harness/src/sweep.rs
@@ -15,7 +15,7 @@
 
 /// The delay of the harness above which a run with rule violations is repeated, because the machine was
 /// overloaded.
-pub const LATE_MS: u64 = 100;
+pub const MAX_HARNESS_DELAY_MS: u64 = 100;
 /// The maximum number of repetitions of such a run.
 const MAX_REPEATS: usize = 2;
 
@@ -43,13 +43,16 @@
                 let mut report = play_one(schedule, program, &run_directory);
                 // A run on an overloaded machine says nothing about the program, so it is repeated.
                 for _ in 0..MAX_REPEATS {
-                    if !report.as_ref().is_ok_and(|r| r.broken > 0 && r.late_ms > LATE_MS) {
+                    if !report
+                        .as_ref()
+                        .is_ok_and(|r| r.violations > 0 && r.harness_delay_ms > MAX_HARNESS_DELAY_MS)
+                    {
                         break;
                     }
                     report = play_one(schedule, program, &run_directory)
-                        .map(|r| Report { again_starved: true, ..r });
+                        .map(|r| Report { was_repeated: true, ..r });
                 }
-                if report.as_ref().is_ok_and(|r| r.broken == 0) {
+                if report.as_ref().is_ok_and(|r| r.violations == 0) {
                     let _ = std::fs::remove_dir_all(&run_directory);
                 }
                 if let Ok(mut reports) = reports.lock() {
@@ -102,39 +105,51 @@
     pub failed: Vec<String>,
     /// Rule violations, and of them lost requests, stale reads, duplicate writes, collapsed members and
     /// crashed proxies.
-    pub broken: u64,
-    /// See `broken`.
+    #[serde(rename = "broken")]
+    pub violations: u64,
+    /// See `violations`.
     pub lost: u64,
-    /// See `broken`.
-    pub stale: u64,
-    /// See `broken`.
-    pub twice: u64,
-    /// See `broken`.
-    pub fallen: u64,
-    /// See `broken`.
+    /// See `violations`.
+    #[serde(rename = "stale")]
+    pub stale_reads: u64,
+    /// See `violations`.
+    #[serde(rename = "twice")]
+    pub duplicate_writes: u64,
+    /// See `violations`.
+    #[serde(rename = "fallen")]
+    pub collapsed_members: u64,
+    /// See `violations`.
     pub crashed: u64,
-    /// See `broken`: proxies whose replicated state still differed after the load.
+    /// See `violations`: proxies whose replicated state still differed after the load.
     pub diverged: u64,
     /// Runs that were repeated because the machine was overloaded.
-    pub starved: usize,
+    #[serde(rename = "starved")]
+    pub repeated_runs: usize,
     /// Failed writes that were retried at another proxy, by the outcome of the retry.
-    pub again: std::collections::BTreeMap<String, u64>,
+    #[serde(rename = "again")]
+    pub write_retries: std::collections::BTreeMap<String, u64>,
     /// The seeds of runs with rule violations.
-    pub broken_seeds: Vec<u64>,
+    #[serde(rename = "broken_seeds")]
+    pub violation_seeds: Vec<u64>,
     /// The mean over runs and zone faults of the fraction of live proxies that had evacuated the zone 1, 2
     /// and 5 s after its loss, and that had returned to it 1, 2 and 5 s after the fault ended.
-    pub left_after: [f64; 3],
+    #[serde(rename = "left_after")]
+    pub evacuated_after: [f64; 3],
     /// See `left_after`.
-    pub back_after: [f64; 3],
+    #[serde(rename = "back_after")]
+    pub returned_after: [f64; 3],
     /// The maxima over all runs: the fraction of reads to another zone's replica without a zone fault, and
     /// the load on a returning member as a fraction of its collapse load.
-    pub far_reads: f64,
+    #[serde(rename = "far_reads")]
+    pub cross_zone_read_fraction: f64,
     /// See `far_reads`.
-    pub cold_peak: f64,
+    #[serde(rename = "cold_peak")]
+    pub peak_cold_load: f64,
     /// The number of requests in all runs by the outcome that their clients saw.
     pub requests: std::collections::BTreeMap<String, u64>,
     /// The mean rate of bytes that a proxy sent to its peers.
-    pub udp_bytes_a_second: f64,
+    #[serde(rename = "udp_bytes_a_second")]
+    pub udp_bytes_per_second: f64,
 }
 
 /// Totals the runs of each scenario.
@@ -158,34 +173,34 @@
             }
         };
         sum.runs += 1;
-        sum.broken += r.broken;
+        sum.violations += r.violations;
         sum.lost += r.lost;
-        sum.stale += r.stale;
-        sum.twice += r.twice;
-        sum.fallen += r.fallen;
+        sum.stale_reads += r.stale_reads;
+        sum.duplicate_writes += r.duplicate_writes;
+        sum.collapsed_members += r.collapsed_members;
         sum.crashed += r.crashed;
         sum.diverged += r.diverged;
-        sum.starved += usize::from(r.again_starved);
-        r.again.iter().for_each(|(k, v)| *sum.again.entry(k.clone()).or_default() += v);
-        if r.broken > 0 {
-            sum.broken_seeds.push(schedule.seed);
+        sum.repeated_runs += usize::from(r.was_repeated);
+        r.write_retries.iter().for_each(|(k, v)| *sum.write_retries.entry(k.clone()).or_default() += v);
+        if r.violations > 0 {
+            sum.violation_seeds.push(schedule.seed);
         }
-        for (left, back) in r.left_after.iter().zip(&r.back_after) {
+        for (left, back) in r.evacuated_after.iter().zip(&r.returned_after) {
             faults += 1.0;
             for i in 0..3 {
-                sum.left_after[i] += left[i];
-                sum.back_after[i] += back[i];
+                sum.evacuated_after[i] += left[i];
+                sum.returned_after[i] += back[i];
             }
         }
-        sum.far_reads = sum.far_reads.max(r.far_reads);
-        sum.cold_peak = sum.cold_peak.max(r.cold_peak);
+        sum.cross_zone_read_fraction = sum.cross_zone_read_fraction.max(r.cross_zone_read_fraction);
+        sum.peak_cold_load = sum.peak_cold_load.max(r.peak_cold_load);
         r.requests.iter().for_each(|(k, v)| *sum.requests.entry(k.clone()).or_default() += v);
-        sum.udp_bytes_a_second += r.udp_bytes_a_second;
+        sum.udp_bytes_per_second += r.udp_bytes_per_second;
     }
-    for part in sum.left_after.iter_mut().chain(&mut sum.back_after) {
+    for part in sum.evacuated_after.iter_mut().chain(&mut sum.returned_after) {
         *part /= f64::max(faults, 1.0);
     }
-    sum.udp_bytes_a_second /= sum.runs.max(1) as f64;
+    sum.udp_bytes_per_second /= sum.runs.max(1) as f64;
     sum
 }
 
@@ -195,14 +210,14 @@
         let fractions = |p: &[f64; 3]| format!("{:.2} {:.2} {:.2}", p[0], p[1], p[2]);
         let mut line = format!(
             "{:<10} {:>4} runs: violations {} (lost {}, stale {}, duplicate {}, collapsed {}, crashed {}, diverged {}); evacuated {}; returned {}; cross-zone {:.4}; peak cold load {:.2}; {:.0} B/s",
-            self.scenario, self.runs, self.broken, self.lost, self.stale, self.twice, self.fallen, self.crashed, self.diverged,
-            fractions(&self.left_after), fractions(&self.back_after), self.far_reads, self.cold_peak,
-            self.udp_bytes_a_second
+            self.scenario, self.runs, self.violations, self.lost, self.stale_reads, self.duplicate_writes, self.collapsed_members, self.crashed, self.diverged,
+            fractions(&self.evacuated_after), fractions(&self.returned_after), self.cross_zone_read_fraction, self.peak_cold_load,
+            self.udp_bytes_per_second
         );
-        let again: Vec<String> = self.again.iter().map(|(k, v)| format!("{k} {v}")).collect();
-        line.push_str(&format!("; {} repeated; writes retried: {}", self.starved, again.join(" ")));
-        if !self.broken_seeds.is_empty() {
-            line.push_str(&format!("; violations at seeds {:?}", self.broken_seeds));
+        let again: Vec<String> = self.write_retries.iter().map(|(k, v)| format!("{k} {v}")).collect();
+        line.push_str(&format!("; {} repeated; writes retried: {}", self.repeated_runs, again.join(" ")));
+        if !self.violation_seeds.is_empty() {
+            line.push_str(&format!("; violations at seeds {:?}", self.violation_seeds));
         }
         self.failed.iter().for_each(|error| line.push_str(&format!("\n  failed: {error}")));
         line
--- a/src/cli/lab/fleet.rs
+++ b/src/cli/lab/fleet.rs
@@ -3,14 +3,14 @@
 use super::super::error::CommandError;
 use super::{create_directory, current_program};
 use std::path::Path;
-use wharfplank::fleet_harness::run::{play, Place};
+use wharfplank::fleet_harness::run::{play, RunPaths};
 use wharfplank::fleet_harness::schedule::{Scenario, Schedule};
 use wharfplank::fleet_harness::sweep::{play_all, sums};
 
 /// The scenario of a name; an unknown name is an error of usage.
 fn parse_scenario(scenario: &str) -> Result<Scenario, CommandError> {
     let names: Vec<&str> = Scenario::ALL.iter().map(|s| s.name()).collect();
-    Scenario::named(scenario).ok_or_else(|| {
+    Scenario::from_name(scenario).ok_or_else(|| {
         CommandError::usage(format!("no scenario '{scenario}'; there are {}", names.join(", ")))
     })
 }
@@ -32,7 +32,8 @@
     let program = current_program()?;
     let mut all = Vec::new();
     for scenario in chosen {
-        let schedules = seeds.clone().map(|seed| Schedule::draw(scenario, proxies, seed, peers)).collect();
+        let schedules =
+            seeds.clone().map(|seed| Schedule::from_seed(scenario, proxies, seed, peers)).collect();
         let played = play_all(schedules, &program, &directory, beside);
         let summed = sums(&played);
         summed.iter().for_each(|sum| println!("{}", sum.render()));
@@ -41,7 +42,7 @@
         let text = serde_json::to_string_pretty(&all).map_err(CommandError::failed)?;
         std::fs::write(directory.join("sums.json"), text).map_err(CommandError::failed)?;
     }
-    let (broken, failed) = all.iter().fold((0, 0), |(b, f), sum| (b + sum.broken, f + sum.failed.len()));
+    let (broken, failed) = all.iter().fold((0, 0), |(b, f), sum| (b + sum.violations, f + sum.failed.len()));
     if broken > 0 || failed > 0 {
         return Err(CommandError::failed(format!("{broken} broken rules, {failed} runs not played")));
     }
@@ -64,16 +65,16 @@
             Schedule::read(&text)
                 .map_err(|what| CommandError::unusable_settings([format!("{}: {what}", path.display())]))?
         }
-        None => Schedule::draw(parse_scenario(scenario)?, proxies, seed, peers),
+        None => Schedule::from_seed(parse_scenario(scenario)?, proxies, seed, peers),
     };
     let directory = create_directory(directory)?;
     let program = current_program()?;
-    let place = Place { program, directory: directory.clone() };
+    let place = RunPaths { program, directory: directory.clone() };
     let report = play(&schedule, &place).map_err(CommandError::failed)?;
     print!("{}", report.render());
     println!("schedule, logs and report.json in {}", directory.display());
-    if report.broken > 0 {
-        return Err(CommandError::failed(format!("{} broken rules", report.broken)));
+    if report.violations > 0 {
+        return Err(CommandError::failed(format!("{} broken rules", report.violations)));
     }
     Ok(())
 }
--- a/tests/budget_faults.rs
+++ b/tests/budget_faults.rs
@@ -3,7 +3,7 @@
 
 use std::path::{Path, PathBuf};
 use wharfplank::fleet_harness::budgets::{play, Case, Report};
-use wharfplank::fleet_harness::run::Place;
+use wharfplank::fleet_harness::run::RunPaths;
 
 /// Plays cases beside each other, so many at a time.
 fn play_all(runs: &[(Case, usize, u64)], beside: usize, directory: &Path) -> Vec<Report> {
@@ -17,7 +17,7 @@
             .map(|(case, proxies, seed)| {
                 let (case, proxies, seed) = (*case, *proxies, *seed);
                 let directory = directory.join(format!("{case}-{proxies}-{seed}"));
-                let place = Place { program: program.clone(), directory };
+                let place = RunPaths { program: program.clone(), directory };
                 std::thread::spawn(move || play(case, proxies, seed, &place))
             })
             .collect();
--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use wharfplank::fleet_harness::check::Report;
 use wharfplank::fleet_harness::schedule::{Scenario, Schedule};
-use wharfplank::fleet_harness::sweep::{play_all, LATE_MS};
+use wharfplank::fleet_harness::sweep::{play_all, MAX_HARNESS_DELAY_MS};
 
 /// Runs beside each other: each takes about a quarter of a core, with the tests' build.
 const BESIDE: usize = 5;
@@ -13,7 +13,7 @@
 /// Five where a part of them is cut off, seven where one of them lies, else three.
 fn proxies(scenario: Scenario) -> usize {
     match scenario {
-        Scenario::SlowMember | Scenario::SlowLiar => 7,
+        Scenario::SlowMember | Scenario::SlowMemberFalseHealth => 7,
         Scenario::Minority | Scenario::Kill70 | Scenario::Lossy => 5,
         _ => 3,
     }
@@ -25,7 +25,7 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_wharfplank"));
     let schedules: Vec<Schedule> = Scenario::ALL
         .into_iter()
-        .map(|scenario| Schedule::draw(scenario, proxies(scenario), 1, true))
+        .map(|scenario| Schedule::from_seed(scenario, proxies(scenario), 1, true))
         .collect();
     let played = play_all(schedules, &program, directory.path(), BESIDE);
     let mut reports: Vec<(Scenario, Report)> = Vec::new();
@@ -36,28 +36,28 @@
     }
     let of = |scenario: Scenario| reports.iter().find(|(s, _)| *s == scenario).map(|(_, r)| r).unwrap();
     for (scenario, report) in &reports {
-        assert_eq!(report.broken, 0, "broken rules at {}:\n{}", scenario.name(), report.render());
-        assert!(report.cold_peak < 1.0, "{}: a returning member got what fells it", scenario.name());
+        assert_eq!(report.violations, 0, "broken rules at {}:\n{}", scenario.name(), report.render());
+        assert!(report.peak_cold_load < 1.0, "{}: a returning member got what fells it", scenario.name());
     }
     // Left by all within 5 s of its loss, and taken back by all before the run ends.
-    for scenario in [Scenario::ZoneLoss, Scenario::Lossy, Scenario::Liar, Scenario::Pause] {
+    for scenario in [Scenario::ZoneLoss, Scenario::Lossy, Scenario::StaleReplay, Scenario::Pause] {
         let report = of(scenario);
-        assert_eq!(report.left_after[0][2], 1.0, "{}: not all left the lost zone", scenario.name());
-        assert_eq!(report.left_at_end, 0, "{}: not all took it back", scenario.name());
+        assert_eq!(report.evacuated_after[0][2], 1.0, "{}: not all left the lost zone", scenario.name());
+        assert_eq!(report.evacuated_at_end, 0, "{}: not all took it back", scenario.name());
     }
     // A near replica whose position is not known to be new enough yields to a far tie that is: a part of the reads,
     // where proxies each alone send some 0.4 of them far. On a machine that has no time for the members either, the
     // near ones look slow: such a run tells nothing of it.
     for scenario in [Scenario::ZoneLoss, Scenario::Calm] {
         let report = of(scenario);
-        let far = report.far_reads;
-        let busy = report.late_ms > LATE_MS / 2;
+        let far = report.cross_zone_read_fraction;
+        let busy = report.harness_delay_ms > MAX_HARNESS_DELAY_MS / 2;
         assert!(busy || far < 0.25, "{}: {far:.3} of reads went far while all was well", scenario.name());
     }
     // Proxies 0 and 3 hear none of the others: alone, they leave no zone; the other three leave it.
-    assert_eq!(of(Scenario::Minority).left_after[0][2], 0.6, "the part that left the lost zone");
+    assert_eq!(of(Scenario::Minority).evacuated_after[0][2], 0.6, "the part that left the lost zone");
     // Every write that lost its answer came back at another proxy, and none ran a second time there.
-    let again = &of(Scenario::Doubts).again;
+    let again = &of(Scenario::InDoubtWrites).write_retries;
     assert!(again.get("Failed").is_some_and(|n| *n > 0), "no write was in doubt: {again:?}");
     assert_eq!(again.get("Served"), None, "a write in doubt was served again: {again:?}");
     // A snapshot an hour old withdraws nobody: but for the clients of the dead proxy all is served.
@@ -78,12 +78,12 @@
         );
     }
     // A cut zone is left by the proxies outside it at most: its own proxies reach its members.
-    assert!(of(Scenario::ZoneCut).left_after[0][2] < 1.0, "the cut zone's own proxies left it too");
+    assert!(of(Scenario::ZoneCut).evacuated_after[0][2] < 1.0, "the cut zone's own proxies left it too");
     // Most proxies come to hold a slow member degraded, and no proxy names a sound one (a broken rule, counted above),
     // whatever one of them says. Reads leave a slow primary by themselves, so that writes alone are its evidence.
-    for scenario in [Scenario::SlowMember, Scenario::SlowLiar] {
+    for scenario in [Scenario::SlowMember, Scenario::SlowMemberFalseHealth] {
         let slow = of(scenario);
-        let busy = slow.late_ms > LATE_MS / 2;
-        assert!(busy || slow.health.held_ever[0] >= 0.5, "{}:\n{}", scenario.name(), slow.render());
+        let busy = slow.harness_delay_ms > MAX_HARNESS_DELAY_MS / 2;
+        assert!(busy || slow.health.adverse_ever[0] >= 0.5, "{}:\n{}", scenario.name(), slow.render());
     }
 }
--- a/tests/rollout_faults.rs
+++ b/tests/rollout_faults.rs
@@ -5,7 +5,7 @@
 use wharfplank::fleet_harness::rollouts::{
     play, Case, Report, Scenario, NEW_VERSION, OLD_VERSION, OTHER_VERSION,
 };
-use wharfplank::fleet_harness::run::Place;
+use wharfplank::fleet_harness::run::RunPaths;
 
 /// Plays runs, some at the same time, each in a directory of its own.
 fn play_all(scenarios: &[Scenario], directory: &Path, at_once: usize) -> Vec<Report> {
@@ -24,7 +24,7 @@
 
 fn play_one(scenario: &Scenario, directory: &Path) -> Report {
     let directory = directory.join(format!("{}-{}", scenario.case.name(), scenario.seed));
-    let place = Place { program: PathBuf::from(env!("CARGO_BIN_EXE_wharfplank")), directory };
+    let place = RunPaths { program: PathBuf::from(env!("CARGO_BIN_EXE_wharfplank")), directory };
     play(scenario, &place).unwrap_or_else(|what| panic!("{}: {what}", scenario.case.name()))
 }
 
