--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -24,7 +24,7 @@
     /// Requests that the proxies left unserved, by class, group and reason, and by second of the load.
     #[serde(default, rename = "given_up")]
     pub unserved: BTreeMap<String, u64>,
-    /// See `given_up`.
+    /// See `unserved`.
     #[serde(default, rename = "given_up_at")]
     pub unserved_by_second: BTreeMap<u64, u64>,
     /// Requests without an answer although their proxy was neither killed nor paused: a rule violation.
@@ -57,11 +57,11 @@
     /// exchanges that all proxies began, and their messages that found a difference.
     #[serde(rename = "replica_bytes_a_second")]
     pub replica_bytes_per_second: f64,
-    /// See `replica_bytes_a_second`.
+    /// See `replica_bytes_per_second`.
     pub replica_entries: u64,
-    /// See `replica_bytes_a_second`.
+    /// See `replica_bytes_per_second`.
     pub exchanges: u64,
-    /// See `replica_bytes_a_second`.
+    /// See `replica_bytes_per_second`.
     pub exchanges_differed: u64,
     /// The greatest delay of the harness's own timers. If it is large, the machine delayed the proxies as
     /// well.
@@ -80,7 +80,7 @@
     /// fault began, and that had returned to it 1, 2 and 5 s after the fault ended.
     #[serde(rename = "left_after")]
     pub evacuated_after: Vec<[f64; 3]>,
-    /// See `left_after`.
+    /// See `evacuated_after`.
     #[serde(rename = "back_after")]
     pub returned_after: Vec<[f64; 3]>,
     /// Proxies that had a zone evacuated when the load ended.
@@ -100,7 +100,7 @@
     /// The mean rates of bytes and datagrams that a proxy sent to its peers.
     #[serde(rename = "udp_bytes_a_second")]
     pub udp_bytes_per_second: f64,
-    /// See `udp_bytes_a_second`.
+    /// See `udp_bytes_per_second`.
     #[serde(rename = "udp_datagrams_a_second")]
     pub udp_datagrams_per_second: f64,
 }
--- a/crates/fleet-harness/src/rollouts/case.rs
+++ b/crates/fleet-harness/src/rollouts/case.rs
@@ -36,7 +36,7 @@
     Slow,
     /// The new version never gets ready.
     NeverReady,
-    /// A member crashes while others are out, and comes back.
+    /// A member crashes while others are down, and restarts.
     MemberCrashes,
     /// Service discovery drains a member for a while.
     Drained,
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -39,7 +39,7 @@
     /// One write in twenty is executed but its answer is lost, and its client retries it at another proxy.
     #[serde(rename = "doubts")]
     InDoubtWrites,
-    /// Nothing goes wrong.
+    /// No fault.
     Calm,
     /// A primary takes three times its usual time, with outlier detection across the fleet.
     SlowMember,
--- a/crates/fleet-harness/src/sweep.rs
+++ b/crates/fleet-harness/src/sweep.rs
@@ -135,14 +135,14 @@
     /// and 5 s after its loss, and that had returned to it 1, 2 and 5 s after the fault ended.
     #[serde(rename = "left_after")]
     pub evacuated_after: [f64; 3],
-    /// See `left_after`.
+    /// See `evacuated_after`.
     #[serde(rename = "back_after")]
     pub returned_after: [f64; 3],
     /// The maxima over all runs: the fraction of reads to another zone's replica without a zone fault, and
     /// the load on a returning member as a fraction of its collapse load.
     #[serde(rename = "far_reads")]
     pub cross_zone_read_fraction: f64,
-    /// See `far_reads`.
+    /// See `cross_zone_read_fraction`.
     #[serde(rename = "cold_peak")]
     pub peak_cold_load: f64,
     /// The number of requests in all runs by the outcome that their clients saw.
