--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,13 +1,16 @@
-//! The laboratory: what the program is tried against on one machine, on loopback addresses, with a seed.
+//! A test bench for the program on one machine: stand-in members, service discovery and clients on loopback
+//! addresses, with seeded random numbers.
 //!
-//! - [`timeline`]: a scripted run, read from XML that is checked against `timeline.xsd`.
-//! - [`member_model`]: the stand-in members as a model without I/O: log shipping, one apply thread, cores and a queue.
+//! - [`timeline`]: a scripted run, read from XML and validated against `timeline.xsd`.
+//! - [`member_model`]: the stand-in members as a model without I/O: log shipping, one apply thread, cores and
+//!   a queue.
 //! - [`stand_ins`]: the model behind real sockets, and service discovery.
 //! - [`clock`]: the clock of a run.
-//! - [`load`]: an open-loop load; a late sender's delay counts.
-//! - [`trials`]: a synthetic day of records, and kills of a recording process.
-//! - [`run`]: starts the real program as processes, plays a timeline, and says what the load saw.
-//! - [`tally`]: what many proxies did together, added up from their logs.
+//! - [`load`]: an open-loop load, whose latencies include the delay of a late sender.
+//! - [`trials`]: synthetic record stores, and a durability test that kills a recording process.
+//! - [`run`]: starts proxy processes, runs a timeline against them, and returns what clients and members
+//!   observed.
+//! - [`tally`]: event counts of many proxies, summed from their logs.
 
 pub mod clock;
 pub mod load;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! An open-loop load: requests are due at times that no answer moves, and their latencies count from then, so that a
-//! late sender hides nothing (no coordinated omission).
+//! An open-loop load: each request is due at a time that does not depend on earlier answers, and its latency
+//! counts from then, so that it includes the delay of a late sender (no coordinated omission).
 //!
 //! - [`Load`]: draws the requests and records how they end.
 //! - `client`: how a client sends a request and retries a write.
@@ -28,15 +28,16 @@
 
 /// The most requests in flight; further ones that are due are dropped and counted.
 const MAX_IN_FLIGHT: usize = 2000;
-/// A client waits at least so long, in µs, also when its request was sent late.
+/// The shortest time that a client waits for an answer, in µs, if its request was sent late.
 const MIN_TIMEOUT: Micros = 1000;
 /// The fraction of session reads that follow a write of their session.
 const READ_YOUR_WRITES_FRACTION: f64 = 0.6;
 /// How long before such a read its session's write was, in milliseconds.
 const SESSION_WRITE_AGE_MS: i64 = 400;
-/// Progress is reported after every so many requests.
+/// The number of requests between two reports of progress.
 const PROGRESS_INTERVAL: u64 = 16;
-/// Tells the random numbers of the load from others of the same seed.
+/// Combined with the seed of the run, so that the load does not draw the same random numbers as the member
+/// model.
 const LOAD_SEED: u64 = 0x10ad;
 /// How often the end of the requests in flight is checked.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
@@ -46,9 +47,9 @@
 /// How much load is sent, and where.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadProfile {
-    /// Requests a second, to all proxies together.
+    /// The requests per second to all proxies together.
     pub requests_per_second: u64,
-    /// How long requests are sent.
+    /// For how many seconds requests are sent.
     pub seconds: u64,
     /// The number of groups that requests address, from 0 on.
     pub groups: usize,
@@ -67,7 +68,8 @@
     /// All finished requests.
     pub finished: RefCell<Vec<RequestRecord>>,
     in_flight: Cell<usize>,
-    /// How long past its timeout a client still waits for the answer, which then earns nothing but is not lost.
+    /// How long past its timeout a client still waits for the answer, in µs. Such an answer has no value, but
+    /// counts as received.
     pub grace: Cell<Micros>,
     /// How clients retry failed writes.
     pub write_retries: RefCell<WriteRetries>,
@@ -88,7 +90,7 @@
 }
 
 impl Load {
-    /// Creates a load for so many proxies, whose addresses are not known yet.
+    /// Creates a load for a number of proxies whose addresses are not known yet.
     pub fn new(executor: &Rc<LocalExecutor<'static>>, proxies: usize) -> Rc<Load> {
         Rc::new(Load {
             executor: Rc::clone(executor),
@@ -103,8 +105,8 @@
         })
     }
 
-    /// Sends the requests of a profile and waits for their ends. `on_progress` receives the fraction that has been
-    /// sent.
+    /// Sends the requests of a profile and waits until all have ended. `on_progress` receives the fraction
+    /// that has been sent.
     pub async fn run(self: &Rc<Self>, profile: LoadProfile, on_progress: impl Fn(f64)) {
         let mut rng = SmallRng::seed_from_u64(profile.seed ^ LOAD_SEED);
         let total = profile.requests_per_second * profile.seconds;
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -1,4 +1,5 @@
-//! How clients send their requests: over idle connections where there are some, with one retry of failed writes.
+//! How clients send their requests: over idle connections where there are some, with one retry of failed
+//! writes.
 
 use super::connection::Connection;
 use super::{ClientOutcome, Load};
@@ -12,8 +13,8 @@
 /// How long a client waits for the answer to a retried write.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How clients retry a write that was answered as failed: the very same statement, once, at another proxy. A client
-/// that received no answer does not retry, since it can't know what a crashed proxy had forwarded.
+/// How clients retry a write that was answered as failed: the very same statement, once, at another proxy. A
+/// client that received no answer does not retry, since it can't know what a crashed proxy had forwarded.
 #[derive(Clone, Debug, Default)]
 pub struct WriteRetries {
     /// The delay before the retry.
--- a/crates/lab/src/load/record.rs
+++ b/crates/lab/src/load/record.rs
@@ -1,4 +1,4 @@
-//! What clients saw of their requests.
+//! The requests of the load and their outcomes, as clients observed them.
 
 use crate::member_model::Micros;
 use std::fmt;
@@ -34,7 +34,7 @@
     }
 }
 
-/// One finished request, as its client saw it.
+/// A finished request, as its client observed it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestRecord {
     /// The index of the proxy.
@@ -47,14 +47,14 @@
     pub min_position_ms: Option<i64>,
     /// When the request was due, in µs of Unix time.
     pub due_at: Micros,
-    /// When its client saw its end, in µs of Unix time.
+    /// When it ended for its client, in µs of Unix time.
     pub finished_at: Micros,
     /// How it ended.
     pub outcome: ClientOutcome,
 }
 
 impl RequestRecord {
-    /// Whether the request is of a class and ended like this.
+    /// Whether the request is of a class and ended with an outcome.
     pub(super) fn is(&self, class: usize, outcome: ClientOutcome) -> bool {
         self.class == class && self.outcome == outcome
     }
--- a/crates/lab/src/member_model.rs
+++ b/crates/lab/src/member_model.rs
@@ -1,7 +1,8 @@
 //! The stand-in members as a model without I/O: time and requests go in, answers and their times come out.
 //!
-//! A position is the time up to which a member has applied all commits. A primary's position is the present. A replica
-//! receives the log a few milliseconds late and applies it with one thread, which a long-running read blocks.
+//! A position is the time up to which a member has applied all commits. A primary's position is the present.
+//! A replica receives the log a few milliseconds late and applies it with one thread, which a long-running
+//! read blocks.
 //!
 //! - [`Member`]: the state of one member, and [`MemberBehavior`], which the agent on its machine sets.
 //! - [`RequestClass`]: the classes of the load.
@@ -26,7 +27,8 @@
 /// Microseconds of Unix time, or a span in microseconds.
 pub type Micros = i64;
 
-/// The fraction of its capacity that a member has when it starts. It grows to the whole over [`WARM_UP_TIME`].
+/// The fraction of its capacity that a member has when it starts. It grows to the whole over
+/// [`WARM_UP_TIME`].
 pub const WARM_UP_FLOOR: f64 = 0.24;
 /// The time that a member takes to warm up.
 pub const WARM_UP_TIME: Micros = 15_000_000;
--- a/crates/lab/src/member_model/admission.rs
+++ b/crates/lab/src/member_model/admission.rs
@@ -25,12 +25,12 @@
     pub min_position_ms: Option<i64>,
 }
 
-/// Whether a member takes a request.
+/// The decision of a member on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request is in flight, and the answer is ready at this time.
     Admitted(Micros),
-    /// A write came to a member that is no primary.
+    /// The request is a write, and the member is not the primary.
     NotPrimary,
     /// The member's queue is full, it is draining, or it sheds load.
     Overloaded,
@@ -47,8 +47,8 @@
         (WARM_UP_FLOOR + (1.0 - WARM_UP_FLOOR) * uptime / WARM_UP_TIME as f64).min(1.0)
     }
 
-    /// Admits or rejects a request at a member. Every request that is [`Admission::Admitted`] has to be ended with
-    /// [`MemberModel::finish_request`].
+    /// Admits or rejects a request at a member. Every request that is [`Admission::Admitted`] has to be ended
+    /// with [`MemberModel::finish_request`].
     pub fn admit(&mut self, member: usize, request: IncomingRequest<'_>) -> Admission {
         // Drawn before any check, so that a rejected request takes a draw as well: seeds stay comparable.
         let work_draw = -(1.0 - self.rng.random::<f64>()).ln();
@@ -100,8 +100,8 @@
 }
 
 impl MemberModel {
-    /// Records an arrival, also one that is rejected: a member that warms up collapses if all proxies together send it
-    /// more work than it can take.
+    /// Records an arrival, also one that is rejected: a member that warms up collapses if all proxies
+    /// together send it more work than it can take.
     fn record_arrival(&mut self, member: usize, class: &RequestClass) {
         let now = self.now;
         let work = class.mean_work / self.mix.mean_work();
@@ -120,8 +120,8 @@
         member.has_collapsed |= overload > 1.0;
     }
 
-    /// The requests of mean work within [`COLLAPSE_WINDOW`] that a member survives: [`COLLAPSE_MULTIPLE`] times what it
-    /// can serve at the window's start.
+    /// The requests of mean work within [`COLLAPSE_WINDOW`] that a member survives: [`COLLAPSE_MULTIPLE`]
+    /// times what it can serve at the window's start.
     fn collapse_budget(&self, member: usize) -> f64 {
         let capacity = self.capacity_at(member, self.now - COLLAPSE_WINDOW);
         let sustainable = CORES as f64 / self.mix.mean_work() * COLLAPSE_WINDOW as f64 * capacity;
--- a/crates/lab/src/member_model/advance.rs
+++ b/crates/lab/src/member_model/advance.rs
@@ -19,8 +19,8 @@
 }
 
 impl MemberModel {
-    /// Advances the model to `now`: faults start and end, lost members restart, groups fail over, and replicas apply the
-    /// log.
+    /// Advances the model to `now`: faults start and end, lost members restart, groups fail over, and
+    /// replicas apply the log.
     pub fn advance(&mut self, now: Micros) -> ListChange {
         let elapsed = (now - self.now).max(0) as f64;
         self.now = now;
@@ -46,8 +46,8 @@
         (self.now - self.script_start) as f64 / 1e6
     }
 
-    /// Completes the failovers that are due: the most advanced replica becomes the primary, and the old primary comes
-    /// back as a replica. Returns whether there was one.
+    /// Completes the failovers that are due: the most advanced replica becomes the primary, and the old
+    /// primary comes back as a replica. Returns whether there was one.
     fn fail_over(&mut self) -> bool {
         let mut is_changed = false;
         for group in self.groups_to_fail_over() {
@@ -87,7 +87,7 @@
         most_advanced.map(|(index, _)| index)
     }
 
-    /// Moves the members' positions on.
+    /// Advances the positions of all members.
     fn replicate(&mut self, elapsed: f64) {
         for index in 0..self.members.len() {
             let has_primary = self.has_responsive_primary(self.members[index].group);
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Restarts a member whose zone was lost, once the fault is over: it keeps its position, and warms up again. Returns
-    /// whether it restarted.
+    /// Restarts a member whose zone was lost, once the fault is over: it keeps its position, and warms up
+    /// again. Returns whether it restarted.
     fn restart_if_recovered(&mut self, timeline: &Timeline, script_start: Micros, now: Micros) -> bool {
         let faults = timeline.troubles.iter();
         let losses = faults.filter(|fault| fault.kind == Kind::Lose && fault.names(self.zone));
@@ -143,8 +143,8 @@
         true
     }
 
-    /// Moves the member's position on by the log that it applied in the elapsed time, in µs. A replica without a primary
-    /// or with a long read in flight stands still.
+    /// Advances the member's position by the log that it applied in the elapsed time, in µs. A replica
+    /// without a primary or with a long read in flight applies nothing.
     fn replicate(&mut self, now: Micros, elapsed: f64, has_primary: bool) {
         if self.is_unresponsive {
             return;
--- a/crates/lab/src/member_model/member.rs
+++ b/crates/lab/src/member_model/member.rs
@@ -39,7 +39,8 @@
     pub writes: u64,
     /// When it last started; 0 if it has been up since before the run.
     pub started_at: Micros,
-    /// The arrivals within the last [`COLLAPSE_WINDOW`](super::COLLAPSE_WINDOW), with their work in requests of mean work.
+    /// The arrivals within the last [`COLLAPSE_WINDOW`](super::COLLAPSE_WINDOW), with their work in requests
+    /// of mean work.
     pub(super) recent_arrivals: VecDeque<(Micros, f64)>,
     /// Whether it collapsed under more requests than it could serve while warming up.
     pub has_collapsed: bool,
@@ -48,7 +49,8 @@
 }
 
 impl Member {
-    /// Creates a healthy member that has applied all commits up to `start`. The first member of a group is its primary.
+    /// Creates a healthy member that has applied all commits up to `start`. The first member of a group is
+    /// its primary.
     pub(super) fn new(group: usize, index: usize, start: Micros) -> Member {
         const ZONES: [&str; 3] = ["a", "b", "c"];
         Member {
@@ -83,8 +85,8 @@
     }
 }
 
-/// How a member behaves apart from the scripted faults: the agent on its machine sets this for a restart, a drain or
-/// the version that the member runs.
+/// How a member behaves apart from the scripted faults: the agent on its machine sets this for a restart, a
+/// drain or the version that the member runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberBehavior {
     /// Whether it is draining, and rejects new requests.
--- a/crates/lab/src/member_model/request_class.rs
+++ b/crates/lab/src/member_model/request_class.rs
@@ -17,12 +17,12 @@
     pub timeout: Micros,
     /// The priority weight of an answer within the latency objective.
     pub weight: f64,
-    /// The fraction of the weight that a late answer still has.
+    /// The fraction of the weight that an answer after the latency objective still has.
     pub late_fraction: f64,
 }
 
 impl RequestClass {
-    /// Whether its requests are writes, which only a primary takes.
+    /// Whether its requests are writes, which only a primary accepts.
     pub fn is_write(&self) -> bool {
         self.name == "write"
     }
@@ -73,7 +73,7 @@
     },
 ];
 
-/// The reports among a thousand requests of the usual mix.
+/// The number of long-running reads (class `report`) per thousand requests of the usual mix.
 pub const USUAL_REPORTS_PER_MILLE: u64 = 5;
 
 /// The fraction of all requests that each class has.
@@ -86,7 +86,8 @@
         ClassMix::with_reports(USUAL_REPORTS_PER_MILLE)
     }
 
-    /// The mix with so many reports among a thousand requests; the other classes share the rest as usual.
+    /// The mix with `per_mille` long-running reads per thousand requests; the other classes share the rest in
+    /// the usual proportions.
     pub fn with_reports(per_mille: u64) -> ClassMix {
         let reports = per_mille as f64 / 1000.0;
         let others: f64 = CLASSES.iter().filter(|c| !c.is_long_read()).map(|c| c.fraction).sum();
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,4 +1,7 @@
-//! Starts the real program as processes and plays a timeline against them.
+//! Starts proxy processes and runs a timeline against them.
+//!
+//! - `configure`: the configuration and settings files of a proxy.
+//! - `process`: the process of a proxy.
 
 mod configure;
 mod process;
@@ -12,23 +15,24 @@
 use crate::timeline::{Kind, Timeline};
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use configure::{configure, free};
-use process::Proxy;
+use configure::{free_addresses, write_configuration};
+use process::ProxyProcess;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where a run keeps its files, and the program under test.
+/// The program under test, and where a run keeps its files.
 #[derive(Clone, Debug)]
 pub struct Place {
-    /// The program.
+    /// The path of the program.
     pub program: PathBuf,
-    /// A directory for configurations, logs and records.
+    /// The directory for configurations, logs and records.
     pub directory: PathBuf,
-    /// Which proxies keep records, by number; all others do not.
+    /// Whether the proxy with this number keeps records.
     pub records: fn(usize) -> bool,
-    /// Where all but the first talk: what the second runs in the program's place. The load goes to the first three.
+    /// If set, all proxies but the first gossip with each other, proxy 1 runs this program instead of
+    /// `program`, and the load goes to the first three proxies only.
     pub talk: Option<PathBuf>,
 }
 
@@ -42,77 +46,84 @@
     }
 }
 
-/// What a run saw.
+/// The results of a run.
 pub struct Ran {
-    /// When the load began.
+    /// When the load started.
     pub start: Micros,
-    /// Each request, as its client saw it.
+    /// The load, with each request as its client observed it.
     pub load: Rc<Load>,
-    /// Proxies that were killed: number, when, and when they served again.
+    /// The kills of proxies: the proxy's number, when it was killed, and when it accepted connections again.
     pub kills: Vec<(usize, Micros, Micros)>,
-    /// Writes that members ran.
+    /// The number of writes that members executed.
     pub writes: u64,
-    /// The most work that each member was sent while it warmed up, as a fraction of what makes it collapse.
+    /// By member name: the most work that was sent to it while it warmed up, as a fraction of what makes it
+    /// collapse.
     pub slow_start_peaks: Vec<(String, f64)>,
-    /// What each proxy had used at the end.
+    /// The resources that each proxy had used at the end.
     pub used: Vec<Used>,
 }
 
-/// Plays a timeline. `each` hears the share of the load that has been sent.
-pub fn play(timeline: &Timeline, place: &Place, each: impl Fn(f64)) -> Result<Ran, String> {
+/// Runs a timeline. `on_progress` receives the fraction of the load that has been sent.
+///
+/// # Errors
+///
+/// If files cannot be written, a socket cannot be bound, or a proxy does not start or end as expected.
+pub fn play(timeline: &Timeline, place: &Place, on_progress: impl Fn(f64)) -> Result<Ran, String> {
     let records = place.directory.join("records");
     let _ = std::fs::remove_dir_all(&records);
     std::fs::create_dir_all(&records).map_err(|e| format!("{}: {e}", records.display()))?;
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
-    let work = playing(timeline, place, &executor, each);
+    let work = run_with(timeline, place, &executor, on_progress);
     async_io::block_on(executor.run(work))
 }
 
-async fn playing(
+async fn run_with(
     timeline: &Timeline,
     place: &Place,
     executor: &Rc<LocalExecutor<'static>>,
-    each: impl Fn(f64),
+    on_progress: impl Fn(f64),
 ) -> Result<Ran, String> {
-    let fault = |e: std::io::Error| e.to_string();
-    // The fleet's clock starts with the load, so that the script's seconds are the load's.
-    let begin = now() + 3_000_000;
-    let stand_ins = StandIns::start(executor, MemberModel::new(timeline, begin)).map_err(fault)?;
-    let loaded = place.talk.as_ref().map_or(timeline.proxies, |_| timeline.proxies.min(3));
-    let load = Load::new(executor, loaded);
-    let addresses = free(timeline.proxies).map_err(fault)?;
+    let to_text = |e: std::io::Error| e.to_string();
+    // The script starts together with the load, so that both count the same seconds. The proxies have until
+    // then to start.
+    let start = now() + 3_000_000;
+    let stand_ins = StandIns::start(executor, MemberModel::new(timeline, start)).map_err(to_text)?;
+    let loaded_proxies = place.talk.as_ref().map_or(timeline.proxies, |_| timeline.proxies.min(3));
+    let load = Load::new(executor, loaded_proxies);
+    let addresses = free_addresses(timeline.proxies).map_err(to_text)?;
     let mut proxies = Vec::new();
     for number in 0..timeline.proxies {
-        let discovery = stand_ins.start_discovery().map_err(fault)?;
-        configure(place, number, discovery, &stand_ins.endpoint_list(), &addresses).map_err(fault)?;
-        proxies.push(Proxy::start(place, number)?);
+        let discovery = stand_ins.start_discovery().map_err(to_text)?;
+        write_configuration(place, number, discovery, &stand_ins.endpoint_list(), &addresses)
+            .map_err(to_text)?;
+        proxies.push(ProxyProcess::start(place, number)?);
     }
-    for (number, proxy) in proxies.iter_mut().enumerate().take(loaded) {
-        load.proxy_addresses[number].set(Some(proxy.listens().await?));
+    for (number, proxy) in proxies.iter_mut().enumerate().take(loaded_proxies) {
+        load.proxy_addresses[number].set(Some(proxy.wait_until_listening().await?));
         while !load.is_ready(number).await {
             Timer::after(Duration::from_millis(10)).await;
         }
     }
-    Timer::after(Duration::from_micros((begin - now()).max(0) as u64)).await;
-    let proxies: Vec<Option<Proxy>> = proxies.into_iter().map(Some).collect();
+    Timer::after(Duration::from_micros((start - now()).max(0) as u64)).await;
+    let proxies: Vec<Option<ProxyProcess>> = proxies.into_iter().map(Some).collect();
     let proxies = Rc::new(RefCell::new(proxies));
     let kills = Rc::new(RefCell::new(Vec::new()));
     let mut tasks = Vec::new();
     for trouble in timeline.troubles.iter().filter(|t| t.kind == Kind::KillProxy) {
         let number: usize =
-            trouble.on.trim_start_matches('n').parse().map_err(|_| "kill-proxy names one proxy")?;
-        let (at, back) = (begin + trouble.at as Micros * 1_000_000, trouble.lasts as Micros * 1_000_000);
+            trouble.on.trim_start_matches('n').parse().map_err(|_| "kill-proxy needs one proxy as target")?;
+        let (at, downtime) = (start + trouble.at as Micros * 1_000_000, trouble.lasts as Micros * 1_000_000);
         let (load, proxies, kills, place) =
             (Rc::clone(&load), Rc::clone(&proxies), Rc::clone(&kills), place.clone());
         tasks.push(executor.spawn(async move {
             Timer::after(Duration::from_micros((at - now()).max(0) as u64)).await;
-            // SIGKILL: nothing is flushed, nothing is said.
-            let killed: Option<Proxy> = proxies.borrow_mut().get_mut(number).and_then(Option::take);
+            // Dropped, the process gets SIGKILL: it flushes no records and sends its clients nothing.
+            let killed: Option<ProxyProcess> = proxies.borrow_mut().get_mut(number).and_then(Option::take);
             drop(killed);
             load.remove_proxy(number);
-            Timer::after(Duration::from_micros((at + back - now()).max(0) as u64)).await;
-            let mut proxy = Proxy::start(&place, number)?;
-            load.proxy_addresses[number].set(Some(proxy.listens().await?));
+            Timer::after(Duration::from_micros((at + downtime - now()).max(0) as u64)).await;
+            let mut proxy = ProxyProcess::start(&place, number)?;
+            load.proxy_addresses[number].set(Some(proxy.wait_until_listening().await?));
             kills.borrow_mut().push((number, at, now()));
             proxies.borrow_mut()[number] = Some(proxy);
             Ok::<(), String>(())
@@ -125,36 +136,38 @@
         mix: ClassMix::with_reports(timeline.reports),
         seed: timeline.seed,
     };
-    load.run(profile, each).await;
+    load.run(profile, on_progress).await;
     for task in tasks {
         task.await?;
     }
     let mut used = Vec::new();
-    let all: Vec<Proxy> = proxies.borrow_mut().iter_mut().filter_map(Option::take).collect();
+    let all: Vec<ProxyProcess> = proxies.borrow_mut().iter_mut().filter_map(Option::take).collect();
     for proxy in &all {
-        used.extend(proxy.used());
-        proxy.ask_to_end()?;
+        used.extend(proxy.usage());
+        proxy.terminate()?;
     }
     for proxy in all {
-        proxy.ended().await?;
+        proxy.wait_for_exit().await?;
     }
     let kills = kills.borrow().clone();
     let members = stand_ins.model();
     let peaks = members.members.iter().map(|member| (member.name.clone(), member.peak_overload));
     let slow_start_peaks = peaks.collect();
-    Ok(Ran { start: begin, load, kills, writes: stand_ins.writes(), slow_start_peaks, used })
+    Ok(Ran { start, load, kills, writes: stand_ins.writes(), slow_start_peaks, used })
 }
 
-/// The requests of a proxy whose end was seen within a span.
+/// The requests to a proxy that ended for their clients within a span.
 pub fn within(
-    done: &[RequestRecord],
+    requests: &[RequestRecord],
     proxy: usize,
     span: (Micros, Micros),
 ) -> impl Iterator<Item = &RequestRecord> {
-    done.iter().filter(move |d| d.proxy == proxy && (span.0..span.1).contains(&d.finished_at))
+    requests
+        .iter()
+        .filter(move |request| request.proxy == proxy && (span.0..span.1).contains(&request.finished_at))
 }
 
-/// The directory of a run's records.
+/// The directory of a run's record stores.
 pub fn records(directory: &Path) -> PathBuf {
     directory.join("records")
 }
--- a/crates/lab/src/run/configure.rs
+++ b/crates/lab/src/run/configure.rs
@@ -1,19 +1,19 @@
-//! What proxies are started with.
+//! The files that a proxy is started with: its configuration and its settings.
 
 use super::Place;
 use crate::member_model::{CLASSES, COLLAPSE_MULTIPLE, COLLAPSE_WINDOW, WARM_UP_FLOOR, WARM_UP_TIME};
 use serde_json::json;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Writes a proxy's configuration and settings.
-pub(super) fn configure(
+/// Writes the configuration (JSON) and the settings (XML) of a proxy.
+pub(super) fn write_configuration(
     place: &Place,
     number: usize,
     discovery: SocketAddr,
-    known: &serde_json::Value,
+    endpoint_list: &serde_json::Value,
     addresses: &[SocketAddr],
 ) -> std::io::Result<()> {
-    let of = |end: &str| place.directory.join(format!("n{number}.{end}"));
+    let file = |extension: &str| place.directory.join(format!("n{number}.{extension}"));
     let classes: Vec<_> = CLASSES
         .iter()
         .map(|c| {
@@ -24,7 +24,7 @@
     let zone = ["a", "b", "c"][number % 3];
     let config = json!({
         "name": format!("n{number}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
-        "seed": format!("{:016x}", 0x51ed + number), "known": known,
+        "seed": format!("{:016x}", 0x51ed + number), "known": endpoint_list,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": {
             "Az": zone, "Balancers": addresses.len(),
@@ -35,16 +35,17 @@
                       "FallMultiple": COLLAPSE_MULTIPLE, "OverloadForUs": COLLAPSE_WINDOW},
             "Specifics": {"Consistency": ["lag_bound", "causal", "eventual", "mutate"], "MaxAgeUs": [200_000, 0, 0, 0],
                           "SessionMarks": "brought", "WhenBehind": "none"}}});
-    std::fs::write(of("json"), config.to_string())?;
+    std::fs::write(file("json"), config.to_string())?;
     let records = place.directory.join("records");
     let records =
         format!("<records directory=\"{}\" proxy=\"n{number}\" flush-ms=\"200\"/>", records.display());
-    let element = place.talk.as_ref().map_or(records, |_| peers(addresses, number));
-    std::fs::write(of("xml"), format!("<wharfplank>\n  {element}\n</wharfplank>\n"))
+    let element = place.talk.as_ref().map_or(records, |_| gossip_settings(addresses, number));
+    std::fs::write(file("xml"), format!("<wharfplank>\n  {element}\n</wharfplank>\n"))
 }
 
-/// Where proxies talk: all that they can, with seeds among those that get no load.
-fn peers(addresses: &[SocketAddr], number: usize) -> String {
+/// The settings of a proxy that gossips, replicates what it learns, and judges the health of members together
+/// with the other proxies. Its seeds are proxies that receive no load.
+fn gossip_settings(addresses: &[SocketAddr], number: usize) -> String {
     let seeds: Vec<String> = addresses.iter().skip(3).take(3).map(ToString::to_string).collect();
     format!(
         "<peers listen=\"{}\" seeds=\"{}\" expected=\"{}\"/><replica/><health/>",
@@ -54,8 +55,8 @@
     )
 }
 
-/// So many addresses that are free now.
-pub(super) fn free(count: usize) -> std::io::Result<Vec<SocketAddr>> {
+/// Picks `count` loopback addresses whose UDP ports are free.
+pub(super) fn free_addresses(count: usize) -> std::io::Result<Vec<SocketAddr>> {
     let sockets: std::io::Result<Vec<UdpSocket>> =
         (0..count).map(|_| UdpSocket::bind("127.0.0.1:0")).collect();
     sockets?.iter().map(UdpSocket::local_addr).collect()
--- a/crates/lab/src/run/process.rs
+++ b/crates/lab/src/run/process.rs
@@ -1,4 +1,4 @@
-//! One proxy's process.
+//! The process of one proxy.
 
 use super::Place;
 use crate::clock::now;
@@ -10,50 +10,51 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// How long a proxy may take to start, and to end on SIGTERM.
-const START_MOST: Duration = Duration::from_secs(20);
-const END_MOST: Duration = Duration::from_secs(8);
+/// How long a proxy may take until it listens.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a proxy may take to exit after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What a process has used so far.
+/// The resources that a process has used.
 #[derive(Clone, Copy, Debug)]
 pub struct Used {
-    /// CPU seconds of all threads, and of the first alone, which serves.
+    /// The CPU time of all threads, in seconds.
     pub cpu: f64,
-    /// See `cpu`.
+    /// The CPU time of the main thread, which serves requests, in seconds.
     pub serving: f64,
-    /// MB of memory.
+    /// The resident memory, in MiB.
     pub memory: f64,
 }
 
-/// One proxy's process; it ends with its value.
-pub(super) struct Proxy {
+/// The process of a proxy. It is killed when the value is dropped.
+pub(super) struct ProxyProcess {
     child: Child,
-    listens: Receiver<SocketAddr>,
+    listen_addresses: Receiver<SocketAddr>,
 }
 
-impl Drop for Proxy {
+impl Drop for ProxyProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Proxy {
-    pub(super) fn start(place: &Place, number: usize) -> Result<Proxy, String> {
-        let of = |end: &str| place.directory.join(format!("n{number}.{end}"));
+impl ProxyProcess {
+    pub(super) fn start(place: &Place, number: usize) -> Result<ProxyProcess, String> {
+        let file = |extension: &str| place.directory.join(format!("n{number}.{extension}"));
         let mut command = Command::new(place.program(number));
-        command.arg("serve").env("BALANCER_CONFIG", of("json")).stdin(Stdio::null()).stderr(Stdio::piped());
+        command.arg("serve").env("BALANCER_CONFIG", file("json")).stdin(Stdio::null()).stderr(Stdio::piped());
         for name in ["BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_NAME"] {
             command.env_remove(name);
         }
         if place.has_settings(number) {
-            command.arg("--settings").arg(of("xml"));
+            command.arg("--settings").arg(file("xml"));
         }
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", place.program(number).display()))?;
-        let lines = BufReader::new(child.stderr.take().ok_or("no standard error")?);
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(of("log"));
-        let mut log = log.map_err(|e| format!("{}: {e}", of("log").display()))?;
-        let (sender, listens) = channel();
+        let lines = BufReader::new(child.stderr.take().ok_or("the proxy process has no standard error")?);
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(file("log"));
+        let mut log = log.map_err(|e| format!("{}: {e}", file("log").display()))?;
+        let (sender, listen_addresses) = channel();
         std::thread::spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
                 let address = line.strip_prefix("started listen=").and_then(|a| a.parse().ok());
@@ -61,61 +62,66 @@
                 let _ = writeln!(log, "{line}");
             }
         });
-        Ok(Proxy { child, listens })
+        Ok(ProxyProcess { child, listen_addresses })
     }
 
-    pub(super) async fn listens(&mut self) -> Result<SocketAddr, String> {
-        let end = now() + START_MOST.as_micros() as Micros;
+    /// Waits until the proxy listens, and returns its address.
+    pub(super) async fn wait_until_listening(&mut self) -> Result<SocketAddr, String> {
+        let deadline = now() + START_TIMEOUT.as_micros() as Micros;
         loop {
-            if let Ok(address) = self.listens.try_recv() {
+            if let Ok(address) = self.listen_addresses.try_recv() {
                 return Ok(address);
             }
             if let Ok(Some(status)) = self.child.try_wait() {
-                return Err(format!("a proxy ended at its start: {status}"));
+                return Err(format!("a proxy exited before it listened: {status}"));
             }
-            if now() > end {
-                return Err("a proxy does not start".to_string());
+            if now() > deadline {
+                return Err("a proxy did not listen within 20 s of its start".to_string());
             }
             Timer::after(Duration::from_millis(5)).await;
         }
     }
 
-    /// What it has used so far, where the system tells.
-    pub(super) fn used(&self) -> Option<Used> {
+    /// The resources that the process has used; none where `/proc` does not tell.
+    pub(super) fn usage(&self) -> Option<Used> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
-        let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
-        let kib: f64 = rss.trim().trim_end_matches(" kB").parse().ok()?;
+        let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
+        let kib: f64 = resident.trim().trim_end_matches(" kB").parse().ok()?;
         let id = self.child.id();
-        let cpu = seconds(&format!("/proc/{id}/stat"))?;
-        // The first thread has the number of the process.
-        let serving = seconds(&format!("/proc/{id}/task/{id}/stat"))?;
+        let cpu = cpu_seconds(&format!("/proc/{id}/stat"))?;
+        // The id of the main thread is that of the process.
+        let serving = cpu_seconds(&format!("/proc/{id}/task/{id}/stat"))?;
         Some(Used { cpu, serving, memory: kib / 1024.0 })
     }
 
-    /// Asks it to end (SIGTERM).
-    pub(super) fn ask_to_end(&self) -> Result<(), String> {
+    /// Sends SIGTERM to the process.
+    pub(super) fn terminate(&self) -> Result<(), String> {
         let id = self.child.id().to_string();
-        let asked = Command::new("kill").args(["-TERM", &id]).status();
-        asked.map(drop).map_err(|e| format!("kill: {e}"))
+        let status = Command::new("kill").args(["-TERM", &id]).status();
+        status.map(drop).map_err(|e| format!("kill: {e}"))
     }
 
-    /// Waits for its end, after [`Proxy::ask_to_end`].
-    pub(super) async fn ended(mut self) -> Result<(), String> {
-        let end = now() + END_MOST.as_micros() as Micros;
-        while now() < end {
+    /// Waits for the exit of the process after [`ProxyProcess::terminate`]; it must be successful.
+    pub(super) async fn wait_for_exit(mut self) -> Result<(), String> {
+        let deadline = now() + EXIT_TIMEOUT.as_micros() as Micros;
+        while now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
-                return if status.success() { Ok(()) } else { Err(format!("a proxy ended with {status}")) };
+                return if status.success() {
+                    Ok(())
+                } else {
+                    Err(format!("a proxy exited with {status} after SIGTERM"))
+                };
             }
             Timer::after(Duration::from_millis(10)).await;
         }
-        Err("a proxy did not end on SIGTERM".to_string())
+        Err("a proxy did not exit within 8 s of SIGTERM".to_string())
     }
 }
 
-/// The CPU seconds that such a file tells.
-fn seconds(path: &str) -> Option<f64> {
+/// The CPU time in a `stat` file of `/proc`, in seconds.
+fn cpu_seconds(path: &str) -> Option<f64> {
     let stat = std::fs::read_to_string(path).ok()?;
     let rest: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-    // utime and stime, in hundredths of a second.
+    // utime and stime, in clock ticks of 10 ms.
     Some((rest.get(11)?.parse::<f64>().ok()? + rest.get(12)?.parse::<f64>().ok()?) / 100.0)
 }
--- a/crates/lab/src/stand_ins.rs
+++ b/crates/lab/src/stand_ins.rs
@@ -1,4 +1,5 @@
-//! The member model behind real sockets: members that speak the PostgreSQL protocol, and service discovery over HTTP.
+//! The member model behind real sockets: members that speak the PostgreSQL protocol, and service discovery
+//! over HTTP.
 //!
 //! - [`StandIns`] owns the model and advances it.
 //! - `member_server`: the connections to one member.
@@ -67,12 +68,13 @@
         self.list_version.set(self.list_version.get() + 1);
     }
 
-    /// The members' model with what it counted.
+    /// The member model, with its counters.
     pub fn model(&self) -> Ref<'_, MemberModel> {
         self.model.borrow()
     }
 
-    /// Changes the members' model, as an agent on a member's machine does. The endpoint list gets a new version.
+    /// Changes the member model, as an agent on a member's machine does. The endpoint list gets a new
+    /// version.
     pub fn update_model<T>(&self, update: impl FnOnce(&mut MemberModel) -> T) -> T {
         self.increment_list_version();
         update(&mut self.model.borrow_mut())
--- a/crates/lab/src/stand_ins/discovery.rs
+++ b/crates/lab/src/stand_ins/discovery.rs
@@ -17,7 +17,7 @@
 const MICROS_PER_MS: u64 = 1000;
 
 impl StandIns {
-    /// Starts an agent of service discovery, and returns its address.
+    /// Starts a service discovery agent and returns its address.
     ///
     /// # Errors
     ///
@@ -42,7 +42,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             let stand_ins = Rc::clone(&self);
             let serve = async move {
-                // A connection that breaks concerns its client alone.
+                // A broken connection affects only its client.
                 let _ = stand_ins.serve_polls(stream).await;
             };
             self.executor.spawn(serve).detach();
--- a/crates/lab/src/stand_ins/member_server.rs
+++ b/crates/lab/src/stand_ins/member_server.rs
@@ -13,7 +13,7 @@
 use wharfplank_protocol::client_session::{ClientSession, Command};
 use wharfplank_protocol::request_comment;
 
-/// How often a connection to an unresponsive member looks whether it responds again.
+/// How often a connection to an unresponsive member checks whether it responds again.
 const RESPONSIVE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 const MICROS_PER_MS: i64 = 1000;
 
@@ -29,7 +29,7 @@
 
 /// A message that a member understands.
 enum MemberCommand {
-    /// A startup message, or a query without a known class: nothing answers it.
+    /// A startup message, or a query without a known class. It is not answered here.
     Ignored,
     EmptyQuery,
     LoadReport,
@@ -50,7 +50,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             let stand_ins = Rc::clone(&self);
             let serve = async move {
-                // A connection that breaks concerns its client alone.
+                // A broken connection affects only its client.
                 let _ = stand_ins.serve_client(member, stream).await;
             };
             self.executor.spawn(serve).detach();
@@ -139,7 +139,7 @@
             IncomingRequest { class, id: Some(&request.id), min_position_ms: request.min_position_ms };
         let admission = self.model.borrow_mut().admit(member, incoming);
         if let Admission::Admitted(answer_at) = admission {
-            // Work that has begun continues when its client leaves.
+            // A request that has started runs to its end, also if its client disconnects.
             Timer::after(time_until(answer_at)).await;
             self.model.borrow_mut().finish_request(member, class);
             if now() - answer_at > request.deadline_ms * MICROS_PER_MS {
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -1,73 +1,74 @@
-//! What many proxies did together, added up from their logs: the `counts` lines that each writes a second at level
-//! `debug`, and the one line of each ended connection. What one proxy does a little of, all of them together may do
-//! much of; this is where it shows.
+//! Event counts of many proxies, summed from their logs: from the `counts` line that each proxy writes every
+//! second at level `debug`, and from the `ended` line of each connection. The sums show events that are rare
+//! at one proxy but frequent over all of them.
 //!
-//! Lines are read as the log writes them, as text (`counts at_ms=… what=a.b=1,…`) or as JSON (`{"event":"counts",
-//! "at_ms":…,"what":"…"}`). A line that is neither is passed over and counted, never guessed at.
+//! A log is either text (`counts at_ms=… what=a.b=1,…`) or JSON (`{"event":"counts","at_ms":…,"what":"…"}`).
+//! A malformed line is skipped and counted.
 
 use std::collections::BTreeMap;
 
-/// Seconds past which a per-second row is not kept: a day of the bench is far shorter, a longer log is cut there.
+/// The longest series by second: later seconds count only in the totals. Runs of the bench are far shorter.
 pub const SECONDS_MOST: usize = 24 * 3600;
-/// Members named apart; the rest are added up under `others`.
+/// The most members that are counted by name; the rest are summed under `others`.
 pub const MEMBERS_MOST: usize = 4096;
 
-/// The sums over all logs read.
+/// Sums over all logs read.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tally {
-    /// Each counter over all proxies and seconds, by its name as the log gives it (`refused.shed.lookup`).
+    /// The total of each counter over all proxies and seconds, by its name in the log
+    /// (`refused.shed.lookup`).
     pub totals: BTreeMap<String, u64>,
-    /// Each counter by second from the first second seen in any log: `by_second[name][second]`.
+    /// Each counter by second since the first second in any log: `by_second[name][second]`.
     pub by_second: BTreeMap<String, Vec<u64>>,
-    /// The first `at_ms` seen, in Unix milliseconds.
+    /// The start of the first second in any log, in Unix milliseconds.
     pub first_ms: Option<u64>,
-    /// Ended connections to members, by member name and reason.
+    /// The number of ended connections to members, by member name and reason.
     pub members: BTreeMap<String, BTreeMap<String, u64>>,
-    /// Ended connections to members that carried no request, by member.
+    /// The number of ended connections to members that carried no request, by member name.
     pub unused: BTreeMap<String, u64>,
-    /// Ended calls to discovery, by reason.
+    /// The number of ended calls to discovery, by reason.
     pub discovery: BTreeMap<String, u64>,
-    /// Ended client connections, by reason.
+    /// The number of ended client connections, by reason.
     pub clients: BTreeMap<String, u64>,
-    /// Logs read.
+    /// The number of logs read.
     pub logs: usize,
-    /// Lines that could not be read as the log writes them.
+    /// The number of malformed lines and counters.
     pub unread: u64,
 }
 
-/// One line as far as the tally is concerned.
+/// A parsed line of a log.
 #[derive(Debug, PartialEq)]
 enum Line<'a> {
     Counts { at_ms: u64, what: String },
     Ended { side: String, name: String, reason: String, requests: u64 },
     Other,
-    Unread(&'a str),
+    Malformed(&'a str),
 }
 
 impl Tally {
     /// Adds one proxy's log.
     pub fn add_log(&mut self, text: &str) {
         self.logs += 1;
-        // Counts are kept by second of each log first: their seconds only become rows once the first of all is known.
+        // Counters are added last: their places in the series depend on the first second of all logs.
         let mut counts: Vec<(u64, String)> = Vec::new();
         for line in text.lines() {
             match parse(line) {
                 Line::Counts { at_ms, what } => counts.push((at_ms, what)),
-                Line::Ended { side, name, reason, requests } => self.ended(&side, name, reason, requests),
+                Line::Ended { side, name, reason, requests } => self.add_ended(&side, name, reason, requests),
                 Line::Other => {}
-                Line::Unread(_) => self.unread += 1,
+                Line::Malformed(_) => self.unread += 1,
             }
         }
         for (at_ms, what) in counts {
-            self.counts(at_ms, &what);
+            self.add_counts(at_ms, &what);
         }
     }
 
-    fn ended(&mut self, side: &str, name: String, reason: String, requests: u64) {
+    fn add_ended(&mut self, side: &str, name: String, reason: String, requests: u64) {
         match side {
             "member" => {
-                let known = self.members.len() < MEMBERS_MOST || self.members.contains_key(&name);
-                let name = if known { name } else { "others".to_string() };
+                let is_named = self.members.len() < MEMBERS_MOST || self.members.contains_key(&name);
+                let name = if is_named { name } else { "others".to_string() };
                 if requests == 0 {
                     *self.unused.entry(name.clone()).or_default() += 1;
                 }
@@ -79,12 +80,12 @@
         }
     }
 
-    fn counts(&mut self, at_ms: u64, what: &str) {
-        // A counts line tells of the second before its time.
+    fn add_counts(&mut self, at_ms: u64, what: &str) {
+        // A `counts` line covers the second before its time.
         let at_ms = at_ms.saturating_sub(1000);
         let first = *self.first_ms.get_or_insert(at_ms);
         if at_ms < first {
-            // An earlier log began later: rows move on by the difference.
+            // This log starts before those read so far: shift their series by the difference.
             let shift = ((first - at_ms) / 1000) as usize;
             for row in self.by_second.values_mut() {
                 row.splice(0..0, std::iter::repeat_n(0, shift));
@@ -113,37 +114,37 @@
         }
     }
 
-    /// The sum of all counters whose names begin with `prefix` (`refused.` is every refusal).
+    /// The sum of all counters whose names start with `prefix`, such as `refused.` for all rejections.
     pub fn total(&self, prefix: &str) -> u64 {
         self.totals.iter().filter(|(name, _)| name.starts_with(prefix)).map(|(_, n)| n).sum()
     }
 
-    /// The same sum by second.
+    /// The sum of all counters whose names start with `prefix`, by second.
     pub fn seconds(&self, prefix: &str) -> Vec<u64> {
-        let mut sum: Vec<u64> = Vec::new();
+        let mut sums: Vec<u64> = Vec::new();
         for (_, row) in self.by_second.iter().filter(|(name, _)| name.starts_with(prefix)) {
-            if sum.len() < row.len() {
-                sum.resize(row.len(), 0);
+            if sums.len() < row.len() {
+                sums.resize(row.len(), 0);
             }
-            sum.iter_mut().zip(row).for_each(|(s, n)| *s += n);
+            sums.iter_mut().zip(row).for_each(|(s, n)| *s += n);
         }
-        sum
+        sums
     }
 
-    /// The tally as a text for people: totals, ended connections, and the rows by second of `prefixes`.
+    /// Renders the sums as text: totals, ended connections, and a series by second for each of `prefixes`.
     pub fn render(&self, prefixes: &[String]) -> String {
         let mut out = String::new();
         let served = self.total("served.");
         out.push_str(&format!("logs {}, lines not read {}\n", self.logs, self.unread));
         out.push_str(&format!("{:<48} {:>10} {:>10}\n", "counter", "total", "per served"));
         for (name, count) in &self.totals {
-            let per = if served > 0 { *count as f64 / served as f64 } else { 0.0 };
-            out.push_str(&format!("{name:<48} {count:>10} {per:>10.3}\n"));
+            let per_served = if served > 0 { *count as f64 / served as f64 } else { 0.0 };
+            out.push_str(&format!("{name:<48} {count:>10} {per_served:>10.3}\n"));
         }
-        let handshakes: u64 = self.members.values().flat_map(|r| r.values()).sum();
+        let ended: u64 = self.members.values().flat_map(|r| r.values()).sum();
         let unused: u64 = self.unused.values().sum();
         out.push_str(&format!(
-            "member connections ended {handshakes} ({unused} carried nothing) over {} members\n",
+            "member connections ended {ended} ({unused} carried nothing) over {} members\n",
             self.members.len()
         ));
         let mut busiest: Vec<(&String, u64)> =
@@ -168,21 +169,24 @@
     }
 }
 
-/// Reads one line of the log in either of its forms.
+/// Parses a line of the log in either form.
 fn parse(line: &str) -> Line<'_> {
-    // The text form may carry a time of the bench's in front; the event's name is the first word that is no number.
+    // A line of the text form may start with a time that the bench added: the event's name is the first word
+    // that is no number.
     let trimmed = line.trim();
     if trimmed.is_empty() {
         return Line::Other;
     }
     if trimmed.starts_with('{') {
-        let Ok(value) = serde_json::from_str::<serde_json::Value>(trimmed) else { return Line::Unread(line) };
+        let Ok(value) = serde_json::from_str::<serde_json::Value>(trimmed) else {
+            return Line::Malformed(line);
+        };
         let field = |name: &str| value.get(name).and_then(|v| v.as_str()).map(str::to_string);
         let number = |name: &str| value.get(name).and_then(serde_json::Value::as_u64);
         return match field("event").as_deref() {
             Some("counts") => match (number("at_ms"), field("what")) {
                 (Some(at_ms), Some(what)) => Line::Counts { at_ms, what },
-                _ => Line::Unread(line),
+                _ => Line::Malformed(line),
             },
             Some("ended") => match (field("side"), field("reason")) {
                 (Some(side), Some(reason)) => Line::Ended {
@@ -191,10 +195,10 @@
                     reason,
                     requests: number("requests").unwrap_or(0),
                 },
-                _ => Line::Unread(line),
+                _ => Line::Malformed(line),
             },
             Some(_) => Line::Other,
-            None => Line::Unread(line),
+            None => Line::Malformed(line),
         };
     }
     let mut words = trimmed.split(' ').skip_while(|w| w.parse::<f64>().is_ok());
@@ -203,7 +207,7 @@
     match event {
         "counts" => match (parts.get("at_ms").and_then(|v| v.parse().ok()), parts.get("what")) {
             (Some(at_ms), Some(what)) => Line::Counts { at_ms, what: what.to_string() },
-            _ => Line::Unread(line),
+            _ => Line::Malformed(line),
         },
         "ended" => match (parts.get("side"), parts.get("reason")) {
             (Some(side), Some(reason)) => Line::Ended {
@@ -212,7 +216,7 @@
                 reason: reason.to_string(),
                 requests: parts.get("requests").and_then(|v| v.parse().ok()).unwrap_or(0),
             },
-            _ => Line::Unread(line),
+            _ => Line::Malformed(line),
         },
         _ => Line::Other,
     }
--- a/crates/lab/src/timeline.rs
+++ b/crates/lab/src/timeline.rs
@@ -1,40 +1,40 @@
-//! A scripted run.
+//! Scripted runs: the size of the fleet, the load, and the faults with their times.
 
 use crate::member_model::USUAL_REPORTS_PER_MILLE;
 use serde::Deserialize;
 
-/// The schema of timelines.
+/// The XML schema of timelines.
 pub const SCHEMA: &str = include_str!("../timeline.xsd");
-/// The scripted incident, and the calm while of the demonstration.
+/// The timeline of `lab incident`: slow log apply, a slow member and a killed proxy.
 pub const INCIDENT: &str = include_str!("../timelines/incident.xml");
-/// See [`INCIDENT`].
+/// The timeline of `lab demo`: mixed traffic without faults.
 pub const DEMO: &str = include_str!("../timelines/demo.xml");
 
-/// A run: its size, its load and its troubles.
+/// A run: its size, its load and its faults.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Timeline {
-    /// Its length in seconds.
+    /// The length of the load, in seconds.
     #[serde(rename = "@seconds")]
     pub seconds: u64,
-    /// Requests a second, to all proxies together.
+    /// The requests per second to all proxies together.
     #[serde(rename = "@rate")]
     pub rate: u64,
-    /// Proxies.
+    /// The number of proxies.
     #[serde(rename = "@proxies", default = "three")]
     pub proxies: usize,
-    /// Groups.
+    /// The number of groups.
     #[serde(rename = "@groups", default = "three")]
     pub groups: usize,
-    /// Members of a group.
+    /// The number of members in each group.
     #[serde(rename = "@members", default = "four")]
     pub members: usize,
-    /// Reports, which take long, among a thousand requests.
+    /// The number of long-running reads (class `report`) per thousand requests.
     #[serde(rename = "@reports", default = "usual_reports")]
     pub reports: u64,
-    /// The seed of all that is drawn.
+    /// The seed of the random numbers.
     #[serde(rename = "@seed", default = "seven")]
     pub seed: u64,
-    /// What goes wrong.
+    /// The faults of the run.
     #[serde(rename = "trouble", default)]
     pub troubles: Vec<Trouble>,
 }
@@ -55,22 +55,22 @@
     7
 }
 
-/// What goes wrong for a while.
+/// A fault that is active for a span of a run.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Trouble {
-    /// The kind.
+    /// The kind of fault.
     #[serde(rename = "@kind")]
     pub kind: Kind,
-    /// From this second on.
+    /// When the fault starts, in seconds of the run.
     #[serde(rename = "@at")]
     pub at: u64,
-    /// For so many seconds.
+    /// How long the fault lasts, in seconds.
     #[serde(rename = "@for")]
     pub lasts: u64,
-    /// Names of members, a group, a zone or a proxy.
+    /// The targets, separated by white space: names of members, a group, a zone or a proxy.
     #[serde(rename = "@on")]
     pub on: String,
-    /// Per cent of the usual rate of apply, or of the usual time of work.
+    /// The log apply rate, or the time that requests take, in percent of the usual one.
     #[serde(rename = "@percent", default = "hundred")]
     pub percent: u64,
 }
@@ -79,60 +79,64 @@
     100
 }
 
-/// Kinds of trouble.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Members apply the log slowly.
+    /// Members apply the replication log slowly.
     SlowApply,
-    /// Members work slowly.
+    /// Members execute requests slowly.
     SlowMember,
-    /// A zone is cut off: its members hang, and hear no log.
+    /// A zone is partitioned from the others: its members answer nothing and receive no log.
     Cut,
-    /// A group's primary dies; the replica that has most of the log takes over after the time given.
+    /// A group's primary fails; the most advanced replica becomes the primary when the fault ends.
     Failover,
     /// Members drain.
     Drain,
-    /// A proxy is killed, and started again after the time given.
+    /// A proxy is killed, and started again when the fault ends.
     KillProxy,
-    /// A zone is lost: its members die, and start again cold when the time is over.
+    /// A zone fails: its members go down, and restart without warm caches when the fault ends.
     Lose,
 }
 
 impl Trouble {
-    /// Whether it names this.
+    /// Whether the fault has a target of this name.
     pub fn names(&self, name: &str) -> bool {
         self.on.split_whitespace().any(|n| n == name)
     }
 
-    /// Whether it is on at that second.
+    /// Whether the fault is active at a second of the run.
     pub fn during(&self, second: f64) -> bool {
         (self.at as f64..(self.at + self.lasts) as f64).contains(&second)
     }
 }
 
-/// Reads a timeline; each fault has its line.
+/// Parses a timeline.
+///
+/// # Errors
+///
+/// All violations of the schema, each with its line, or all targets that do not exist.
 pub fn parse(text: &str) -> Result<Timeline, Vec<String>> {
-    let said = |faults: Vec<wharfplank_settings::SettingsFault>| {
-        faults.iter().map(|f| f.to_string()).collect::<Vec<_>>()
+    let to_texts = |violations: Vec<wharfplank_settings::SettingsFault>| {
+        violations.iter().map(|f| f.to_string()).collect::<Vec<_>>()
     };
-    wharfplank_settings::check(SCHEMA, text).map_err(said)?;
+    wharfplank_settings::check(SCHEMA, text).map_err(to_texts)?;
     let timeline: Timeline = quick_xml::de::from_str(text).map_err(|e| vec![e.to_string()])?;
-    let names: Vec<String> = (0..timeline.groups)
+    let known_names: Vec<String> = (0..timeline.groups)
         .flat_map(|g| (0..timeline.members).map(move |m| format!("g{g}m{m}")).chain([format!("g{g}")]))
         .chain((0..timeline.proxies).map(|p| format!("n{p}")))
         .chain(["a", "b", "c"].map(str::to_string))
         .collect();
-    let wrong = timeline
+    let unknown_targets = timeline
         .troubles
         .iter()
         .flat_map(|t| t.on.split_whitespace())
-        .filter(|n| !names.iter().any(|k| k == n));
-    let wrong: Vec<String> =
-        wrong.map(|n| format!("trouble/@on: '{n}' is none of {}", names.join(" "))).collect();
-    if wrong.is_empty() {
+        .filter(|n| !known_names.iter().any(|k| k == n));
+    let violations: Vec<String> =
+        unknown_targets.map(|n| format!("trouble/@on: '{n}' is none of {}", known_names.join(" "))).collect();
+    if violations.is_empty() {
         Ok(timeline)
     } else {
-        Err(wrong)
+        Err(violations)
     }
 }
--- a/crates/lab/src/trials.rs
+++ b/crates/lab/src/trials.rs
@@ -1,4 +1,5 @@
-//! Trials of the records: a synthetic day, and a process that is killed while it records.
+//! Tests of record stores: synthetic stores of a long span, and a recording process that is killed at random
+//! moments.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -19,12 +20,13 @@
     summary_retention: 400 * 86_400 * SECOND,
 };
 
-/// Writes the stores of a made-up span of so many seconds: proxies, answers a second in all, twelve members. Between
-/// a third and a half of it most replicas stand behind and some reads are refused.
+/// Writes synthetic stores of a span of `seconds`: one for each proxy, with `rate` answers per second over
+/// all proxies, from twelve members. From a third to half of the span most replicas lag behind and some
+/// bounded reads are rejected as too stale. Returns the number of answers written.
 pub fn synthetic(directory: &Path, seconds: i64, proxies: u64, rate: u64, seed: u64) -> Result<u64, String> {
     let start = 1_800_000_000 * SECOND;
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut written = 0;
+    let mut answer_count = 0;
     for proxy in 0..proxies {
         let name = format!("n{proxy}");
         let mut store = Store::open(directory, &name, LIMITS, start).map_err(|e| e.to_string())?.store;
@@ -42,14 +44,14 @@
                 Record::Member { member, name: format!("g{}m{}", member / 4, member % 4), zone },
             ));
         }
-        let each = (rate / proxies).max(1);
+        let rate_per_proxy = (rate / proxies).max(1);
         for second in 0..seconds {
             let at = start + second * SECOND;
-            let behind =
+            let lag =
                 (second * 3 > seconds && second * 2 < seconds).then_some((second * 3 - seconds) * SECOND / 3);
             for member in 0..12_u32 {
                 let primary = member % 4 == 0;
-                let position = at - behind.filter(|_| !primary && member % 4 != 3).unwrap_or(8_000);
+                let position = at - lag.filter(|_| !primary && member % 4 != 3).unwrap_or(8_000);
                 let state = MemberState {
                     member,
                     group: u64::from(member / 4),
@@ -63,19 +65,20 @@
                 };
                 records.push((at, Record::MemberState(state)));
             }
-            for i in 0..each {
-                let at = at + (i * 1_000_000 / each) as Micros;
+            for i in 0..rate_per_proxy {
+                let at = at + (i * 1_000_000 / rate_per_proxy) as Micros;
                 let class = [0, 0, 0, 0, 1, 1, 1, 1, 3, 2][rng.random_range(0..10)];
                 let took = rng.random_range(2_000..60_000);
-                let refused = behind.is_some() && class == 0 && rng.random_range(0..20) == 0;
+                let is_rejected = lag.is_some() && class == 0 && rng.random_range(0..20) == 0;
                 let outcome =
-                    if refused { Outcome::Rejected(FailureReason::TooStale) } else { Outcome::Served };
-                let staleness = refused.then_some(Staleness { needed: at - 200_000, known: at - 900_000 });
-                let member = (!refused).then(|| rng.random_range(0..12));
+                    if is_rejected { Outcome::Rejected(FailureReason::TooStale) } else { Outcome::Served };
+                let staleness =
+                    is_rejected.then_some(Staleness { needed: at - 200_000, known: at - 900_000 });
+                let member = (!is_rejected).then(|| rng.random_range(0..12));
                 let record =
                     Record::Answer { class, group: i % 3, member, attempts: 1, took, outcome, staleness };
                 records.push((at, record));
-                written += 1;
+                answer_count += 1;
             }
             if records.len() > 4096 {
                 store.append(&records, at + SECOND).map_err(|e| e.to_string())?;
@@ -85,15 +88,15 @@
         store.append(&records, start + seconds * SECOND).map_err(|e| e.to_string())?;
         store.end_run(start + seconds * SECOND).map_err(|e| e.to_string())?;
     }
-    Ok(written)
+    Ok(answer_count)
 }
 
 fn now() -> Micros {
     crate::clock::now()
 }
 
-/// Records without end as one run, and says on standard output how many are flushed. It is there to be killed, and
-/// ends by itself after ten seconds.
+/// Records answers as one run and prints to standard output how many records are stored. The process is meant
+/// to be killed while it records; otherwise it ends after ten seconds.
 pub fn record_until_killed(directory: &Path) -> Result<(), String> {
     let config = RecorderConfig {
         directory: directory.into(),
@@ -104,7 +107,7 @@
     };
     let recorder = Recorder::start(config, now, |_| {}).map_err(|e| e.to_string())?;
     let end = now() + 10 * SECOND;
-    let mut said = 0;
+    let mut reported = 0;
     while now() < end {
         for _ in 0..20 {
             let (class, group, member, attempts, took) = (0, 1, Some(2), 1, 10);
@@ -112,11 +115,11 @@
             recorder.record(Record::Answer { class, group, member, attempts, took, outcome, staleness });
         }
         recorder.submit();
-        let flushed = recorder.stored_count();
-        if flushed > said {
-            said = flushed;
+        let stored = recorder.stored_count();
+        if stored > reported {
+            reported = stored;
             let mut out = std::io::stdout();
-            if writeln!(out, "{flushed}").and_then(|()| out.flush()).is_err() {
+            if writeln!(out, "{stored}").and_then(|()| out.flush()).is_err() {
                 break;
             }
         }
@@ -125,23 +128,24 @@
     Ok(())
 }
 
-/// What kills showed.
+/// The results of a durability test.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Kills {
-    /// Processes killed.
+    /// The number of processes killed.
     pub kills: u64,
-    /// Records that they had said were flushed.
+    /// The number of records that the processes had reported as stored.
     pub acknowledged: u64,
-    /// Of those, found in the store.
+    /// The number of reported records that were found in the store.
     pub found: u64,
-    /// Stores that did not open, or held a damaged block.
+    /// The number of checks in which the store did not open or had a damaged block.
     pub damaged: u64,
 }
 
-/// Kills a recording process at random moments, so many times, all on one store, and looks at it after each.
+/// Kills a recording process at a random moment, `times` times with the same store, and checks the store
+/// after each.
 pub fn kills(program: &Path, directory: &Path, times: u64, seed: u64) -> Result<Kills, String> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut all = Kills::default();
+    let mut results = Kills::default();
     for _ in 0..times {
         let mut command = Command::new(program);
         command
@@ -150,22 +154,25 @@
             .stdout(Stdio::piped())
             .stdin(Stdio::null());
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
-        let lines = BufReader::new(child.stdout.take().ok_or("no standard output")?);
-        // The first word shows that it records; then it lives for a random while.
-        let (sender, said) = std::sync::mpsc::channel();
+        let lines =
+            BufReader::new(child.stdout.take().ok_or("the recording process has no standard output")?);
+        // The first line shows that the process records; it is then killed after a random delay.
+        let (sender, reported) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             let numbers = lines.lines().map_while(Result::ok).filter_map(|line| line.parse::<u64>().ok());
             let _ = numbers.map(|number| sender.send(number)).take_while(Result::is_ok).count();
         });
-        let first = said.recv_timeout(Duration::from_secs(20)).map_err(|_| "it does not record")?;
+        let first = reported
+            .recv_timeout(Duration::from_secs(20))
+            .map_err(|_| "the recording process stored no record within 20 s")?;
         std::thread::sleep(Duration::from_micros(rng.random_range(0..40_000)));
         child.kill().map_err(|e| e.to_string())?;
         let _ = child.wait();
-        let acknowledged = said.iter().last().unwrap_or(first);
-        all.kills += 1;
-        all.acknowledged += acknowledged;
+        let acknowledged = reported.iter().last().unwrap_or(first);
+        results.kills += 1;
+        results.acknowledged += acknowledged;
         let Ok(source) = StoreReader::open(&store::path(directory, "n0")) else {
-            all.damaged += 1;
+            results.damaged += 1;
             continue;
         };
         let last = source.runs.last().map_or(0, |run| run.id);
@@ -173,8 +180,8 @@
         let gaps = source.records(0..=Micros::MAX, BlockFilter::All, |run, _, record| {
             found += u64::from(run == last && matches!(record, Record::Answer { .. }));
         });
-        all.damaged += u64::from(gaps.is_err());
-        all.found += found.min(acknowledged);
+        results.damaged += u64::from(gaps.is_err());
+        results.found += found.min(acknowledged);
     }
-    Ok(all)
+    Ok(results)
 }
--- a/crates/lab/tests/member_model.rs
+++ b/crates/lab/tests/member_model.rs
@@ -3,10 +3,10 @@
 use wharfplank_lab::member_model::{Admission, IncomingRequest, MemberModel, USUAL_REPORTS_PER_MILLE};
 use wharfplank_lab::timeline::{Kind, Timeline, Trouble};
 
-/// Guards against a script that begins later than the members' clock and takes their log with it: positions ahead
-/// of the clock count as none at a router, and no read could be stale.
+/// Guards against positions ahead of the clock, which arise if a script that starts later than the model's
+/// clock also shifts the positions: a router ignores such positions, and no read could be stale.
 #[test]
-fn a_script_that_waits_moves_no_position() {
+fn delayed_script_does_not_shift_positions() {
     let timeline = Timeline {
         seconds: 10,
         rate: 1,
@@ -17,19 +17,22 @@
         seed: 1,
         troubles: vec![Trouble { kind: Kind::Lose, at: 2, lasts: 5, on: "a".to_string(), percent: 100 }],
     };
-    let begin = 1_000_000_000;
-    let mut model = MemberModel::new(&timeline, begin);
-    model.start_script(begin + 60_000_000);
-    let mut now = begin;
+    let start = 1_000_000_000;
+    let mut model = MemberModel::new(&timeline, start);
+    model.start_script(start + 60_000_000);
+    let mut now = start;
     for ms in 0..60_000 + 4_000 {
-        now = begin + ms * 1000;
+        now = start + ms * 1000;
         model.advance(now);
         assert!((0..3).all(|m| model.position_ms(m) <= now / 1000));
     }
-    assert!(model.members[0].is_unresponsive, "the primary's zone is lost 2 s after the script began");
+    assert!(model.members[0].is_unresponsive, "the primary's zone fails 2 s after the start of the script");
     let lag = now / 1000 - model.position_ms(1);
-    assert!((1_900..2_100).contains(&lag), "a replica without a primary stands still: {lag} ms");
+    assert!(
+        (1_900..2_100).contains(&lag),
+        "a replica without a primary applies nothing: the lag is {lag} ms"
+    );
     let admission = model.admit(1, IncomingRequest { class: 0, id: None, min_position_ms: None });
     assert_eq!(admission, Admission::Admitted(model.members[1].core_free_at[0]));
-    assert_eq!(model.stale_reads, 1, "a bounded read of it is stale");
+    assert_eq!(model.stale_reads, 1, "a bounded read at the lagging replica is stale");
 }
--- a/crates/lab/tests/tally.rs
+++ b/crates/lab/tests/tally.rs
@@ -1,9 +1,9 @@
-//! The sums over the logs of many proxies.
+//! Sums over the logs of many proxies.
 
 use wharfplank_lab::tally::{Tally, MEMBERS_MOST};
 
 #[test]
-fn adds_up_both_forms_by_second_and_member() {
+fn sums_text_and_json_logs() {
     let text = "0.1 started listen=127.0.0.1:1\n\
                 1.0 counts at_ms=5000 what=probe.read=2,refused.shed.lookup=1\n\
                 2.0 counts at_ms=6000 what=probe.read=3\n\
@@ -17,7 +17,7 @@
     tally.add_log(json);
     assert_eq!(tally.total("probe."), 12);
     assert_eq!(tally.total("refused."), 1);
-    // The JSON log's second comes before the text log's first: rows move on by one.
+    // The JSON log starts one second before the text log: the series shift by one.
     assert_eq!(tally.seconds("probe.read"), vec![7, 2, 3]);
     assert_eq!(tally.unused.get("m1"), Some(&1));
     assert_eq!(tally.discovery.get("timeout"), Some(&1));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn names_past_the_bound_are_added_up_as_others() {
+fn members_past_the_limit_are_summed_as_others() {
     let mut tally = Tally::default();
     let mut text = String::new();
     for i in 0..MEMBERS_MOST + 5 {
--- a/crates/lab/tests/trials.rs
+++ b/crates/lab/tests/trials.rs
@@ -1,14 +1,14 @@
-//! A synthetic span long enough for bins of ten seconds, and timelines that cannot be played.
+//! Incidents and sums found in synthetic stores, and timelines that are invalid.
 
 use wharfplank_incidents::gather::gather;
 use wharfplank_incidents::{find, Kind};
 use wharfplank_lab::{timeline, trials};
 use wharfplank_records::reader::StoreSet;
 
-/// Guards against a long span in which coarser bins hide what finer ones show, and against sums that differ from what
-/// was recorded.
+/// Guards against incidents that are lost in the coarse bins of a long span, and against sums that differ
+/// from what was recorded.
 #[test]
-fn a_long_span_tells_the_same_in_coarse_bins() {
+fn coarse_bins_show_incidents_of_a_long_span() {
     let dir = tempfile::tempdir().unwrap();
     let seconds = 6000;
     let written = trials::synthetic(dir.path(), seconds, 3, 9, 7).unwrap();
@@ -26,9 +26,9 @@
     assert!((1990..=2020).contains(&start) && (2980..=3020).contains(&end), "{found:?}");
 }
 
-/// Guards against months of which nothing is told once their records are retired: the sums still tell the answers.
+/// Guards against losing the counts of answers when the records are retired: the summaries still have them.
 #[test]
-fn sums_tell_the_answers_of_retired_records() {
+fn summaries_keep_answers_of_retired_records() {
     let dir = tempfile::tempdir().unwrap();
     let written = trials::synthetic(dir.path(), 200, 1, 9, 7).unwrap();
     let read = |reader: &StoreSet| {
@@ -52,22 +52,23 @@
     assert!(after.problems[0].contains("only sums of answers are kept"), "{:?}", after.problems);
 }
 
-/// Guards against timelines that are played in part: names that are none, values past their bounds.
+/// Guards against invalid timelines that run in part: unknown targets, unknown kinds and values out of bounds
+/// are rejected.
 #[test]
-fn a_bad_timeline_is_named() {
+fn invalid_timelines_are_rejected() {
     let parse = |text: &str| timeline::parse(text).map(|t| t.troubles.len());
     assert_eq!(parse(timeline::INCIDENT), Ok(3));
     assert_eq!(parse(timeline::DEMO), Ok(0));
-    let trouble = |on: &str| {
+    let with_target = |on: &str| {
         format!("<timeline seconds='9' rate='9'><trouble kind='drain' at='1' for='1' on='{on}'/></timeline>")
     };
-    assert!(parse(&trouble("g0m9")).unwrap_err()[0].contains("'g0m9' is none of"));
-    assert_eq!(parse(&trouble("g0m1 g1m1")), Ok(1));
-    let faults =
+    assert!(parse(&with_target("g0m9")).unwrap_err()[0].contains("'g0m9' is none of"));
+    assert_eq!(parse(&with_target("g0m1 g1m1")), Ok(1));
+    let violations =
         parse("<timeline seconds='999' rate='9'>\n<trouble kind='fire' at='1' for='1' on='a'/></timeline>");
-    let faults = faults.unwrap_err();
+    let violations = violations.unwrap_err();
     assert!(
-        faults[0].starts_with("line 1: timeline/@seconds")
-            && faults[1].starts_with("line 2: timeline/trouble/@kind")
+        violations[0].starts_with("line 1: timeline/@seconds")
+            && violations[1].starts_with("line 2: timeline/trouble/@kind")
     );
 }
