--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -86,8 +86,8 @@
     let to_text = |e: std::io::Error| e.to_string();
     // The script starts together with the load, so that both count the same seconds. The proxies have until
     // then to start.
-    let start = now() + 3_000_000;
-    let stand_ins = StandIns::start(executor, MemberModel::new(timeline, start)).map_err(to_text)?;
+    let load_start = now() + 3_000_000;
+    let stand_ins = StandIns::start(executor, MemberModel::new(timeline, load_start)).map_err(to_text)?;
     let loaded_proxies = place.talk.as_ref().map_or(timeline.proxies, |_| timeline.proxies.min(3));
     let load = Load::new(executor, loaded_proxies);
     let addresses = free_addresses(timeline.proxies).map_err(to_text)?;
@@ -104,7 +104,7 @@
             Timer::after(Duration::from_millis(10)).await;
         }
     }
-    Timer::after(Duration::from_micros((start - now()).max(0) as u64)).await;
+    Timer::after(Duration::from_micros((load_start - now()).max(0) as u64)).await;
     let proxies: Vec<Option<ProxyProcess>> = proxies.into_iter().map(Some).collect();
     let proxies = Rc::new(RefCell::new(proxies));
     let kills = Rc::new(RefCell::new(Vec::new()));
@@ -112,7 +112,8 @@
     for trouble in timeline.troubles.iter().filter(|t| t.kind == Kind::KillProxy) {
         let number: usize =
             trouble.on.trim_start_matches('n').parse().map_err(|_| "kill-proxy needs one proxy as target")?;
-        let (at, downtime) = (start + trouble.at as Micros * 1_000_000, trouble.lasts as Micros * 1_000_000);
+        let (at, downtime) =
+            (load_start + trouble.at as Micros * 1_000_000, trouble.lasts as Micros * 1_000_000);
         let (load, proxies, kills, place) =
             (Rc::clone(&load), Rc::clone(&proxies), Rc::clone(&kills), place.clone());
         tasks.push(executor.spawn(async move {
@@ -153,7 +154,7 @@
     let members = stand_ins.model();
     let peaks = members.members.iter().map(|member| (member.name.clone(), member.peak_overload));
     let slow_start_peaks = peaks.collect();
-    Ok(Ran { start, load, kills, writes: stand_ins.writes(), slow_start_peaks, used })
+    Ok(Ran { start: load_start, load, kills, writes: stand_ins.writes(), slow_start_peaks, used })
 }
 
 /// The requests to a proxy that ended for their clients within a span.
