--- a/crates/incidents/src/evidence.rs
+++ b/crates/incidents/src/evidence.rs
@@ -17,7 +17,7 @@
     pub group: u64,
     /// Whether the proxy took the member for the primary.
     pub primary: bool,
-    /// Whether the endpoint list had the member accept requests.
+    /// Whether the member accepted requests according to the endpoint list.
     pub active: bool,
     /// The newest known log position; 0 if none is known.
     pub position: Micros,
@@ -96,9 +96,9 @@
     pub served: BTreeMap<(Micros, Arc<str>, Arc<str>), AnswerSums>,
     /// Numbers of rejections, failures and late answers, by bin, group and outcome.
     pub not_served: BTreeMap<(Micros, u64, Outcome), u64>,
-    /// Observations of each member, in time.
+    /// Observations of each member, ordered by time.
     pub observations: BTreeMap<String, Vec<MemberObservation>>,
-    /// The health of each member in the endpoint list, in time.
+    /// The health of each member in the endpoint list, ordered by time.
     pub listed_health: BTreeMap<String, Vec<ListedHealth>>,
 }
 
@@ -128,7 +128,7 @@
     pub stale_reads: Vec<StaleRead>,
     /// The number of all reads that were rejected as too stale.
     pub stale_read_count: u64,
-    /// What could not be read.
+    /// What could not be read, in sentences for people.
     pub problems: Vec<String>,
 }
 
@@ -160,7 +160,7 @@
         self.proxies.values().filter_map(move |proxy| proxy.observations.get(member)).flatten()
     }
 
-    /// Whether a proxy's records cover a span: its process was alive all the time and no records are missing.
+    /// Whether a proxy's records cover a span: its process was alive throughout and no records are missing.
     pub fn covers(&self, proxy: &ProxyEvidence, from: Micros, to: Micros) -> bool {
         let is_alive = |(start, end): &(Micros, Micros)| *start <= from + self.bin && to <= *end + self.bin;
         let overlaps = |gap: &Gap| gap.from < to && from < gap.to;
--- a/crates/incidents/src/explanation.rs
+++ b/crates/incidents/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Explains in sentences what an incident's statement is based on, and what the records do not show.
+//! Explains in sentences how an incident was found, and what the records do not show.
 
 use crate::evidence::Evidence;
 use crate::find::{Confidence, Incident, Kind};
@@ -10,39 +10,41 @@
     explain_cause(incident);
     explain_missing_records(evidence, incident);
     if incident.open {
-        incident.unknown.push("It went on at an end of the records: it may have been longer.".to_string());
+        incident
+            .unknown
+            .push("It reaches the start or end of the records: it may have lasted longer.".to_string());
     }
     if incident.confidence == Confidence::Weak {
         incident
             .unknown
-            .push("The records of most proxies are missing here: it may have been otherwise.".to_string());
+            .push("The records of most proxies are missing here: the conclusion may be wrong.".to_string());
     }
 }
 
-/// States what the incident was found from: a report of discovery or of a member, or an inference.
+/// States how the incident was found: from a report of discovery or of a proxy, or by inference.
 fn explain_cause(incident: &mut Incident) {
     let members = join_names(&incident.members);
     let subject = &incident.subject;
     let length = format_seconds(incident.to - incident.from);
     match incident.kind {
         Kind::SlowApply => incident.inferred.push(format!(
-            "The positions that {members} told gained less than six tenths of the time that passed, for {length}."
+            "The log positions of {members} advanced by less than 60% of the elapsed time, for {length}."
         )),
         Kind::SlowMember => incident.inferred.push(format!(
-            "Answers of {members} took at least twice as long as the same classes elsewhere, for {length}."
+            "Answers of {members} took at least twice as long as those of other members in the same classes, for {length}."
         )),
         Kind::NoPrimary => incident
             .inferred
             .push(format!("Most proxies knew no usable primary of {subject} for {length}.")),
         Kind::Cut => incident.inferred.push(format!(
-            "Proxies elsewhere suspected most members of zone {subject} for {length}, and not those of other zones."
+            "Proxies in other zones suspected most members of zone {subject} for {length}, but not those of other zones."
         )),
         Kind::RestartWave => incident
             .reported
-            .push(format!("The proxies {subject} ended and started again within {length}.")),
+            .push(format!("The proxies {subject} stopped and started again within {length}.")),
         Kind::Drain => incident.reported.push(format!("Discovery listed {members} as leaving.")),
         Kind::Surge => incident.reported.push(format!(
-            "At least a tenth of the answers, and five a second, were refusals or failures for {length}."
+            "At least 10% of the answers, and at least five per second, were rejections or failures for {length}."
         )),
     }
 }
@@ -56,7 +58,7 @@
             incident.unknown.push(describe_gap(name, gap, from, to));
         }
         if proxy.alive.iter().all(|(start, end)| *end < from || to < *start) {
-            incident.unknown.push(format!("{name}: no records of this time."));
+            incident.unknown.push(format!("{name}: no records of this span."));
         }
     }
 }
@@ -68,7 +70,7 @@
         None => "an unknown number of records".to_string(),
     };
     let length = format_seconds(gap.to.min(to) - gap.from.max(from));
-    format!("{proxy}: {} of {length}, {missing} missing.", gap.cause.name())
+    format!("{proxy}: {}, a gap of {length}; {missing} missing.", gap.cause.name())
 }
 
 fn format_seconds(span: Micros) -> String {
--- a/crates/incidents/src/find/attribution.rs
+++ b/crates/incidents/src/find/attribution.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_records::{FailureReason, Micros, Outcome};
 
-/// Answers are attributed to an incident until this long after its end: requests that were queued then are still
-/// rejected.
+/// Answers are attributed to an incident until this long after its end: requests that were queued then are
+/// still rejected.
 const ATTRIBUTION_DELAY: Micros = 2 * SECOND;
 
 /// The answers attributed to one incident.
@@ -20,7 +20,7 @@
     pub late: u64,
 }
 
-/// Sums the unsuccessful answers that can be due to an incident; no groups stand for all groups.
+/// Sums the unsuccessful answers that can be due to an incident; an empty set stands for all groups.
 pub(super) fn attribute(evidence: &Evidence, kind: Kind, groups: &BTreeSet<u64>, run: Run) -> Attribution {
     let span = run.from..run.to + ATTRIBUTION_DELAY;
     let mut attributed = Attribution::default();
--- a/crates/incidents/src/find/incident.rs
+++ b/crates/incidents/src/find/incident.rs
@@ -1,4 +1,5 @@
-//! An incident: its kind, its subject, how well the records support it, and how it is built from a run of bins.
+//! An incident: its kind, its subject, how well the records support it, and how it is built from a run of
+//! bins.
 
 use super::attribution::attribute;
 use super::runs::Run;
@@ -97,8 +98,8 @@
 }
 
 impl Incident {
-    /// Builds the incident of a run, with its groups, its confidence and the answers attributed to it. The texts are
-    /// added by [`crate::explanation::explain`].
+    /// Builds the incident of a run, with its groups, its confidence and the answers attributed to it. The
+    /// texts are added by [`crate::explanation::explain`].
     pub(super) fn from_run(
         evidence: &Evidence,
         kind: Kind,
--- a/crates/incidents/src/find/mod.rs
+++ b/crates/incidents/src/find/mod.rs
@@ -1,9 +1,9 @@
 //! Decides, without I/O, what happened.
 //!
-//! Each detector computes, for one kind of incident and each subject, a series of bins in which the condition holds,
-//! does not hold or is unknown. A run of bins in which it holds is an incident of that kind and subject (see [`runs`]).
-//! Incidents of different kinds or subjects never merge. Rejections and late answers are then attributed to each
-//! incident by time, group and reason (see [`attribution`]).
+//! Each detector computes, for one kind of incident and each subject, a series of bins in which the condition
+//! holds, does not hold or is unknown. A run of bins in which it holds is an incident of that kind and
+//! subject (see [`runs`]). Incidents of different kinds or subjects never merge. Rejections and late answers
+//! are then attributed to each incident by time, group and reason (see [`attribution`]).
 
 mod attribution;
 mod drain;
--- a/crates/incidents/src/find/no_primary.rs
+++ b/crates/incidents/src/find/no_primary.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_records::Micros;
 
-/// By group and bin: the member that each proxy that knows the group takes for its usable primary. A bin in which no
-/// proxy knows the group is absent.
+/// By group and bin: the member that each proxy that knows the group takes for its usable primary. A bin in
+/// which no proxy knows the group is absent.
 pub(super) type ObservedPrimaries = BTreeMap<u64, BTreeMap<Micros, Vec<Option<String>>>>;
 
 /// Collects the primaries that each proxy observed; a suspected primary does not count as one.
@@ -45,8 +45,8 @@
     incidents
 }
 
-/// Whether most proxies know no primary. A proxy that has just started does not know it yet, so one alone does not
-/// suffice.
+/// Whether most proxies know no primary. One proxy alone does not suffice: it may have just started and not
+/// know the primary yet.
 fn is_missed_by_most(seen: &[Option<String>]) -> bool {
     let missing = seen.iter().filter(|primary| primary.is_none()).count();
     missing * 2 > seen.len()
--- a/crates/incidents/src/find/partition.rs
+++ b/crates/incidents/src/find/partition.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_records::Micros;
 
-/// Fewer zones cannot be partitioned from each other.
+/// A partition needs at least this many zones.
 const MIN_ZONES: usize = 2;
-/// Suspicion of fewer members in a zone points to the members and not to the zone.
+/// If a zone has fewer members, their suspicion points to the members and not to the zone.
 const MIN_MEMBERS: u32 = 2;
 
 /// The active members that one proxy observed in one bin, and how many of them it suspected.
@@ -30,7 +30,8 @@
     }
 }
 
-/// By zone and bin: whether a proxy in another zone suspected most members of the zone, but not those of the others.
+/// By zone and bin: whether a proxy in another zone suspected most members of the zone, but not those of the
+/// others.
 pub(super) fn partitioned_zones(evidence: &Evidence) -> BTreeMap<String, Series> {
     let zones: BTreeSet<&String> = evidence.zones.values().collect();
     let mut partitions: BTreeMap<String, Series> = BTreeMap::new();
--- a/crates/incidents/src/find/restart_wave.rs
+++ b/crates/incidents/src/find/restart_wave.rs
@@ -10,7 +10,7 @@
 
 /// A proxy that goes down within this time of the previous one's return belongs to the same wave.
 const MAX_PAUSE: Micros = 30 * SECOND;
-/// Restarts of fewer proxies are no wave.
+/// Restarts of fewer proxies are not a wave.
 const MIN_PROXIES: usize = 2;
 
 /// One proxy's restart, ordered by its start.
--- a/crates/incidents/src/find/runs.rs
+++ b/crates/incidents/src/find/runs.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use wharfplank_records::Micros;
 
-/// Breaks up to this long do not end a run, whether the condition did not hold in them or is unknown.
+/// Breaks up to this long, in which the condition does not hold or is unknown, do not end a run.
 const MAX_BREAK: Micros = 5 * SECOND;
 /// Shorter runs are discarded.
 const MIN_LENGTH: Micros = 3 * SECOND;
--- a/crates/incidents/src/find/slow_apply.rs
+++ b/crates/incidents/src/find/slow_apply.rs
@@ -8,18 +8,18 @@
 use std::collections::BTreeMap;
 use wharfplank_records::Micros;
 
-/// A replica whose position gained less than this fraction of the time that passed applies slowly.
+/// A replica applies slowly if its position advances by less than this fraction of the elapsed time.
 const SLOW_RATE: f64 = 0.6;
 /// The apply rate is measured over at least this long.
 const MIN_RATE_SPAN: Micros = 2 * SECOND;
 /// Positions that were observed further apart than this, beyond [`MIN_RATE_SPAN`], give no rate.
 const MAX_POSITION_AGE: Micros = 4 * SECOND;
-/// More than this fraction of the replicas must apply slowly at a time to make it one event...
+/// Slow log apply is an incident if more than this fraction of the replicas apply slowly at a time...
 const MIN_SLOW_FRACTION: f64 = 0.5;
-/// ...and at least this many. A single one that stands still most likely serves a long read.
+/// ...and at least this many. A single stalled replica most likely serves a long read.
 const MIN_SLOW_REPLICAS: usize = 2;
 
-/// By member and bin: the fraction of the time that passed that its position gained.
+/// By member and bin: the advance of its position as a fraction of the elapsed time.
 type ApplyRates<'a> = BTreeMap<&'a str, BTreeMap<Micros, f64>>;
 
 /// The position of a member as a proxy observed it.
@@ -51,7 +51,7 @@
                 && !is_partitioned(evidence, partitions, name, bin)
         };
         let replicas = replicas_in_bin(&rates, bin, is_measurable);
-        // Rates of a minority say nothing of most replicas: the bin stays unknown.
+        // Rates of a minority do not show what most replicas did: the bin stays unknown.
         if replicas.measured * 2 > rates.len() {
             series.insert(bin, are_many_slow(&replicas));
             slow_replicas.insert(bin, replicas.slow);
@@ -89,8 +89,8 @@
     slow >= MIN_SLOW_REPLICAS && slow as f64 > replicas.measured as f64 * MIN_SLOW_FRACTION
 }
 
-/// Whether the member's group has a primary other than the member. Without a primary all positions stand still, which
-/// is another kind of incident.
+/// Whether the member's group has a primary other than the member. Without a primary no position advances,
+/// which is another kind of incident.
 fn is_replica_with_primary(
     evidence: &Evidence,
     primaries: &ObservedPrimaries,
@@ -106,8 +106,8 @@
     has_primary && !is_primary
 }
 
-/// Whether the member's zone is partitioned: positions stand still behind a partition, which is another kind of
-/// incident.
+/// Whether the member's zone is partitioned: behind a partition no position advances, which is another kind
+/// of incident.
 fn is_partitioned(
     evidence: &Evidence,
     partitions: &BTreeMap<String, Series>,
@@ -123,8 +123,8 @@
     evidence.observations_of(name).map(|observation| observation.group).next()
 }
 
-/// The replicas that were slow in at least half of the known bins of a run. One that stood still in it for a moment
-/// served a long read.
+/// The replicas that were slow in at least half of the known bins of a run. One that stalled only
+/// briefly served a long read.
 fn mostly_slow_replicas(slow_replicas: &BTreeMap<Micros, Vec<&str>>, run: Run) -> Vec<String> {
     let mut slow_bins: BTreeMap<&str, usize> = BTreeMap::new();
     let mut known_bins = 0;
@@ -149,7 +149,7 @@
     rates
 }
 
-/// The member's positions in time. Positions are the member's own, so what any proxy observed counts.
+/// The member's positions over time. They are the member's own, so the observations of all proxies count.
 fn position_samples(evidence: &Evidence, name: &str) -> Vec<PositionSample> {
     let mut newest: BTreeMap<Micros, Micros> = BTreeMap::new();
     for observation in evidence.observations_of(name) {
@@ -177,7 +177,7 @@
             continue;
         }
         let rate = (end.position - start.position) as f64 / span as f64;
-        // The rate is that of the middle of the span over which it was measured.
+        // The rate counts for the middle of the span over which it was measured.
         rates.insert(evidence.bin_of(start.seen_at + span / 2), rate);
     }
     rates
--- a/crates/incidents/src/find/slow_member.rs
+++ b/crates/incidents/src/find/slow_member.rs
@@ -1,7 +1,7 @@
 //! Detects members that answer more slowly than the others.
 //!
-//! Latencies are compared as ratios to the usual latency of their class, so that classes can be added up. A member
-//! that is given more work than usual is overloaded and not slow.
+//! Latencies are compared as ratios to the usual latency of their class, so that different classes can be
+//! summed. A member that receives more work than usual is overloaded and not slow.
 
 use super::incident::{Incident, Kind};
 use super::runs::{find_runs, Series};
@@ -10,21 +10,22 @@
 use std::collections::BTreeMap;
 use wharfplank_records::Micros;
 
-/// A member is slow whose answers take this many times as long as those of the others.
+/// A member is slow if its answers take this many times as long as those of the others.
 const SLOW_RATIO: f64 = 2.0;
-/// Latencies of fewer answers are not compared.
+/// The latencies of fewer answers are not compared.
 const MIN_ANSWERS: u64 = 3;
-/// Latencies of this many bins to each side of a bin are taken together.
+/// The latencies of a bin include this many bins on each side.
 const LATENCY_WINDOW_BINS: i64 = 1;
-/// A member is overloaded that is given this many times its usual work and that of the others.
+/// A member is overloaded if it receives this many times its usual work and that of the others.
 const OVERLOAD_RATIO: f64 = 1.2;
-/// Work of this many bins to each side of a bin is taken together.
+/// The work of a bin includes this many bins on each side.
 const WORK_WINDOW_BINS: i64 = 2;
-/// Single answers vary: a member that is slow for less than this cannot be told from chance.
+/// Shorter slow spans are discarded: the latencies of single answers vary, so they may be chance.
 const MIN_LENGTH: Micros = 6 * SECOND;
-/// The usual work of a member is this quantile of its bins, as a divisor of their number.
+/// The usual work of a member is that of the bin at this fraction of its bins in ascending order, as a
+/// divisor: 4 is the lower quartile.
 const USUAL_WORK_DIVISOR: usize = 4;
-/// The middle of the others' ratios is at least this.
+/// A lower bound for the median ratio of the other members.
 const MIN_OTHERS_RATIO: f64 = 0.5;
 
 /// Answers of one member and class in one bin.
@@ -49,7 +50,7 @@
 struct MemberProfile {
     /// Latency ratios by bin.
     ratios: BTreeMap<Micros, RatioSum>,
-    /// By bin: the work that the member was given, in µs of usual latency.
+    /// By bin: the work that the member received, in µs of usual latency.
     work: BTreeMap<Micros, f64>,
 }
 
@@ -85,7 +86,7 @@
     latencies
 }
 
-/// By class: the median of its members' mean latencies, so that one slow member does not move it.
+/// By class: the median of the members' mean latencies, which one slow member does not shift.
 fn usual_latencies<'a>(latencies: &Latencies<'a>) -> BTreeMap<&'a str, f64> {
     let mut means: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for ((_, class), bins) in latencies {
@@ -116,7 +117,7 @@
             let ratios = profile.ratios.entry(*bin).or_default();
             ratios.answers += sum.answers;
             ratios.ratios += sum.took as f64 / usual;
-            // The work that proxies without records gave is unknown: taken to be as much as that of the others.
+            // The work from proxies without records is unknown: assume as much as from each of the others.
             let Coverage { covering, proxies } =
                 *coverage.entry(*bin).or_insert_with(|| evidence.coverage(*bin, bin + evidence.bin));
             let work = profile.work.entry(*bin).or_default();
@@ -126,7 +127,8 @@
     profiles
 }
 
-/// Whether a member was slow, by bin. Where most members are slow at once it is load or the network, and no member.
+/// Whether a member was slow, by bin. If most members are slow at once, the cause is the load or the network
+/// and not the member.
 fn slow_bins(evidence: &Evidence, profiles: &Profiles, member: &str) -> Series {
     let profile = &profiles[member];
     let usual_work = usual_work(profile);
@@ -134,7 +136,7 @@
     let mut series = Series::new();
     for bin in evidence.bins().take_while(|bin| *bin < last_bin) {
         let Some(ratio) = mean_ratio(evidence, profile, bin) else { continue };
-        let others_ratio = middle_ratio_of_others(evidence, profiles, member, bin);
+        let others_ratio = median_ratio_of_others(evidence, profiles, member, bin);
         let is_slow = ratio >= SLOW_RATIO * others_ratio.max(1.0);
         series.insert(bin, is_slow && !is_overloaded(evidence, profiles, member, usual_work, bin));
     }
@@ -152,22 +154,22 @@
     (total.answers >= MIN_ANSWERS).then(|| total.ratios / total.answers as f64)
 }
 
-fn middle_ratio_of_others(evidence: &Evidence, profiles: &Profiles, member: &str, bin: Micros) -> f64 {
+fn median_ratio_of_others(evidence: &Evidence, profiles: &Profiles, member: &str, bin: Micros) -> f64 {
     let others = profiles.iter().filter(|(name, _)| **name != member);
     let mut ratios: Vec<f64> = others.filter_map(|(_, profile)| mean_ratio(evidence, profile, bin)).collect();
     ratios.sort_by(f64::total_cmp);
     ratios.get(ratios.len() / 2).copied().unwrap_or(1.0).max(MIN_OTHERS_RATIO)
 }
 
-/// The work of a bin in which the member had little.
+/// The lower quartile of the work in the member's bins.
 fn usual_work(profile: &MemberProfile) -> f64 {
     let mut work: Vec<f64> = profile.work.values().copied().collect();
     work.sort_by(f64::total_cmp);
     work[work.len() / USUAL_WORK_DIVISOR]
 }
 
-/// Whether the member was given more work than usual and more than the others: it then answers late because of that,
-/// while a slow member is avoided.
+/// Whether the member received more work than usual and more than the others. It then answers late because of
+/// the work; a member that is slow by itself receives less, since proxies avoid it.
 fn is_overloaded(
     evidence: &Evidence,
     profiles: &Profiles,
--- a/crates/incidents/src/gather/error.rs
+++ b/crates/incidents/src/gather/error.rs
@@ -10,6 +10,6 @@
     #[error(transparent)]
     Read(#[from] ReadError),
     /// The thread that read the store panicked.
-    #[error("reading it failed")]
+    #[error("the thread that read the store panicked")]
     Panicked,
 }
--- a/crates/incidents/src/gather/mod.rs
+++ b/crates/incidents/src/gather/mod.rs
@@ -20,8 +20,8 @@
 const FINE_BIN: Micros = SECOND;
 const COARSE_BIN: Micros = 10 * SECOND;
 
-/// Gathers what the stores show of a span. What cannot be read is listed in [`Evidence::problems`]. Each store is read
-/// by a thread of its own.
+/// Gathers what the stores show of a span. What cannot be read is listed in [`Evidence::problems`]. Each
+/// store is read by a thread of its own.
 pub fn gather(set: &StoreSet, from: Micros, to: Micros) -> Evidence {
     let bin = if to - from <= MAX_FINE_SPAN { FINE_BIN } else { COARSE_BIN };
     let frame = Evidence { from, to, bin, ..Evidence::default() };
--- a/crates/incidents/src/gather/store.rs
+++ b/crates/incidents/src/gather/store.rs
@@ -18,7 +18,7 @@
     pub stale_reads: Vec<StaleRead>,
     /// The number of all reads that were rejected as too stale.
     pub stale_read_count: u64,
-    /// What the reader of the evidence should know of the store.
+    /// What the evidence lacks, in sentences for people.
     pub problems: Vec<String>,
 }
 
@@ -67,7 +67,7 @@
                     *sums.not_served.entry((bin, group, outcome)).or_default() += 1;
                 }
                 if let Some(member) = member {
-                    // A latency tells of the member at the time of the request.
+                    // A latency describes the member at the time of the request, not of the answer.
                     let request_bin = frame.bin_of(at - took);
                     sums.served.entry((request_bin, member, class)).or_default().add(attempts, took);
                 }
--- a/crates/incidents/src/gather/summaries.rs
+++ b/crates/incidents/src/gather/summaries.rs
@@ -9,8 +9,8 @@
 use wharfplank_records::store::SUMMARY_WINDOW;
 use wharfplank_records::{Micros, Outcome};
 
-/// Adds the summaries of windows whose records are retired. They have only the answers by class: the observations of
-/// members and the stale reads were retired with the records, which is noted as a problem.
+/// Adds the summaries of windows whose records are retired. They have only the answers by class: the
+/// observations of members and the stale reads were retired with the records, which is noted as a problem.
 pub(super) fn add_summaries(
     source: &StoreReader,
     frame: &Evidence,
--- a/crates/incidents/src/gather/sums.rs
+++ b/crates/incidents/src/gather/sums.rs
@@ -6,8 +6,8 @@
 use wharfplank_records::reader::{NameKind, StoreReader};
 use wharfplank_records::{Micros, Outcome};
 
-/// Sums over the records of one run, by the run's numbers of members and classes. Names are resolved once at the end,
-/// since a day has millions of answers.
+/// Sums over the records of one run, by the numbers that the run gave its members and classes. Names are
+/// resolved only once at the end, since a day has millions of answers.
 #[derive(Default)]
 pub(super) struct RunSums {
     /// Answers by bin, class and outcome.
@@ -23,7 +23,7 @@
 }
 
 impl RunSums {
-    /// Adds an observation. In a long span one a bin is kept, the last.
+    /// Adds an observation. With coarse bins only the last observation in each bin is kept.
     pub fn add_observation(&mut self, frame: &Evidence, member: u32, observation: MemberObservation) {
         let keeps_one_per_bin = frame.bin > super::FINE_BIN;
         let bin = frame.bin_of(observation.at);
--- a/crates/incidents/src/lib.rs
+++ b/crates/incidents/src/lib.rs
@@ -1,9 +1,10 @@
-//! Finds incidents from the records alone.
+//! Finds incidents in the records of proxies, without any other input.
 //!
-//! - [`evidence`]: what the records of several proxies show, by bins of time; what is unknown is left out.
+//! - [`evidence`]: what the records of several proxies show, by bins of time; unknown values are absent.
 //! - [`gather`]: reads the evidence from stores.
-//! - [`find()`]: decides, without I/O, what happened: the kind, start and end of each incident, the affected members
-//!   and groups, what was reported and what is inferred, and which rejections and late answers are attributed to it.
+//! - [`find()`]: decides, without I/O, what happened: the kind, start and end of each incident, the affected
+//!   members and groups, what was reported and what is inferred, and which rejections and late answers are
+//!   attributed to it.
 
 pub mod evidence;
 mod explanation;
