--- a/crates/report/src/facts/members.rs
+++ b/crates/report/src/facts/members.rs
@@ -4,7 +4,7 @@
 use wharfplank_incidents::evidence::MemberObservation;
 use wharfplank_incidents::{Evidence, Micros};
 
-/// A position that was seen longer ago than this gives no replication lag.
+/// Positions that were seen longer ago than this are not used for the replication lag.
 const MAX_POSITION_AGE: Micros = 4_000_000;
 /// µs in a millisecond.
 const MILLISECOND: Micros = 1_000;
@@ -18,14 +18,15 @@
     pub group: u64,
     /// The member's zone, where it is known.
     pub zone: Option<String>,
-    /// The replication lag, in ms, when a proxy last saw the member's position; absent where none did lately.
+    /// The replication lag, in ms, when a proxy last saw the member's position; absent if no proxy saw it
+    /// recently.
     #[serde(rename = "behind_ms")]
     pub lag_ms: Vec<Option<i64>>,
-    /// Whether most proxies that observed the member took it for the primary; absent where none observed it.
+    /// Whether most proxies that observed the member considered it the primary; absent if none observed it.
     pub primary: Vec<Option<bool>>,
     /// The number of proxies that suspected the member.
     pub suspected: Vec<u32>,
-    /// Requests of all proxies in flight at the member, as last observed; absent where no proxy observed it.
+    /// Requests of all proxies in flight at the member, as last observed; absent if no proxy observed it.
     pub in_flight: Vec<Option<u32>>,
 }
 
--- a/crates/report/src/facts/mod.rs
+++ b/crates/report/src/facts/mod.rs
@@ -1,6 +1,7 @@
 //! The facts of a report, with the version of their JSON form.
 //!
-//! The serialised field names and the order of the fields belong to the JSON form and do not change within a version.
+//! The serialised field names and the order of the fields belong to the JSON form and do not change within a
+//! version.
 
 mod answers;
 mod members;
@@ -19,8 +20,8 @@
 use wharfplank_incidents::evidence::StaleRead;
 use wharfplank_incidents::{find, Evidence, Incident, Micros};
 
-/// The version of the JSON form. It is increased when a field changes its meaning or is removed; new fields do not
-/// change it.
+/// The version of the JSON form. It is increased when a field changes its meaning or is removed; new fields
+/// do not change it.
 pub const VERSION: u32 = 1;
 
 /// All facts of a span.
--- a/crates/report/src/facts/summary.rs
+++ b/crates/report/src/facts/summary.rs
@@ -1,4 +1,4 @@
-//! What happened, in sentences.
+//! The summary of a report, in sentences.
 
 use super::answers::AnswerTotals;
 use super::proxies::{GapFacts, ProxyFacts};
@@ -10,7 +10,7 @@
     let mut sentences = vec![describe_answers(facts)];
     sentences.extend(facts.incidents.iter().map(|incident| describe_incident(facts, incident)));
     if facts.incidents.is_empty() {
-        sentences.push("No incident was found in what was recorded.".to_string());
+        sentences.push("No incident was found in the records.".to_string());
     }
     for proxy in &facts.proxies {
         sentences.extend(proxy.gaps.iter().map(|gap| describe_gap(facts, proxy, gap)));
@@ -40,7 +40,7 @@
     let late: u64 = facts.classes.values().map(|answers| answers.late).sum();
     let percent = |count: u64| if total == 0 { 0.0 } else { count as f64 * 100.0 / total as f64 };
     format!(
-        "{} proxies recorded {total} answers in {:.0} s: {:.1}% in time, {:.1}% late, {:.1}% refused or failed.",
+        "{} proxies recorded {total} answers in {:.0} s: {:.1}% in time, {:.1}% late, {:.1}% rejected or failed.",
         facts.proxies.len(),
         facts.seconds_since_start(facts.to),
         percent(total - late - unsuccessful),
@@ -54,14 +54,14 @@
     let confidence = match incident.confidence {
         Confidence::Clear => "",
         Confidence::Likely => " Some records of it are missing.",
-        Confidence::Weak => " Most records of it are missing: it may have been otherwise.",
+        Confidence::Weak => " Most records of it are missing: the conclusion may be wrong.",
     };
     format!(
-        "{} from second {:.0} to {:.0}{}; {rejections} refusals or failures and {} late answers fall to it.{confidence}",
+        "{} from second {:.0} to {:.0}{}; {rejections} rejections or failures and {} late answers are attributed to it.{confidence}",
         incident_title(incident),
         facts.seconds_since_start(incident.from),
         facts.seconds_since_start(incident.to),
-        if incident.open { ", where the records end" } else { "" },
+        if incident.open { ", at the start or end of the records" } else { "" },
         incident.late
     )
 }
@@ -69,10 +69,10 @@
 fn describe_gap(facts: &Facts, proxy: &ProxyFacts, gap: &GapFacts) -> String {
     let missing = match gap.count {
         Some(count) => format!("{count} records are missing"),
-        None => "how many answers fell into it is unknown".to_string(),
+        None => "the number of missing records is unknown".to_string(),
     };
     format!(
-        "Nothing is known of {} from second {:.1} to {:.1} ({}): {missing}.",
+        "The records of {} have a gap from second {:.1} to {:.1} ({}): {missing}.",
         proxy.name,
         facts.seconds_since_start(gap.from),
         facts.seconds_since_start(gap.to),
@@ -84,5 +84,5 @@
     let count = facts.stale_read_count;
     let listed = facts.stale_reads.len() as u64;
     let note = if listed < count { format!(" The first {listed} are listed.") } else { String::new() };
-    format!("{count} reads were refused as too stale.{note}")
+    format!("{count} reads were rejected as too stale.{note}")
 }
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -9,7 +9,7 @@
 use wharfplank_incidents::evidence::StaleRead;
 use wharfplank_incidents::Incident;
 
-/// The number of stale reads that the file lists; the JSON form has more.
+/// The most stale reads that the file lists; the JSON form has more.
 const MAX_STALE_READS: usize = 200;
 const TEMPLATE_NAME: &str = "report.html";
 const TEMPLATE: &str = include_str!("report.html");
@@ -24,7 +24,7 @@
     format!("{date} {:02}:{:02}:{:02}.{millisecond:03}", at.hour(), at.minute(), at.second())
 }
 
-/// Renders the file.
+/// Renders the HTML file.
 ///
 /// # Errors
 ///
@@ -146,7 +146,7 @@
 
 fn stale_row(facts: &Facts, read: &StaleRead) -> Value {
     let is_known = read.known > 0;
-    let known = if is_known { format_second(facts, read.known) } else { "never heard".to_string() };
+    let known = if is_known { format_second(facts, read.known) } else { "unknown".to_string() };
     context! {
         at => format_second(facts, read.at),
         proxy => &read.proxy,
@@ -164,7 +164,7 @@
         for gap in &proxy.gaps {
             let missing = match gap.count {
                 Some(count) => format!("{count} records"),
-                None => "an unknown number of answers".to_string(),
+                None => "an unknown number of records".to_string(),
             };
             let from = format_second(facts, gap.from);
             let to = format_second(facts, gap.to);
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,8 +1,9 @@
-//! Reports on records: the same facts for people, as one HTML file, and for programs, as JSON.
+//! Incident reports from records: the same facts as one HTML file for people and as JSON for programs.
 //!
 //! - [`facts`]: the facts, with the version of their JSON form.
-//! - [`html`]: the HTML file; it loads nothing and needs no script.
-//! - [`plot`]: its plots; lines differ by markers and not by colour alone, and what is unknown is a break.
+//! - [`html`]: the HTML file; it loads no other resources and needs no script.
+//! - [`plot`]: its plots; lines differ by markers and not by colour alone, and unknown values are breaks in a
+//!   line.
 
 mod error;
 pub mod facts;
--- a/crates/report/src/plot/line_chart.rs
+++ b/crates/report/src/plot/line_chart.rs
@@ -8,7 +8,7 @@
 use plotters::prelude::*;
 
 const SIZE: (u32, u32) = (WIDTH, 230);
-/// Colours that differ in brightness too.
+/// The colours of lines, which also differ in brightness.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 0, 0),
     BLUE,
@@ -21,7 +21,7 @@
 const HATCH_COLOUR: RGBColor = RGBColor(150, 150, 150);
 /// The number of hatch lines over the whole axis of time.
 const HATCH_LINES: f64 = 160.0;
-/// Every this many points a line has a marker.
+/// The number of points from one marker of a line to the next.
 const MARKER_INTERVAL: usize = 5;
 /// The space to the right of the chart for the legend, in pixels.
 const LEGEND_WIDTH: u32 = 150;
@@ -94,7 +94,7 @@
     Ok(svg)
 }
 
-/// Draws a gap. It is hatched, so that it reads the same in print.
+/// Draws a gap. It is hatched, so that it is visible in a black-and-white print.
 fn draw_gap(chart: &mut Chart, gap: SecondSpan, end: f64, top: f64) -> Result<(), PlotError> {
     let from = gap.from.max(0.0);
     let to = gap.to.min(end);
@@ -128,7 +128,7 @@
     area.draw(&Text::new(line.name.clone(), (x + 10, y - 6), style))
 }
 
-/// Draws the marker that tells a line apart without its colour.
+/// Draws a marker. Its shape distinguishes a line from others without their colours.
 fn draw_marker(area: &Area, index: usize, at: (i32, i32)) -> Result<(), PlotError> {
     let colour = colour_of(index);
     match index % 4 {
--- a/crates/report/src/plot/mod.rs
+++ b/crates/report/src/plot/mod.rs
@@ -37,8 +37,8 @@
     facts.seconds_since_start(facts.to).max(1.0)
 }
 
-/// Plots the answers per second of one class or of all classes: in time, late, and rejected or failed. A bin that the
-/// records of some proxy do not cover is a break.
+/// Plots the answers per second of one class or of all classes: in time, late, and rejected or failed. Lines
+/// break in bins that the records of some proxy do not cover.
 ///
 /// # Errors
 ///
@@ -57,7 +57,7 @@
     let lines = [
         line("in time", |counts| counts.served),
         line("late", |counts| counts.late),
-        line("refused, failed", |counts| counts.unsuccessful),
+        line("rejected, failed", |counts| counts.unsuccessful),
     ];
     let gaps = facts.proxies.iter().flat_map(|proxy| &proxy.gaps);
     let gaps: Vec<SecondSpan> = gaps.map(|gap| SecondSpan::new(facts, gap.from, gap.to)).collect();
@@ -71,7 +71,7 @@
 /// Returns an error if the plot cannot be drawn.
 pub fn replication_lag(facts: &Facts, members: &[&MemberFacts]) -> Result<String, PlotError> {
     let lines: Vec<Line> = members.iter().map(|member| lag_line(facts, member)).collect();
-    draw_line_chart(facts, "s behind", &lines, &[])
+    draw_line_chart(facts, "lag, s", &lines, &[])
 }
 
 fn lag_line(facts: &Facts, member: &MemberFacts) -> Line {
