--- a/crates/fleet-harness/src/rollouts/rig.rs
+++ b/crates/fleet-harness/src/rollouts/rig.rs
@@ -121,7 +121,7 @@
         members: scenario.members_per_group,
         reports: USUAL_REPORTS_PER_MILLE,
         seed: scenario.seed,
-        troubles: Vec::new(),
+        faults: Vec::new(),
     };
     StandIns::start(executor, MemberModel::new(&timeline, now()))
 }
--- a/crates/fleet-harness/src/run/script.rs
+++ b/crates/fleet-harness/src/run/script.rs
@@ -2,23 +2,23 @@
 
 use crate::schedule::{Fault, Schedule};
 use wharfplank_lab::member_model::USUAL_REPORTS_PER_MILLE;
-use wharfplank_lab::timeline::{Kind, Timeline, Trouble};
+use wharfplank_lab::timeline::{FaultKind, ScriptedFault, Timeline};
 
 /// The stand-ins' script: the faults of zones and members.
 pub(super) fn timeline(schedule: &Schedule) -> Timeline {
     let troubles = schedule.faults.iter().filter_map(|fault| match fault {
-        Fault::Zone { at_s, for_s, zone, lose } => Some(Trouble {
-            kind: if *lose { Kind::Lose } else { Kind::Cut },
+        Fault::Zone { at_s, for_s, zone, lose } => Some(ScriptedFault {
+            kind: if *lose { FaultKind::ZoneLoss } else { FaultKind::Partition },
             at: *at_s,
-            lasts: *for_s,
-            on: zone.clone(),
+            duration: *for_s,
+            targets: zone.clone(),
             percent: 100,
         }),
-        Fault::Slow { at_s, for_s, member, percent } => Some(Trouble {
-            kind: Kind::SlowMember,
+        Fault::Slow { at_s, for_s, member, percent } => Some(ScriptedFault {
+            kind: FaultKind::SlowMember,
             at: *at_s,
-            lasts: *for_s,
-            on: member.clone(),
+            duration: *for_s,
+            targets: member.clone(),
             percent: *percent,
         }),
         _ => None,
@@ -31,6 +31,6 @@
         members: 4,
         reports: USUAL_REPORTS_PER_MILLE,
         seed: schedule.seed,
-        troubles: troubles.collect(),
+        faults: troubles.collect(),
     }
 }
--- a/crates/lab/src/member_model/advance.rs
+++ b/crates/lab/src/member_model/advance.rs
@@ -1,7 +1,7 @@
 //! What the passing of time does to the members: faults, restarts, failovers and log replication.
 
 use super::{Member, MemberModel, Micros};
-use crate::timeline::{Kind, Timeline, Trouble};
+use crate::timeline::{FaultKind, ScriptedFault, Timeline};
 
 /// The delay after which a replica receives the log.
 const REPLICATION_DELAY: Micros = 8_000;
@@ -63,10 +63,10 @@
 
     fn groups_to_fail_over(&self) -> Vec<usize> {
         let second = self.script_second();
-        let faults = self.timeline.troubles.iter();
+        let faults = self.timeline.faults.iter();
         faults
-            .filter(|fault| fault.kind == Kind::Failover && second >= (fault.at + fault.lasts) as f64)
-            .filter_map(|fault| fault.on.trim_start_matches('g').parse().ok())
+            .filter(|fault| fault.kind == FaultKind::Failover && second >= (fault.at + fault.duration) as f64)
+            .filter_map(|fault| fault.targets.trim_start_matches('g').parse().ok())
             .collect()
     }
 
@@ -109,32 +109,33 @@
         self.slowdown = self.behavior.slowdown;
         self.is_unresponsive = self.behavior.is_down;
         self.is_draining = self.behavior.is_draining;
-        for fault in timeline.troubles.iter().filter(|fault| fault.during(second)) {
+        for fault in timeline.faults.iter().filter(|fault| fault.is_active_at(second)) {
             self.apply_fault(fault);
         }
     }
 
-    fn apply_fault(&mut self, fault: &Trouble) {
+    fn apply_fault(&mut self, fault: &ScriptedFault) {
         let factor = fault.percent as f64 / 100.0;
-        let is_named = fault.names(&self.name);
+        let is_named = fault.has_target(&self.name);
         match fault.kind {
-            Kind::SlowApply if is_named => self.apply_rate = factor,
-            Kind::SlowMember if is_named => self.slowdown = factor,
-            Kind::Drain => self.is_draining |= is_named,
-            Kind::Cut | Kind::Lose => self.is_unresponsive |= fault.names(self.zone),
-            Kind::Failover => {
-                self.is_unresponsive |= self.is_primary && fault.names(&format!("g{}", self.group));
+            FaultKind::SlowApply if is_named => self.apply_rate = factor,
+            FaultKind::SlowMember if is_named => self.slowdown = factor,
+            FaultKind::Drain => self.is_draining |= is_named,
+            FaultKind::Partition | FaultKind::ZoneLoss => self.is_unresponsive |= fault.has_target(self.zone),
+            FaultKind::Failover => {
+                self.is_unresponsive |= self.is_primary && fault.has_target(&format!("g{}", self.group));
             }
-            Kind::SlowApply | Kind::SlowMember | Kind::KillProxy => {}
+            FaultKind::SlowApply | FaultKind::SlowMember | FaultKind::KillProxy => {}
         }
     }
 
     /// Restarts a member whose zone was lost, once the fault is over: it keeps its position, and warms up
     /// again. Returns whether it restarted.
     fn restart_if_recovered(&mut self, timeline: &Timeline, script_start: Micros, now: Micros) -> bool {
-        let faults = timeline.troubles.iter();
-        let losses = faults.filter(|fault| fault.kind == Kind::Lose && fault.names(self.zone));
-        let ends = losses.map(|fault| script_start + (fault.at + fault.lasts) as Micros * MICROS_PER_SECOND);
+        let faults = timeline.faults.iter();
+        let losses = faults.filter(|fault| fault.kind == FaultKind::ZoneLoss && fault.has_target(self.zone));
+        let ends =
+            losses.map(|fault| script_start + (fault.at + fault.duration) as Micros * MICROS_PER_SECOND);
         let Some(recovered_at) = ends.filter(|end| *end <= now).max() else { return false };
         if recovered_at <= self.started_at {
             return false;
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -6,13 +6,13 @@
 mod configure;
 mod process;
 
-pub use process::Used;
+pub use process::ProcessUsage;
 
 use crate::clock::now;
 use crate::load::{Load, LoadProfile, RequestRecord};
 use crate::member_model::{ClassMix, MemberModel, Micros};
 use crate::stand_ins::StandIns;
-use crate::timeline::{Kind, Timeline};
+use crate::timeline::{FaultKind, Timeline};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use configure::{free_addresses, write_configuration};
@@ -24,30 +24,30 @@
 
 /// The program under test, and where a run keeps its files.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct RunSetup {
     /// The path of the program.
     pub program: PathBuf,
     /// The directory for configurations, logs and records.
     pub directory: PathBuf,
     /// Whether the proxy with this number keeps records.
-    pub records: fn(usize) -> bool,
+    pub keeps_records: fn(usize) -> bool,
     /// If set, all proxies but the first gossip with each other, proxy 1 runs this program instead of
     /// `program`, and the load goes to the first three proxies only.
-    pub talk: Option<PathBuf>,
+    pub gossip_program: Option<PathBuf>,
 }
 
-impl Place {
+impl RunSetup {
     fn program(&self, number: usize) -> &Path {
-        self.talk.as_deref().filter(|_| number == 1).unwrap_or(&self.program)
+        self.gossip_program.as_deref().filter(|_| number == 1).unwrap_or(&self.program)
     }
 
     fn has_settings(&self, number: usize) -> bool {
-        (self.records)(number) || (self.talk.is_some() && number > 0)
+        (self.keeps_records)(number) || (self.gossip_program.is_some() && number > 0)
     }
 }
 
 /// The results of a run.
-pub struct Ran {
+pub struct RunResults {
     /// When the load started.
     pub start: Micros,
     /// The load, with each request as its client observed it.
@@ -60,7 +60,7 @@
     /// collapse.
     pub slow_start_peaks: Vec<(String, f64)>,
     /// The resources that each proxy had used at the end.
-    pub used: Vec<Used>,
+    pub process_usage: Vec<ProcessUsage>,
 }
 
 /// Runs a timeline. `on_progress` receives the fraction of the load that has been sent.
@@ -68,35 +68,39 @@
 /// # Errors
 ///
 /// If files cannot be written, a socket cannot be bound, or a proxy does not start or end as expected.
-pub fn play(timeline: &Timeline, place: &Place, on_progress: impl Fn(f64)) -> Result<Ran, String> {
-    let records = place.directory.join("records");
+pub fn run_timeline(
+    timeline: &Timeline,
+    setup: &RunSetup,
+    on_progress: impl Fn(f64),
+) -> Result<RunResults, String> {
+    let records = setup.directory.join("records");
     let _ = std::fs::remove_dir_all(&records);
     std::fs::create_dir_all(&records).map_err(|e| format!("{}: {e}", records.display()))?;
     let executor: Rc<LocalExecutor<'static>> = Rc::default();
-    let work = run_with(timeline, place, &executor, on_progress);
+    let work = run_with(timeline, setup, &executor, on_progress);
     async_io::block_on(executor.run(work))
 }
 
 async fn run_with(
     timeline: &Timeline,
-    place: &Place,
+    setup: &RunSetup,
     executor: &Rc<LocalExecutor<'static>>,
     on_progress: impl Fn(f64),
-) -> Result<Ran, String> {
+) -> Result<RunResults, String> {
     let to_text = |e: std::io::Error| e.to_string();
     // The script starts together with the load, so that both count the same seconds. The proxies have until
     // then to start.
     let load_start = now() + 3_000_000;
     let stand_ins = StandIns::start(executor, MemberModel::new(timeline, load_start)).map_err(to_text)?;
-    let loaded_proxies = place.talk.as_ref().map_or(timeline.proxies, |_| timeline.proxies.min(3));
+    let loaded_proxies = setup.gossip_program.as_ref().map_or(timeline.proxies, |_| timeline.proxies.min(3));
     let load = Load::new(executor, loaded_proxies);
     let addresses = free_addresses(timeline.proxies).map_err(to_text)?;
     let mut proxies = Vec::new();
     for number in 0..timeline.proxies {
         let discovery = stand_ins.start_discovery().map_err(to_text)?;
-        write_configuration(place, number, discovery, &stand_ins.endpoint_list(), &addresses)
+        write_configuration(setup, number, discovery, &stand_ins.endpoint_list(), &addresses)
             .map_err(to_text)?;
-        proxies.push(ProxyProcess::start(place, number)?);
+        proxies.push(ProxyProcess::start(setup, number)?);
     }
     for (number, proxy) in proxies.iter_mut().enumerate().take(loaded_proxies) {
         load.proxy_addresses[number].set(Some(proxy.wait_until_listening().await?));
@@ -109,13 +113,16 @@
     let proxies = Rc::new(RefCell::new(proxies));
     let kills = Rc::new(RefCell::new(Vec::new()));
     let mut tasks = Vec::new();
-    for trouble in timeline.troubles.iter().filter(|t| t.kind == Kind::KillProxy) {
-        let number: usize =
-            trouble.on.trim_start_matches('n').parse().map_err(|_| "kill-proxy needs one proxy as target")?;
+    for fault in timeline.faults.iter().filter(|t| t.kind == FaultKind::KillProxy) {
+        let number: usize = fault
+            .targets
+            .trim_start_matches('n')
+            .parse()
+            .map_err(|_| "kill-proxy needs one proxy as target")?;
         let (at, downtime) =
-            (load_start + trouble.at as Micros * 1_000_000, trouble.lasts as Micros * 1_000_000);
-        let (load, proxies, kills, place) =
-            (Rc::clone(&load), Rc::clone(&proxies), Rc::clone(&kills), place.clone());
+            (load_start + fault.at as Micros * 1_000_000, fault.duration as Micros * 1_000_000);
+        let (load, proxies, kills, setup) =
+            (Rc::clone(&load), Rc::clone(&proxies), Rc::clone(&kills), setup.clone());
         tasks.push(executor.spawn(async move {
             Timer::after(Duration::from_micros((at - now()).max(0) as u64)).await;
             // Dropped, the process gets SIGKILL: it flushes no records and sends its clients nothing.
@@ -123,7 +130,7 @@
             drop(killed);
             load.remove_proxy(number);
             Timer::after(Duration::from_micros((at + downtime - now()).max(0) as u64)).await;
-            let mut proxy = ProxyProcess::start(&place, number)?;
+            let mut proxy = ProxyProcess::start(&setup, number)?;
             load.proxy_addresses[number].set(Some(proxy.wait_until_listening().await?));
             kills.borrow_mut().push((number, at, now()));
             proxies.borrow_mut()[number] = Some(proxy);
@@ -141,10 +148,10 @@
     for task in tasks {
         task.await?;
     }
-    let mut used = Vec::new();
+    let mut process_usage = Vec::new();
     let all: Vec<ProxyProcess> = proxies.borrow_mut().iter_mut().filter_map(Option::take).collect();
     for proxy in &all {
-        used.extend(proxy.usage());
+        process_usage.extend(proxy.usage());
         proxy.terminate()?;
     }
     for proxy in all {
@@ -154,11 +161,18 @@
     let members = stand_ins.model();
     let peaks = members.members.iter().map(|member| (member.name.clone(), member.peak_overload));
     let slow_start_peaks = peaks.collect();
-    Ok(Ran { start: load_start, load, kills, writes: stand_ins.writes(), slow_start_peaks, used })
+    Ok(RunResults {
+        start: load_start,
+        load,
+        kills,
+        writes: stand_ins.writes(),
+        slow_start_peaks,
+        process_usage,
+    })
 }
 
 /// The requests to a proxy that ended for their clients within a span.
-pub fn within(
+pub fn finished_within(
     requests: &[RequestRecord],
     proxy: usize,
     span: (Micros, Micros),
@@ -169,6 +183,6 @@
 }
 
 /// The directory of a run's record stores.
-pub fn records(directory: &Path) -> PathBuf {
+pub fn records_directory(directory: &Path) -> PathBuf {
     directory.join("records")
 }
--- a/crates/lab/src/run/configure.rs
+++ b/crates/lab/src/run/configure.rs
@@ -1,19 +1,19 @@
 //! The files that a proxy is started with: its configuration and its settings.
 
-use super::Place;
+use super::RunSetup;
 use crate::member_model::{CLASSES, COLLAPSE_MULTIPLE, COLLAPSE_WINDOW, WARM_UP_FLOOR, WARM_UP_TIME};
 use serde_json::json;
 use std::net::{SocketAddr, UdpSocket};
 
 /// Writes the configuration (JSON) and the settings (XML) of a proxy.
 pub(super) fn write_configuration(
-    place: &Place,
+    setup: &RunSetup,
     number: usize,
     discovery: SocketAddr,
     endpoint_list: &serde_json::Value,
     addresses: &[SocketAddr],
 ) -> std::io::Result<()> {
-    let file = |extension: &str| place.directory.join(format!("n{number}.{extension}"));
+    let file = |extension: &str| setup.directory.join(format!("n{number}.{extension}"));
     let classes: Vec<_> = CLASSES
         .iter()
         .map(|c| {
@@ -36,10 +36,10 @@
             "Specifics": {"Consistency": ["lag_bound", "causal", "eventual", "mutate"], "MaxAgeUs": [200_000, 0, 0, 0],
                           "SessionMarks": "brought", "WhenBehind": "none"}}});
     std::fs::write(file("json"), config.to_string())?;
-    let records = place.directory.join("records");
+    let records = setup.directory.join("records");
     let records =
         format!("<records directory=\"{}\" proxy=\"n{number}\" flush-ms=\"200\"/>", records.display());
-    let element = place.talk.as_ref().map_or(records, |_| gossip_settings(addresses, number));
+    let element = setup.gossip_program.as_ref().map_or(records, |_| gossip_settings(addresses, number));
     std::fs::write(file("xml"), format!("<wharfplank>\n  {element}\n</wharfplank>\n"))
 }
 
--- a/crates/lab/src/run/process.rs
+++ b/crates/lab/src/run/process.rs
@@ -1,6 +1,6 @@
 //! The process of one proxy.
 
-use super::Place;
+use super::RunSetup;
 use crate::clock::now;
 use crate::member_model::Micros;
 use async_io::Timer;
@@ -17,13 +17,13 @@
 
 /// The resources that a process has used.
 #[derive(Clone, Copy, Debug)]
-pub struct Used {
+pub struct ProcessUsage {
     /// The CPU time of all threads, in seconds.
-    pub cpu: f64,
+    pub cpu_seconds: f64,
     /// The CPU time of the main thread, which serves requests, in seconds.
-    pub serving: f64,
+    pub serving_cpu_seconds: f64,
     /// The resident memory, in MiB.
-    pub memory: f64,
+    pub memory_mib: f64,
 }
 
 /// The process of a proxy. It is killed when the value is dropped.
@@ -40,17 +40,17 @@
 }
 
 impl ProxyProcess {
-    pub(super) fn start(place: &Place, number: usize) -> Result<ProxyProcess, String> {
-        let file = |extension: &str| place.directory.join(format!("n{number}.{extension}"));
-        let mut command = Command::new(place.program(number));
+    pub(super) fn start(setup: &RunSetup, number: usize) -> Result<ProxyProcess, String> {
+        let file = |extension: &str| setup.directory.join(format!("n{number}.{extension}"));
+        let mut command = Command::new(setup.program(number));
         command.arg("serve").env("BALANCER_CONFIG", file("json")).stdin(Stdio::null()).stderr(Stdio::piped());
         for name in ["BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_NAME"] {
             command.env_remove(name);
         }
-        if place.has_settings(number) {
+        if setup.has_settings(number) {
             command.arg("--settings").arg(file("xml"));
         }
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", place.program(number).display()))?;
+        let mut child = command.spawn().map_err(|e| format!("{}: {e}", setup.program(number).display()))?;
         let lines = BufReader::new(child.stderr.take().ok_or("the proxy process has no standard error")?);
         let log = std::fs::OpenOptions::new().create(true).append(true).open(file("log"));
         let mut log = log.map_err(|e| format!("{}: {e}", file("log").display()))?;
@@ -83,15 +83,19 @@
     }
 
     /// The resources that the process has used; none where `/proc` does not tell.
-    pub(super) fn usage(&self) -> Option<Used> {
+    pub(super) fn usage(&self) -> Option<ProcessUsage> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
         let kib: f64 = resident.trim().trim_end_matches(" kB").parse().ok()?;
         let id = self.child.id();
-        let cpu = cpu_seconds(&format!("/proc/{id}/stat"))?;
+        let process_cpu = cpu_seconds(&format!("/proc/{id}/stat"))?;
         // The id of the main thread is that of the process.
-        let serving = cpu_seconds(&format!("/proc/{id}/task/{id}/stat"))?;
-        Some(Used { cpu, serving, memory: kib / 1024.0 })
+        let main_thread_cpu = cpu_seconds(&format!("/proc/{id}/task/{id}/stat"))?;
+        Some(ProcessUsage {
+            cpu_seconds: process_cpu,
+            serving_cpu_seconds: main_thread_cpu,
+            memory_mib: kib / 1024.0,
+        })
     }
 
     /// Sends SIGTERM to the process.
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 
 /// The longest series by second: later seconds count only in the totals. Runs of the bench are far shorter.
-pub const SECONDS_MOST: usize = 24 * 3600;
+pub const MAX_SECONDS: usize = 24 * 3600;
 /// The most members that are counted by name; the rest are summed under `others`.
-pub const MEMBERS_MOST: usize = 4096;
+pub const MAX_NAMED_MEMBERS: usize = 4096;
 
 /// Sums over all logs read.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -25,7 +25,7 @@
     /// The number of ended connections to members, by member name and reason.
     pub members: BTreeMap<String, BTreeMap<String, u64>>,
     /// The number of ended connections to members that carried no request, by member name.
-    pub unused: BTreeMap<String, u64>,
+    pub unused_connections: BTreeMap<String, u64>,
     /// The number of ended calls to discovery, by reason.
     pub discovery: BTreeMap<String, u64>,
     /// The number of ended client connections, by reason.
@@ -33,7 +33,7 @@
     /// The number of logs read.
     pub logs: usize,
     /// The number of malformed lines and counters.
-    pub unread: u64,
+    pub malformed: u64,
 }
 
 /// A parsed line of a log.
@@ -56,7 +56,7 @@
                 Line::Counts { at_ms, what } => counts.push((at_ms, what)),
                 Line::Ended { side, name, reason, requests } => self.add_ended(&side, name, reason, requests),
                 Line::Other => {}
-                Line::Malformed(_) => self.unread += 1,
+                Line::Malformed(_) => self.malformed += 1,
             }
         }
         for (at_ms, what) in counts {
@@ -67,16 +67,16 @@
     fn add_ended(&mut self, side: &str, name: String, reason: String, requests: u64) {
         match side {
             "member" => {
-                let is_named = self.members.len() < MEMBERS_MOST || self.members.contains_key(&name);
+                let is_named = self.members.len() < MAX_NAMED_MEMBERS || self.members.contains_key(&name);
                 let name = if is_named { name } else { "others".to_string() };
                 if requests == 0 {
-                    *self.unused.entry(name.clone()).or_default() += 1;
+                    *self.unused_connections.entry(name.clone()).or_default() += 1;
                 }
                 *self.members.entry(name).or_default().entry(reason).or_default() += 1;
             }
             "discovery" => *self.discovery.entry(reason).or_default() += 1,
             "client" => *self.clients.entry(reason).or_default() += 1,
-            _ => self.unread += 1,
+            _ => self.malformed += 1,
         }
     }
 
@@ -89,22 +89,22 @@
             let shift = ((first - at_ms) / 1000) as usize;
             for row in self.by_second.values_mut() {
                 row.splice(0..0, std::iter::repeat_n(0, shift));
-                row.truncate(SECONDS_MOST);
+                row.truncate(MAX_SECONDS);
             }
             self.first_ms = Some(first - shift as u64 * 1000);
         }
         let second = ((at_ms - self.first_ms.unwrap_or(at_ms)) / 1000) as usize;
         for part in what.split(',') {
             let Some((name, count)) = part.rsplit_once('=') else {
-                self.unread += 1;
+                self.malformed += 1;
                 continue;
             };
             let Ok(count) = count.parse::<u64>() else {
-                self.unread += 1;
+                self.malformed += 1;
                 continue;
             };
             *self.totals.entry(name.to_string()).or_default() += count;
-            if second < SECONDS_MOST {
+            if second < MAX_SECONDS {
                 let row = self.by_second.entry(name.to_string()).or_default();
                 if row.len() <= second {
                     row.resize(second + 1, 0);
@@ -120,7 +120,7 @@
     }
 
     /// The sum of all counters whose names start with `prefix`, by second.
-    pub fn seconds(&self, prefix: &str) -> Vec<u64> {
+    pub fn totals_by_second(&self, prefix: &str) -> Vec<u64> {
         let mut sums: Vec<u64> = Vec::new();
         for (_, row) in self.by_second.iter().filter(|(name, _)| name.starts_with(prefix)) {
             if sums.len() < row.len() {
@@ -135,14 +135,14 @@
     pub fn render(&self, prefixes: &[String]) -> String {
         let mut out = String::new();
         let served = self.total("served.");
-        out.push_str(&format!("logs {}, lines not read {}\n", self.logs, self.unread));
+        out.push_str(&format!("logs {}, lines not read {}\n", self.logs, self.malformed));
         out.push_str(&format!("{:<48} {:>10} {:>10}\n", "counter", "total", "per served"));
         for (name, count) in &self.totals {
             let per_served = if served > 0 { *count as f64 / served as f64 } else { 0.0 };
             out.push_str(&format!("{name:<48} {count:>10} {per_served:>10.3}\n"));
         }
         let ended: u64 = self.members.values().flat_map(|r| r.values()).sum();
-        let unused: u64 = self.unused.values().sum();
+        let unused: u64 = self.unused_connections.values().sum();
         out.push_str(&format!(
             "member connections ended {ended} ({unused} carried nothing) over {} members\n",
             self.members.len()
@@ -161,7 +161,7 @@
             out.push_str(&format!("{title}: {}\n", parts.join(" ")));
         }
         for prefix in prefixes {
-            let row = self.seconds(prefix);
+            let row = self.totals_by_second(prefix);
             let cells: Vec<String> = row.iter().map(u64::to_string).collect();
             out.push_str(&format!("by second {prefix}*: {}\n", cells.join(" ")));
         }
--- a/crates/lab/src/timeline.rs
+++ b/crates/lab/src/timeline.rs
@@ -36,7 +36,7 @@
     pub seed: u64,
     /// The faults of the run.
     #[serde(rename = "trouble", default)]
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<ScriptedFault>,
 }
 
 fn three() -> usize {
@@ -57,19 +57,19 @@
 
 /// A fault that is active for a span of a run.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Trouble {
+pub struct ScriptedFault {
     /// The kind of fault.
     #[serde(rename = "@kind")]
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// When the fault starts, in seconds of the run.
     #[serde(rename = "@at")]
     pub at: u64,
     /// How long the fault lasts, in seconds.
     #[serde(rename = "@for")]
-    pub lasts: u64,
+    pub duration: u64,
     /// The targets, separated by white space: names of members, a group, a zone or a proxy.
     #[serde(rename = "@on")]
-    pub on: String,
+    pub targets: String,
     /// The log apply rate, or the time that requests take, in percent of the usual one.
     #[serde(rename = "@percent", default = "hundred")]
     pub percent: u64,
@@ -82,13 +82,14 @@
 /// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Members apply the replication log slowly.
     SlowApply,
     /// Members execute requests slowly.
     SlowMember,
     /// A zone is partitioned from the others: its members answer nothing and receive no log.
-    Cut,
+    #[serde(rename = "cut")]
+    Partition,
     /// A group's primary fails; the most advanced replica becomes the primary when the fault ends.
     Failover,
     /// Members drain.
@@ -96,18 +97,19 @@
     /// A proxy is killed, and started again when the fault ends.
     KillProxy,
     /// A zone fails: its members go down, and restart without warm caches when the fault ends.
-    Lose,
+    #[serde(rename = "lose")]
+    ZoneLoss,
 }
 
-impl Trouble {
+impl ScriptedFault {
     /// Whether the fault has a target of this name.
-    pub fn names(&self, name: &str) -> bool {
-        self.on.split_whitespace().any(|n| n == name)
+    pub fn has_target(&self, name: &str) -> bool {
+        self.targets.split_whitespace().any(|n| n == name)
     }
 
     /// Whether the fault is active at a second of the run.
-    pub fn during(&self, second: f64) -> bool {
-        (self.at as f64..(self.at + self.lasts) as f64).contains(&second)
+    pub fn is_active_at(&self, second: f64) -> bool {
+        (self.at as f64..(self.at + self.duration) as f64).contains(&second)
     }
 }
 
@@ -128,9 +130,9 @@
         .chain(["a", "b", "c"].map(str::to_string))
         .collect();
     let unknown_targets = timeline
-        .troubles
+        .faults
         .iter()
-        .flat_map(|t| t.on.split_whitespace())
+        .flat_map(|t| t.targets.split_whitespace())
         .filter(|n| !known_names.iter().any(|k| k == n));
     let violations: Vec<String> =
         unknown_targets.map(|n| format!("trouble/@on: '{n}' is none of {}", known_names.join(" "))).collect();
--- a/crates/lab/src/trials.rs
+++ b/crates/lab/src/trials.rs
@@ -23,7 +23,13 @@
 /// Writes synthetic stores of a span of `seconds`: one for each proxy, with `rate` answers per second over
 /// all proxies, from twelve members. From a third to half of the span most replicas lag behind and some
 /// bounded reads are rejected as too stale. Returns the number of answers written.
-pub fn synthetic(directory: &Path, seconds: i64, proxies: u64, rate: u64, seed: u64) -> Result<u64, String> {
+pub fn write_synthetic_stores(
+    directory: &Path,
+    seconds: i64,
+    proxies: u64,
+    rate: u64,
+    seed: u64,
+) -> Result<u64, String> {
     let start = 1_800_000_000 * SECOND;
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut answer_count = 0;
@@ -130,7 +136,7 @@
 
 /// The results of a durability test.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Kills {
+pub struct KillResults {
     /// The number of processes killed.
     pub kills: u64,
     /// The number of records that the processes had reported as stored.
@@ -143,9 +149,14 @@
 
 /// Kills a recording process at a random moment, `times` times with the same store, and checks the store
 /// after each.
-pub fn kills(program: &Path, directory: &Path, times: u64, seed: u64) -> Result<Kills, String> {
+pub fn kill_while_recording(
+    program: &Path,
+    directory: &Path,
+    times: u64,
+    seed: u64,
+) -> Result<KillResults, String> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut results = Kills::default();
+    let mut results = KillResults::default();
     for _ in 0..times {
         let mut command = Command::new(program);
         command
--- a/crates/lab/tests/member_model.rs
+++ b/crates/lab/tests/member_model.rs
@@ -1,7 +1,7 @@
 //! The model of the stand-in members, in virtual time.
 
 use wharfplank_lab::member_model::{Admission, IncomingRequest, MemberModel, USUAL_REPORTS_PER_MILLE};
-use wharfplank_lab::timeline::{Kind, Timeline, Trouble};
+use wharfplank_lab::timeline::{FaultKind, ScriptedFault, Timeline};
 
 /// Guards against positions ahead of the clock, which arise if a script that starts later than the model's
 /// clock also shifts the positions: a router ignores such positions, and no read could be stale.
@@ -15,7 +15,13 @@
         members: 3,
         reports: USUAL_REPORTS_PER_MILLE,
         seed: 1,
-        troubles: vec![Trouble { kind: Kind::Lose, at: 2, lasts: 5, on: "a".to_string(), percent: 100 }],
+        faults: vec![ScriptedFault {
+            kind: FaultKind::ZoneLoss,
+            at: 2,
+            duration: 5,
+            targets: "a".to_string(),
+            percent: 100,
+        }],
     };
     let start = 1_000_000_000;
     let mut model = MemberModel::new(&timeline, start);
--- a/crates/lab/tests/tally.rs
+++ b/crates/lab/tests/tally.rs
@@ -1,6 +1,6 @@
 //! Sums over the logs of many proxies.
 
-use wharfplank_lab::tally::{Tally, MEMBERS_MOST};
+use wharfplank_lab::tally::{Tally, MAX_NAMED_MEMBERS};
 
 #[test]
 fn sums_text_and_json_logs() {
@@ -18,20 +18,20 @@
     assert_eq!(tally.total("probe."), 12);
     assert_eq!(tally.total("refused."), 1);
     // The JSON log starts one second before the text log: the series shift by one.
-    assert_eq!(tally.seconds("probe.read"), vec![7, 2, 3]);
-    assert_eq!(tally.unused.get("m1"), Some(&1));
+    assert_eq!(tally.totals_by_second("probe.read"), vec![7, 2, 3]);
+    assert_eq!(tally.unused_connections.get("m1"), Some(&1));
     assert_eq!(tally.discovery.get("timeout"), Some(&1));
-    assert_eq!((tally.logs, tally.unread), (2, 2));
+    assert_eq!((tally.logs, tally.malformed), (2, 2));
 }
 
 #[test]
 fn members_past_the_limit_are_summed_as_others() {
     let mut tally = Tally::default();
     let mut text = String::new();
-    for i in 0..MEMBERS_MOST + 5 {
+    for i in 0..MAX_NAMED_MEMBERS + 5 {
         text.push_str(&format!("ended side=member peer=p name=m{i} reason=reset requests=1\n"));
     }
     tally.add_log(&text);
-    assert_eq!(tally.members.len(), MEMBERS_MOST + 1);
+    assert_eq!(tally.members.len(), MAX_NAMED_MEMBERS + 1);
     assert_eq!(tally.members["others"]["reset"], 5);
 }
--- a/crates/lab/tests/trials.rs
+++ b/crates/lab/tests/trials.rs
@@ -11,7 +11,7 @@
 fn coarse_bins_show_incidents_of_a_long_span() {
     let dir = tempfile::tempdir().unwrap();
     let seconds = 6000;
-    let written = trials::synthetic(dir.path(), seconds, 3, 9, 7).unwrap();
+    let written = trials::write_synthetic_stores(dir.path(), seconds, 3, 9, 7).unwrap();
     let reader = StoreSet::open(&[dir.path().to_path_buf()]);
     let (from, to) = reader.span().unwrap();
     let evidence = gather(&reader, from, to);
@@ -30,7 +30,7 @@
 #[test]
 fn summaries_keep_answers_of_retired_records() {
     let dir = tempfile::tempdir().unwrap();
-    let written = trials::synthetic(dir.path(), 200, 1, 9, 7).unwrap();
+    let written = trials::write_synthetic_stores(dir.path(), 200, 1, 9, 7).unwrap();
     let read = |reader: &StoreSet| {
         let (from, to) = reader.span().unwrap();
         gather(reader, from, to)
@@ -56,7 +56,7 @@
 /// are rejected.
 #[test]
 fn invalid_timelines_are_rejected() {
-    let parse = |text: &str| timeline::parse(text).map(|t| t.troubles.len());
+    let parse = |text: &str| timeline::parse(text).map(|t| t.faults.len());
     assert_eq!(parse(timeline::INCIDENT), Ok(3));
     assert_eq!(parse(timeline::DEMO), Ok(0));
     let with_target = |on: &str| {
--- a/src/cli/lab/gossip_cost.rs
+++ b/src/cli/lab/gossip_cost.rs
@@ -31,8 +31,10 @@
         times.sort_unstable();
         let part =
             |per_mille: usize| times.get(times.len() * per_mille / 1000).map_or(0.0, |t| *t as f64 / 1000.0);
-        let used =
-            ran.used.get(number).ok_or_else(|| CommandError::failed("the system tells no CPU time"))?;
+        let used = ran
+            .process_usage
+            .get(number)
+            .ok_or_else(|| CommandError::failed("the system tells no CPU time"))?;
         let each = |seconds: f64| seconds * 1e6 / own.len().max(1) as f64;
         println!(
             "{name:<10} {:>8} {:>8.2} {:>8.2} {:>8.2} {:>10.0} {:>10.0}",
@@ -40,8 +42,8 @@
             part(500),
             part(990),
             part(999),
-            each(used.serving),
-            each(used.cpu)
+            each(used.serving_cpu_seconds),
+            each(used.cpu_seconds)
         );
     }
     Ok(())
--- a/src/cli/lab/incident.rs
+++ b/src/cli/lab/incident.rs
@@ -7,7 +7,7 @@
 use wharfplank::incidents::{Incident, Kind};
 use wharfplank::lab::load::ClientOutcome;
 use wharfplank::lab::member_model::CLASSES;
-use wharfplank::lab::run::{within, Ran};
+use wharfplank::lab::run::{finished_within, RunResults};
 use wharfplank::lab::timeline::{self, Timeline};
 use wharfplank::records::Micros;
 use wharfplank::report::Facts;
@@ -23,7 +23,7 @@
     let timeline = load_timeline(path, timeline::INCIDENT)?;
     let ran = play_timeline(&timeline, directory, |_| true)?;
     print_results(&ran);
-    let stores = [wharfplank::lab::run::records(directory)];
+    let stores = [wharfplank::lab::run::records_directory(directory)];
     let facts = records::facts(&stores, &Span::default())?;
     let (page, json) = (directory.join("report.html"), directory.join("report.json"));
     records::report(&stores, &Span::default(), Some(&page), Some(&json))?;
@@ -38,25 +38,25 @@
 }
 
 /// Each scripted trouble must be found, nothing may be invented, and each kill must be a gap.
-fn compare_events(timeline: &Timeline, ran: &Ran, facts: &Facts) -> Vec<String> {
+fn compare_events(timeline: &Timeline, ran: &RunResults, facts: &Facts) -> Vec<String> {
     let mut faults = Vec::new();
     let mut found: Vec<&Incident> = facts.incidents.iter().collect();
-    for trouble in &timeline.troubles {
-        let (from, to) = (trouble.at as Micros, (trouble.at + trouble.lasts) as Micros);
+    for trouble in &timeline.faults {
+        let (from, to) = (trouble.at as Micros, (trouble.at + trouble.duration) as Micros);
         let (from, to) = (ran.start + from * SECOND, ran.start + to * SECOND);
         let kind = match trouble.kind {
-            timeline::Kind::SlowApply => Kind::SlowApply,
-            timeline::Kind::SlowMember => Kind::SlowMember,
-            timeline::Kind::Cut | timeline::Kind::Lose => Kind::Cut,
-            timeline::Kind::Failover => Kind::NoPrimary,
-            timeline::Kind::Drain => Kind::Drain,
-            timeline::Kind::KillProxy => continue,
+            timeline::FaultKind::SlowApply => Kind::SlowApply,
+            timeline::FaultKind::SlowMember => Kind::SlowMember,
+            timeline::FaultKind::Partition | timeline::FaultKind::ZoneLoss => Kind::Cut,
+            timeline::FaultKind::Failover => Kind::NoPrimary,
+            timeline::FaultKind::Drain => Kind::Drain,
+            timeline::FaultKind::KillProxy => continue,
         };
         let same = |i: &&Incident| {
             let subject = i.subject.is_empty()
                 || i.subject
                     .split([' ', ','])
-                    .any(|s| s.trim_start_matches('g') == trouble.on.trim_start_matches('g'));
+                    .any(|s| s.trim_start_matches('g') == trouble.targets.trim_start_matches('g'));
             i.kind == kind
                 && subject
                 && (i.from - from).abs() <= MAX_START_OFFSET
@@ -68,21 +68,20 @@
                 let off = |a: Micros, b: Micros| (a - b) as f64 / 1e6;
                 println!(
                     "found    {kind:?} {}: starts {:+.1} s, ends {:+.1} s off the script",
-                    trouble.on,
+                    trouble.targets,
                     off(i.from, from),
                     off(i.to, to)
                 );
             }
             None => faults.push(format!(
                 "missed {kind:?} on {} from second {} for {} s",
-                trouble.on, trouble.at, trouble.lasts
+                trouble.targets, trouble.at, trouble.duration
             )),
         }
     }
     // Refusals follow from the others: a surge is no event of its own where one of them is on.
     let follows = |i: &&Incident| {
-        i.kind == Kind::Surge
-            && timeline.troubles.iter().any(|t| (ran.start + t.at as Micros * SECOND) <= i.to)
+        i.kind == Kind::Surge && timeline.faults.iter().any(|t| (ran.start + t.at as Micros * SECOND) <= i.to)
     };
     for i in found.iter().filter(|i| !follows(i)) {
         faults.push(format!(
@@ -113,7 +112,7 @@
 }
 
 /// Answers by proxy and class must be what the load counted, but for those in a gap, which are unknown.
-fn compare_answers(ran: &Ran, facts: &Facts) -> Vec<String> {
+fn compare_answers(ran: &RunResults, facts: &Facts) -> Vec<String> {
     let mut faults = Vec::new();
     let done = ran.load.finished.borrow();
     for (number, _) in ran.load.proxy_addresses.iter().enumerate() {
@@ -125,7 +124,8 @@
         for (i, class) in CLASSES.iter().enumerate() {
             let recorded = proxy.classes.get(class.name).cloned().unwrap_or_default();
             let count = |span: (Micros, Micros), outcome: ClientOutcome| {
-                within(&done, number, span).filter(|d| d.class == i && d.outcome == outcome).count() as u64
+                finished_within(&done, number, span).filter(|d| d.class == i && d.outcome == outcome).count()
+                    as u64
             };
             let ever = (0, Micros::MAX);
             let kinds = [
--- a/src/cli/lab/play.rs
+++ b/src/cli/lab/play.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use wharfplank::lab::load::ClientOutcome;
 use wharfplank::lab::member_model::CLASSES;
-use wharfplank::lab::run::{play, Place, Ran};
+use wharfplank::lab::run::{run_timeline, RunResults, RunSetup};
 use wharfplank::lab::timeline::{self, Timeline};
 
 /// Loads the timeline of a file, or parses the built-in one.
@@ -24,7 +24,7 @@
     timeline: &Timeline,
     directory: &Path,
     records: fn(usize) -> bool,
-) -> Result<Ran, CommandError> {
+) -> Result<RunResults, CommandError> {
     play_timeline_with(timeline, directory, records, None)
 }
 
@@ -34,7 +34,7 @@
     directory: &Path,
     records: fn(usize) -> bool,
     gossip_program: Option<PathBuf>,
-) -> Result<Ran, CommandError> {
+) -> Result<RunResults, CommandError> {
     let directory = create_directory(directory)?;
     let program = current_program()?;
     let bar = ProgressBar::new(1000);
@@ -42,15 +42,19 @@
         ProgressStyle::with_template("{bar:40} {percent}% of {msg} s").map_err(CommandError::failed)?;
     bar.set_style(style);
     bar.set_message(timeline.seconds.to_string());
-    let ran = play(timeline, &Place { program, directory, records, talk: gossip_program }, |part| {
-        bar.set_position((part * 1000.0) as u64);
-    });
+    let ran = run_timeline(
+        timeline,
+        &RunSetup { program, directory, keeps_records: records, gossip_program },
+        |part| {
+            bar.set_position((part * 1000.0) as u64);
+        },
+    );
     bar.finish_and_clear();
     ran.map_err(CommandError::failed)
 }
 
 /// Prints the results by request class.
-pub(super) fn print_results(ran: &Ran) {
+pub(super) fn print_results(ran: &RunResults) {
     println!(
         "{:<14} {:>7} {:>7} {:>7} {:>7} {:>8} {:>8} {:>8}",
         "class", "served", "refused", "failed", "none", "p50 ms", "p99 ms", "max ms"
--- a/src/cli/lab/trials.rs
+++ b/src/cli/lab/trials.rs
@@ -20,9 +20,11 @@
     for (number, name) in ["recording", "not recording"].iter().enumerate() {
         let own: Vec<_> = done.iter().filter(|d| d.proxy == number).collect();
         let served = own.iter().filter(|d| d.outcome == ClientOutcome::Served).count();
-        let used =
-            ran.used.get(number).ok_or_else(|| CommandError::failed("the system tells no CPU time"))?;
-        let (memory, micros) = (used.memory, used.cpu * 1e6 / own.len().max(1) as f64);
+        let used = ran
+            .process_usage
+            .get(number)
+            .ok_or_else(|| CommandError::failed("the system tells no CPU time"))?;
+        let (memory, micros) = (used.memory_mib, used.cpu_seconds * 1e6 / own.len().max(1) as f64);
         println!(
             "{name:<14} {served} of {} served, {micros:.0} us of CPU a request, {memory:.1} MB",
             own.len()
@@ -41,8 +43,8 @@
             std::fs::remove_file(old.path()).map_err(CommandError::failed)?;
         }
     }
-    let written =
-        trials::synthetic(directory, i64::from(seconds), 3, 320, 7).map_err(CommandError::failed)?;
+    let written = trials::write_synthetic_stores(directory, i64::from(seconds), 3, 320, 7)
+        .map_err(CommandError::failed)?;
     let bytes: u64 = std::fs::read_dir(directory)
         .map_err(CommandError::failed)?
         .flatten()
@@ -70,7 +72,7 @@
     let _ = std::fs::remove_dir_all(directory);
     std::fs::create_dir_all(directory).map_err(CommandError::failed)?;
     let program = current_program()?;
-    let seen = trials::kills(&program, directory, times, 7).map_err(CommandError::failed)?;
+    let seen = trials::kill_while_recording(&program, directory, times, 7).map_err(CommandError::failed)?;
     println!(
         "{} kills: {} records acknowledged, {} of them found, {} stores damaged",
         seen.kills, seen.acknowledged, seen.found, seen.damaged
--- a/tests/slow_start_processes.rs
+++ b/tests/slow_start_processes.rs
@@ -7,8 +7,8 @@
 //! then counted with the slack for chance.
 
 use std::path::PathBuf;
-use wharfplank::lab::run::{play, Place};
-use wharfplank::lab::timeline::{Kind, Timeline, Trouble};
+use wharfplank::lab::run::{run_timeline, RunSetup};
+use wharfplank::lab::timeline::{FaultKind, ScriptedFault, Timeline};
 
 const PROXIES: usize = 36;
 /// The seconds of the run at which the zone is lost, and for which it is.
@@ -25,11 +25,11 @@
         members: 4,
         reports: 100,
         seed: 7,
-        troubles: vec![Trouble {
-            kind: Kind::Lose,
+        faults: vec![ScriptedFault {
+            kind: FaultKind::ZoneLoss,
             at: LOST.0,
-            lasts: LOST.1,
-            on: "c".to_string(),
+            duration: LOST.1,
+            targets: "c".to_string(),
             percent: 100,
         }],
     }
@@ -38,13 +38,13 @@
 #[test]
 fn many_processes_together_keep_the_budget_of_a_member_that_restarts() {
     let directory = tempfile::tempdir().expect("a directory");
-    let place = Place {
+    let place = RunSetup {
         program: PathBuf::from(env!("CARGO_BIN_EXE_wharfplank")),
         directory: directory.path().to_path_buf(),
-        records: |_| false,
-        talk: None,
+        keeps_records: |_| false,
+        gossip_program: None,
     };
-    let run = play(&zone_restarts(), &place, |_| {}).expect("the run ends");
+    let run = run_timeline(&zone_restarts(), &place, |_| {}).expect("the run ends");
     println!("{:.2?}", run.slow_start_peaks);
     let ended = run.load.finished.borrow().len();
     assert!(ended > 6_000, "only {ended} requests ended");
