--- a/crates/fleet-harness/src/budgets/rig.rs
+++ b/crates/fleet-harness/src/budgets/rig.rs
@@ -93,7 +93,7 @@
         members: 4,
         reports: USUAL_REPORTS_PER_MILLE,
         seed,
-        faults: Vec::new(),
+        scripted_faults: Vec::new(),
     };
     StandIns::start(executor, MemberModel::new(&timeline, now()))
 }
--- a/crates/fleet-harness/src/rollouts/rig.rs
+++ b/crates/fleet-harness/src/rollouts/rig.rs
@@ -121,7 +121,7 @@
         members: scenario.members_per_group,
         reports: USUAL_REPORTS_PER_MILLE,
         seed: scenario.seed,
-        faults: Vec::new(),
+        scripted_faults: Vec::new(),
     };
     StandIns::start(executor, MemberModel::new(&timeline, now()))
 }
--- a/crates/fleet-harness/src/run/script.rs
+++ b/crates/fleet-harness/src/run/script.rs
@@ -31,6 +31,6 @@
         members: 4,
         reports: USUAL_REPORTS_PER_MILLE,
         seed: schedule.seed,
-        faults: troubles.collect(),
+        scripted_faults: troubles.collect(),
     }
 }
--- a/crates/lab/src/member_model.rs
+++ b/crates/lab/src/member_model.rs
@@ -1,4 +1,5 @@
-//! The stand-in members as a model without I/O: time and requests go in, answers and their times come out.
+//! The stand-in members as a model without I/O: its inputs are time and requests, its outputs are answers and
+//! their times.
 //!
 //! A position is the time up to which a member has applied all commits. A primary's position is the present.
 //! A replica receives the log a few milliseconds late and applies it with one thread, which a long-running
--- a/crates/lab/src/member_model/admission.rs
+++ b/crates/lab/src/member_model/admission.rs
@@ -50,7 +50,8 @@
     /// Admits or rejects a request at a member. Every request that is [`Admission::Admitted`] has to be ended
     /// with [`MemberModel::finish_request`].
     pub fn admit(&mut self, member: usize, request: IncomingRequest<'_>) -> Admission {
-        // Drawn before any check, so that a rejected request takes a draw as well: seeds stay comparable.
+        // Drawn before any check, so that a rejected request uses a random number as well: runs of one seed stay
+        // comparable.
         let work_draw = -(1.0 - self.rng.random::<f64>()).ln();
         let class = &CLASSES[request.class];
         self.record_arrival(member, class);
--- a/crates/lab/src/member_model/advance.rs
+++ b/crates/lab/src/member_model/advance.rs
@@ -19,7 +19,7 @@
 }
 
 impl MemberModel {
-    /// Advances the model to `now`: faults start and end, lost members restart, groups fail over, and
+    /// Advances the model to `now`: faults start and end, failed members restart, groups fail over, and
     /// replicas apply the log.
     pub fn advance(&mut self, now: Micros) -> ListChange {
         let elapsed = (now - self.now).max(0) as f64;
@@ -63,7 +63,7 @@
 
     fn groups_to_fail_over(&self) -> Vec<usize> {
         let second = self.script_second();
-        let faults = self.timeline.faults.iter();
+        let faults = self.timeline.scripted_faults.iter();
         faults
             .filter(|fault| fault.kind == FaultKind::Failover && second >= (fault.at + fault.duration) as f64)
             .filter_map(|fault| fault.targets.trim_start_matches('g').parse().ok())
@@ -109,7 +109,7 @@
         self.slowdown = self.behavior.slowdown;
         self.is_unresponsive = self.behavior.is_down;
         self.is_draining = self.behavior.is_draining;
-        for fault in timeline.faults.iter().filter(|fault| fault.is_active_at(second)) {
+        for fault in timeline.scripted_faults.iter().filter(|fault| fault.is_active_at(second)) {
             self.apply_fault(fault);
         }
     }
@@ -129,10 +129,10 @@
         }
     }
 
-    /// Restarts a member whose zone was lost, once the fault is over: it keeps its position, and warms up
+    /// Restarts a member whose zone failed, when the fault has ended: it keeps its position, and warms up
     /// again. Returns whether it restarted.
     fn restart_if_recovered(&mut self, timeline: &Timeline, script_start: Micros, now: Micros) -> bool {
-        let faults = timeline.faults.iter();
+        let faults = timeline.scripted_faults.iter();
         let losses = faults.filter(|fault| fault.kind == FaultKind::ZoneLoss && fault.has_target(self.zone));
         let ends =
             losses.map(|fault| script_start + (fault.at + fault.duration) as Micros * MICROS_PER_SECOND);
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -113,7 +113,7 @@
     let proxies = Rc::new(RefCell::new(proxies));
     let kills = Rc::new(RefCell::new(Vec::new()));
     let mut tasks = Vec::new();
-    for fault in timeline.faults.iter().filter(|t| t.kind == FaultKind::KillProxy) {
+    for fault in timeline.scripted_faults.iter().filter(|t| t.kind == FaultKind::KillProxy) {
         let number: usize = fault
             .targets
             .trim_start_matches('n')
--- a/crates/lab/src/run/process.rs
+++ b/crates/lab/src/run/process.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The resources that the process has used; none where `/proc` does not tell.
+    /// The resources that the process has used; none if `/proc` does not provide them.
     pub(super) fn usage(&self) -> Option<ProcessUsage> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
--- a/crates/lab/src/timeline.rs
+++ b/crates/lab/src/timeline.rs
@@ -36,7 +36,7 @@
     pub seed: u64,
     /// The faults of the run.
     #[serde(rename = "trouble", default)]
-    pub faults: Vec<ScriptedFault>,
+    pub scripted_faults: Vec<ScriptedFault>,
 }
 
 fn three() -> usize {
@@ -130,7 +130,7 @@
         .chain(["a", "b", "c"].map(str::to_string))
         .collect();
     let unknown_targets = timeline
-        .faults
+        .scripted_faults
         .iter()
         .flat_map(|t| t.targets.split_whitespace())
         .filter(|n| !known_names.iter().any(|k| k == n));
--- a/crates/lab/tests/member_model.rs
+++ b/crates/lab/tests/member_model.rs
@@ -15,7 +15,7 @@
         members: 3,
         reports: USUAL_REPORTS_PER_MILLE,
         seed: 1,
-        faults: vec![ScriptedFault {
+        scripted_faults: vec![ScriptedFault {
             kind: FaultKind::ZoneLoss,
             at: 2,
             duration: 5,
--- a/crates/lab/tests/trials.rs
+++ b/crates/lab/tests/trials.rs
@@ -56,7 +56,7 @@
 /// are rejected.
 #[test]
 fn invalid_timelines_are_rejected() {
-    let parse = |text: &str| timeline::parse(text).map(|t| t.faults.len());
+    let parse = |text: &str| timeline::parse(text).map(|t| t.scripted_faults.len());
     assert_eq!(parse(timeline::INCIDENT), Ok(3));
     assert_eq!(parse(timeline::DEMO), Ok(0));
     let with_target = |on: &str| {
--- a/src/cli/lab/incident.rs
+++ b/src/cli/lab/incident.rs
@@ -41,7 +41,7 @@
 fn compare_events(timeline: &Timeline, ran: &RunResults, facts: &Facts) -> Vec<String> {
     let mut faults = Vec::new();
     let mut found: Vec<&Incident> = facts.incidents.iter().collect();
-    for trouble in &timeline.faults {
+    for trouble in &timeline.scripted_faults {
         let (from, to) = (trouble.at as Micros, (trouble.at + trouble.duration) as Micros);
         let (from, to) = (ran.start + from * SECOND, ran.start + to * SECOND);
         let kind = match trouble.kind {
@@ -81,7 +81,8 @@
     }
     // Refusals follow from the others: a surge is no event of its own where one of them is on.
     let follows = |i: &&Incident| {
-        i.kind == Kind::Surge && timeline.faults.iter().any(|t| (ran.start + t.at as Micros * SECOND) <= i.to)
+        i.kind == Kind::Surge
+            && timeline.scripted_faults.iter().any(|t| (ran.start + t.at as Micros * SECOND) <= i.to)
     };
     for i in found.iter().filter(|i| !follows(i)) {
         faults.push(format!(
--- a/tests/slow_start_processes.rs
+++ b/tests/slow_start_processes.rs
@@ -25,7 +25,7 @@
         members: 4,
         reports: 100,
         seed: 7,
-        faults: vec![ScriptedFault {
+        scripted_faults: vec![ScriptedFault {
             kind: FaultKind::ZoneLoss,
             at: LOST.0,
             duration: LOST.1,
