--- a/crates/lab/src/member_model/advance.rs
+++ b/crates/lab/src/member_model/advance.rs
@@ -1,7 +1,7 @@
 //! What the passing of time does to the members: faults, restarts, failovers and log replication.
 
 use super::{Member, MemberModel, Micros};
-use crate::timeline::{Kind, Timeline, Trouble};
+use crate::timeline::{FaultKind, ScriptedFault, Timeline};
 
 /// The delay after which a replica receives the log.
 const REPLICATION_DELAY: Micros = 8_000;
@@ -19,8 +19,8 @@
 }
 
 impl MemberModel {
-    /// Advances the model to `now`: faults start and end, lost members restart, groups fail over, and replicas apply the
-    /// log.
+    /// Advances the model to `now`: faults start and end, failed members restart, groups fail over, and
+    /// replicas apply the log.
     pub fn advance(&mut self, now: Micros) -> ListChange {
         let elapsed = (now - self.now).max(0) as f64;
         self.now = now;
@@ -46,8 +46,8 @@
         (self.now - self.script_start) as f64 / 1e6
     }
 
-    /// Completes the failovers that are due: the most advanced replica becomes the primary, and the old primary comes
-    /// back as a replica. Returns whether there was one.
+    /// Completes the failovers that are due: the most advanced replica becomes the primary, and the old
+    /// primary comes back as a replica. Returns whether there was one.
     fn fail_over(&mut self) -> bool {
         let mut is_changed = false;
         for group in self.groups_to_fail_over() {
@@ -63,10 +63,10 @@
 
     fn groups_to_fail_over(&self) -> Vec<usize> {
         let second = self.script_second();
-        let faults = self.timeline.troubles.iter();
+        let faults = self.timeline.scripted_faults.iter();
         faults
-            .filter(|fault| fault.kind == Kind::Failover && second >= (fault.at + fault.lasts) as f64)
-            .filter_map(|fault| fault.on.trim_start_matches('g').parse().ok())
+            .filter(|fault| fault.kind == FaultKind::Failover && second >= (fault.at + fault.duration) as f64)
+            .filter_map(|fault| fault.targets.trim_start_matches('g').parse().ok())
             .collect()
     }
 
@@ -87,7 +87,7 @@
         most_advanced.map(|(index, _)| index)
     }
 
-    /// Moves the members' positions on.
+    /// Advances the positions of all members.
     fn replicate(&mut self, elapsed: f64) {
         for index in 0..self.members.len() {
             let has_primary = self.has_responsive_primary(self.members[index].group);
@@ -109,32 +109,33 @@
         self.slowdown = self.behavior.slowdown;
         self.is_unresponsive = self.behavior.is_down;
         self.is_draining = self.behavior.is_draining;
-        for fault in timeline.troubles.iter().filter(|fault| fault.during(second)) {
+        for fault in timeline.scripted_faults.iter().filter(|fault| fault.is_active_at(second)) {
             self.apply_fault(fault);
         }
     }
 
-    fn apply_fault(&mut self, fault: &Trouble) {
+    fn apply_fault(&mut self, fault: &ScriptedFault) {
         let factor = fault.percent as f64 / 100.0;
-        let is_named = fault.names(&self.name);
+        let is_named = fault.has_target(&self.name);
         match fault.kind {
-            Kind::SlowApply if is_named => self.apply_rate = factor,
-            Kind::SlowMember if is_named => self.slowdown = factor,
-            Kind::Drain => self.is_draining |= is_named,
-            Kind::Cut | Kind::Lose => self.is_unresponsive |= fault.names(self.zone),
-            Kind::Failover => {
-                self.is_unresponsive |= self.is_primary && fault.names(&format!("g{}", self.group));
+            FaultKind::SlowApply if is_named => self.apply_rate = factor,
+            FaultKind::SlowMember if is_named => self.slowdown = factor,
+            FaultKind::Drain => self.is_draining |= is_named,
+            FaultKind::Partition | FaultKind::ZoneLoss => self.is_unresponsive |= fault.has_target(self.zone),
+            FaultKind::Failover => {
+                self.is_unresponsive |= self.is_primary && fault.has_target(&format!("g{}", self.group));
             }
-            Kind::SlowApply | Kind::SlowMember | Kind::KillProxy => {}
+            FaultKind::SlowApply | FaultKind::SlowMember | FaultKind::KillProxy => {}
         }
     }
 
-    /// Restarts a member whose zone was lost, once the fault is over: it keeps its position, and warms up again. Returns
-    /// whether it restarted.
+    /// Restarts a member whose zone failed, when the fault has ended: it keeps its position, and warms up
+    /// again. Returns whether it restarted.
     fn restart_if_recovered(&mut self, timeline: &Timeline, script_start: Micros, now: Micros) -> bool {
-        let faults = timeline.troubles.iter();
-        let losses = faults.filter(|fault| fault.kind == Kind::Lose && fault.names(self.zone));
-        let ends = losses.map(|fault| script_start + (fault.at + fault.lasts) as Micros * MICROS_PER_SECOND);
+        let faults = timeline.scripted_faults.iter();
+        let losses = faults.filter(|fault| fault.kind == FaultKind::ZoneLoss && fault.has_target(self.zone));
+        let ends =
+            losses.map(|fault| script_start + (fault.at + fault.duration) as Micros * MICROS_PER_SECOND);
         let Some(recovered_at) = ends.filter(|end| *end <= now).max() else { return false };
         if recovered_at <= self.started_at {
             return false;
@@ -143,8 +144,8 @@
         true
     }
 
-    /// Moves the member's position on by the log that it applied in the elapsed time, in µs. A replica without a primary
-    /// or with a long read in flight stands still.
+    /// Advances the member's position by the log that it applied in the elapsed time, in µs. A replica
+    /// without a primary or with a long read in flight applies nothing.
     fn replicate(&mut self, now: Micros, elapsed: f64, has_primary: bool) {
         if self.is_unresponsive {
             return;
