--- a/crates/settings/src/rollout.rs
+++ b/crates/settings/src/rollout.rs
@@ -126,9 +126,8 @@
         let proxies = self.proxies.len();
         for (place, value) in [("/@rank", self.rank), ("/@banks", self.permit_servers)] {
             if value as usize > proxies {
-                let message = format!(
-                    "invalid value '{value}'; expected 1 to {proxies}, the number of <proxy> elements"
-                );
+                let message =
+                    format!("'{value}' is invalid; expected 1 to {proxies}, the number of <proxy> elements");
                 faults.push(rollout_fault(element.line, place, message));
             }
         }
@@ -138,7 +137,7 @@
     fn check_ledger(&self, element: &Element, faults: &mut Vec<SettingsFault>) {
         if self.permit_server_index().is_some() && self.ledger == NO_FILE {
             let message = format!(
-                "invalid value 'no': the proxy of rank {} is a permit server; expected a file path",
+                "'no' is invalid: the proxy of rank {} is a permit server; expected a file path",
                 self.rank
             );
             faults.push(rollout_fault(element.line, "/@ledger", message));
@@ -160,13 +159,12 @@
         for (member, member_element) in self.members.iter().zip(elements) {
             let line = member_element.line;
             if !names.insert(&member.name) {
-                let message = format!("duplicate name '{}'", member.name);
+                let message = format!("'{}' is a duplicate name", member.name);
                 faults.push(rollout_fault(line, "/member/@name", message));
             }
             let is_proxy = self.proxies.iter().any(|proxy| proxy.address == member.agent);
             if !agents.insert(&member.agent) || is_proxy {
-                let message =
-                    format!("address '{}' is already used by another member or a proxy", member.agent);
+                let message = format!("'{}' is already used by another member or a proxy", member.agent);
                 faults.push(rollout_fault(line, "/member/@agent", message));
             }
         }
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -269,7 +269,7 @@
             };
             let simple_type = self.simple_types.get(&attribute.type_name);
             if let Some(simple_type) = simple_type.filter(|simple_type| !simple_type.accepts(value)) {
-                add_fault(format!("invalid value '{value}'; expected {}", simple_type.describe()));
+                add_fault(format!("'{value}' is invalid; expected {}", simple_type.describe()));
             }
         }
     }
