--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -41,7 +41,7 @@
     let own_allocator = own_allocator(settings, local_address, &limits, &static_quotas, now);
     let is_allocator = own_allocator.is_some();
 
-    // The holder id must be unique, so it is derived from the address and the start time.
+    // The holder id must be unique, so it is derived from the address, the start time and the process id.
     let process = hash_name(&format!("{local_address} {} {}", clock.now(), std::process::id()));
     let holder = LeaseHolder::new(process, terms.clone(), allocators.len(), Vec::new(), now)
         .with_static_quotas(static_quotas);
--- a/crates/proxy/src/gossip_client/mod.rs
+++ b/crates/proxy/src/gossip_client/mod.rs
@@ -173,8 +173,8 @@
         match *update {
             StateUpdate::Position { member, epoch, position } => {
                 let host = self.members.host(member)?;
-                let is_same_start = self.members.get(host)?.started_at_ms == epoch;
-                is_same_start.then(|| observation(host, position, 0))
+                let is_same_incarnation = self.members.get(host)?.started_at_ms == epoch;
+                is_same_incarnation.then(|| observation(host, position, 0))
             }
             StateUpdate::Suspected { member, since } => {
                 Some(observation(self.members.host(member)?, 0, since))
--- a/crates/proxy/src/negative_cache_client/mod.rs
+++ b/crates/proxy/src/negative_cache_client/mod.rs
@@ -71,7 +71,7 @@
         };
         let now = clock.now();
         let hasher = KeyHasher::from_passphrase(&settings.secret);
-        // The holder id must be unique, so it is derived from the address and the start time.
+        // The holder id must be unique, so it is derived from the address, the start time and the process id.
         let holder = hash_name(&format!("{address} {now} {}", std::process::id()));
         let node = Node::new(cache_config, hasher.clone(), address, settings.lease_servers(), holder, now);
         let node = Rc::new(RefCell::new(node));
--- a/crates/proxy/src/rollout/setup.rs
+++ b/crates/proxy/src/rollout/setup.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Returns the identity of this process. Its id must be unique, so it is derived from the
-/// address, the rank and the start time.
+/// Returns the identity of this process. Its id must be unique, so it is derived from the address, the rank,
+/// the start time and the process id.
 fn identity(settings: &RolloutSettings, clock: Clock) -> PeerIdentity {
     let started_at = clock.now();
     let process =
--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -35,7 +35,7 @@
 /// The divisor of the memory limit that gives the budget for large client messages; large member messages get
 /// the same amount. The rest is needed because a buffer may double while it grows, and forwarded data is
 /// copied.
-const LARGE_MESSAGE_FRACTION: usize = 8;
+const LARGE_MESSAGE_DIVISOR: usize = 8;
 /// The maximum time for the gossip thread to announce that this process leaves.
 const GOSSIP_LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 
@@ -89,7 +89,8 @@
     Ok(())
 }
 
-/// Waits until this process has announced that it leaves, so that other proxies need not detect it.
+/// Waits, for at most [`GOSSIP_LEAVE_TIMEOUT`], until this process has announced that it leaves, so that other
+/// proxies need not detect it.
 async fn finish_gossip(gossip_end: Task<()>) {
     let timeout = async {
         async_io::Timer::after(GOSSIP_LEAVE_TIMEOUT).await;
@@ -140,7 +141,7 @@
             max_connections: Cell::new(limits.members),
             max_connections_per_member: (limits.members / 4).max(1),
             open_connections: Cell::new(0),
-            memory_budget: MemoryBudget::new(config.max_memory_bytes / LARGE_MESSAGE_FRACTION),
+            memory_budget: MemoryBudget::new(config.max_memory_bytes / LARGE_MESSAGE_DIVISOR),
             allow_empty_result: self.settings.negative_cache.is_some(),
             liveness_check_after: Cell::new(member_pool::MAX_LIVENESS_CHECK_AFTER),
             now: Rc::clone(&self.now),
@@ -155,7 +156,7 @@
             self.events.clone(),
             Rc::clone(&self.on_connection_end),
             limits.clients,
-            MemoryBudget::new(config.max_memory_bytes / LARGE_MESSAGE_FRACTION),
+            MemoryBudget::new(config.max_memory_bytes / LARGE_MESSAGE_DIVISOR),
         )
     }
 
--- a/crates/routing/src/api/actions.rs
+++ b/crates/routing/src/api/actions.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptNo, GroupId, HostId, LearnedTraits, Micros, RequestId};
 
-/// Why a request is given up, whether by [`Action::Reject`] or by [`Action::Fail`].
+/// The reason for giving up a request, whether by [`Action::Reject`] or by [`Action::Fail`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
     /// No replica was fresh enough for the read, and the primary could not take it.
@@ -49,7 +49,7 @@
     pub position: Micros,
     /// When a log position was last received from it; 0 if never.
     pub position_seen_at: Micros,
-    /// Since when the router suspects it to be down; `None` if it does not.
+    /// The time since which the router suspects it to be down; `None` if it does not.
     pub suspected_since: Option<Micros>,
     /// The number of this router's requests in flight at the member.
     pub in_flight: usize,
@@ -68,11 +68,11 @@
     pub capacity: f64,
     /// The rate at which this router may send it requests of mean work, per second.
     pub sends_per_second: f64,
-    /// What this router has sent it since the router was notified of the start.
+    /// The attempts that this router has sent it since the router was notified of the start.
     pub sent: SlowStartSends,
 }
 
-/// What a router has sent a member during slow start.
+/// The attempts that a router has sent a member during slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartSends {
     /// The number of attempts.
@@ -101,7 +101,7 @@
         id: RequestId,
         /// The member to send it to.
         host: HostId,
-        /// How long to wait for the answer.
+        /// The maximum time to wait for the answer.
         timeout: Micros,
         /// The last byte must be sent by this time. After it the member may be too far behind for the read,
         /// or may no longer recognise the attempt as a repeat of one that has run.
@@ -114,14 +114,14 @@
         id: RequestId,
         /// The Retry-After span to send; 0 for none.
         retry_after: Micros,
-        /// Why the request is given up.
+        /// The reason for giving the request up.
         reason: RejectReason,
     },
     /// Send the client the final answer that the request failed: it may have run.
     Fail {
         /// The request.
         id: RequestId,
-        /// Why the request is given up.
+        /// The reason for giving the request up.
         reason: RejectReason,
     },
     /// Stop waiting for an attempt.
--- a/crates/routing/src/api/events.rs
+++ b/crates/routing/src/api/events.rs
@@ -93,7 +93,7 @@
     pub attempt: AttemptNo,
     /// The member that it was sent to.
     pub host: HostId,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: AttemptOutcome,
     /// Whether the request is finished as well.
     pub terminal: bool,
--- a/crates/routing/src/api/settings.rs
+++ b/crates/routing/src/api/settings.rs
@@ -2,7 +2,7 @@
 
 use super::Micros;
 
-/// How fresh the data that serves a request must be, and which members may serve it.
+/// The required freshness of the data that serves a request, and the members that may serve it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
     /// Any member may answer.
@@ -25,7 +25,7 @@
     /// The request carries an idempotency key. A repeat within `window` of the first send that may have run
     /// is recognised and not run again.
     Keyed {
-        /// How long a repeat is recognised.
+        /// The time for which a repeat is recognised.
         window: Micros,
         /// Whether members of every group recognise it, or only those of the request's own group.
         all_groups: bool,
@@ -37,7 +37,7 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// How fresh the data must be.
+    /// The required freshness of the data.
     pub consistency: Consistency,
     /// Whether a request may be repeated.
     pub idempotency: Idempotency,
@@ -49,7 +49,7 @@
     pub late_weight: f64,
 }
 
-/// What a member does with a read that needs a newer log position than it has.
+/// The treatment of a read by a member whose log position is older than the read requires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StaleReadPolicy {
     /// The member serves stale data, so only the router prevents stale reads.
--- a/crates/routing/src/policy/load_shedder.rs
+++ b/crates/routing/src/policy/load_shedder.rs
@@ -14,7 +14,7 @@
 /// Added to the number of answers within [`GROUP_RATE_WINDOW`](super::group::GROUP_RATE_WINDOW) when an
 /// answer is weighted, so that where answers are few, a single slow one changes the level little: it says
 /// nothing about load.
-const MIN_ANSWERS: f64 = 4.0;
+const BASE_ANSWERS: f64 = 4.0;
 
 /// The shed level of the demand for the members of one role in a group, adapted to the answers of all of
 /// them. The fraction `exp(-level)` of the demand is admitted. Unlike a concurrency limit, this works with a
@@ -30,7 +30,7 @@
     /// The more `others` are in flight at the member, and the more answers (`group_answers`) the group gave
     /// within the last second, the less each changes the level.
     pub(super) fn observe(&mut self, load_pressure: f64, others: usize, group_answers: f64, now: Micros) {
-        let weight = 1.0 / ((1.0 + others as f64) * (MIN_ANSWERS + group_answers));
+        let weight = 1.0 / ((1.0 + others as f64) * (BASE_ANSWERS + group_answers));
         let level = self.level(now) + LEVEL_STEP * weight * (load_pressure - TARGET_PRESSURE);
         self.level = level.clamp(0.0, MAX_LEVEL);
         self.updated_at = now;
--- a/crates/routing/src/policy/member.rs
+++ b/crates/routing/src/policy/member.rs
@@ -65,7 +65,7 @@
     pub(super) newest: Micros,
     /// When the member itself last reported a position; 0 for never.
     pub(super) seen_at: Micros,
-    /// How far the member lagged behind the router's clock at that time.
+    /// The member's lag behind the router's clock at that time.
     pub(super) lag: Micros,
 }
 
--- a/crates/routing/src/policy/membership.rs
+++ b/crates/routing/src/policy/membership.rs
@@ -48,13 +48,13 @@
 }
 
 impl Router {
-    /// The complete endpoint list arrived.
+    /// Handles a complete endpoint list.
     pub(super) fn on_endpoint_list(&mut self, endpoints: &[Endpoint]) {
         self.remove_absent(endpoints);
         self.on_endpoints_changed(endpoints);
     }
 
-    /// Entries of the endpoint list arrived.
+    /// Handles changed entries of the endpoint list.
     pub(super) fn on_endpoints_changed(&mut self, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             self.update_endpoint(endpoint);
--- a/crates/routing/src/policy/outliers.rs
+++ b/crates/routing/src/policy/outliers.rs
@@ -90,7 +90,7 @@
         self.suspicion.is_some()
     }
 
-    /// Since when the member is suspected.
+    /// The time since which the member is suspected; `None` if it is not.
     pub(super) fn suspected_since(&self) -> Option<Micros> {
         self.suspicion.as_ref().map(|suspicion| suspicion.since)
     }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// How long, in µs, the attempt has been in flight without any answer from the member: since its send,
+    /// The time, in µs, for which the attempt has waited without any answer from the member: since its send,
     /// the last answer, or `resumed_at`, when the router last resumed from a stall, whichever is latest.
     pub(super) fn silence(&self, attempt: &AttemptInFlight, now: Micros, resumed_at: Micros) -> f64 {
         (now - attempt.sent_at.max(resumed_at).max(self.answered_at)) as f64
--- a/crates/routing/src/policy/primary_discovery.rs
+++ b/crates/routing/src/policy/primary_discovery.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// Why a request is sent to the primary.
+/// The reason for sending a request to the primary.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PrimaryUse {
     /// Only the primary may serve the request.
--- a/crates/routing/src/policy/read_candidates.rs
+++ b/crates/routing/src/policy/read_candidates.rs
@@ -14,7 +14,8 @@
 /// The age at which the age of a log position is capped, so that the product with the catch-up factor does
 /// not overflow.
 const MAX_POSITION_AGE: Micros = 1 << 40;
-/// How long a measured lag is relied on, where members reject reads that they are too far behind for.
+/// The time for which a measured lag is relied on, where members reject reads that they are too far behind
+/// for.
 const LAG_VALIDITY: Micros = 2_000_000;
 
 /// The log position that a read requires.
--- a/crates/routing/src/policy/requests.rs
+++ b/crates/routing/src/policy/requests.rs
@@ -39,8 +39,8 @@
 }
 
 impl PendingRequest {
-    /// Until when members recognise a repeat of the request; `None` if no attempt may have run, or if
-    /// requests of this idempotency need no recognition.
+    /// The time until which members recognise a repeat of the request; `None` if no attempt may have run, or
+    /// if requests of this idempotency need no recognition.
     fn repeat_recognised_until(&self, idempotency: Idempotency) -> Option<Micros> {
         let Idempotency::Keyed { window, .. } = idempotency else { return None };
         Some(self.may_have_run_since?.saturating_add(window) - QUEUE_CHECK_INTERVAL)
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Why the request must be given up rather than sent or queued; `None` if it need not be.
+    /// The reason to give the request up rather than send or queue it; `None` if there is none.
     fn reason_not_to_send(&self, id: RequestId, pending: &PendingRequest) -> Option<RejectReason> {
         let class = &self.settings.classes[pending.request.class.0];
         if self.sending_stopped {
--- a/crates/routing/src/policy/send_permits.rs
+++ b/crates/routing/src/policy/send_permits.rs
@@ -1,10 +1,10 @@
-//! Permits to send to a member in slow start. They are issued at a fixed rate and expire soon. This bounds
+//! Permits to send to a member in slow start. They are issued at a limited rate and expire soon. This bounds
 //! the number of unused permits of all routers together, however many routers there are, so that a surge
 //! cannot use up a large stock of permits at once.
 
 use super::Micros;
 
-/// The rate at which permits are issued, and how long each is valid.
+/// The rate at which permits are issued, and their lifetime.
 #[derive(Clone, Copy)]
 pub(super) struct PermitSchedule {
     /// Permits per µs.
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -78,7 +78,7 @@
 pub(super) struct WarmAnswerRate {
     per_micro: f64,
     measured_at: Micros,
-    /// From then on no member is in slow start, unless another one starts.
+    /// The time from which on no member is in slow start, unless another one starts.
     needed_until: Micros,
 }
 
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -20,7 +20,7 @@
     pub report_columns: Vec<String>,
     /// The origin of the simulator's log positions.
     pub position_origin: Micros,
-    /// The time after which a connection that is not yet established is given up.
+    /// The time after which a connection that is not yet established is given up, since it never will be.
     pub connect_timeout: Micros,
     /// The time after which a member closes an idle connection.
     pub keepalive: Micros,
--- a/crates/routing/src/settings/error.rs
+++ b/crates/routing/src/settings/error.rs
@@ -4,7 +4,7 @@
 use crate::api::Micros;
 use thiserror::Error;
 
-/// An invalid field, and what is wrong with it.
+/// An invalid field and its problem.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("field {field}: {problem}")]
 pub struct FieldError {
@@ -19,7 +19,7 @@
     }
 }
 
-/// What is wrong with a field.
+/// The problem with a field.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum FieldProblem {
     /// A required field is missing.
--- a/crates/routing/tests/fleet/mod.rs
+++ b/crates/routing/tests/fleet/mod.rs
@@ -17,7 +17,7 @@
 };
 
 pub const SECOND: Micros = 1_000_000;
-/// When the cold members start, and when the simulation ends.
+/// The times of the cold members' start and of the end of the simulation.
 pub const MEMBERS_JOIN_AT: Micros = 8 * SECOND;
 const RUN_ENDS_AT: Micros = 26 * SECOND;
 const CORES: usize = 4;
@@ -25,7 +25,7 @@
 const QUEUE_CAPACITY: usize = 60;
 /// The factor by which a member whose latency does not show its load is faster than a warm one.
 const FAST_FACTOR: f64 = 8.0;
-/// How long before the cold members' start the hung members stop answering.
+/// The time from when the hung members stop answering to the cold members' start.
 const HANG_LEAD_TIME: Micros = 2 * SECOND;
 /// The network round-trip time.
 const ROUND_TRIP: Micros = 2_000;
@@ -38,7 +38,7 @@
 struct Member {
     primary: bool,
     started_at: Option<Micros>,
-    /// When each core becomes free, and when each accepted request finishes.
+    /// The times at which each core becomes free, and at which each accepted request finishes.
     cores: [Micros; CORES],
     ends: Vec<Micros>,
 }
--- a/crates/routing/tests/idempotency.rs
+++ b/crates/routing/tests/idempotency.rs
@@ -104,7 +104,7 @@
 /// the window has ended: by then members no longer recognise it as a repeat, and it would run twice. The
 /// window counts from the first attempt that may have run.
 #[test]
-fn retry_is_sent_within_window_of_first_attempt_that_may_have_run() {
+fn retry_stays_within_window_of_first_attempt_that_may_have_run() {
     for window in [300_000, 1_000_000, 2_000_000] {
         let mut fixture = Fixture::new(Idempotency::Keyed { window, all_groups: false });
         assert_eq!(
@@ -151,7 +151,7 @@
 /// Guards against rejecting a write that may have run although its idempotency does not make a retry
 /// harmless, however its attempts ended.
 #[test]
-fn request_that_may_have_run_is_rejected_only_if_retry_is_harmless() {
+fn request_that_may_have_run_is_rejected_only_if_repeatable() {
     let keyed = |all_groups| Idempotency::Keyed { window: 2_000_000, all_groups };
     let cases = [
         (Idempotency::Idempotent, true),
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -16,7 +16,7 @@
 /// The requests of all routers together, per second, and the latency of all answers.
 const REQUESTS_PER_SECOND: f64 = 150.0;
 const LATENCY: Micros = 40_000;
-/// When the new member starts, and when the simulation ends.
+/// The times of the new member's start and of the end of the simulation.
 const MEMBER_JOINS_AT: Micros = 5 * SECOND;
 const RUN_ENDS_AT: Micros = 25 * SECOND;
 const SLOW_START_FROM: f64 = 0.24;
@@ -185,7 +185,7 @@
         let mean = fractions.iter().sum::<f64>() / fractions.len() as f64;
         assert!(
             peak < 1.0,
-            "seed {seed}: the routers sent up to {peak:.2} times items overloads the warming member"
+            "seed {seed}: the routers sent up to {peak:.2} of what overloads the warming member"
         );
         // The budgets of all routers together allow the overload multiple times the member's current capacity
         // times what a warm member of its group answers, here 0.74 of what overloads it. Each router's own
@@ -193,9 +193,9 @@
         // requests queued while the member had capacity.
         assert!(
             mean >= 0.2,
-            "seed {seed}: the warming member got on average only {mean:.2} of items overloads it"
+            "seed {seed}: the warming member got on average only {mean:.2} of what overloads it"
         );
         peaks.push((peak, mean));
     }
-    println!("peak and mean fraction of items overloads the warming member, by seed: {peaks:.2?}");
+    println!("peak and mean fraction of what overloads the warming member, by seed: {peaks:.2?}");
 }
--- a/crates/routing/tests/slow_start_fleet.rs
+++ b/crates/routing/tests/slow_start_fleet.rs
@@ -1,5 +1,6 @@
-//! What a fleet sends to members that have just started: within any `overload_span` no more than N + 2 √N + 2
-//! requests of mean work, where N is `overload_multiple` times what the member can do then.
+//! A fleet does not overload members that have just started: within any `overload_span` it sends such a
+//! member at most N + 2 √N + 2 requests of mean work, where N is `overload_multiple` times what the member can
+//! do then.
 
 mod fleet;
 
@@ -191,7 +192,7 @@
 const FLEETS: [usize; 7] = [3, 8, 30, 60, 176, 400, 900];
 
 /// Draws the fleet size, skew and seed for a run of a variant, from a seed for all runs.
-fn drawn(seed: u64, variant: usize, run: usize) -> (usize, f64, u64) {
+fn draw_run(seed: u64, variant: usize, run: usize) -> (usize, f64, u64) {
     let mut rng = SmallRng::seed_from_u64(seed ^ ((variant as u64) << 32 | run as u64));
     let skew = if rng.random() { 10.0 } else { 1.0 };
     (FLEETS[rng.random_range(0..FLEETS.len())], skew, rng.random_range(0..1_000_000))
@@ -202,12 +203,12 @@
 fn random_fleets_do_not_overload_members_in_slow_start() {
     let seed = RandomState::new().hash_one(0);
     println!("seed {seed}");
-    assert_no_overload(1, |variant, run| drawn(seed, variant, run));
+    assert_no_overload(1, |variant, run| draw_run(seed, variant, run));
 }
 
 /// Simulates 200 draws of each variant; run manually.
 #[test]
 #[ignore = "takes minutes; see the Makefile"]
 fn no_fleet_overloads_a_member_in_slow_start_in_200_draws() {
-    assert_no_overload(200, |variant, run| drawn(1, variant, run));
+    assert_no_overload(200, |variant, run| draw_run(1, variant, run));
 }
