--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -1,39 +1,39 @@
-//! One command of an operator: a line of text, read in pieces of any size.
+//! Operator commands: one line of text per connection, parsed from reads of any size.
 
 use thiserror::Error;
 
-/// The longest accepted line in bytes, without its line feed. Command names and member ids are far shorter.
+/// The maximum line length in bytes, without the line feed. Command names and member ids are far shorter.
 pub const MAX_LINE_BYTES: usize = 512;
 
-/// A command of an operator.
+/// An operator command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Reports whether this process is ready to serve.
     Health,
     /// Reports the metrics.
     Counters,
-    /// Takes the member of this id out of service.
+    /// Takes the member with this id out of service.
     Cordon(String),
-    /// Puts the member of this id back into service.
+    /// Puts the member with this id back into service.
     Uncordon(String),
 }
 
-/// Why a line is not a command. The displayed text is part of the operators' protocol.
+/// The reason why a line is not a command. The displayed text is part of the operator protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
     /// The line exceeds [`MAX_LINE_BYTES`].
     #[error("the line is longer than any call")]
     LineTooLong,
-    /// The connection ended before the line did.
+    /// The connection was closed before the line feed arrived.
     #[error("the line has no end")]
     UnterminatedLine,
-    /// The line is not UTF-8, or holds control characters.
+    /// The line is not UTF-8, or contains control characters.
     #[error("the line is no text")]
     NotText,
     /// The line is blank.
     #[error("the line is empty")]
     EmptyLine,
-    /// The first word is not the name of a command.
+    /// The first word is not a command name.
     #[error("no such call: health, counters, cordon ID, uncordon ID")]
     UnknownCommand,
     /// The command takes exactly one member id.
@@ -51,16 +51,16 @@
 }
 
 impl CommandReader {
-    /// Takes the bytes of one read. Returns the command, or why there is none, once the line has ended or has grown too
-    /// long, and `None` where more bytes are needed. Bytes behind the line's end are ignored: a connection carries one
-    /// command.
+    /// Processes the bytes of one read. Returns the command or an error once the line is complete or too
+    /// long, and `None` while more bytes are needed. Bytes after the line feed are ignored: a connection
+    /// carries one command.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Command, CommandError>> {
         let line_end = bytes.iter().position(|byte| *byte == b'\n');
-        let piece = &bytes[..line_end.unwrap_or(bytes.len())];
-        if self.buffer.len() + piece.len() > MAX_LINE_BYTES {
+        let line_part = &bytes[..line_end.unwrap_or(bytes.len())];
+        if self.buffer.len() + line_part.len() > MAX_LINE_BYTES {
             return Some(Err(CommandError::LineTooLong));
         }
-        self.buffer.extend_from_slice(piece);
+        self.buffer.extend_from_slice(line_part);
         line_end.map(|_| parse(&self.buffer))
     }
 
--- a/crates/admin/src/exclusion.rs
+++ b/crates/admin/src/exclusion.rs
@@ -1,26 +1,27 @@
-//! Why a listed member receives no new requests, for the metrics and the log.
+//! The reasons why a listed member receives no new requests, for metrics and the log.
 
 use wharfplank_protocol::endpoint_list::EndpointHealth;
 use wharfplank_routing::Micros;
 
-/// How long a member must have been suspected before it counts as excluded, in microseconds. Nearly all suspects are
-/// retried within half a second and serve again; from outside that looks like any pause between two requests.
+/// How long a member must have been suspected before it counts as excluded, in microseconds. Nearly all
+/// suspected members are retried within 500 ms and serve again, which operators cannot tell from a pause
+/// between two requests.
 pub const MIN_SUSPECTED: Micros = 1_000_000;
 
-/// Why no new requests are sent to a listed member.
+/// The reason why a listed member receives no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exclusion {
-    /// An operator cordoned it.
+    /// An operator cordoned the member.
     Cordoned,
-    /// The endpoint list says that it is draining.
+    /// The endpoint list does not report the member as active.
     Draining,
-    /// It has not answered, or has reset its connections, for [`MIN_SUSPECTED`] or longer.
+    /// The member has not answered, or has reset its connections, for [`MIN_SUSPECTED`] or longer.
     Suspected,
 }
 
 impl Exclusion {
-    /// The reason why a member is excluded at `now`, or `None` where it is in service. `suspected_since` is the time
-    /// since when the member has been suspected, where it is suspected now.
+    /// Returns why a member is excluded at `now`, or `None` if it is in service. `suspected_since` is the
+    /// time at which the member became suspected, or `None` if it is not suspected.
     pub fn of(
         health: EndpointHealth,
         is_cordoned: bool,
@@ -37,7 +38,7 @@
         (now - suspected_since >= MIN_SUSPECTED).then_some(Exclusion::Suspected)
     }
 
-    /// The reason as the log prints it.
+    /// Returns the name of the reason in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             Exclusion::Cordoned => "cordoned",
--- a/crates/admin/src/handover/message.rs
+++ b/crates/admin/src/handover/message.rs
@@ -1,73 +1,74 @@
-//! What the two processes of a hand-over send each other.
+//! The messages between the two processes of a hand-over.
 //!
-//! The serialised names are those of earlier versions: a process of one version may replace a process of another, as
-//! long as both have the same [`PROTOCOL_VERSION`].
+//! The serialized names stay the same across releases: a process may replace one of another release as long
+//! as both have the same [`PROTOCOL_VERSION`].
 
 use super::{CommandId, ConnectionCounts};
 use serde::{Deserialize, Serialize};
 use wharfplank_routing::{LearnedTraits, Micros};
 
-/// The version of [`HandoverState`] and [`HandoverMessage`]; processes of different versions do not exchange them.
+/// The version of [`HandoverState`] and [`HandoverMessage`]. Processes with different versions do not
+/// exchange them.
 pub const PROTOCOL_VERSION: u32 = 1;
 
 /// The largest concurrency limit of a member that a successor accepts.
 pub const MAX_CONCURRENCY_LIMIT: f64 = 64.0;
-/// Bounds of the other [`MemberTraits`] that a successor accepts.
+/// The largest values of the other [`MemberTraits`] that a successor accepts.
 const MAX_RELATIVE_LATENCY: f64 = 8.0;
 const MAX_RATE_PER_SECOND: f64 = 1e5;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What a successor starts from.
+/// The state that a successor takes over from its predecessor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// See [`PROTOCOL_VERSION`].
+    /// The version of the format, see [`PROTOCOL_VERSION`].
     pub version: u32,
-    /// The endpoint list as the predecessor uses it, in discovery's JSON form.
+    /// The endpoint list that the predecessor uses, in discovery's JSON format.
     #[serde(rename = "list")]
     pub endpoint_list: serde_json::Value,
     /// The ids of cordoned members.
     #[serde(rename = "out")]
     pub cordoned: Vec<String>,
-    /// The ids of uncordoned members, and when each was uncordoned.
+    /// The ids of uncordoned members, each with its uncordon time.
     #[serde(rename = "back")]
     pub uncordoned_at: Vec<(String, Micros)>,
-    /// What the predecessor has learned of members.
+    /// The state of the members as the predecessor observed it.
     #[serde(rename = "learned")]
     pub members: Vec<MemberKnowledge>,
-    /// The connections that the predecessor holds.
+    /// The connections that the predecessor holds open.
     #[serde(rename = "holds")]
     pub connections: ConnectionCounts,
 }
 
-/// What a predecessor has learned of a member.
+/// The state of a member as the predecessor observed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberKnowledge {
-    /// Its id.
+    /// The id of the member.
     pub id: String,
-    /// The latest log position that it reported itself.
+    /// The latest log position that the member itself reported.
     pub position: Micros,
-    /// Since when it has been suspected; 0 where it is not.
+    /// The time at which the member became suspected; 0 if it is not suspected.
     pub suspected_at: Micros,
-    /// How it answers; missing from predecessors that are older than this field.
+    /// The measured behavior of the member; missing if the predecessor's release does not have this field.
     #[serde(default, rename = "ways")]
     pub traits: Option<MemberTraits>,
 }
 
-/// How a member answers one process. Times are of a clock that both processes share.
+/// The behavior of a member as one process measured it. Times are on a clock that both processes share.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberTraits {
-    /// The concurrency limit: how many requests of this process it may have in flight.
+    /// The concurrency limit: how many requests this process may have in flight on the member.
     #[serde(rename = "limit")]
     pub concurrency_limit: f64,
-    /// The mean latency of its answers relative to the usual one.
+    /// The mean latency of the member's answers relative to the usual latency.
     #[serde(rename = "slowness")]
     pub relative_latency: f64,
-    /// Its answers to this process per second.
+    /// The number of answers to this process per second.
     #[serde(rename = "rate")]
     pub answer_rate: f64,
-    /// When it was last known to be the primary of its group; 0 where it never was.
+    /// The last time at which the member was known to be the primary of its group; 0 if never.
     pub primary_at: Micros,
-    /// When it was last known to be a replica; 0 where it never was.
+    /// The last time at which the member was known to be a replica; 0 if never.
     pub replica_at: Micros,
 }
 
@@ -84,8 +85,8 @@
 }
 
 impl MemberTraits {
-    /// The traits that the router starts from at `now`. Values of another process are clamped to plausible ones: finite
-    /// numbers within bounds, and no time in the future.
+    /// Returns the traits that the router starts with at `now`. Values from another process are clamped to
+    /// plausible ones: finite numbers within bounds, and no times in the future.
     pub fn to_learned(self, now: Micros) -> LearnedTraits {
         LearnedTraits {
             concurrency_limit: clamp_finite(self.concurrency_limit, 1.0, MAX_CONCURRENCY_LIMIT),
@@ -105,27 +106,27 @@
     }
 }
 
-/// What the two processes send each other after the state.
+/// A message between the two processes after the [`HandoverState`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// An operator's command on a member was carried out by the sender.
+    /// The sender has applied an operator command on a member.
     Cordon {
-        /// Identifies the command in the other's [`HandoverMessage::CordonApplied`].
+        /// The id of the command, which the receiver repeats in [`HandoverMessage::CordonApplied`].
         number: CommandId,
         /// The member.
         id: String,
-        /// Whether the member was cordoned; `false` where it was uncordoned.
+        /// Whether the member was cordoned; `false` if it was uncordoned.
         #[serde(rename = "out")]
         is_cordoned: bool,
-        /// When the command was carried out.
+        /// The time at which the command was applied.
         at: Micros,
     },
-    /// The command of this id is in force at the sender too.
+    /// The sender has applied the command with this id too.
     #[serde(rename = "Heard")]
     CordonApplied(CommandId),
     /// The successor accepts connections from now on.
     Serving,
-    /// The connections that the predecessor holds now.
+    /// The connections that the predecessor currently holds open.
     #[serde(rename = "Holds")]
     Connections(ConnectionCounts),
 }
--- a/crates/admin/src/handover/mod.rs
+++ b/crates/admin/src/handover/mod.rs
@@ -1,6 +1,7 @@
-//! The hand-over from an old process to a new one: the predecessor and its successor act as one proxy until the
-//! predecessor has ended. [`Handover`] decides who accepts connections, how many each process may hold, and when a cordon
-//! is in force in both. It does no I/O; times are microseconds on the caller's clock.
+//! The hand-over from an old process to a new one: the predecessor and its successor act as one proxy until
+//! the predecessor has exited. [`Handover`] decides which process accepts connections, how many connections
+//! each may hold, and when a cordon has been applied in both. It does no I/O; times are microseconds on the
+//! caller's clock.
 
 mod message;
 
@@ -12,22 +13,24 @@
 use std::collections::VecDeque;
 use wharfplank_routing::Micros;
 
-/// How long an operator's command waits for the other process to apply it, in microseconds. Operators are promised an
-/// answer within 1 s.
+/// How long an operator command waits for the other process to apply it, in microseconds. Operators are
+/// promised an answer within 1 s.
 pub const CONFIRMATION_TIMEOUT: Micros = 500_000;
-/// The most commands that may wait for the other process.
+/// The maximum number of commands that wait for the other process.
 pub const MAX_UNCONFIRMED: usize = 64;
-/// Connections of each kind that a process may always hold, however many the other holds: without any it serves nobody.
+/// Connections of each kind that a process may always hold, whatever the other holds: without any it cannot
+/// serve.
 const MIN_CONNECTIONS: usize = 4;
-/// Connections to members that the predecessor may open beyond those that it held: requests in flight need some.
+/// Member connections that the predecessor may open beyond those that it held, for requests that are in
+/// flight.
 const MEMBER_CONNECTION_SLACK: usize = 4;
 
-/// Identifies an operator's command among those that one process sends to the other.
+/// The id of an operator command that one process sends to the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CommandId(pub u64);
 
-/// Numbers of connections: held, or allowed.
+/// Numbers of connections, either open or allowed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConnectionCounts {
     /// Connections from clients.
@@ -36,15 +39,15 @@
     pub members: usize,
 }
 
-/// The role of this process.
+/// The role of this process in a hand-over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Role {
-    /// There is no other process.
+    /// No hand-over is in progress.
     #[default]
     Sole,
-    /// Another process replaces this one, which held these connections when the hand-over began.
+    /// Another process replaces this one. `held` counts the connections at the start of the hand-over.
     Predecessor { held: ConnectionCounts, successor_serves: bool },
-    /// This process replaces another, which holds these connections.
+    /// This process replaces another one. `predecessor` counts the connections that the other holds.
     Successor { predecessor: ConnectionCounts },
 }
 
@@ -55,33 +58,33 @@
     deadline: Micros,
 }
 
-/// The hand-over as one of the two processes sees it.
+/// The hand-over state of one of the two processes.
 #[derive(Debug, Default)]
 pub struct Handover {
     role: Role,
     last_command: u64,
-    /// In the order of their deadlines.
+    /// Sorted by deadline.
     unconfirmed: VecDeque<UnconfirmedCommand>,
 }
 
 impl Handover {
-    /// The hand-over of a process that replaces another, which holds these connections.
+    /// Creates the state of a process that replaces another one, which holds these connections.
     pub fn successor_of(predecessor: ConnectionCounts) -> Self {
         Handover { role: Role::Successor { predecessor }, ..Handover::default() }
     }
 
-    /// Whether there is another process.
+    /// Returns whether a hand-over with another process is in progress.
     pub fn has_peer(&self) -> bool {
         self.role != Role::Sole
     }
 
-    /// Whether this process is being replaced; it then reports its connections to its successor.
+    /// Returns whether this process is being replaced. If so, it reports its connections to its successor.
     pub fn is_predecessor(&self) -> bool {
         matches!(self.role, Role::Predecessor { .. })
     }
 
-    /// Begins the hand-over to another process that asked for it, while this one holds these connections. Returns
-    /// `false`, and changes nothing, where this process takes part in a hand-over already.
+    /// Begins the hand-over to another process that requested it, while this one holds these connections.
+    /// Returns `false` and changes nothing if this process already takes part in a hand-over.
     pub fn begin(&mut self, held: ConnectionCounts) -> bool {
         if self.has_peer() {
             return false;
@@ -90,28 +93,29 @@
         true
     }
 
-    /// The successor accepts connections from now on.
+    /// Notes that the successor accepts connections from now on.
     pub fn on_successor_serving(&mut self) {
         if let Role::Predecessor { successor_serves, .. } = &mut self.role {
             *successor_serves = true;
         }
     }
 
-    /// The predecessor holds these connections now.
+    /// Updates the number of connections that the predecessor holds.
     pub fn on_predecessor_connections(&mut self, held: ConnectionCounts) {
         if let Role::Successor { predecessor } = &mut self.role {
             *predecessor = held;
         }
     }
 
-    /// The other process has ended. Returns the commands that waited for its confirmation.
+    /// Ends the hand-over after the other process has exited. Returns the commands that waited for its
+    /// confirmation.
     pub fn on_peer_lost(&mut self) -> Vec<CommandId> {
         self.role = Role::Sole;
         self.unconfirmed.drain(..).map(|command| command.id).collect()
     }
 
-    /// Whether this process accepts new connections; `is_ready` says whether it can serve them. A process without a
-    /// predecessor accepts them before it is ready: their first requests wait.
+    /// Returns whether this process accepts new connections; `is_ready` tells whether it can serve them. A
+    /// process without a predecessor accepts connections before it is ready: their first requests wait.
     pub fn accepts_connections(&self, is_ready: bool) -> bool {
         match self.role {
             Role::Sole => true,
@@ -120,7 +124,7 @@
         }
     }
 
-    /// How many connections this process may hold where both together may hold `total`.
+    /// Returns how many connections this process may hold if both together may hold `total`.
     pub fn connection_limit(&self, total: ConnectionCounts) -> ConnectionCounts {
         match self.role {
             Role::Sole => total,
@@ -138,8 +142,8 @@
         }
     }
 
-    /// Registers an operator's command that the other process must confirm, and returns its id. `None` where the answer
-    /// need not wait: there is no other process, or [`MAX_UNCONFIRMED`] commands wait already.
+    /// Registers an operator command that the other process must confirm, and returns its id. Returns `None`
+    /// if the answer need not wait: there is no other process, or [`MAX_UNCONFIRMED`] commands already wait.
     pub fn register_command(&mut self, now: Micros) -> Option<CommandId> {
         if !self.has_peer() || self.unconfirmed.len() >= MAX_UNCONFIRMED {
             return None;
@@ -150,20 +154,21 @@
         Some(id)
     }
 
-    /// The other process applied a command. Returns whether the command was still waiting for that.
+    /// Handles the other process's confirmation of a command. Returns whether the command was still waiting
+    /// for it.
     pub fn confirm_command(&mut self, id: CommandId) -> bool {
         let waiting_before = self.unconfirmed.len();
         self.unconfirmed.retain(|command| command.id != id);
         self.unconfirmed.len() < waiting_before
     }
 
-    /// Removes and returns the commands whose wait has timed out.
+    /// Removes and returns the commands whose confirmation has timed out.
     pub fn expire_commands(&mut self, now: Micros) -> Vec<CommandId> {
         let expired = self.unconfirmed.iter().take_while(|command| command.deadline <= now).count();
         self.unconfirmed.drain(..expired).map(|command| command.id).collect()
     }
 
-    /// The time from which [`Handover::expire_commands`] returns a command.
+    /// Returns the earliest time at which [`Handover::expire_commands`] returns a command.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.unconfirmed.front().map(|command| command.deadline)
     }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,11 +1,12 @@
-//! The operators' side of a running proxy, decided without I/O: the caller supplies bytes, the time and the endpoint
-//! list.
+//! Administration of a running proxy, without I/O: the caller supplies the received bytes, the time and the
+//! endpoint list.
 //!
-//! - [`command`]: parses the one line that an admin connection carries.
-//! - [`cordons`]: members that operators took out of service, whatever discovery reports of them.
-//! - [`exclusion`]: why a listed member receives no new requests.
-//! - [`metrics`]: counters since the start of this process, and their JSON form.
-//! - [`handover`]: the state machine of two processes that act as one proxy while the newer replaces the older.
+//! - [`command`]: parses the command line of an admin connection.
+//! - [`cordons`]: members that operators took out of service, whatever discovery reports about them.
+//! - [`exclusion`]: the reasons why a listed member receives no new requests.
+//! - [`metrics`]: counters since the start of this process, and their JSON format.
+//! - [`handover`]: the state machine of two processes that act as one proxy while the newer replaces the
+//!   older.
 
 pub mod command;
 pub mod cordons;
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,10 +1,10 @@
-//! Counters since the start of this process, and the JSON form in which operators read them.
+//! Counters since the start of this process, and the JSON format in which operators read them.
 
 use prometheus_client::metrics::counter::Counter;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How a request was answered.
+/// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyStatus {
     /// A member's answer was returned.
@@ -15,16 +15,16 @@
     Error,
 }
 
-/// Whether a configuration that was read anew is now in use.
+/// The result of a configuration reload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadResult {
     /// The new configuration is in use.
     Applied,
-    /// The new configuration is unusable; the old one stays.
+    /// The new configuration is invalid; the old one stays in use.
     Failed,
 }
 
-/// The replies of one class.
+/// The replies to requests of one class.
 #[derive(Clone, Debug, Default)]
 struct ReplyCounters {
     success: Counter,
@@ -32,10 +32,10 @@
     error: Counter,
 }
 
-/// Values that hold at the time of reading.
+/// Current values at the time of reading.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests accepted and not yet answered.
+    /// Requests that were accepted and not yet answered.
     pub concurrent: usize,
     /// Members in the endpoint list.
     pub targets: usize,
@@ -53,7 +53,7 @@
 }
 
 impl Metrics {
-    /// Counters at 0 for these classes, which are addressed by their index.
+    /// Creates counters at 0. Classes are addressed by their index in `classes`.
     pub fn new(classes: &[String]) -> Self {
         Metrics {
             replies: classes.iter().map(|name| (name.clone(), ReplyCounters::default())).collect(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Counts the final answer of a request of the class at this index.
+    /// Counts the final answer to a request of the class with this index.
     pub fn record_reply(&self, class_index: usize, status: ReplyStatus) {
         let Some((_, replies)) = self.replies.get(class_index) else { return };
         let counter = match status {
@@ -74,12 +74,12 @@
         counter.inc();
     }
 
-    /// Counts an attempt that was written completely to a member.
+    /// Counts an attempt whose request was written completely to a member.
     pub fn record_dispatch(&self) {
         self.dispatches.inc();
     }
 
-    /// Counts a configuration that was read anew.
+    /// Counts a configuration reload.
     pub fn record_reload(&self, result: ReloadResult) {
         let counter = match result {
             ReloadResult::Applied => &self.reload_success,
@@ -88,7 +88,7 @@
         counter.inc();
     }
 
-    /// The metrics as one line of JSON.
+    /// Returns the metrics as one line of JSON.
     pub fn to_json(&self, gauges: Gauges) -> String {
         let replies = self.replies.iter().map(|(name, counters)| {
             let reply = SerializedReplies {
--- a/crates/admin/tests/command.rs
+++ b/crates/admin/tests/command.rs
@@ -1,19 +1,19 @@
-//! Parsing of operators' command lines.
+//! Parsing of operator command lines.
 
 use proptest::prelude::*;
 use wharfplank_admin::command::MAX_LINE_BYTES;
 use wharfplank_admin::{Command, CommandError, CommandReader};
 
-fn read(line: &[u8]) -> Option<Result<Command, CommandError>> {
+fn parse(line: &[u8]) -> Option<Result<Command, CommandError>> {
     CommandReader::default().feed(line)
 }
 
 #[test]
-fn commands_are_parsed_and_other_lines_rejected() {
-    assert_eq!(read(b"health\n"), Some(Ok(Command::Health)));
-    assert_eq!(read(b"counters\r\n"), Some(Ok(Command::Counters)));
-    assert_eq!(read(b"cordon s-1\nhealth\n"), Some(Ok(Command::Cordon("s-1".to_string()))));
-    assert_eq!(read(b"  uncordon   s-1 \n"), Some(Ok(Command::Uncordon("s-1".to_string()))));
+fn parses_commands_and_rejects_other_lines() {
+    assert_eq!(parse(b"health\n"), Some(Ok(Command::Health)));
+    assert_eq!(parse(b"counters\r\n"), Some(Ok(Command::Counters)));
+    assert_eq!(parse(b"cordon s-1\nhealth\n"), Some(Ok(Command::Cordon("s-1".to_string()))));
+    assert_eq!(parse(b"  uncordon   s-1 \n"), Some(Ok(Command::Uncordon("s-1".to_string()))));
     let rejected: [(&[u8], CommandError); 7] = [
         (b"\n", CommandError::EmptyLine),
         (b"cordon\n", CommandError::MemberIdExpected),
@@ -24,25 +24,25 @@
         (b"cordon s\x001\n", CommandError::NotText),
     ];
     for (line, error) in rejected {
-        assert_eq!(read(line), Some(Err(error)), "{}", line.escape_ascii());
+        assert_eq!(parse(line), Some(Err(error)), "{}", line.escape_ascii());
     }
-    assert_eq!(read(b"health"), None, "half a command");
+    assert_eq!(parse(b"health"), None, "incomplete line");
 }
 
 proptest! {
-    /// Guards against a caller who fills memory with a line that does not end, and against a command that parses
-    /// differently when it arrives in pieces.
+    /// Guards against unbounded buffering of a line without an end, and against a command that parses
+    /// differently when it arrives in several reads.
     #[test]
-    fn pieces_make_no_difference(line in "[a-z -~]{0,600}", cuts in prop::collection::vec(1_usize..9, 1..40)) {
-        let whole = [line.as_bytes(), b"\n"].concat();
+    fn split_reads_parse_alike(line in "[a-z -~]{0,600}", cuts in prop::collection::vec(1_usize..9, 1..40)) {
+        let full_line = [line.as_bytes(), b"\n"].concat();
         let mut reader = CommandReader::default();
-        let (mut at, mut got, mut turn) = (0, None, cuts.iter().cycle());
-        while got.is_none() && at < whole.len() {
-            let to = (at + turn.next().copied().unwrap_or(1)).min(whole.len());
-            got = reader.feed(&whole[at..to]);
-            at = to;
+        let (mut start, mut result, mut lengths) = (0, None, cuts.iter().cycle());
+        while result.is_none() && start < full_line.len() {
+            let end = (start + lengths.next().copied().unwrap_or(1)).min(full_line.len());
+            result = reader.feed(&full_line[start..end]);
+            start = end;
             prop_assert!(reader.buffered_len() <= MAX_LINE_BYTES);
         }
-        prop_assert_eq!(got, read(&whole));
+        prop_assert_eq!(result, parse(&full_line));
     }
 }
--- a/crates/admin/tests/exclusion.rs
+++ b/crates/admin/tests/exclusion.rs
@@ -1,11 +1,11 @@
-//! Which listed members count as excluded.
+//! Exclusion of listed members.
 
 use wharfplank_admin::Exclusion;
 use wharfplank_protocol::endpoint_list::EndpointHealth;
 
-/// Guards against metrics that jump with each member that made a single request wait.
+/// Guards against metrics that count a member as excluded after a single slow request.
 #[test]
-fn a_suspect_is_excluded_once_it_stays_suspected() {
+fn suspected_member_is_excluded_after_a_while() {
     let exclusion_since = |since| Exclusion::of(EndpointHealth::Active, false, since, 9_000_000);
     assert_eq!(exclusion_since(None), None);
     assert_eq!(exclusion_since(Some(8_000_001)), None);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn cordoned_and_draining_members_are_excluded_at_once() {
+fn cordoned_and_draining_members_are_excluded() {
     assert_eq!(Exclusion::of(EndpointHealth::Active, true, None, 0), Some(Exclusion::Cordoned));
     assert_eq!(Exclusion::of(EndpointHealth::Draining, true, Some(0), 0), Some(Exclusion::Cordoned));
     assert_eq!(Exclusion::of(EndpointHealth::Draining, false, Some(0), 0), Some(Exclusion::Draining));
