--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -1,9 +1,10 @@
-//! What the program decided and observed, as typed records, and the store that holds them.
+//! Typed records of the proxy's decisions and observations, and the store that holds them.
 //!
-//! - [`record`]: the records; [`outcome`]: how requests are answered.
-//! - [`recorder`]: the bounded queue of the serving thread, which never waits, and the thread behind it.
-//! - [`store`]: one `SQLite` file for each proxy, written in complete flushes, with retention.
-//! - [`reader`]: stores of several proxies, read while they are written; what is not known is reported as a gap.
+//! - [`record`]: the record types; [`outcome`]: the outcomes of requests.
+//! - [`recorder`]: a bounded queue that never blocks the serving thread, and the thread that empties it.
+//! - [`store`]: one `SQLite` file per proxy, written in atomic flushes, with retention.
+//! - [`reader`]: reads the stores of several proxies while they are written; missing records are reported as
+//!   gaps.
 
 pub mod outcome;
 pub mod reader;
--- a/crates/records/src/outcome.rs
+++ b/crates/records/src/outcome.rs
@@ -1,28 +1,29 @@
-//! How requests are answered, as records name it.
+//! The outcomes of requests.
 
 use serde::{Deserialize, Serialize};
 
-/// The code of [`Outcome::Rejected`] with the first reason; those of the others follow.
+/// The code of [`Outcome::Rejected`] with the first reason; the other reasons follow in order.
 const REJECTED_CODES: i64 = 100;
-/// The code of [`Outcome::Failed`] with the first reason; those of the others follow.
+/// The code of [`Outcome::Failed`] with the first reason; the other reasons follow in order.
 const FAILED_CODES: i64 = 200;
 
-/// How a request was answered.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// With a value, within the latency objective of its class.
+    /// Answered with a value, within the latency objective of its class.
     Served,
-    /// With a value, later than that.
+    /// Answered with a value, later than the latency objective of its class.
     Late,
-    /// Rejected without having run: a retry is harmless.
+    /// Rejected without having run, so a retry is safe.
     #[serde(rename = "Refused")]
     Rejected(FailureReason),
-    /// Failed: it may have run.
+    /// Failed, and may have run.
     Failed(FailureReason),
 }
 
 impl Outcome {
-    /// The code of the outcome in a store's summaries: 0 served, 1 late, from 100 on rejected, from 200 on failed.
+    /// Returns the code of the outcome in a store's summaries: 0 served, 1 late, 100 to 199 rejected, 200 to
+    /// 299 failed.
     pub fn code(self) -> i64 {
         match self {
             Outcome::Served => 0,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The outcome of a code; `None` for a code that this version does not know.
+    /// Returns the outcome with this code, or `None` if this version does not know the code.
     pub fn from_code(code: i64) -> Option<Outcome> {
         match code {
             0 => Some(Outcome::Served),
@@ -43,42 +44,42 @@
         }
     }
 
-    /// Whether the request got no value.
+    /// Returns whether the request was rejected or failed.
     pub fn is_failure(self) -> bool {
         matches!(self, Outcome::Rejected(_) | Outcome::Failed(_))
     }
 }
 
-/// Why a request was rejected or failed.
+/// The reason why a request was rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum FailureReason {
-    /// No replica was new enough for the read, and the primary did not take it.
+    /// No replica was fresh enough for the read, and the primary did not take it.
     TooStale,
     /// The group had no usable primary.
     NoPrimary,
     /// The group has no members.
     NoMember,
-    /// It was shed because answers came late.
+    /// The request was shed because answers were late.
     #[serde(rename = "Shed")]
     LoadShed,
-    /// It was queued for too long without having reached a member.
+    /// The request waited in the queue for too long and was never sent to a member.
     #[serde(rename = "Held")]
     QueuedTooLong,
-    /// Its deadline passed.
+    /// The deadline of the request passed.
     #[serde(rename = "OutOfTime")]
     DeadlineExceeded,
     /// All attempts were used up.
     #[serde(rename = "Spent")]
     AttemptsExhausted,
-    /// An attempt may have run and must not be repeated.
+    /// An attempt may have run, and the request must not be repeated.
     MayHaveRun,
-    /// The process shut down.
+    /// The proxy shut down.
     #[serde(rename = "Closing")]
     ShuttingDown,
-    /// Its class is not known.
+    /// The class of the request is not configured.
     #[serde(rename = "Unusable")]
     UnknownClass,
-    /// A quota of the whole fleet was used up.
+    /// A fleet-wide quota was used up.
     #[serde(rename = "OverBudget")]
     OverQuota,
 }
@@ -99,7 +100,7 @@
         FailureReason::OverQuota,
     ];
 
-    /// The name that reports show.
+    /// Returns the name of the reason in reports.
     pub fn name(self) -> &'static str {
         match self {
             FailureReason::TooStale => "too stale",
--- a/crates/records/src/reader/gap.rs
+++ b/crates/records/src/reader/gap.rs
@@ -1,11 +1,11 @@
-//! Spans about which a proxy's records say nothing, or not everything.
+//! Time spans for which a proxy's records are missing or incomplete.
 
 use crate::record::Micros;
 
-/// Why records are missing.
+/// The reason why records are missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GapCause {
-    /// The process shut down in order and started again.
+    /// The process shut down gracefully and started again.
     Restart,
     /// The process was killed and started again.
     Killed,
@@ -13,12 +13,12 @@
     Lost,
     /// A block of the store cannot be read.
     Damaged,
-    /// The clock went back between two runs: the same times occur twice.
+    /// The clock was set back between two runs, so the same times occur twice.
     ClockBack,
 }
 
 impl GapCause {
-    /// The name that reports show.
+    /// Returns the name of the cause in reports.
     pub fn name(self) -> &'static str {
         match self {
             GapCause::Restart => "restart",
@@ -30,17 +30,17 @@
     }
 }
 
-/// A span about which a proxy's records say nothing, or not everything.
+/// A time span for which a proxy's records are missing or incomplete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// The proxy.
+    /// The name of the proxy.
     pub proxy: String,
-    /// Its start.
+    /// The start of the span.
     pub from: Micros,
-    /// Its end.
+    /// The end of the span.
     pub to: Micros,
-    /// Why records are missing.
+    /// The reason why records are missing.
     pub cause: GapCause,
-    /// How many records are missing; `None` if they were not counted.
+    /// The number of missing records; `None` if they were not counted.
     pub count: Option<u64>,
 }
--- a/crates/records/src/reader/mod.rs
+++ b/crates/records/src/reader/mod.rs
@@ -1,6 +1,6 @@
-//! Stores of several proxies, read while they may be written.
+//! Reads the stores of several proxies while they may be written.
 //!
-//! What is not known is said: a [`Gap`] has its span and its cause, and nothing is filled in.
+//! Missing records are reported as a [`Gap`] with its span and cause, and never interpolated.
 
 mod error;
 mod gap;
@@ -17,20 +17,20 @@
 use crate::record::Micros;
 use std::path::{Path, PathBuf};
 
-/// The extension of a store's file.
+/// The file extension of stores.
 const STORE_EXTENSION: &str = "wharfplank";
 
-/// The stores in some directories.
+/// A set of stores that were opened together.
 #[derive(Debug, Default)]
 pub struct StoreSet {
-    /// The files that can be read.
+    /// The stores that can be read.
     pub stores: Vec<StoreReader>,
-    /// The files and directories that cannot be read, and why.
+    /// The files and directories that cannot be read, each with the reason.
     pub problems: Vec<StoreProblem>,
 }
 
 impl StoreSet {
-    /// Opens each store in some directories, or the files themselves.
+    /// Opens the stores at these paths. A path is a store or a directory of stores.
     pub fn open(paths: &[PathBuf]) -> StoreSet {
         let mut set = StoreSet::default();
         for path in paths {
@@ -49,12 +49,12 @@
         }
     }
 
-    /// The files and directories that cannot be read, each with its reason, as an operator is shown them.
+    /// Returns messages for operators about the files and directories that cannot be read.
     pub fn problem_texts(&self) -> Vec<String> {
         self.problems.iter().map(ToString::to_string).collect()
     }
 
-    /// The first and the last time that any record is about.
+    /// Returns the earliest start and the latest known time of all runs.
     pub fn span(&self) -> Option<(Micros, Micros)> {
         let runs = || self.stores.iter().flat_map(|store| &store.runs);
         let first = runs().map(|run| run.started_at).min()?;
@@ -63,7 +63,7 @@
     }
 }
 
-/// The files of stores in a directory in the order of their names, or the file itself.
+/// Returns the store files in a directory sorted by name, or the path itself if it is a file.
 fn store_files(path: &Path) -> std::io::Result<Vec<PathBuf>> {
     if path.is_file() {
         return Ok(vec![path.to_path_buf()]);
--- a/crates/records/src/reader/names.rs
+++ b/crates/records/src/reader/names.rs
@@ -1,21 +1,21 @@
-//! The names of classes, members and proxies, for which records have numbers.
+//! The names of classes, members and proxies. Records refer to them by number.
 
 use rusqlite::Connection;
 use std::collections::BTreeMap;
 
-/// What a number in the records of a run stands for.
+/// The kind of object that a number in the records of a run refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NameKind {
-    /// A class of requests.
+    /// A request class.
     Class,
     /// A member.
     Member,
-    /// The proxy itself, with number 0.
+    /// The proxy itself, which has number 0.
     Proxy,
 }
 
 impl NameKind {
-    /// The kind of a name in the store; `None` for one that this version does not know.
+    /// Returns the kind with this name in the store, or `None` if this version does not know it.
     fn from_stored(kind: &str) -> Option<NameKind> {
         match kind {
             "class" => Some(NameKind::Class),
@@ -38,11 +38,11 @@
 pub struct Name {
     /// The name; empty for the proxy itself.
     pub name: String,
-    /// The latency objective of a class in microseconds; the zone of a member or proxy.
+    /// The latency objective of a class in microseconds, or the zone of a member or proxy.
     pub detail: String,
 }
 
-/// Reads the names of a store; those of a kind that this version does not know are left out.
+/// Reads the names of a store, except those of a kind that this version does not know.
 pub(super) fn read_names(connection: &Connection) -> Result<BTreeMap<NameKey, Name>, rusqlite::Error> {
     let mut statement = connection.prepare("SELECT run, kind, number, name, more FROM names")?;
     let mut rows = statement.query([])?;
--- a/crates/records/src/reader/run.rs
+++ b/crates/records/src/reader/run.rs
@@ -1,39 +1,39 @@
-//! The runs of a store: one for each process that wrote it.
+//! The runs of a store: one for each process that wrote to it.
 
 use crate::record::Micros;
 use rusqlite::{Connection, Row};
 
-/// A run is recorded as alive with each flush. One that was not for this long, and has no end, was killed.
+/// The time after which a run without an end counts as killed. Each flush records that the run is alive.
 pub const MAX_SILENCE: Micros = 5_000_000;
 
 /// The state of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// It shut down in order.
+    /// The process shut down gracefully.
     Ended,
-    /// It was killed: it fell silent without an end.
+    /// The process was killed: it stopped flushing without recording an end.
     Killed,
-    /// It goes on.
+    /// The process is still running.
     Running,
 }
 
-/// One process of a proxy, as its records describe it.
+/// One process of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The proxy.
+    /// The name of the proxy.
     pub proxy: String,
     /// The number of the run in the store.
     pub id: i64,
-    /// When it started.
+    /// The time at which the process started.
     pub started_at: Micros,
-    /// The last time at which it is known to have been alive.
+    /// The last time at which the process is known to have been alive.
     pub last_alive_at: Micros,
-    /// When it shut down in order, if it did.
+    /// The time at which the process shut down gracefully, if it did.
     pub ended_at: Option<Micros>,
 }
 
 impl Run {
-    /// The state of the run at a time.
+    /// Returns the state of the run at a time.
     pub fn state(&self, now: Micros) -> RunState {
         match self.ended_at {
             Some(_) => RunState::Ended,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reads the runs of a store in the order in which they began.
+/// Reads the runs of a store in the order in which they started.
 pub(super) fn read_runs(connection: &Connection) -> Result<Vec<Run>, rusqlite::Error> {
     let mut statement =
         connection.prepare("SELECT proxy, run, started, alive, ended FROM runs ORDER BY run")?;
--- a/crates/records/src/reader/store_reader.rs
+++ b/crates/records/src/reader/store_reader.rs
@@ -1,4 +1,4 @@
-//! The store of one proxy, open to be read.
+//! Read access to the store of one proxy.
 
 use super::names::{read_names, Name, NameKey, NameKind};
 use super::run::{read_runs, Run};
@@ -11,43 +11,43 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long a statement waits for the writer's lock.
+/// The time that a statement waits for the writer's lock.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
-/// The size of `SQLite`'s page cache; a negative number counts KiB.
+/// The size of `SQLite`'s page cache; negative values are in KiB.
 const CACHE_SIZE: i64 = -8192;
 
-/// The answers of one window.
+/// The totals of the answers in one window, by class and outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowSummary {
-    /// The run.
+    /// The number of the run.
     pub run: i64,
     /// The start of the window, which is [`SUMMARY_WINDOW`] long.
     pub window: Micros,
-    /// The class.
+    /// The number of the class.
     pub class: u16,
     /// The code of the outcome, see [`Outcome::from_code`](crate::Outcome::from_code).
     pub outcome_code: i64,
-    /// How many answers.
+    /// The number of answers.
     pub count: u64,
-    /// The sum of their attempts.
+    /// The total number of attempts.
     pub attempts: u64,
-    /// The sum of their times.
+    /// The total latency.
     pub took: Micros,
-    /// The longest of their times.
+    /// The maximum latency.
     pub longest: Micros,
 }
 
-/// Which blocks of a store are read.
+/// A filter on the blocks of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockFilter {
     /// All blocks.
     All,
-    /// Blocks with an answer that was rejected or failed.
+    /// Blocks with at least one answer that was rejected or failed.
     WithFailures,
 }
 
 impl BlockFilter {
-    /// The least number of rejected and failed answers of a block that is read.
+    /// Returns the minimum number of rejected and failed answers in a block that passes the filter.
     fn min_failures(self) -> i64 {
         match self {
             BlockFilter::All => 0,
@@ -56,30 +56,31 @@
     }
 }
 
-/// The store of one proxy, open to be read.
+/// A reader for the store of one proxy.
 #[derive(Debug)]
 pub struct StoreReader {
-    /// The proxy.
+    /// The name of the proxy.
     pub proxy: String,
-    /// The file.
+    /// The path of the file.
     pub path: PathBuf,
-    /// The runs, in the order in which they began.
+    /// The runs, in the order in which they started.
     pub runs: Vec<Run>,
     connection: Connection,
     names: BTreeMap<NameKey, Name>,
 }
 
 impl StoreReader {
-    /// Opens a file. Its writer may go on meanwhile.
+    /// Opens a file, which may still be written to.
     ///
     /// # Errors
     ///
-    /// Returns why the file cannot be read.
+    /// Returns an error if the file cannot be read.
     pub fn open(path: &Path) -> Result<StoreReader, ReadError> {
         let flags = OpenFlags::SQLITE_OPEN_READ_ONLY | OpenFlags::SQLITE_OPEN_URI;
         let connect = Connection::open_with_flags(path, flags).map_err(ReadError::from);
         match connect.and_then(|connection| Self::read(connection, path)) {
-            // On a read-only medium SQLite cannot create its index of the log. The file does not change there.
+            // On a read-only medium SQLite cannot create the shared-memory index of the write-ahead log.
+            // Nothing can change the file there, so it is opened as immutable.
             Err(ReadError::Database(error)) if is_read_only_medium(&error) => {
                 let uri = format!("file:{}?immutable=1", path.display());
                 Self::read(Connection::open_with_flags(uri, flags)?, path)
@@ -104,20 +105,20 @@
         Ok(StoreReader { proxy, path: path.to_path_buf(), runs, connection, names })
     }
 
-    /// What a number stands for in the records of a run.
+    /// Returns the name that a number refers to in the records of a run.
     pub fn name(&self, run: i64, kind: NameKind, number: i64) -> Option<&Name> {
         self.names.get(&NameKey { run, kind, number })
     }
 
-    /// The gaps between runs. [`StoreReader::records`] may find further ones.
+    /// Returns the gaps between runs. [`StoreReader::records`] may find further gaps.
     pub fn gaps(&self) -> Vec<Gap> {
         self.runs.windows(2).map(|pair| self.gap_between(&pair[0], &pair[1])).collect()
     }
 
     fn gap_between(&self, run: &Run, next: &Run) -> Gap {
-        let is_clock_back = next.started_at < run.last_alive_at;
+        let was_clock_set_back = next.started_at < run.last_alive_at;
         let cause = match run.ended_at {
-            _ if is_clock_back => GapCause::ClockBack,
+            _ if was_clock_set_back => GapCause::ClockBack,
             Some(_) => GapCause::Restart,
             None => GapCause::Killed,
         };
@@ -126,12 +127,12 @@
         Gap { proxy: self.proxy.clone(), from, to, cause, count: None }
     }
 
-    /// Passes the records of a span to `each` in the order of their flushes, each with its run and its time. Returns the
+    /// Passes the records of a span to `each` in flush order, with the run and the time of each. Returns the
     /// gaps: records that were lost, and blocks that cannot be decoded.
     ///
     /// # Errors
     ///
-    /// Returns the error of `SQLite`; some records may have been passed on before.
+    /// Returns an error from `SQLite`; some records may already have been passed to `each`.
     pub fn records(
         &self,
         span: RangeInclusive<Micros>,
@@ -170,11 +171,11 @@
         Gap { proxy: self.proxy.clone(), from, to, cause, count: Some(count) }
     }
 
-    /// The summaries of the windows of a span, by run.
+    /// Returns the summaries of the windows in a span, ordered by run and window.
     ///
     /// # Errors
     ///
-    /// Returns the error of `SQLite`.
+    /// Returns an error from `SQLite`.
     pub fn summaries(&self, from: Micros, to: Micros) -> Result<Vec<WindowSummary>, ReadError> {
         let mut statement = self.connection.prepare_cached(
             "SELECT run, window, class, outcome, count, attempts, took, most FROM sums
@@ -196,20 +197,21 @@
         Ok(rows.collect::<Result<_, _>>()?)
     }
 
-    /// The time from which on single records are stored; before it there are summaries only. `None` if there are none.
+    /// Returns the earliest time for which single records are stored, or `None` if there are none. Only
+    /// summaries cover the time before.
     ///
     /// # Errors
     ///
-    /// Returns the error of `SQLite`.
+    /// Returns an error from `SQLite`.
     pub fn records_from(&self) -> Result<Option<Micros>, ReadError> {
         Ok(self.connection.query_row("SELECT min(since) FROM blocks", [], |row| row.get(0))?)
     }
 
-    /// The size of the file without its free pages, in bytes.
+    /// Returns the size of the file without its free pages, in bytes.
     ///
     /// # Errors
     ///
-    /// Returns the error of `SQLite`.
+    /// Returns an error from `SQLite`.
     pub fn used_bytes(&self) -> Result<u64, ReadError> {
         let used_pages = self.pragma("page_count")? - self.pragma("freelist_count")?;
         Ok((used_pages * self.pragma("page_size")?).max(0) as u64)
@@ -224,7 +226,7 @@
     matches!(error.sqlite_error_code(), Some(ErrorCode::CannotOpen | ErrorCode::ReadOnly))
 }
 
-/// Decodes a block; `None` if it is damaged.
+/// Decodes a block. Returns `None` if it is damaged.
 fn decode_block(row: &Row<'_>) -> Result<Option<Vec<TimedRecord>>, rusqlite::Error> {
     let checksum: u32 = row.get(4)?;
     let data = row.get_ref(5)?.as_blob().unwrap_or_default();
--- a/crates/records/src/record.rs
+++ b/crates/records/src/record.rs
@@ -1,14 +1,15 @@
-//! The records. None holds a client's key or a statement.
+//! The record types. No record contains a client's key or a statement.
 //!
-//! Stores hold records in a positional encoding: fields and variants keep their order, and new variants go to the end.
+//! Stores hold records in a positional encoding: fields and variants keep their order, and new variants are
+//! appended.
 
 use crate::outcome::Outcome;
 use serde::{Deserialize, Serialize};
 
-/// A time or a span of time, in microseconds; times since the Unix epoch.
+/// A time or a duration in microseconds. Times count from the Unix epoch.
 pub type Micros = i64;
 
-/// A record with the time at which it was made.
+/// A record with its time.
 pub type TimedRecord = (Micros, Record);
 
 /// The state of a member as one proxy sees it.
@@ -16,28 +17,28 @@
 pub struct MemberState {
     /// The member's number.
     pub member: u32,
-    /// Its group.
+    /// The member's group.
     pub group: u64,
-    /// Whether the proxy takes it for the primary.
+    /// Whether the proxy regards the member as the primary.
     pub primary: bool,
-    /// Whether it is active on the endpoint list.
+    /// Whether the member is active in the endpoint list.
     pub active: bool,
-    /// The newest known log position, or 0.
+    /// The newest known log position, or 0 if unknown.
     pub position: Micros,
-    /// When the position was learned, or 0.
+    /// The time at which the position became known, or 0.
     #[serde(rename = "heard")]
     pub position_seen_at: Micros,
-    /// Since when the proxy suspects it.
+    /// The time at which the proxy began to suspect the member, if it does.
     #[serde(rename = "suspected")]
     pub suspected_since: Option<Micros>,
-    /// This proxy's requests in flight there.
+    /// The number of this proxy's requests in flight on the member.
     pub in_flight: u32,
-    /// The mean latency of its answers in per cent of the usual one.
+    /// The mean latency of the member's answers, in percent of the usual latency.
     #[serde(rename = "slowness")]
     pub relative_latency_percent: u32,
 }
 
-/// How stale the data was for a read that was rejected as too stale.
+/// The staleness of the data for a read that was rejected as too stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Staleness {
     /// The log position that the read needed.
@@ -46,10 +47,10 @@
     pub known: Micros,
 }
 
-/// Something that the program decided or observed.
+/// A decision or an observation of the proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The number that stands for a class in the records of this run.
+    /// Assigns a number to a class for the records of this run.
     Class {
         /// The number.
         class: u16,
@@ -59,12 +60,12 @@
         #[serde(rename = "aim")]
         latency_objective: Micros,
     },
-    /// The proxy's own place.
+    /// The location of the proxy itself.
     Proxy {
-        /// Its zone.
+        /// The zone of the proxy.
         zone: String,
     },
-    /// The number that stands for a member in the records of this run.
+    /// Assigns a number to a member for the records of this run.
     #[serde(rename = "Name")]
     Member {
         /// The number.
@@ -74,28 +75,28 @@
         /// The zone.
         zone: String,
     },
-    /// A request got its final answer.
+    /// The final answer to a request.
     Answer {
-        /// Its class.
+        /// The class of the request.
         class: u16,
-        /// Its group.
+        /// The group of the request.
         group: u64,
-        /// The member that served it.
+        /// The member that served the request.
         member: Option<u32>,
-        /// How many attempts were sent.
+        /// The number of attempts that were sent.
         attempts: u16,
-        /// The time since the request's last byte arrived.
+        /// The time from the arrival of the request's last byte to the answer.
         took: Micros,
-        /// How it was answered.
+        /// The outcome of the request.
         outcome: Outcome,
-        /// For a read that was rejected as too stale.
+        /// The staleness of the data, for a read that was rejected as too stale.
         #[serde(rename = "stale")]
         staleness: Option<Staleness>,
     },
     /// The state of a member.
     #[serde(rename = "Seen")]
     MemberState(MemberState),
-    /// The endpoint list names a member.
+    /// An entry of the endpoint list.
     #[serde(rename = "Listed")]
     EndpointListed {
         /// The version of the list.
@@ -105,21 +106,21 @@
         member: u32,
         /// `active`, `leaving` or `left`.
         health: String,
-        /// When it last started; 0: long ago.
+        /// The time of the last start; 0 if it was long ago.
         #[serde(rename = "born")]
         started_at: Micros,
     },
-    /// The staleness of the endpoint list, or an answer of discovery that is suspect.
+    /// The staleness of the endpoint list, or a suspect answer from discovery.
     #[serde(rename = "List")]
     EndpointListState {
-        /// The name of the staleness.
+        /// The name of the staleness level.
         #[serde(rename = "age")]
         staleness: Option<String>,
-        /// Why an answer is suspect.
+        /// The reason why an answer is suspect.
         #[serde(rename = "doubt")]
         suspect: Option<String>,
     },
-    /// A health check has ended.
+    /// The result of a health check.
     #[serde(rename = "Probe")]
     HealthCheck {
         /// The member.
@@ -128,34 +129,34 @@
         #[serde(rename = "ok")]
         answered: bool,
     },
-    /// The configuration was read again.
+    /// A reload of the configuration.
     Reload {
-        /// Whether it was applied.
+        /// Whether the new configuration was applied.
         #[serde(rename = "ok")]
         applied: bool,
     },
-    /// The process was asked to end.
+    /// The process was asked to shut down.
     #[serde(rename = "Stopping")]
     ShuttingDown,
-    /// Records were lost; the span ends at the time of this record.
+    /// Records were lost. The span ends at the time of this record.
     Lost {
-        /// How many.
+        /// The number of lost records.
         count: u64,
-        /// When the span begins.
+        /// The start of the span.
         since: Micros,
     },
-    /// Something was done in a rollout that this proxy drives.
+    /// An action in a rollout that this proxy leads.
     #[serde(rename = "Release")]
     Rollout {
-        /// The rollout's name.
+        /// The name of the rollout.
         #[serde(rename = "release")]
         rollout: String,
-        /// What was done.
+        /// The action.
         #[serde(rename = "what")]
         action: String,
-        /// The member to which it was done; `-`: none.
+        /// The member that the action is about, or `-` for none.
         member: String,
-        /// Further detail: a launch, a wave, or a reason.
+        /// Further detail, such as a process start, a wave or a reason.
         detail: String,
     },
 }
--- a/crates/records/src/recorder.rs
+++ b/crates/records/src/recorder.rs
@@ -1,4 +1,4 @@
-//! The recorder: a bounded queue of records, behind which a thread of its own writes the store.
+//! The recorder: a bounded queue of records, and a separate thread that writes them to the store.
 
 use crate::record::{Micros, Record, TimedRecord};
 use crate::store::StoreLimits;
@@ -11,16 +11,16 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How many records are submitted to the thread together, at most. Each submission wakes the thread, which costs more
-/// than a record does.
+/// The maximum number of records in one submission to the writer thread. Each submission wakes the thread,
+/// which costs more than a record does.
 const MAX_SUBMISSION: usize = 64;
-/// How long a record waits for others before it is submitted.
+/// The time that a record waits for others before it is submitted.
 pub(crate) const MAX_SUBMISSION_DELAY: Micros = 100_000;
-/// The least capacity of the queue, in submissions.
+/// The minimum capacity of the queue, in submissions.
 const MIN_QUEUED_SUBMISSIONS: usize = 4;
-/// How long the last flush may take when the process ends.
+/// The time limit for the last flush when the process exits.
 const LAST_FLUSH_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The interval at which the end of the last flush is checked.
+/// The interval at which the completion of the last flush is checked.
 const LAST_FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The configuration of a [`Recorder`].
@@ -28,20 +28,20 @@
 pub struct RecorderConfig {
     /// The directory of the stores.
     pub directory: PathBuf,
-    /// The proxy's name.
+    /// The name of the proxy.
     pub proxy: String,
-    /// How many records may wait in the queue.
+    /// The maximum number of records in the queue.
     pub queue_capacity: usize,
-    /// How long a record waits for the next flush.
+    /// The interval between flushes.
     pub flush_interval: Duration,
-    /// The bounds of the store.
+    /// The limits on the store's size and retention.
     pub limits: StoreLimits,
 }
 
-/// Takes records without ever waiting. Dropping it flushes what waits and ends the run.
+/// Accepts records without ever blocking. Dropping the recorder flushes pending records and ends the run.
 pub struct Recorder {
     queue: SyncSender<Message>,
-    gathered: RefCell<Vec<TimedRecord>>,
+    buffered: RefCell<Vec<TimedRecord>>,
     submitted_at: Cell<Micros>,
     progress: Arc<Progress>,
     now: Box<dyn Fn() -> Micros>,
@@ -49,12 +49,12 @@
 }
 
 impl Recorder {
-    /// Starts the thread. It opens the store itself, so that a disk that hangs does not hold up the proxy's start. `now`
-    /// is the clock; `report` is called with what an operator should know.
+    /// Starts the writer thread. The thread itself opens the store, so that a hanging disk does not delay the
+    /// start of the proxy. `now` is the clock; `report` receives messages for operators.
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system if the thread cannot be started.
+    /// Returns the operating system's error if the thread cannot be started.
     pub fn start(
         config: RecorderConfig,
         now: impl Fn() -> Micros + Clone + Send + 'static,
@@ -69,7 +69,7 @@
         let writer = std::thread::Builder::new().name("records".to_string()).spawn(write)?;
         Ok(Recorder {
             queue,
-            gathered: RefCell::default(),
+            buffered: RefCell::default(),
             submitted_at: Cell::new(now()),
             progress,
             now: Box::new(now),
@@ -77,32 +77,32 @@
         })
     }
 
-    /// Records something that happened now.
+    /// Adds a record with the current time.
     pub fn record(&self, record: Record) {
         let at = (self.now)();
-        let gathered = {
-            let mut gathered = self.gathered.borrow_mut();
-            gathered.push((at, record));
-            gathered.len()
+        let buffered = {
+            let mut buffered = self.buffered.borrow_mut();
+            buffered.push((at, record));
+            buffered.len()
         };
-        if gathered >= MAX_SUBMISSION || at - self.submitted_at.get() >= MAX_SUBMISSION_DELAY {
+        if buffered >= MAX_SUBMISSION || at - self.submitted_at.get() >= MAX_SUBMISSION_DELAY {
             self.submit();
         }
     }
 
-    /// Submits the gathered records to the thread. To be called at a steady pace, so that little is lost when the process
-    /// is killed.
+    /// Submits the buffered records to the writer thread. Callers do this at regular intervals, so that
+    /// little is lost when the process is killed.
     pub fn submit(&self) {
         let at = (self.now)();
         self.submitted_at.set(at);
-        let batch = Batch { records: self.gathered.take(), complete_until: at };
+        let batch = Batch { records: self.buffered.take(), complete_until: at };
         let count = batch.records.len() as u64;
         if self.queue.try_send(Message::Records(batch)).is_err() {
             self.progress.dropped.fetch_add(count, Ordering::Relaxed);
         }
     }
 
-    /// How many records are in the store.
+    /// Returns the number of records that were written to the store.
     pub fn stored_count(&self) -> u64 {
         self.progress.stored.load(Ordering::Acquire)
     }
@@ -111,7 +111,7 @@
 impl Drop for Recorder {
     fn drop(&mut self) {
         let deadline = Instant::now() + LAST_FLUSH_TIMEOUT;
-        let batch = Batch { records: self.gathered.take(), complete_until: (self.now)() };
+        let batch = Batch { records: self.buffered.take(), complete_until: (self.now)() };
         let mut message = Message::End(batch);
         while let Err(TrySendError::Full(unsent)) = self.queue.try_send(message) {
             if Instant::now() >= deadline {
@@ -120,7 +120,7 @@
             std::thread::sleep(LAST_FLUSH_POLL_INTERVAL);
             message = unsent;
         }
-        // If the disk hangs the thread is left behind: the process must be able to end.
+        // If the disk hangs, the thread is not joined: the process must be able to exit.
         let is_writing = || self.writer.as_ref().is_some_and(|writer| !writer.is_finished());
         while is_writing() && Instant::now() < deadline {
             std::thread::sleep(LAST_FLUSH_POLL_INTERVAL);
--- a/crates/records/src/store/error.rs
+++ b/crates/records/src/store/error.rs
@@ -1,12 +1,12 @@
-//! The errors of a store that is written.
+//! Errors of opening and writing a store.
 
 use super::FORMAT;
 use rusqlite::ErrorCode::{DatabaseCorrupt, NotADatabase};
 
-/// Why a store cannot be opened or written.
+/// The reason why a store cannot be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// `SQLite` failed.
+    /// `SQLite` reported an error.
     #[error(transparent)]
     Database(#[from] rusqlite::Error),
     /// Records could not be encoded.
@@ -15,13 +15,13 @@
     /// The file has another version of the format.
     #[error("format {found}, this is {FORMAT}")]
     UnknownFormat {
-        /// The version of the file.
+        /// The version of the format in the file.
         found: i64,
     },
 }
 
 impl StoreError {
-    /// Whether the file itself cannot be used, however often that is tried.
+    /// Returns whether the file itself is unusable, so that retries cannot help.
     pub(super) fn is_file_unusable(&self) -> bool {
         match self {
             StoreError::Database(error) => {
--- a/crates/records/src/store/mod.rs
+++ b/crates/records/src/store/mod.rs
@@ -1,7 +1,8 @@
-//! The store of one proxy: an `SQLite` file in write-ahead mode, so that others read it while it is written.
+//! The store of one proxy: an `SQLite` file in write-ahead mode, so that it can be read while it is written.
 //!
-//! Records are written in flushes. One row holds a flush as a block with a checksum, and the same transaction adds the
-//! flush's answers to the summaries by window and class, so a flush is stored completely or not at all.
+//! Records are written in flushes. A flush is one row: a block of records with a checksum. The same
+//! transaction adds the answers of the flush to the summaries by window, class and outcome, so a flush is
+//! stored completely or not at all.
 
 mod error;
 mod retention;
@@ -15,26 +16,26 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// The length of a window of summaries.
+/// The length of a summary window.
 pub const SUMMARY_WINDOW: Micros = 10_000_000;
 
-/// The bounds of a store.
+/// The limits on a store's size and retention.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// The size of the file in bytes past which the oldest blocks are removed.
+    /// The file size in bytes above which the oldest blocks are removed.
     pub max_bytes: u64,
-    /// How long blocks are kept.
+    /// The time for which blocks are kept.
     pub block_retention: Micros,
-    /// How long summaries, names and runs are kept.
+    /// The time for which summaries, names and runs are kept.
     pub summary_retention: Micros,
 }
 
-/// A file that could not be used and was moved aside.
+/// An unusable file that was renamed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantinedFile {
-    /// Where it is now.
+    /// The new path of the file.
     pub path: PathBuf,
-    /// Why it could not be used.
+    /// The reason why the file was unusable.
     pub reason: String,
 }
 
@@ -43,11 +44,11 @@
 pub struct OpenedStore {
     /// The store.
     pub store: Store,
-    /// The file that stood in its place and could not be used.
+    /// The unusable file that the store replaces.
     pub quarantined: Option<QuarantinedFile>,
 }
 
-/// A store that is open to be written.
+/// A store that is open for writing.
 #[derive(Debug)]
 pub struct Store {
     connection: Connection,
@@ -63,7 +64,7 @@
     outcome_code: i64,
 }
 
-/// The answers of one summary.
+/// The totals of the answers that share a [`SummaryKey`].
 #[derive(Default)]
 struct Summary {
     count: u64,
@@ -72,7 +73,8 @@
     longest: Micros,
 }
 
-/// The file of a proxy in a directory. Characters of its name other than letters, digits, `-`, `_` and `.` become `_`.
+/// Returns the path of a proxy's store in a directory. Characters of the proxy's name other than ASCII
+/// letters, digits, `-`, `_` and `.` are replaced with `_`.
 pub fn path(directory: &Path, proxy: &str) -> PathBuf {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     let stem: String = proxy.chars().map(|c| if is_plain(c) { c } else { '_' }).collect();
@@ -80,15 +82,15 @@
 }
 
 impl Store {
-    /// Opens a proxy's store and begins a run in it.
+    /// Opens a proxy's store and starts a run in it.
     ///
-    /// A file that is damaged or of another format is moved aside under a new name and never written to; what it holds
-    /// stays readable as far as it is.
+    /// A file that is damaged or has another format is renamed and never written to, so its contents stay as
+    /// readable as they are.
     ///
     /// # Errors
     ///
-    /// Returns why the file cannot be opened, or why one that cannot be used could not be moved aside: there is no store
-    /// then, since nothing is overwritten.
+    /// Returns an error if the file cannot be opened, or if it is unusable and cannot be renamed: it is never
+    /// overwritten.
     pub fn open(
         directory: &Path,
         proxy: &str,
@@ -100,20 +102,21 @@
         let connection = match schema::open(&path) {
             Ok(connection) => connection,
             Err(error) if error.is_file_unusable() && path.exists() => {
-                quarantined = Some(move_aside(&path, now).map_err(|_| error)?);
+                quarantined = Some(quarantine(&path, now).map_err(|_| error)?);
                 schema::open(&path)?
             }
             Err(error) => return Err(error),
         };
-        let run = begin_run(&connection, proxy, now)?;
+        let run = insert_run(&connection, proxy, now)?;
         Ok(OpenedStore { store: Store { connection, run, limits }, quarantined })
     }
 
-    /// Appends a flush, and records that the process was alive at `now`. The flush is stored once this returns.
+    /// Appends a flush, and records that the process was alive at `now`. The flush is committed when this
+    /// returns.
     ///
     /// # Errors
     ///
-    /// Returns why the flush could not be stored; nothing of it is then.
+    /// Returns an error if the flush could not be stored; no part of it is stored then.
     pub fn append(&mut self, records: &[TimedRecord], now: Micros) -> Result<(), StoreError> {
         let run = self.run;
         let transaction = self.connection.transaction()?;
@@ -127,11 +130,11 @@
         Ok(())
     }
 
-    /// Ends the run in order.
+    /// Records the graceful end of the run.
     ///
     /// # Errors
     ///
-    /// Returns why the end could not be stored; the run looks like one that was killed then.
+    /// Returns an error if the end could not be stored; the run then looks as if it had been killed.
     pub fn end_run(&mut self, now: Micros) -> Result<(), StoreError> {
         self.connection.execute(
             "UPDATE runs SET alive = max(alive, ?2), ended = ?2 WHERE run = ?1",
@@ -141,19 +144,19 @@
     }
 }
 
-/// Moves a file that cannot be used aside, with its log.
-fn move_aside(path: &Path, now: Micros) -> std::io::Result<QuarantinedFile> {
-    let aside = path.with_extension(format!("wharfplank-aside-{now}"));
-    std::fs::rename(path, &aside)?;
+/// Renames an unusable file and its write-ahead log files.
+fn quarantine(path: &Path, now: Micros) -> std::io::Result<QuarantinedFile> {
+    let new_path = path.with_extension(format!("wharfplank-aside-{now}"));
+    std::fs::rename(path, &new_path)?;
     for suffix in ["-wal", "-shm"] {
         let with_suffix = |path: &Path| PathBuf::from(format!("{}{suffix}", path.display()));
-        // There may be none.
-        let _ = std::fs::rename(with_suffix(path), with_suffix(&aside));
+        // The file may not exist.
+        let _ = std::fs::rename(with_suffix(path), with_suffix(&new_path));
     }
-    Ok(QuarantinedFile { path: aside, reason: "damaged, or of another format".to_string() })
+    Ok(QuarantinedFile { path: new_path, reason: "damaged, or of another format".to_string() })
 }
 
-fn begin_run(connection: &Connection, proxy: &str, now: Micros) -> Result<i64, rusqlite::Error> {
+fn insert_run(connection: &Connection, proxy: &str, now: Micros) -> Result<i64, rusqlite::Error> {
     let version = env!("CARGO_PKG_VERSION");
     connection.execute(
         "INSERT INTO runs (proxy, version, pid, started, alive) VALUES (?1, ?2, ?3, ?4, ?4)",
--- a/crates/records/src/store/retention.rs
+++ b/crates/records/src/store/retention.rs
@@ -1,22 +1,22 @@
-//! Retention: the removal of what is too old, or more than the store may hold.
+//! Retention: removes expired data, and the oldest blocks of a store that is too large.
 
 use super::{Store, StoreError};
 use crate::record::Micros;
 use rusqlite::params;
 
-/// The bound on blocks that one step removes for their age, so that a step stays short.
+/// The maximum number of expired blocks that one step removes, so that a step stays short.
 const MAX_BLOCKS_PER_STEP: usize = 512;
-/// The bound on blocks that one step removes because the file is too large.
+/// The maximum number of blocks that one step removes because the file is too large.
 const MAX_BLOCKS_PER_STEP_OVER_SIZE: usize = MAX_BLOCKS_PER_STEP / 8;
-/// How many free pages one step gives back to the file system.
+/// The maximum number of free pages that one step returns to the file system.
 const VACUUM_PAGES_PER_STEP: usize = MAX_BLOCKS_PER_STEP * 4;
 
 impl Store {
-    /// Removes what is too old or too much, in one short step. Returns whether there is more to remove.
+    /// Removes expired and excess data in one short step. Returns whether there may be more to remove.
     ///
     /// # Errors
     ///
-    /// Returns the error of `SQLite`; a part of the step may have been done.
+    /// Returns an error from `SQLite`; part of the step may already have been applied.
     pub fn apply_retention(&mut self, now: Micros) -> Result<bool, StoreError> {
         let is_over_size = self.used_bytes()? > self.limits.max_bytes;
         let removed = self.remove_blocks(now, is_over_size)?;
@@ -27,7 +27,7 @@
         Ok(removed == MAX_BLOCKS_PER_STEP || (is_over_size && removed > 0))
     }
 
-    /// The size of the file without its free pages.
+    /// Returns the size of the file without its free pages, in bytes.
     fn used_bytes(&self) -> Result<u64, rusqlite::Error> {
         let page_size = self.pragma("page_size")?;
         let used_pages = self.pragma("page_count")? - self.pragma("freelist_count")?;
@@ -38,7 +38,7 @@
         self.connection.query_row(&format!("PRAGMA {name}"), [], |row| row.get(0))
     }
 
-    /// Removes the oldest blocks: those past their time, or whatever their age if the file is too large.
+    /// Removes the oldest blocks: expired ones, or blocks of any age if the file is too large.
     fn remove_blocks(&self, now: Micros, is_over_size: bool) -> Result<usize, rusqlite::Error> {
         let oldest = now - self.limits.block_retention;
         let max_blocks = if is_over_size { MAX_BLOCKS_PER_STEP_OVER_SIZE } else { MAX_BLOCKS_PER_STEP };
@@ -48,7 +48,7 @@
         )
     }
 
-    /// Removes summaries that are past their time, and names and runs with them. The current run stays.
+    /// Removes expired summaries, and the names and runs of that time. The current run is kept.
     fn remove_summaries(&self, now: Micros) -> Result<(), rusqlite::Error> {
         let oldest = now - self.limits.summary_retention;
         self.connection.execute("DELETE FROM sums WHERE window < ?1", [oldest])?;
--- a/crates/records/src/store/schema.rs
+++ b/crates/records/src/store/schema.rs
@@ -1,18 +1,19 @@
-//! The format of a store: its tables, and how its file is opened.
+//! The file format of a store, and the opening of the file.
 
 use super::StoreError;
 use rusqlite::{Connection, OptionalExtension};
 use std::path::Path;
 use std::time::Duration;
 
-/// The version of the format. A file of another version is set aside, since nothing converts it.
+/// The version of the format. A file with another version is renamed and replaced, since there is no
+/// conversion.
 pub const FORMAT: i64 = 1;
 
-/// How long a statement waits for a reader's lock.
+/// The time that a statement waits for a reader's lock.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(200);
-/// The size of `SQLite`'s page cache; a negative number counts KiB.
+/// The size of `SQLite`'s page cache; negative values are in KiB.
 const CACHE_SIZE: i64 = -1024;
-/// The size to which the write-ahead log is truncated, in bytes.
+/// The size to which the write-ahead log is truncated after a checkpoint, in bytes.
 const LOG_SIZE_LIMIT: i64 = 4 << 20;
 
 const TABLES: [&str; 4] = ["runs", "blocks", "names", "sums"];
@@ -30,7 +31,7 @@
         PRIMARY KEY (run, window, class, outcome)) WITHOUT ROWID;
 ";
 
-/// Opens a file to be written, and creates its tables if it is new.
+/// Opens a file for writing, and creates the tables if the file is new.
 pub(super) fn open(path: &Path) -> Result<Connection, StoreError> {
     let connection = Connection::open(path)?;
     connection.busy_timeout(LOCK_TIMEOUT)?;
@@ -48,7 +49,8 @@
     Ok(connection)
 }
 
-/// Sets up the connection so that a kill at any moment costs nothing, and a power cut the last flushes at most.
+/// Configures the connection so that killing the process never loses a committed flush, and a power failure
+/// loses at most the latest flushes.
 fn configure(connection: &Connection) -> Result<(), rusqlite::Error> {
     connection.pragma_update(None, "auto_vacuum", "INCREMENTAL")?;
     connection.pragma_update(None, "journal_mode", "WAL")?;
@@ -57,7 +59,8 @@
     connection.pragma_update(None, "journal_size_limit", LOG_SIZE_LIMIT)
 }
 
-/// Reads a row of each table: damage there shows when the file is opened and not in the middle of a day.
+/// Reads one row of each table, so that damage there is found when the file is opened instead of during
+/// operation.
 fn check_tables(connection: &Connection) -> Result<(), rusqlite::Error> {
     for table in TABLES {
         connection.query_row(&format!("SELECT 1 FROM {table} LIMIT 1"), [], |_| Ok(())).optional()?;
--- a/crates/records/src/writer.rs
+++ b/crates/records/src/writer.rs
@@ -1,4 +1,5 @@
-//! The thread behind a recorder: it gathers records to flushes, writes the store, and counts what could not be stored.
+//! The writer thread of a recorder: collects records into flushes, writes them to the store, and counts lost
+//! records.
 
 use crate::record::{Micros, Record, TimedRecord};
 use crate::recorder::{RecorderConfig, MAX_SUBMISSION_DELAY};
@@ -8,34 +9,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The bound on records of one flush, give or take one submission.
+/// The number of records at which a flush is written. One submission more may be included.
 const MAX_FLUSH_RECORDS: usize = 8192;
-/// The pause between attempts to open a store that could not be opened or written.
+/// The interval between attempts to open a store that could not be opened or written.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
-/// The pause between steps of retention when nothing is left to remove, and while there is.
+/// The interval between retention steps when nothing is left to remove.
 const RETENTION_INTERVAL: Duration = Duration::from_secs(60);
+/// The interval between retention steps while there is more to remove.
 const RETENTION_INTERVAL_WHILE_MORE: Duration = Duration::from_secs(1);
 
-/// Records, and the time up to which the records of this process are complete with them.
+/// Records, and the time up to which the records of this process are complete once these are stored.
 pub(crate) struct Batch {
     pub(crate) records: Vec<TimedRecord>,
     pub(crate) complete_until: Micros,
 }
 
-/// What the serving thread submits.
+/// A message from the serving thread.
 pub(crate) enum Message {
-    /// Records.
+    /// Records to store.
     Records(Batch),
-    /// The last records: the run ends.
+    /// The last records of the run.
     End(Batch),
 }
 
-/// Counters that both threads share.
+/// Counters that the serving thread and the writer thread share.
 #[derive(Default)]
 pub(crate) struct Progress {
-    /// Records dropped from a full queue since the last submission that got through.
+    /// Records that were dropped because the queue was full, and not yet counted as lost.
     pub(crate) dropped: AtomicU64,
-    /// Records in the store.
+    /// Records that were written to the store.
     pub(crate) stored: AtomicU64,
 }
 
@@ -46,7 +48,7 @@
     since: Micros,
 }
 
-/// The state of the thread.
+/// The state of the writer thread.
 pub(crate) struct Writer<Now, Report> {
     config: RecorderConfig,
     messages: Receiver<Message>,
@@ -58,10 +60,10 @@
     /// The records of the next flush.
     pending: Vec<TimedRecord>,
     complete_until: Micros,
-    /// When the run ended, once it has.
+    /// The time at which the run ended, once it has.
     ended_at: Option<Micros>,
     reopen_at: Instant,
-    retain_at: Instant,
+    next_retention_at: Instant,
 }
 
 impl<Now: Fn() -> Micros, Report: Fn(&str)> Writer<Now, Report> {
@@ -84,14 +86,14 @@
             pending: Vec::new(),
             ended_at: None,
             reopen_at: Instant::now(),
-            retain_at: Instant::now() + RETENTION_INTERVAL,
+            next_retention_at: Instant::now() + RETENTION_INTERVAL,
         }
     }
 
     /// Runs until the recorder is dropped.
     pub(crate) fn run(mut self) {
         loop {
-            self.gather();
+            self.collect();
             self.count_dropped();
             self.open_if_due();
             self.flush();
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Gathers the records of the next flush.
-    fn gather(&mut self) {
+    /// Collects the records of the next flush.
+    fn collect(&mut self) {
         let flush_at = Instant::now() + self.config.flush_interval;
         while self.pending.len() < MAX_FLUSH_RECORDS && self.ended_at.is_none() {
             let timeout = flush_at.saturating_duration_since(Instant::now());
@@ -125,7 +127,7 @@
         self.complete_until = batch.complete_until;
     }
 
-    /// Counts the records that the queue had no room for as lost. They fell between the last flush and now.
+    /// Counts the records that were dropped from the full queue as lost. They were made since the last flush.
     fn count_dropped(&mut self) {
         let dropped = self.progress.dropped.swap(0, Ordering::Relaxed);
         let flush_interval = self.config.flush_interval.as_micros() as Micros;
@@ -159,7 +161,7 @@
                     (self.report)(&format!("a store was set aside as {path}: {}", file.reason));
                 }
             }
-            // Reported once for each time that records are lost.
+            // Reported once per series of lost records.
             Err(error) if self.lost.is_none() => {
                 (self.report)(&format!("the store cannot be opened: {error}"));
             }
@@ -167,14 +169,15 @@
         }
     }
 
-    /// Appends the pending records to the store. If that fails they are counted as lost.
+    /// Appends the pending records to the store. If that fails, they are counted as lost.
     fn flush(&mut self) {
         let mut records = std::mem::take(&mut self.pending);
-        // The run is known to have lived up to the last submission: what was gathered since dies with the process.
+        // The run is known to be alive up to the last submission: records that were buffered since then are
+        // lost if the process is killed.
         let alive_at = self.complete_until;
         let first_at = records.first().map_or(alive_at, |(at, _)| *at);
         let count = records.len() as u64;
-        // Earlier losses are recorded by the first flush that succeeds, as the first of its records.
+        // Earlier losses are recorded as the first record of the next flush that succeeds.
         if let Some(LostRecords { count, since }) = self.lost {
             records.insert(0, (first_at, Record::Lost { count, since }));
         }
@@ -186,7 +189,7 @@
             }
             Some(Err(error)) => {
                 (self.report)(&format!("records cannot be kept: {error}"));
-                // The file is opened again: it may be gone, full or damaged.
+                // The file may be gone, full or damaged, so it is opened again.
                 self.store = None;
                 self.count_lost(count, first_at);
             }
@@ -198,13 +201,13 @@
 
     fn end_run(&mut self, ended_at: Micros) {
         if let Some(store) = &mut self.store {
-            // If this fails, the run looks like one that was killed, and no record is lost.
+            // If this fails, the run looks as if it had been killed, but no record is lost.
             let _ = store.end_run(ended_at);
         }
     }
 
     fn apply_retention_if_due(&mut self) {
-        if Instant::now() < self.retain_at {
+        if Instant::now() < self.next_retention_at {
             return;
         }
         let now = (self.now)();
@@ -213,6 +216,6 @@
             Some(Ok(true)) => RETENTION_INTERVAL_WHILE_MORE,
             _ => RETENTION_INTERVAL,
         };
-        self.retain_at = Instant::now() + interval;
+        self.next_retention_at = Instant::now() + interval;
     }
 }
--- a/crates/records/tests/encoding.rs
+++ b/crates/records/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! The bytes of stored records, which later versions read.
+//! The encoding of stored records, which later releases must be able to read.
 
 use wharfplank_records::{FailureReason, MemberState, Outcome, Record, Staleness};
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn records_keep_their_bytes() {
+fn records_keep_their_encoding() {
     for (record, expected) in records() {
         assert_eq!(hex(&record), expected, "{record:?}");
     }
--- a/crates/records/tests/store.rs
+++ b/crates/records/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store and the recorder through failures.
+//! The store and the recorder, including their behavior under failures.
 
 use std::io::{Seek, SeekFrom, Write};
 use std::path::Path;
@@ -39,18 +39,18 @@
     Store::open(directory, "n0", LIMITS, now).unwrap().store
 }
 
-fn all(source: &StoreReader) -> (Vec<(Micros, Record)>, Vec<GapCause>) {
+fn all(reader: &StoreReader) -> (Vec<(Micros, Record)>, Vec<GapCause>) {
     let mut records = Vec::new();
-    let gaps = source
+    let gaps = reader
         .records(0..=Micros::MAX, BlockFilter::All, |_, at, record| records.push((at, record)))
         .unwrap();
     (records, gaps.into_iter().map(|g| g.cause).collect())
 }
 
-/// Guards against records that come back otherwise than they went in, and sums that differ from them, while the
-/// writer still has the file open.
+/// Guards against records that change between writing and reading, and against summaries that do not match
+/// the records, while the writer still has the file open.
 #[test]
-fn appended_records_are_read_beside_the_writer() {
+fn appended_records_can_be_read_while_writing() {
     let dir = tempfile::tempdir().unwrap();
     let mut store = open(dir.path(), T);
     let name = Record::Class { class: 1, name: "lookup".into(), latency_objective: 300_000 };
@@ -63,29 +63,34 @@
     ];
     store.append(&first, T + 3).unwrap();
     store.append(&second, later).unwrap();
-    let source = StoreReader::open(&store::path(dir.path(), "n0")).unwrap();
-    assert_eq!(all(&source), (first.iter().chain(&second).cloned().collect(), vec![]));
-    let mut refused = 0;
-    source
+    let reader = StoreReader::open(&store::path(dir.path(), "n0")).unwrap();
+    assert_eq!(all(&reader), (first.iter().chain(&second).cloned().collect(), vec![]));
+    let mut answers = 0;
+    reader
         .records(0..=Micros::MAX, BlockFilter::WithFailures, |_, _, r| {
-            refused += u32::from(matches!(r, Record::Answer { .. }));
+            answers += u32::from(matches!(r, Record::Answer { .. }));
         })
         .unwrap();
-    assert_eq!(refused, 2, "only the block with a refusal");
-    let sums: Vec<_> = source
+    assert_eq!(answers, 2, "only the answers of the block with a rejected one");
+    let summaries: Vec<_> = reader
         .summaries(T, later)
         .unwrap()
         .into_iter()
         .map(|s| (s.outcome_code, s.count, s.longest))
         .collect();
-    assert_eq!(sums, [(0, 1, 10), (0, 1, 30), (Outcome::Rejected(FailureReason::TooStale).code(), 1, 5)]);
-    assert_eq!(source.name(1, NameKind::Class, 1).map(|n| n.name.as_str()), Some("lookup"));
-    // Read-only media and copies without their log: what the file itself holds.
-    drop((source, store));
+    assert_eq!(
+        summaries,
+        [(0, 1, 10), (0, 1, 30), (Outcome::Rejected(FailureReason::TooStale).code(), 1, 5)]
+    );
+    assert_eq!(reader.name(1, NameKind::Class, 1).map(|n| n.name.as_str()), Some("lookup"));
+    // The file stays readable after the writer has closed it, as on a read-only medium or as a copy without
+    // its log.
+    drop((reader, store));
     assert!(StoreSet::open(&[dir.path().to_path_buf()]).problems.is_empty());
 }
 
-/// Guards against runs that are drawn through: an end in order, one cut off, and a clock that went back.
+/// Guards against missing gaps between runs: after a graceful end, after a kill, and after the clock was set
+/// back.
 #[test]
 fn the_time_between_runs_is_a_gap() {
     let dir = tempfile::tempdir().unwrap();
@@ -96,15 +101,15 @@
     open(dir.path(), T + 8 * SECOND).append(&[], T + 9 * SECOND).unwrap();
     open(dir.path(), T + 12 * SECOND).append(&[], T + 13 * SECOND).unwrap();
     drop(open(dir.path(), T + 2 * SECOND));
-    let source = StoreReader::open(&store::path(dir.path(), "n0")).unwrap();
+    let reader = StoreReader::open(&store::path(dir.path(), "n0")).unwrap();
     let gaps: Vec<_> =
-        source.gaps().into_iter().map(|g| (g.cause, (g.from - T) / SECOND, (g.to - T) / SECOND)).collect();
+        reader.gaps().into_iter().map(|g| (g.cause, (g.from - T) / SECOND, (g.to - T) / SECOND)).collect();
     assert_eq!(gaps, [(GapCause::Restart, 6, 8), (GapCause::Killed, 9, 12), (GapCause::ClockBack, 2, 13)]);
 }
 
-/// Guards against a flipped bit that is read as something else, and against one that makes the rest unreadable.
+/// Guards against a changed byte that is decoded as other records, or that makes the other blocks unreadable.
 #[test]
-fn a_damaged_block_is_a_gap_and_a_damaged_file_is_set_aside() {
+fn damaged_block_is_a_gap_and_damaged_file_is_replaced() {
     let dir = tempfile::tempdir().unwrap();
     let path = store::path(dir.path(), "n0");
     let mut store = open(dir.path(), T);
@@ -116,28 +121,28 @@
     store.end_run(T + 40 * SECOND).unwrap();
     drop(store);
     let bytes = std::fs::read(&path).unwrap();
-    let mark = postcard::to_stdvec(&answer(123_456_789, Outcome::Late)).unwrap();
-    let at = bytes.windows(mark.len()).rposition(|w| w == mark).expect("a record in the file");
+    let encoded = postcard::to_stdvec(&answer(123_456_789, Outcome::Late)).unwrap();
+    let at = bytes.windows(encoded.len()).rposition(|w| w == encoded).expect("a record in the file");
     let mut file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
     file.seek(SeekFrom::Start(at as u64 + 3)).unwrap();
     file.write_all(&[!bytes[at + 3]]).unwrap();
     let (records, gaps) = all(&StoreReader::open(&path).unwrap());
     assert_eq!((records.len(), gaps), (39 * 200, vec![GapCause::Damaged]));
-    // Noise over the first pages: not read, not written over, and a new store begins beside it.
+    // With its first pages overwritten, the file is neither read nor written to, and a new store replaces it.
     file.seek(SeekFrom::Start(0)).unwrap();
     file.write_all(&[0x5a; 9000]).unwrap();
     assert!(StoreReader::open(&path).is_err());
     let opened = Store::open(dir.path(), "n0", LIMITS, T + 60 * SECOND).unwrap();
     let mut store = opened.store;
     store.append(&[(T + 60 * SECOND, answer(1, Outcome::Served))], T + 60 * SECOND).unwrap();
-    let quarantined = opened.quarantined.expect("a file set aside");
+    let quarantined = opened.quarantined.expect("the renamed file");
     assert_eq!(std::fs::metadata(quarantined.path).unwrap().len(), bytes.len() as u64);
     assert_eq!(all(&StoreReader::open(&path).unwrap()).0.len(), 1);
 }
 
-/// Guards against a store of another format that is misread or written to.
+/// Guards against a store of another format that is decoded wrongly or written to.
 #[test]
-fn another_format_is_named_and_set_aside() {
+fn other_format_is_reported_and_replaced() {
     let dir = tempfile::tempdir().unwrap();
     let path = store::path(dir.path(), "n0");
     drop(open(dir.path(), T));
@@ -148,9 +153,9 @@
     assert!(opened.quarantined.is_some());
 }
 
-/// Guards against a store without an end: old blocks go by age and by size, sums stay longer.
+/// Guards against unbounded growth: blocks are removed by age and by file size, summaries are kept longer.
 #[test]
-fn retention_removes_what_is_old_or_too_much() {
+fn retention_removes_expired_and_excess_data() {
     let dir = tempfile::tempdir().unwrap();
     let limits = StoreLimits { max_bytes: 300_000, ..LIMITS };
     let mut store = Store::open(dir.path(), "n0", limits, T).unwrap().store;
@@ -165,10 +170,10 @@
     let after = StoreReader::open(&path).unwrap();
     assert!(after.used_bytes().unwrap() <= limits.max_bytes);
     let (records, _) = all(&after);
-    assert!(!records.is_empty() && records.iter().all(|(at, _)| *at > T), "the newest stay");
+    assert!(!records.is_empty() && records.iter().all(|(at, _)| *at > T), "the newest records are kept");
     let total =
         |s: &StoreReader| s.summaries(0, Micros::MAX / 2).unwrap().iter().map(|s| s.count).sum::<u64>();
-    assert_eq!(total(&after), 200 * 300, "sums outlive their records");
+    assert_eq!(total(&after), 200 * 300, "summaries are kept longer than records");
     while store.apply_retention(T + 3 * 3600 * SECOND).unwrap() {}
     assert_eq!((all(&after).0.len(), total(&after)), (0, 0));
 }
@@ -188,62 +193,63 @@
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_micros() as Micros
 }
 
-fn until(what: &str, done: impl Fn() -> bool) {
+fn wait_until(condition: &str, done: impl Fn() -> bool) {
     let end = Instant::now() + Duration::from_secs(60);
     while !done() {
-        assert!(Instant::now() < end, "{what} never came");
+        assert!(Instant::now() < end, "timed out waiting for {condition}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Guards against a disk that cannot be written and stops the proxy, or loses records without a word: what came
-/// meanwhile is counted, and told as soon as the disk is back.
+/// Guards against an unwritable disk that blocks the proxy or loses records unnoticed: records that cannot be
+/// stored are counted, and the count is stored once the disk is available again.
 #[test]
-fn a_disk_that_is_missing_for_a_while_leaves_a_counted_gap() {
+fn unavailable_disk_leaves_a_counted_gap() {
     let dir = tempfile::tempdir().unwrap();
-    let gone = dir.path().join("later");
-    let said = Arc::new(Mutex::new(Vec::new()));
-    let heard = Arc::clone(&said);
+    let path = dir.path().join("later");
+    let reports = Arc::new(Mutex::new(Vec::new()));
+    let sink = Arc::clone(&reports);
     let recorder =
-        Recorder::start(config(&gone, 64), clock, move |what| heard.lock().unwrap().push(what.to_string()))
+        Recorder::start(config(&path, 64), clock, move |text| sink.lock().unwrap().push(text.to_string()))
             .unwrap();
     for _ in 0..10 {
         recorder.record(answer(1, Outcome::Served));
     }
-    until("a complaint", || !said.lock().unwrap().is_empty());
-    std::fs::create_dir(&gone).unwrap();
-    until("a flush", || {
+    wait_until("an error report", || !reports.lock().unwrap().is_empty());
+    std::fs::create_dir(&path).unwrap();
+    wait_until("a flush", || {
         recorder.record(answer(1, Outcome::Served));
         recorder.stored_count() > 0
     });
     drop(recorder);
-    let source = StoreReader::open(&store::path(&gone, "n0")).unwrap();
-    let mut gaps = source.records(0..=Micros::MAX, BlockFilter::All, |_, _, _| {}).unwrap();
+    let reader = StoreReader::open(&store::path(&path, "n0")).unwrap();
+    let mut gaps = reader.records(0..=Micros::MAX, BlockFilter::All, |_, _, _| {}).unwrap();
     let gap = gaps.pop().expect("a gap");
     assert_eq!(gap.cause, GapCause::Lost);
     assert!(gap.count >= Some(10) && gap.from < gap.to && gaps.is_empty());
-    assert!(source.runs[0].ended_at.is_some());
+    assert!(reader.runs[0].ended_at.is_some());
 }
 
-/// Guards against a full queue that waits or forgets: each record is in the store or in a count.
+/// Guards against a full queue that blocks, or loses records unnoticed: each record is stored or counted as
+/// lost.
 #[test]
-fn no_record_is_lost_without_being_counted() {
+fn records_are_stored_or_counted_as_lost() {
     let dir = tempfile::tempdir().unwrap();
     let recorder = Recorder::start(config(dir.path(), 64), clock, |_| {}).unwrap();
     for _ in 0..20_000 {
         recorder.record(answer(1, Outcome::Served));
     }
-    // One that gets through carries the count of those that did not.
-    until("room", || {
+    // The next flush that succeeds also stores the count of the dropped records.
+    wait_until("a stored record", || {
         let before = recorder.stored_count();
         recorder.record(answer(1, Outcome::Served));
         std::thread::sleep(Duration::from_millis(50));
         recorder.stored_count() > before
     });
     drop(recorder);
-    let source = StoreReader::open(&store::path(dir.path(), "n0")).unwrap();
-    let mut kept = 0;
-    let gaps = source.records(0..=Micros::MAX, BlockFilter::All, |_, _, _| kept += 1).unwrap();
+    let reader = StoreReader::open(&store::path(dir.path(), "n0")).unwrap();
+    let mut stored = 0;
+    let gaps = reader.records(0..=Micros::MAX, BlockFilter::All, |_, _, _| stored += 1).unwrap();
     let lost: u64 = gaps.iter().filter_map(|g| g.count).sum();
-    assert!(kept + lost >= 20_001 && lost > 0, "{kept} kept and {lost} counted as lost");
+    assert!(stored + lost >= 20_001 && lost > 0, "{stored} stored and {lost} counted as lost");
 }
