--- a/src/bin/wharfplank-simulator-adapter/adapter.rs
+++ b/src/bin/wharfplank-simulator-adapter/adapter.rs
@@ -1,4 +1,4 @@
-//! Carries out the simulator's messages on the router instances.
+//! Applies the simulator's messages to the router instances.
 
 use crate::error::LineError;
 use crate::instance::{Instance, LineReader};
@@ -10,22 +10,22 @@
 /// Whether a line completed a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchState {
-    /// More lines belong to the batch.
+    /// The batch is not complete yet.
     Open,
-    /// The batch is complete: its reply is to be sent.
+    /// The batch is complete, and its reply must be sent.
     Complete,
 }
 
-/// A ROSTER whose entries have not all been read.
+/// A ROSTER with entries that have not been read yet.
 struct OpenRoster {
     page: u32,
     entries_left: usize,
 }
 
-/// The state between lines.
+/// The state of the adapter between lines.
 #[derive(Default)]
 pub struct Adapter {
-    /// The time of the present batch; `None` between batches.
+    /// The time of the current batch; `None` between batches.
     now: Option<Micros>,
     rosters: BTreeMap<u32, Vec<RosterEntry>>,
     open_roster: Option<OpenRoster>,
@@ -35,7 +35,7 @@
 }
 
 impl Adapter {
-    /// Carries out one line.
+    /// Processes one line.
     pub fn handle_line(&mut self, line: &str) -> Result<BatchState, LineError> {
         if let Some(roster) = self.open_roster.take() {
             self.add_roster_entry(roster, line)?;
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Whether a batch was begun and not completed.
+    /// Returns whether a batch was started and not completed.
     pub fn is_batch_open(&self) -> bool {
         self.now.is_some()
     }
 
-    /// The reply to the lines since the last call.
+    /// Returns the reply to the lines since the last call.
     pub fn take_reply(&mut self) -> String {
         std::mem::take(&mut self.reply)
     }
@@ -83,7 +83,7 @@
 
     fn handle_message(&mut self, message: Message<'_>, now: Micros) -> Result<(), LineError> {
         match message {
-            // These begin and end a batch: `handle_line` carries them out.
+            // These start and end a batch and are processed by `handle_line`.
             Message::BatchStart(_) | Message::Commit => {}
             Message::Roster { page, members } => {
                 self.rosters.insert(page, Vec::new());
--- a/src/bin/wharfplank-simulator-adapter/error.rs
+++ b/src/bin/wharfplank-simulator-adapter/error.rs
@@ -1,35 +1,35 @@
-//! What can be wrong with the simulator's lines.
+//! Errors in the simulator's input.
 
 use thiserror::Error;
 use wharfplank::routing::settings::{FieldError, FieldProblem};
 
-/// A line that cannot be carried out.
+/// The reason why a line cannot be processed.
 #[derive(Debug, Error)]
 pub enum LineError {
     #[error(transparent)]
     Field(#[from] FieldError),
-    #[error("field message: '{0}' is unknown")]
+    #[error("field message: unknown message '{0}'")]
     UnknownMessage(String),
-    #[error("field BATCH: inside a batch")]
+    #[error("field BATCH: not allowed within a batch")]
     NestedBatch,
     #[error("field BATCH: missing before this line")]
     OutsideBatch,
-    #[error("field Members: counts more entries than follow")]
+    #[error("field Members: greater than the number of entries that follow")]
     TooFewEndpoints,
-    #[error("field Page: names no list")]
+    #[error("field Page: no ROSTER has this page number")]
     UnknownPage,
-    #[error("field Who: names an instance that was not configured")]
+    #[error("field Who: this instance is not configured")]
     UnknownInstance,
-    #[error("field Id: is not 36 characters long")]
+    #[error("field Id: must be 36 bytes long")]
     MalformedId,
-    #[error("field Cls: '{0}' is not in the settings")]
+    #[error("field Cls: class '{0}' is not in the settings")]
     UnknownClass(String),
 }
 
-/// A run that ends early.
+/// The reason why the adapter exits early.
 #[derive(Debug, Error)]
 pub enum RunError {
-    #[error("line {number}: not readable as text: {error}")]
+    #[error("line {number}: cannot read input: {error}")]
     Unreadable { number: u64, error: std::io::Error },
     #[error("line {number}: {error}")]
     Line { number: u64, error: LineError },
@@ -39,12 +39,12 @@
     UnfinishedBatch,
 }
 
-/// A field whose value is not one of those that it may have.
+/// Returns the error for a field whose value is not one of the allowed ones.
 pub fn unknown_value(field: &str, value: &str) -> LineError {
     FieldError::new(field, FieldProblem::Unknown(value.to_string())).into()
 }
 
-/// A field that must be there.
+/// Returns the error for a required field that is missing.
 pub fn missing(field: &str) -> LineError {
     FieldError::new(field, FieldProblem::Missing).into()
 }
--- a/src/bin/wharfplank-simulator-adapter/instance.rs
+++ b/src/bin/wharfplank-simulator-adapter/instance.rs
@@ -1,4 +1,4 @@
-//! A router instance, and how the lines for it are read with the help of its settings.
+//! A router instance, and the parsing of its lines, which depends on the instance's settings.
 
 use crate::error::{missing, unknown_value, LineError};
 use crate::message::{host_id, request_id, RosterEntry};
@@ -11,7 +11,7 @@
 const MICROS_PER_MILLI: Micros = 1000;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What a member's load report says.
+/// The values of a member's load report.
 #[derive(Default)]
 struct LoadReport {
     role: Option<Role>,
@@ -19,13 +19,13 @@
     queued: Option<f64>,
 }
 
-/// A router that the adapter hosts.
+/// A router that the adapter runs.
 pub struct Instance {
     pub router: Router,
     pub reader: LineReader,
 }
 
-/// Reads the lines for an instance: their meaning depends on its settings.
+/// Parses the lines for an instance according to its settings.
 #[derive(Debug)]
 pub struct LineReader {
     parameters: ProxyParameters,
@@ -80,7 +80,8 @@
         }))
     }
 
-    /// The log position of a mark: milliseconds since the origin, times four; 0 for none.
+    /// Returns the log position of a mark. A mark is four times the milliseconds since the origin, plus the
+    /// code of the role; 0 milliseconds stands for no position.
     fn position_of_mark(&self, mark: Micros) -> Option<Micros> {
         let millis = Some(mark / 4).filter(|millis| *millis > 0)?;
         Some(self.parameters.position_origin.saturating_add(millis.saturating_mul(MICROS_PER_MILLI)))
@@ -97,7 +98,7 @@
         }))
     }
 
-    /// Reads a load report: the values of the columns that the settings name, with commas between them.
+    /// Parses a load report: comma-separated values of the columns that the settings name.
     fn load_report(&self, text: &str) -> Result<LoadReport, LineError> {
         let mut report = LoadReport::default();
         if text.is_empty() {
--- a/src/bin/wharfplank-simulator-adapter/main.rs
+++ b/src/bin/wharfplank-simulator-adapter/main.rs
@@ -1,5 +1,5 @@
-//! Hosts routers for the simulator: reads its messages from standard input, a line each, and writes what the routers
-//! do to standard output at the end of each batch.
+//! Runs routers for the simulator: reads one message per line from standard input, and writes the routers'
+//! actions to standard output at the end of each batch.
 #![forbid(unsafe_code)]
 
 mod adapter;
--- a/src/bin/wharfplank-simulator-adapter/message.rs
+++ b/src/bin/wharfplank-simulator-adapter/message.rs
@@ -1,22 +1,23 @@
-//! The simulator's lines, read one by one.
+//! Parsing of the simulator's lines.
 
 use crate::error::{missing, unknown_value, LineError};
 use crate::instance::LineReader;
 use wharfplank::routing::settings::{translate, Fields};
 use wharfplank::routing::{EndpointStatus, Event, GroupId, HostId, Micros, RequestId, Settings};
 
-/// What a MEMBERSHIP line says about the endpoint list.
+/// The scope of a MEMBERSHIP line.
 #[derive(Clone, Copy, Debug)]
 pub enum MembershipScope {
-    /// Some entries changed.
+    /// The line refers to a list of changed entries.
     Patch,
-    /// The list is complete.
+    /// The line refers to a complete endpoint list.
     Complete,
-    /// The subscription was lost.
+    /// The subscription to the endpoint list was lost.
     Broken,
 }
 
-/// An entry of a ROSTER, before it is read for an instance.
+/// An entry of a ROSTER, which is converted to an [`Endpoint`](wharfplank::routing::Endpoint) for each
+/// instance.
 #[derive(Debug)]
 pub struct RosterEntry {
     pub host: HostId,
@@ -27,7 +28,7 @@
     pub zone: String,
 }
 
-/// A line of input. `who` is the number of a router instance.
+/// A message of the simulator. `who` is the number of a router instance.
 #[derive(Debug)]
 pub enum Message<'a> {
     BatchStart(Micros),
@@ -65,13 +66,13 @@
         who: u64,
         event: Event,
     },
-    /// A line that means nothing to a router.
+    /// A message that has no effect on a router.
     Ignored {
         who: u64,
     },
 }
 
-/// Reads one line, other than an entry of a ROSTER.
+/// Parses a line that is not an entry of a ROSTER.
 pub fn parse(line: &str) -> Result<Message<'_>, LineError> {
     let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
     let fields = Fields::from_pairs(rest.split(' '))?;
@@ -87,7 +88,7 @@
     }
 }
 
-/// Reads a line that is meant for one instance.
+/// Parses a message for one instance.
 fn parse_for_instance<'a>(name: &str, fields: Fields<'a>) -> Result<Message<'a>, LineError> {
     let who = fields.required("Who")?;
     Ok(match name {
@@ -120,7 +121,7 @@
     Ok(Message::Membership { who, page, scope })
 }
 
-/// Reads an entry of a ROSTER.
+/// Parses an entry of a ROSTER.
 pub fn parse_roster_entry(line: &str) -> Result<RosterEntry, LineError> {
     let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
     if name != "M" {
@@ -143,14 +144,14 @@
     })
 }
 
-/// The request that a line names.
+/// Returns the id of the request that a line refers to.
 pub fn request_id(fields: &Fields<'_>) -> Result<RequestId, LineError> {
     let text = fields.find("Id").ok_or_else(|| missing("Id"))?;
     let bytes = text.as_bytes().try_into();
     Ok(RequestId(bytes.map_err(|_| LineError::MalformedId)?))
 }
 
-/// The member that a line names.
+/// Returns the id of the member that a line refers to.
 pub fn host_id(fields: &Fields<'_>) -> Result<HostId, LineError> {
     Ok(HostId(fields.required("Host")?))
 }
--- a/src/bin/wharfplank-simulator-adapter/reply.rs
+++ b/src/bin/wharfplank-simulator-adapter/reply.rs
@@ -1,12 +1,12 @@
-//! The adapter's lines to the simulator.
+//! Formatting of the replies to the simulator.
 
 use std::fmt::Write;
 use wharfplank::routing::{Action, RequestId};
 
-/// Appends one action of the instance `who` as a line of the reply.
+/// Appends an action of the instance `who` to the reply as one line.
 pub fn write_action(reply: &mut String, who: u64, action: &Action) {
     let text = |id: &RequestId| String::from_utf8_lossy(&id.0).into_owned();
-    // Writing to a String cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = match action {
         Action::Send { id, host, timeout, .. } => {
             writeln!(reply, "RELAY Who={who} Id={} WithinUs={timeout} Host={}", text(id), host.0)
--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -4,13 +4,13 @@
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 
-/// Routes payroll database reads and writes over replicated groups.
+/// Proxy that routes payroll database reads and writes over replicated groups.
 #[derive(Parser)]
 #[command(
     version,
     about,
-    after_help = "Without a sub-command it serves, as the deploy file starts it.\n\
-    Exit codes: 0 done, 1 failed while running, 2 usage, 3 bad settings or configuration."
+    after_help = "Without a sub-command, `serve` runs without settings, as in the deployment file.\n\
+    Exit codes: 0 success, 1 run-time failure, 2 usage error, 3 invalid settings or configuration."
 )]
 pub(super) struct Arguments {
     #[command(subcommand)]
@@ -19,200 +19,201 @@
 
 #[derive(Subcommand)]
 pub(super) enum Command {
-    /// Serve until SIGTERM. `BALANCER_CONFIG` names the configuration.
+    /// Run the proxy until SIGTERM. `BALANCER_CONFIG` is the path of the configuration.
     #[command(
         after_help = "Example: BALANCER_CONFIG=config.json wharfplank serve --settings deploy/settings.example.xml"
     )]
     Serve {
-        /// The program's own settings; without them all that they stand for is off.
+        /// Settings of the proxy. Without them, all features that they configure are off.
         #[arg(long, value_name = "FILE")]
         settings: Option<PathBuf>,
     },
-    /// Check settings and a configuration without starting anything, and name every fault.
+    /// Validate settings and a configuration without starting anything, and report all errors.
     #[command(
         after_help = "Example: wharfplank check --settings deploy/settings.example.xml --config config.json"
     )]
     Check {
-        /// The program's own settings.
+        /// Settings of the proxy.
         #[arg(long, value_name = "FILE")]
         settings: Option<PathBuf>,
-        /// The configuration as the platform gives it.
+        /// Configuration as the platform provides it.
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
-        /// Print the schema of the settings and end.
+        /// Print the schema of the settings and exit.
         #[arg(long)]
         schema: bool,
     },
-    /// Say what stores of records hold: runs, sizes and what is not known.
+    /// List the runs, sizes and gaps of record stores.
     #[command(after_help = "Example: wharfplank records /var/lib/wharfplank")]
     Records {
-        /// Directories with stores, or stores.
+        /// Store files, or directories with store files.
         #[arg(required = true)]
         paths: Vec<PathBuf>,
     },
-    /// Watch records in the terminal, live beside running proxies and backwards.
+    /// Show records in a terminal console, live while proxies run or from the past.
     #[command(after_help = "Example: wharfplank console /var/lib/wharfplank")]
     Console {
-        /// Directories with stores, or stores.
+        /// Store files, or directories with store files.
         #[arg(required = true)]
         paths: Vec<PathBuf>,
     },
-    /// Write an incident report from records, also of several proxies and beside running ones.
+    /// Write an incident report from the records of one or more proxies, which may still be running.
     #[command(
         after_help = "Example: wharfplank report /var/lib/wharfplank -o report.html --json report.json --last 3600"
     )]
     Report {
-        /// Directories with stores, or stores.
+        /// Store files, or directories with store files.
         #[arg(required = true)]
         paths: Vec<PathBuf>,
-        /// The report as one HTML file.
+        /// Write the report to this file, as HTML.
         #[arg(short, long, value_name = "FILE")]
         out: Option<PathBuf>,
-        /// The same facts as JSON.
+        /// Write the same facts to this file, as JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
         #[command(flatten)]
         span: records::Span,
     },
-    /// The laboratory: stand-in members and discovery, scripted troubles and a load, on loopback addresses.
+    /// Test environment on loopback addresses: simulated members and discovery, scripted faults and a load.
     #[command(subcommand)]
     Lab(Lab),
-    /// Print completions for a shell.
+    /// Print shell completions.
     #[command(after_help = "Example: wharfplank completions bash > /etc/bash_completion.d/wharfplank")]
     Completions {
-        /// The shell.
+        /// Shell to print completions for.
         shell: clap_complete::Shell,
     },
 }
 
 #[derive(Subcommand)]
 pub(super) enum Lab {
-    /// Play a calm while and show answers and times by class.
+    /// Run a load without faults, and print outcomes and latencies by class.
     Demo {
-        /// Where logs and records go [default: target/demo].
+        /// Directory for logs and records [default: target/demo].
         #[arg(short, long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// Compare a proxy that records with one that does not, side by side.
+    /// Compare a proxy that keeps records with one that does not, under the same load.
     Recording {
-        /// Where logs and records go [default: target/recording].
+        /// Directory for logs and records [default: target/recording].
         #[arg(short, long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// Compare a proxy that talks with one that does not and one of another program, side by side.
+    /// Compare a proxy with gossip to one without gossip and to one that runs another program, under the same
+    /// load.
     Talking {
-        /// The other program: say, one in which the fleet's talk has no thread of its own.
+        /// Other program, for example a build in which gossip has no thread of its own.
         #[arg(long, value_name = "PROGRAM")]
         before: PathBuf,
-        /// How many proxies talk.
+        /// Number of proxies that gossip.
         #[arg(long, default_value_t = 30)]
         proxies: usize,
-        /// Requests a second at the three together.
+        /// Requests per second, in total for the three compared proxies.
         #[arg(long, default_value_t = 1800)]
         rate: u64,
-        /// Where logs go [default: target/talking].
+        /// Directory for logs [default: target/talking].
         #[arg(short, long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// Write the records of a synthetic day of three proxies, and report on it.
+    /// Write records of three proxies for a synthetic day, and generate the report on them.
     Day {
-        /// Where the stores go [default: target/day].
+        /// Directory for the stores [default: target/day].
         #[arg(short, long, value_name = "DIR")]
         out: Option<PathBuf>,
-        /// The length of the day in seconds.
+        /// Length of the day in seconds.
         #[arg(long, default_value_t = 86_400)]
         seconds: u32,
     },
-    /// Kill a recording process at random moments, and look for what it had said was flushed.
+    /// Kill a recording process at random times, and check that all records that it acknowledged are stored.
     Kills {
-        /// Where the store goes [default: target/kills].
+        /// Directory for the store [default: target/kills].
         #[arg(short, long, value_name = "DIR")]
         out: Option<PathBuf>,
-        /// How many times.
+        /// Number of kills.
         #[arg(long, default_value_t = 200)]
         times: u64,
     },
-    /// What `kills` starts.
+    /// Run the process that `kills` starts.
     #[command(hide = true)]
     RecordUntilKilled {
-        /// The directory of the store.
+        /// Directory of the store.
         directory: PathBuf,
     },
-    /// Play many proxies as processes with faults between them, and count the broken rules.
+    /// Run many proxies as processes with injected faults, and count rule violations.
     #[command(
         after_help = "Example: wharfplank lab fleet --scenario zone-loss --proxies 30 --seed 3 -o target/fleet\n\
         Scenarios: zone-loss, zone-cut, zone-flap, minority, pause, kill70, lossy, liar, restart, heal, skew, \
         old-snapshot, burst, doubts, calm, slow-member, slow-liar.\n\
-        Exits 1 where a rule was broken. A run is played again with --replay DIR/schedule.json."
+        The exit code is 1 if a rule was violated. Repeat a run with --replay DIR/schedule.json."
     )]
     Fleet {
-        /// What goes wrong.
+        /// Fault scenario.
         #[arg(long, default_value = "zone-loss")]
         scenario: String,
-        /// How many proxies, 3 to 200.
+        /// Number of proxies, 3 to 200.
         #[arg(long, default_value_t = 5)]
         proxies: usize,
-        /// The seed of the schedule.
+        /// Seed of the schedule.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Proxies do not talk: each decides alone, for comparison.
+        /// Run the proxies without gossip, each deciding alone, for comparison.
         #[arg(long)]
         alone: bool,
-        /// Play a schedule that a run wrote out, instead of drawing one.
+        /// Run a schedule that an earlier run saved instead of generating one.
         #[arg(long, value_name = "FILE")]
         replay: Option<PathBuf>,
-        /// Where logs, the schedule and the report go [default: target/fleet].
+        /// Directory for logs, the schedule and the report [default: target/fleet].
         #[arg(short, long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// Play many seeded runs of the fleet's hard cases, some beside each other, and add them up by scenario.
+    /// Run fleet scenarios with many seeds, several runs in parallel, and print totals by scenario.
     #[command(
         after_help = "Example: wharfplank lab sweep --runs 200 --proxies 3 --beside 16 -o target/sweep\n\
-        Exits 1 where a rule was broken or a run could not be played. Runs with a broken rule keep their files."
+        The exit code is 1 if a rule was violated or a run failed. Runs with a violated rule keep their files."
     )]
     Sweep {
-        /// The scenarios [default: all].
+        /// Scenarios to run [default: all].
         #[arg(long = "scenario", value_name = "SCENARIO")]
         scenarios: Vec<String>,
-        /// Runs of each scenario.
+        /// Number of runs per scenario.
         #[arg(long, default_value_t = 10)]
         runs: u64,
-        /// The first seed; the others follow it.
+        /// Seed of the first run; it increases by 1 for each further run.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many proxies in each run, 3 to 200.
+        /// Number of proxies in each run, 3 to 200.
         #[arg(long, default_value_t = 5)]
         proxies: usize,
-        /// Runs beside each other.
+        /// Number of runs in parallel.
         #[arg(long, default_value_t = 4)]
         beside: usize,
-        /// Proxies do not talk: each decides alone, for comparison.
+        /// Run the proxies without gossip, each deciding alone, for comparison.
         #[arg(long)]
         alone: bool,
-        /// Where the sums and the files of runs with broken rules go [default: target/sweep].
+        /// Directory for the totals and the files of runs with violated rules [default: target/sweep].
         #[arg(short, long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// Add up what proxies did, from their logs: the `counts` lines of level debug and the ended connections.
+    /// Add up counters from proxy logs: the `counts` lines at level debug, and closed connections.
     #[command(
         after_help = "Example: wharfplank lab tally logs/*.log --by-second refused. --by-second probe."
     )]
     Tally {
-        /// Logs of proxies, or directories of them (every `*.log` in it).
+        /// Proxy logs, or directories with `*.log` files.
         #[arg(required = true)]
         paths: Vec<PathBuf>,
-        /// Print the sum of the counters that begin so, second by second.
+        /// Print the total per second of the counters with this prefix.
         #[arg(long, value_name = "PREFIX")]
         by_second: Vec<String>,
     },
-    /// Play a scripted incident, write its report, and hold the report against the script.
+    /// Run a scripted incident, write its report, and compare the report with the script.
     #[command(
         after_help = "Example: wharfplank lab incident crates/lab/timelines/incident.xml -o target/incident"
     )]
     Incident {
-        /// The timeline; the built-in one if absent.
+        /// Timeline of the incident [default: built-in timeline].
         timeline: Option<PathBuf>,
-        /// Where logs, records and the report go [default: target/incident].
+        /// Directory for logs, records and the report [default: target/incident].
         #[arg(short, long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
--- a/src/cli/lab/demo.rs
+++ b/src/cli/lab/demo.rs
@@ -1,4 +1,4 @@
-//! `lab demo`: a calm load.
+//! `lab demo`: a load without faults.
 
 use super::super::error::CommandError;
 use super::play::{load_timeline, play_timeline, print_results};
@@ -7,11 +7,11 @@
 use wharfplank::lab::member_model::CLASSES;
 use wharfplank::lab::timeline;
 
-/// Plays a calm load and prints the results.
+/// Runs a load without faults and prints the results.
 pub fn demo(directory: &Path) -> Result<(), CommandError> {
     let timeline = load_timeline(None, timeline::DEMO)?;
     println!(
-        "{} stand-in members, {} proxies, {} requests/s for {} s, on loopback",
+        "{} simulated members, {} proxies, {} requests/s for {} s, on loopback",
         timeline.groups * timeline.members,
         timeline.proxies,
         timeline.rate,
@@ -27,6 +27,6 @@
     );
     match served * 10 >= all * 9 {
         true => Ok(()),
-        false => Err(CommandError::failed("less than nine tenths of a calm while were served")),
+        false => Err(CommandError::failed("less than 90% of the fault-free load was served")),
     }
 }
--- a/src/cli/lab/fleet.rs
+++ b/src/cli/lab/fleet.rs
@@ -1,4 +1,4 @@
-//! `lab fleet`, `lab sweep`: many proxies as processes with faults between them.
+//! `lab fleet`, `lab sweep`: many proxies as processes with injected faults.
 
 use super::super::error::CommandError;
 use super::{create_directory, current_program};
@@ -7,15 +7,15 @@
 use wharfplank::fleet_harness::schedule::{Scenario, Schedule};
 use wharfplank::fleet_harness::sweep::{play_all, sums};
 
-/// The scenario of a name; an unknown name is an error of usage.
+/// Returns the scenario with this name, or a usage error.
 fn parse_scenario(scenario: &str) -> Result<Scenario, CommandError> {
     let names: Vec<&str> = Scenario::ALL.iter().map(|s| s.name()).collect();
     Scenario::named(scenario).ok_or_else(|| {
-        CommandError::usage(format!("no scenario '{scenario}'; there are {}", names.join(", ")))
+        CommandError::usage(format!("unknown scenario '{scenario}'; the scenarios are {}", names.join(", ")))
     })
 }
 
-/// Plays many seeded runs and adds them up; fails where a rule was broken or a run could not be played.
+/// Runs scenarios with many seeds and adds up the results. Fails if a rule was violated or a run failed.
 pub fn sweep(
     scenarios: &[String],
     seeds: std::ops::Range<u64>,
@@ -24,31 +24,31 @@
     peers: bool,
     directory: &Path,
 ) -> Result<(), CommandError> {
-    let chosen = match scenarios {
+    let selected = match scenarios {
         [] => Scenario::ALL.to_vec(),
         names => names.iter().map(|name| parse_scenario(name)).collect::<Result<Vec<_>, _>>()?,
     };
     let directory = create_directory(directory)?;
     let program = current_program()?;
     let mut all = Vec::new();
-    for scenario in chosen {
+    for scenario in selected {
         let schedules = seeds.clone().map(|seed| Schedule::draw(scenario, proxies, seed, peers)).collect();
         let played = play_all(schedules, &program, &directory, beside);
-        let summed = sums(&played);
-        summed.iter().for_each(|sum| println!("{}", sum.render()));
-        all.extend(summed);
-        // Written after each scenario, so that a long sweep that is stopped leaves what it has.
+        let totals = sums(&played);
+        totals.iter().for_each(|sum| println!("{}", sum.render()));
+        all.extend(totals);
+        // Written after each scenario, so that a sweep that is stopped early leaves its results so far.
         let text = serde_json::to_string_pretty(&all).map_err(CommandError::failed)?;
         std::fs::write(directory.join("sums.json"), text).map_err(CommandError::failed)?;
     }
     let (broken, failed) = all.iter().fold((0, 0), |(b, f), sum| (b + sum.broken, f + sum.failed.len()));
     if broken > 0 || failed > 0 {
-        return Err(CommandError::failed(format!("{broken} broken rules, {failed} runs not played")));
+        return Err(CommandError::failed(format!("{broken} rule violations, {failed} failed runs")));
     }
     Ok(())
 }
 
-/// Plays many proxies with faults between them; fails where a rule was broken.
+/// Runs many proxies with injected faults. Fails if a rule was violated.
 pub fn fleet(
     scenario: &str,
     proxies: usize,
@@ -60,9 +60,9 @@
     let schedule = match replay {
         Some(path) => {
             let text = std::fs::read_to_string(path)
-                .map_err(|e| CommandError::unusable_settings([format!("{}: {e}", path.display())]))?;
+                .map_err(|e| CommandError::invalid_settings([format!("{}: {e}", path.display())]))?;
             Schedule::read(&text)
-                .map_err(|what| CommandError::unusable_settings([format!("{}: {what}", path.display())]))?
+                .map_err(|what| CommandError::invalid_settings([format!("{}: {what}", path.display())]))?
         }
         None => Schedule::draw(parse_scenario(scenario)?, proxies, seed, peers),
     };
@@ -71,9 +71,9 @@
     let place = Place { program, directory: directory.clone() };
     let report = play(&schedule, &place).map_err(CommandError::failed)?;
     print!("{}", report.render());
-    println!("schedule, logs and report.json in {}", directory.display());
+    println!("schedule, logs and report.json are in {}", directory.display());
     if report.broken > 0 {
-        return Err(CommandError::failed(format!("{} broken rules", report.broken)));
+        return Err(CommandError::failed(format!("{} rule violations", report.broken)));
     }
     Ok(())
 }
--- a/src/cli/lab/gossip_cost.rs
+++ b/src/cli/lab/gossip_cost.rs
@@ -1,4 +1,4 @@
-//! `lab talking`: what gossip between proxies costs the serving thread.
+//! `lab talking`: measures the cost of gossip between proxies for the serving thread.
 
 use super::super::error::CommandError;
 use super::play::{load_timeline, play_timeline_with};
@@ -6,11 +6,12 @@
 use wharfplank::lab::load::ClientOutcome;
 use wharfplank::lab::timeline;
 
-/// Seconds of load.
+/// The duration of the load in seconds.
 const SECONDS: u64 = 30;
 
-/// Three proxies under the same load in one run: one without gossip, one of the program `before`
-/// that gossips with all, and one of this program that does. The other proxies get no load.
+/// Compares three proxies under the same load in one run: one without gossip, one that runs the program
+/// `before` with gossip, and one that runs this program with gossip. The other proxies gossip but receive no
+/// load.
 pub fn gossip_cost(before: &Path, proxies: usize, rate: u64, directory: &Path) -> Result<(), CommandError> {
     let before =
         before.canonicalize().map_err(|e| CommandError::failed(format!("{}: {e}", before.display())))?;
@@ -18,30 +19,33 @@
     timeline.rate = rate;
     timeline.seconds = SECONDS;
     timeline.proxies = proxies.max(6) + 1;
-    let ran = play_timeline_with(&timeline, directory, |_| false, Some(before))?;
-    let done = ran.load.finished.borrow();
+    let result = play_timeline_with(&timeline, directory, |_| false, Some(before))?;
+    let finished = result.load.finished.borrow();
     println!(
         "{:<10} {:>8} {:>8} {:>8} {:>8} {:>10} {:>10}",
         "talk", "served", "p50 ms", "p99 ms", "p99.9", "serving us", "all us"
     );
     for (number, name) in ["off", "before", "now"].iter().enumerate() {
-        let own: Vec<_> = done.iter().filter(|d| d.proxy == number).collect();
-        let served = own.iter().filter(|d| d.outcome == ClientOutcome::Served);
-        let mut times: Vec<i64> = served.map(|d| d.finished_at - d.due_at).collect();
-        times.sort_unstable();
-        let part =
-            |per_mille: usize| times.get(times.len() * per_mille / 1000).map_or(0.0, |t| *t as f64 / 1000.0);
-        let used =
-            ran.used.get(number).ok_or_else(|| CommandError::failed("the system tells no CPU time"))?;
-        let each = |seconds: f64| seconds * 1e6 / own.len().max(1) as f64;
+        let requests: Vec<_> = finished.iter().filter(|request| request.proxy == number).collect();
+        let served = requests.iter().filter(|request| request.outcome == ClientOutcome::Served);
+        let mut latencies: Vec<i64> = served.map(|request| request.finished_at - request.due_at).collect();
+        latencies.sort_unstable();
+        let percentile_ms = |per_mille: usize| {
+            latencies.get(latencies.len() * per_mille / 1000).map_or(0.0, |t| *t as f64 / 1000.0)
+        };
+        let used = result
+            .used
+            .get(number)
+            .ok_or_else(|| CommandError::failed("cannot determine the CPU time of a proxy"))?;
+        let micros_per_request = |seconds: f64| seconds * 1e6 / requests.len().max(1) as f64;
         println!(
             "{name:<10} {:>8} {:>8.2} {:>8.2} {:>8.2} {:>10.0} {:>10.0}",
-            times.len(),
-            part(500),
-            part(990),
-            part(999),
-            each(used.serving),
-            each(used.cpu)
+            latencies.len(),
+            percentile_ms(500),
+            percentile_ms(990),
+            percentile_ms(999),
+            micros_per_request(used.serving),
+            micros_per_request(used.cpu)
         );
     }
     Ok(())
--- a/src/cli/lab/incident.rs
+++ b/src/cli/lab/incident.rs
@@ -1,4 +1,4 @@
-//! `lab incident`: a scripted incident, whose report is compared with the script.
+//! `lab incident`: runs a scripted incident and compares its report with the script.
 
 use super::super::error::CommandError;
 use super::super::records::{self, Span};
@@ -13,34 +13,37 @@
 use wharfplank::report::Facts;
 
 const SECOND: Micros = 1_000_000;
-/// How far the start and the end of a found incident may lie from the script's. An end shows late where proxies avoid
-/// a member, or early where nothing is sent to it any more.
+/// The largest difference between the start of a reported incident and the script.
 const MAX_START_OFFSET: Micros = 4 * SECOND;
+/// The largest difference between the end of a reported incident and the script. An end is noticed late if
+/// proxies avoid the member, or early if no more requests are sent to it.
 const MAX_END_OFFSET: Micros = 6 * SECOND;
 
-/// Plays a timeline, writes the report, and holds it against the script and what the load counted.
+/// Runs a timeline, writes the report, and compares it with the script and with the counts of the load
+/// generator.
 pub fn incident(path: Option<&Path>, directory: &Path) -> Result<(), CommandError> {
     let timeline = load_timeline(path, timeline::INCIDENT)?;
     let ran = play_timeline(&timeline, directory, |_| true)?;
     print_results(&ran);
     let stores = [wharfplank::lab::run::records(directory)];
     let facts = records::facts(&stores, &Span::default())?;
-    let (page, json) = (directory.join("report.html"), directory.join("report.json"));
-    records::report(&stores, &Span::default(), Some(&page), Some(&json))?;
+    let (html, json) = (directory.join("report.html"), directory.join("report.json"));
+    records::report(&stores, &Span::default(), Some(&html), Some(&json))?;
     println!();
     let mut faults = compare_events(&timeline, &ran, &facts);
     faults.extend(compare_answers(&ran, &facts));
-    println!("{} and {} are written", page.display(), json.display());
+    println!("wrote {} and {}", html.display(), json.display());
     match faults.is_empty() {
         true => Ok(()),
         false => Err(CommandError::failed_for(faults)),
     }
 }
 
-/// Each scripted trouble must be found, nothing may be invented, and each kill must be a gap.
+/// Checks that each scripted fault is reported, that no other incident is reported, and that each kill is a
+/// gap.
 fn compare_events(timeline: &Timeline, ran: &Ran, facts: &Facts) -> Vec<String> {
     let mut faults = Vec::new();
-    let mut found: Vec<&Incident> = facts.incidents.iter().collect();
+    let mut unmatched: Vec<&Incident> = facts.incidents.iter().collect();
     for trouble in &timeline.troubles {
         let (from, to) = (trouble.at as Micros, (trouble.at + trouble.lasts) as Micros);
         let (from, to) = (ran.start + from * SECOND, ran.start + to * SECOND);
@@ -52,7 +55,7 @@
             timeline::Kind::Drain => Kind::Drain,
             timeline::Kind::KillProxy => continue,
         };
-        let same = |i: &&Incident| {
+        let is_match = |i: &&Incident| {
             let subject = i.subject.is_empty()
                 || i.subject
                     .split([' ', ','])
@@ -62,43 +65,44 @@
                 && (i.from - from).abs() <= MAX_START_OFFSET
                 && (i.to - to).abs() <= MAX_END_OFFSET
         };
-        match found.iter().position(same) {
+        match unmatched.iter().position(is_match) {
             Some(at) => {
-                let i = found.remove(at);
-                let off = |a: Micros, b: Micros| (a - b) as f64 / 1e6;
+                let i = unmatched.remove(at);
+                let offset_s = |a: Micros, b: Micros| (a - b) as f64 / 1e6;
                 println!(
-                    "found    {kind:?} {}: starts {:+.1} s, ends {:+.1} s off the script",
+                    "found    {kind:?} {}: start differs by {:+.1} s, end by {:+.1} s from the script",
                     trouble.on,
-                    off(i.from, from),
-                    off(i.to, to)
+                    offset_s(i.from, from),
+                    offset_s(i.to, to)
                 );
             }
             None => faults.push(format!(
-                "missed {kind:?} on {} from second {} for {} s",
+                "not reported: {kind:?} on {} from second {} for {} s",
                 trouble.on, trouble.at, trouble.lasts
             )),
         }
     }
-    // Refusals follow from the others: a surge is no event of its own where one of them is on.
-    let follows = |i: &&Incident| {
+    // Scripted faults also cause rejections, so a surge that ends after the start of one is not a false
+    // report.
+    let is_expected_surge = |i: &&Incident| {
         i.kind == Kind::Surge
             && timeline.troubles.iter().any(|t| (ran.start + t.at as Micros * SECOND) <= i.to)
     };
-    for i in found.iter().filter(|i| !follows(i)) {
+    for i in unmatched.iter().filter(|i| !is_expected_surge(i)) {
         faults.push(format!(
-            "invented {:?} {} from {:.0} to {:.0}",
+            "not in the script: {:?} {} from {:.0} to {:.0}",
             i.kind,
             i.subject,
             facts.seconds_since_start(i.from),
             facts.seconds_since_start(i.to)
         ));
     }
-    for (number, at, back) in &ran.kills {
+    for (number, at, back_at) in &ran.kills {
         let proxy = facts.proxies.iter().find(|p| p.name == format!("n{number}"));
         let gap = proxy
             .into_iter()
             .flat_map(|p| &p.gaps)
-            .find(|g| g.from <= *at + SECOND / 2 && g.to >= *at && g.to <= *back + SECOND);
+            .find(|g| g.from <= *at + SECOND / 2 && g.to >= *at && g.to <= *back_at + SECOND);
         match gap {
             Some(gap) => println!(
                 "gap      n{number}: {:.1} to {:.1} ({})",
@@ -106,16 +110,17 @@
                 facts.seconds_since_start(gap.to),
                 gap.cause
             ),
-            None => faults.push(format!("the kill of n{number} is no gap")),
+            None => faults.push(format!("the kill of n{number} is not reported as a gap")),
         }
     }
     faults
 }
 
-/// Answers by proxy and class must be what the load counted, but for those in a gap, which are unknown.
+/// Checks that the recorded answers by proxy and class match the counts of the load generator, except in
+/// gaps.
 fn compare_answers(ran: &Ran, facts: &Facts) -> Vec<String> {
     let mut faults = Vec::new();
-    let done = ran.load.finished.borrow();
+    let finished = ran.load.finished.borrow();
     for (number, _) in ran.load.proxy_addresses.iter().enumerate() {
         let name = format!("n{number}");
         let Some(proxy) = facts.proxies.iter().find(|p| p.name == name) else {
@@ -125,36 +130,38 @@
         for (i, class) in CLASSES.iter().enumerate() {
             let recorded = proxy.classes.get(class.name).cloned().unwrap_or_default();
             let count = |span: (Micros, Micros), outcome: ClientOutcome| {
-                within(&done, number, span).filter(|d| d.class == i && d.outcome == outcome).count() as u64
+                within(&finished, number, span).filter(|d| d.class == i && d.outcome == outcome).count()
+                    as u64
             };
-            let ever = (0, Micros::MAX);
+            let always = (0, Micros::MAX);
             let kinds = [
                 (ClientOutcome::Served, recorded.served + recorded.late),
                 (ClientOutcome::Rejected, recorded.rejected.values().sum()),
                 (ClientOutcome::Failed, recorded.failed.values().sum()),
             ];
             for (outcome, recorded) in kinds {
-                let counted = count(ever, outcome);
-                // An answer may be on its way to its client, or back, at a gap's edge.
+                let counted = count(always, outcome);
+                // At the edges of a gap, a request or its answer may be in transit.
                 let unknown: u64 = proxy
                     .gaps
                     .iter()
                     .map(|g| count((g.from - SECOND / 20, g.to + SECOND / 20), outcome))
                     .sum();
                 let edge = proxy.gaps.len() as u64;
-                // What a client gave up on may have been answered all the same.
-                let late = count(ever, ClientOutcome::TimedOut) + count(ever, ClientOutcome::ConnectionLost);
+                // The proxy may have answered a request after its client gave up.
+                let late =
+                    count(always, ClientOutcome::TimedOut) + count(always, ClientOutcome::ConnectionLost);
                 if counted > recorded + unknown || recorded > counted + late + edge {
-                    faults.push(format!("{name} {} {outcome}: the load counted {counted}, recorded are {recorded}, unknown {unknown}", class.name));
+                    faults.push(format!("{name} {} {outcome}: {counted} counted by the load generator, {recorded} recorded, {unknown} in gaps", class.name));
                 }
                 if unknown > 0 {
-                    println!("answers  {name} {} {outcome}: {counted} counted, {recorded} recorded, {unknown} in a gap", class.name);
+                    println!("answers  {name} {} {outcome}: {counted} counted, {recorded} recorded, {unknown} in gaps", class.name);
                 }
             }
         }
     }
     if faults.is_empty() {
-        println!("answers  by proxy and class are what the load counted, apart from the gaps");
+        println!("answers  by proxy and class match the counts of the load generator, except in gaps");
     }
     faults
 }
--- a/src/cli/lab/mod.rs
+++ b/src/cli/lab/mod.rs
@@ -1,4 +1,4 @@
-//! `lab`: the program tried against stand-ins on this machine, under load and with faults.
+//! `lab`: tests of the program against simulated members on this machine, under load and with faults.
 
 mod demo;
 mod fleet;
@@ -40,20 +40,19 @@
     }
 }
 
-/// The directory of a run: the given one, or one below `target`.
+/// Returns the output directory of a run: the given one, or a default one in `target`.
 fn output_directory(directory: Option<PathBuf>, name: &str) -> PathBuf {
     directory.unwrap_or_else(|| PathBuf::from("target").join(name))
 }
 
 /// Creates the output directory of a run and returns its absolute path.
 fn create_directory(directory: &Path) -> Result<PathBuf, CommandError> {
-    let in_directory =
-        |error: std::io::Error| CommandError::failed(format!("{}: {error}", directory.display()));
-    std::fs::create_dir_all(directory).map_err(in_directory)?;
+    let with_path = |error: std::io::Error| CommandError::failed(format!("{}: {error}", directory.display()));
+    std::fs::create_dir_all(directory).map_err(with_path)?;
     directory.canonicalize().map_err(CommandError::failed)
 }
 
-/// The path of this program, which runs start as processes.
+/// Returns the path of this program, which runs start as child processes.
 fn current_program() -> Result<PathBuf, CommandError> {
     std::env::current_exe().map_err(CommandError::failed)
 }
--- a/src/cli/lab/play.rs
+++ b/src/cli/lab/play.rs
@@ -1,4 +1,4 @@
-//! Playing a timeline with a progress bar, and its results.
+//! Running of a timeline with a progress bar, and printing of the results.
 
 use super::super::error::CommandError;
 use super::{create_directory, current_program};
@@ -9,17 +9,17 @@
 use wharfplank::lab::run::{play, Place, Ran};
 use wharfplank::lab::timeline::{self, Timeline};
 
-/// Loads the timeline of a file, or parses the built-in one.
+/// Loads a timeline from a file, or parses the built-in one.
 pub(super) fn load_timeline(path: Option<&Path>, built_in: &str) -> Result<Timeline, CommandError> {
     let text = match path {
         Some(path) => std::fs::read_to_string(path)
-            .map_err(|e| CommandError::unusable_settings([format!("{}: {e}", path.display())]))?,
+            .map_err(|e| CommandError::invalid_settings([format!("{}: {e}", path.display())]))?,
         None => built_in.to_string(),
     };
-    timeline::parse(&text).map_err(CommandError::unusable_settings)
+    timeline::parse(&text).map_err(CommandError::invalid_settings)
 }
 
-/// Plays a timeline; `records` tells which proxies record.
+/// Runs a timeline. `records` tells which proxies keep records.
 pub(super) fn play_timeline(
     timeline: &Timeline,
     directory: &Path,
@@ -28,7 +28,7 @@
     play_timeline_with(timeline, directory, records, None)
 }
 
-/// Plays a timeline; proxy 1 runs the program `gossip_program` if there is one.
+/// Runs a timeline. Proxy 1 runs `gossip_program` if it is given.
 pub(super) fn play_timeline_with(
     timeline: &Timeline,
     directory: &Path,
@@ -42,8 +42,8 @@
         ProgressStyle::with_template("{bar:40} {percent}% of {msg} s").map_err(CommandError::failed)?;
     bar.set_style(style);
     bar.set_message(timeline.seconds.to_string());
-    let ran = play(timeline, &Place { program, directory, records, talk: gossip_program }, |part| {
-        bar.set_position((part * 1000.0) as u64);
+    let ran = play(timeline, &Place { program, directory, records, talk: gossip_program }, |fraction| {
+        bar.set_position((fraction * 1000.0) as u64);
     });
     bar.finish_and_clear();
     ran.map_err(CommandError::failed)
@@ -56,27 +56,24 @@
         "class", "served", "refused", "failed", "none", "p50 ms", "p99 ms", "max ms"
     );
     for (i, class) in CLASSES.iter().enumerate() {
-        let count = |seen| ran.load.count(i, seen);
-        let none = count(ClientOutcome::Unreachable)
+        let count = |outcome| ran.load.count(i, outcome);
+        let unanswered = count(ClientOutcome::Unreachable)
             + count(ClientOutcome::ConnectionLost)
             + count(ClientOutcome::TimedOut);
-        let times = ran.load.latencies(i);
+        let latencies = ran.load.latencies(i);
         let ms = |value: u64| value as f64 / 1000.0;
         println!(
-            "{:<14} {:>7} {:>7} {:>7} {none:>7} {:>8.1} {:>8.1} {:>8.1}",
+            "{:<14} {:>7} {:>7} {:>7} {unanswered:>7} {:>8.1} {:>8.1} {:>8.1}",
             class.name,
             count(ClientOutcome::Served),
             count(ClientOutcome::Rejected),
             count(ClientOutcome::Failed),
-            ms(times.value_at_quantile(0.5)),
-            ms(times.value_at_quantile(0.99)),
-            ms(times.max())
+            ms(latencies.value_at_quantile(0.5)),
+            ms(latencies.value_at_quantile(0.99)),
+            ms(latencies.max())
         );
     }
     if ran.load.dropped_requests.get() > 0 {
-        println!(
-            "{} requests were held back: the load was more than could be kept open",
-            ran.load.dropped_requests.get()
-        );
+        println!("{} requests were not sent: too many requests were open", ran.load.dropped_requests.get());
     }
 }
--- a/src/cli/lab/tally.rs
+++ b/src/cli/lab/tally.rs
@@ -1,9 +1,9 @@
-//! `lab tally`: sums over the logs of many proxies.
+//! `lab tally`: totals over the logs of many proxies.
 
 use super::super::error::CommandError;
 use std::path::PathBuf;
 
-/// Adds up the logs of many proxies.
+/// Adds up the logs of many proxies and prints the totals.
 pub fn tally(paths: &[PathBuf], by_second: &[String]) -> Result<(), CommandError> {
     let mut files = Vec::new();
     for path in paths {
--- a/src/cli/lab/trials.rs
+++ b/src/cli/lab/trials.rs
@@ -1,4 +1,4 @@
-//! `lab recording`, `lab day`, `lab kills`: what recording costs, and what it survives.
+//! `lab recording`, `lab day`, `lab kills`: the cost and the durability of records.
 
 use super::super::error::CommandError;
 use super::super::records::{self, Span};
@@ -9,36 +9,41 @@
 use wharfplank::lab::timeline;
 use wharfplank::lab::trials;
 
-/// One proxy records and one does not, side by side under the same load.
+/// Compares a proxy that keeps records with one that does not, under the same load.
 pub fn recording(directory: &Path) -> Result<(), CommandError> {
     let mut timeline = load_timeline(None, timeline::DEMO)?;
     timeline.rate = 1200;
     timeline.seconds = 20;
-    let ran = play_timeline(&timeline, directory, |number| number == 0)?;
-    let done = ran.load.finished.borrow();
-    let mut each = Vec::new();
+    let result = play_timeline(&timeline, directory, |number| number == 0)?;
+    let finished = result.load.finished.borrow();
+    let mut cpu_micros = Vec::new();
     for (number, name) in ["recording", "not recording"].iter().enumerate() {
-        let own: Vec<_> = done.iter().filter(|d| d.proxy == number).collect();
-        let served = own.iter().filter(|d| d.outcome == ClientOutcome::Served).count();
-        let used =
-            ran.used.get(number).ok_or_else(|| CommandError::failed("the system tells no CPU time"))?;
-        let (memory, micros) = (used.memory, used.cpu * 1e6 / own.len().max(1) as f64);
+        let requests: Vec<_> = finished.iter().filter(|d| d.proxy == number).collect();
+        let served = requests.iter().filter(|d| d.outcome == ClientOutcome::Served).count();
+        let used = result
+            .used
+            .get(number)
+            .ok_or_else(|| CommandError::failed("cannot determine the CPU time of a proxy"))?;
+        let (memory, micros) = (used.memory, used.cpu * 1e6 / requests.len().max(1) as f64);
         println!(
-            "{name:<14} {served} of {} served, {micros:.0} us of CPU a request, {memory:.1} MB",
-            own.len()
+            "{name:<14} {served} of {} served, {micros:.0} us of CPU per request, {memory:.1} MB",
+            requests.len()
         );
-        each.push(micros);
+        cpu_micros.push(micros);
     }
-    println!("recording takes {:+.1}% of CPU", (each[0] / each[1] - 1.0) * 100.0);
+    println!(
+        "recording changes the CPU time per request by {:+.1}%",
+        (cpu_micros[0] / cpu_micros[1] - 1.0) * 100.0
+    );
     Ok(())
 }
 
-/// A day of records of three proxies, and what its report takes.
+/// Writes records of three proxies for a day, and measures the time and the memory of the report on them.
 pub fn day(directory: &Path, seconds: u32) -> Result<(), CommandError> {
     std::fs::create_dir_all(directory).map_err(CommandError::failed)?;
-    for old in std::fs::read_dir(directory).map_err(CommandError::failed)?.flatten() {
-        if old.path().to_string_lossy().contains(".wharfplank") {
-            std::fs::remove_file(old.path()).map_err(CommandError::failed)?;
+    for entry in std::fs::read_dir(directory).map_err(CommandError::failed)?.flatten() {
+        if entry.path().to_string_lossy().contains(".wharfplank") {
+            std::fs::remove_file(entry.path()).map_err(CommandError::failed)?;
         }
     }
     let written =
@@ -48,7 +53,7 @@
         .flatten()
         .filter_map(|e| Some(e.metadata().ok()?.len()))
         .sum();
-    println!("{written} answers of 3 proxies in {seconds} s: {:.0} MB of store", bytes as f64 / 1e6);
+    println!("{written} answers of 3 proxies in {seconds} s: {:.0} MB of stores", bytes as f64 / 1e6);
     let start = std::time::Instant::now();
     records::report(
         &[directory.to_path_buf()],
@@ -57,26 +62,26 @@
         None,
     )?;
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap_or(" not told").trim();
+    let peak_memory = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap_or(" unknown").trim();
     println!(
-        "the report took {:.1} s; the most memory of this process was {peak}",
+        "the report took {:.1} s; the peak memory of this process was {peak_memory}",
         start.elapsed().as_secs_f64()
     );
     Ok(())
 }
 
-/// Kills a recording process again and again.
+/// Kills a recording process repeatedly, and checks that all acknowledged records are stored.
 pub fn kills(directory: &Path, times: u64) -> Result<(), CommandError> {
     let _ = std::fs::remove_dir_all(directory);
     std::fs::create_dir_all(directory).map_err(CommandError::failed)?;
     let program = current_program()?;
-    let seen = trials::kills(&program, directory, times, 7).map_err(CommandError::failed)?;
+    let result = trials::kills(&program, directory, times, 7).map_err(CommandError::failed)?;
     println!(
         "{} kills: {} records acknowledged, {} of them found, {} stores damaged",
-        seen.kills, seen.acknowledged, seen.found, seen.damaged
+        result.kills, result.acknowledged, result.found, result.damaged
     );
-    match seen.found == seen.acknowledged && seen.damaged == 0 {
+    match result.found == result.acknowledged && result.damaged == 0 {
         true => Ok(()),
-        false => Err(CommandError::failed("a record that was acknowledged is gone, or a store is damaged")),
+        false => Err(CommandError::failed("an acknowledged record is missing, or a store is damaged")),
     }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,11 +1,11 @@
-//! Sub-commands and exit codes.
+//! The sub-commands and the exit codes of the command line.
 //!
 //! | code | meaning |
 //! | --- | --- |
-//! | 0 | done |
-//! | 1 | it ran and failed |
-//! | 2 | the command line cannot be understood |
-//! | 3 | settings or a configuration cannot be used; nothing was started |
+//! | 0 | success |
+//! | 1 | the command ran and failed |
+//! | 2 | usage error |
+//! | 3 | invalid settings or configuration; nothing was started |
 
 mod arguments;
 mod error;
@@ -23,7 +23,7 @@
 };
 use wharfplank::settings::{self, Settings};
 
-/// Runs the command that the command line names.
+/// Parses the command line and runs its command.
 pub fn run() -> ExitCode {
     let command = Arguments::parse().command.unwrap_or(Command::Serve { settings: None });
     match run_command(command) {
@@ -54,33 +54,33 @@
     }
 }
 
-/// Serves until the process is asked to end.
+/// Runs the proxy until the process is asked to shut down.
 fn serve(settings: Option<PathBuf>) -> Result<(), CommandError> {
     let settings = match settings {
-        Some(path) => settings::load(&path).map_err(CommandError::unusable_settings)?,
+        Some(path) => settings::load(&path).map_err(CommandError::invalid_settings)?,
         None => Settings::default(),
     };
-    let config = Config::from_environment().map_err(|error| CommandError::unusable_settings([error]))?;
+    let config = Config::from_environment().map_err(|error| CommandError::invalid_settings([error]))?;
     let _log = log::start(&settings.log).map_err(CommandError::failed)?;
     run_proxy(config, &settings).map_err(CommandError::failed)
 }
 
-/// Checks settings and a configuration without starting anything.
+/// Validates settings and a configuration without starting anything.
 fn check(settings: Option<PathBuf>, config: Option<PathBuf>) -> Result<(), CommandError> {
     if settings.is_none() && config.is_none() {
         return Err(CommandError::usage("nothing to check: give --settings FILE, --config FILE or both"));
     }
-    let mut faults = Vec::new();
+    let mut messages = Vec::new();
     if let Some(path) = &settings {
         let errors = settings::load(path).err().unwrap_or_default();
-        faults.extend(errors.iter().map(ToString::to_string));
+        messages.extend(errors.iter().map(ToString::to_string));
     }
     if let Some(path) = &config {
         let error = Config::read(path, AddressOverrides::default()).err();
-        faults.extend(error.map(|error| error.to_string()));
+        messages.extend(error.map(|error| error.to_string()));
     }
-    if !faults.is_empty() {
-        return Err(CommandError::unusable_settings(faults));
+    if !messages.is_empty() {
+        return Err(CommandError::invalid_settings(messages));
     }
     println!("no fault found");
     Ok(())
--- a/src/cli/records.rs
+++ b/src/cli/records.rs
@@ -1,4 +1,4 @@
-//! `records`, `report`: what the stores hold.
+//! `records`, `report`: the contents of record stores.
 
 use super::error::CommandError;
 use std::path::{Path, PathBuf};
@@ -8,10 +8,10 @@
 use wharfplank::records::Micros;
 use wharfplank::report::{html, Facts};
 
-/// The span to look at, in seconds before the last record.
+/// The time span to report on.
 #[derive(clap::Args, Default)]
 pub struct Span {
-    /// Only the last so many seconds of the records.
+    /// Only the last SECONDS of the records.
     #[arg(long, value_name = "SECONDS")]
     last: Option<u32>,
 }
@@ -28,7 +28,7 @@
     }
 }
 
-/// Says what the stores hold.
+/// Prints the runs, sizes and gaps of stores.
 pub fn records(paths: &[PathBuf]) -> Result<(), CommandError> {
     let set = StoreSet::open(paths);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
@@ -37,37 +37,32 @@
         println!("{}: {:.1} MB", store.proxy, bytes as f64 / 1e6);
         for run in &store.runs {
             let state = match run.state(now) {
-                RunState::Ended => "ended in order",
-                RunState::Killed => "cut off",
+                RunState::Ended => "shut down",
+                RunState::Killed => "killed",
                 RunState::Running => "running",
             };
             let (from, to) = (html::utc(run.started_at), html::utc(run.last_alive_at));
             println!("  run {}: {from} to {to}, {state}", run.id);
         }
         for gap in store.gaps() {
-            println!(
-                "  nothing known: {} to {}, {}",
-                html::utc(gap.from),
-                html::utc(gap.to),
-                gap.cause.name()
-            );
+            println!("  no records: {} to {}, {}", html::utc(gap.from), html::utc(gap.to), gap.cause.name());
         }
     }
-    set.problems.iter().for_each(|problem| eprintln!("wharfplank: cannot be read: {problem}"));
+    set.problems.iter().for_each(|problem| eprintln!("wharfplank: cannot read {problem}"));
     match set.stores.is_empty() {
         true => Err(CommandError::failed("no records found; name a directory with PROXY.wharfplank files")),
         false => Ok(()),
     }
 }
 
-/// The facts of a span.
+/// Returns the facts about a time span.
 pub fn facts(paths: &[PathBuf], span: &Span) -> Result<Facts, CommandError> {
     let stores = StoreSet::open(paths);
     let (from, to) = span.of(&stores)?;
     Ok(Facts::from_evidence(gather(&stores, from, to)))
 }
 
-/// Writes a report.
+/// Writes a report and prints its summary.
 pub fn report(
     paths: &[PathBuf],
     span: &Span,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
 //! wharfplank: a proxy that routes payroll database reads and writes over replicated groups.
 //!
-//! Each concern is a crate of its own, re-exported here. Dependencies point down the list of README.md only; see
-//! `docs/architecture.md` for the programs, who owns which state, and the way of a request through the crates.
+//! Each concern is a separate crate, re-exported here. Crates depend only on crates further down the list in
+//! README.md. `docs/architecture.md` describes the programs, the ownership of state, and the path of a
+//! request through the crates.
 
 pub use wharfplank_console as console;
 pub use wharfplank_discovery as discovery;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line: one program for the proxy and for the people who run it.
+//! The command line of the proxy and of its operators' tools.
 
 mod cli;
 
