--- a/crates/records/tests/store.rs
+++ b/crates/records/tests/store.rs
@@ -72,14 +72,14 @@
         })
         .unwrap();
     assert_eq!(answers, 2, "only the answers of the block with a rejected one");
-    let summaries: Vec<_> = reader
+    let summary_rows: Vec<_> = reader
         .summaries(T, later)
         .unwrap()
         .into_iter()
         .map(|s| (s.outcome_code, s.count, s.longest))
         .collect();
     assert_eq!(
-        summaries,
+        summary_rows,
         [(0, 1, 10), (0, 1, 30), (Outcome::Rejected(FailureReason::TooStale).code(), 1, 5)]
     );
     assert_eq!(reader.name(1, NameKind::Class, 1).map(|n| n.name.as_str()), Some("lookup"));
@@ -206,23 +206,23 @@
 #[test]
 fn unavailable_disk_leaves_a_counted_gap() {
     let dir = tempfile::tempdir().unwrap();
-    let path = dir.path().join("later");
+    let later = dir.path().join("later");
     let reports = Arc::new(Mutex::new(Vec::new()));
     let sink = Arc::clone(&reports);
     let recorder =
-        Recorder::start(config(&path, 64), clock, move |text| sink.lock().unwrap().push(text.to_string()))
+        Recorder::start(config(&later, 64), clock, move |text| sink.lock().unwrap().push(text.to_string()))
             .unwrap();
     for _ in 0..10 {
         recorder.record(answer(1, Outcome::Served));
     }
     wait_until("an error report", || !reports.lock().unwrap().is_empty());
-    std::fs::create_dir(&path).unwrap();
+    std::fs::create_dir(&later).unwrap();
     wait_until("a flush", || {
         recorder.record(answer(1, Outcome::Served));
         recorder.stored_count() > 0
     });
     drop(recorder);
-    let reader = StoreReader::open(&store::path(&path, "n0")).unwrap();
+    let reader = StoreReader::open(&store::path(&later, "n0")).unwrap();
     let mut gaps = reader.records(0..=Micros::MAX, BlockFilter::All, |_, _, _| {}).unwrap();
     let gap = gaps.pop().expect("a gap");
     assert_eq!(gap.cause, GapCause::Lost);
--- a/src/cli/lab/gossip_cost.rs
+++ b/src/cli/lab/gossip_cost.rs
@@ -20,19 +20,18 @@
     timeline.seconds = SECONDS;
     timeline.proxies = proxies.max(6) + 1;
     let result = play_timeline_with(&timeline, directory, |_| false, Some(before))?;
-    let finished = result.load.finished.borrow();
+    let finished_requests = result.load.finished.borrow();
     println!(
         "{:<10} {:>8} {:>8} {:>8} {:>8} {:>10} {:>10}",
         "talk", "served", "p50 ms", "p99 ms", "p99.9", "serving us", "all us"
     );
     for (number, name) in ["off", "before", "now"].iter().enumerate() {
-        let requests: Vec<_> = finished.iter().filter(|request| request.proxy == number).collect();
+        let requests: Vec<_> = finished_requests.iter().filter(|request| request.proxy == number).collect();
         let served = requests.iter().filter(|request| request.outcome == ClientOutcome::Served);
-        let mut latencies: Vec<i64> = served.map(|request| request.finished_at - request.due_at).collect();
-        latencies.sort_unstable();
-        let percentile_ms = |per_mille: usize| {
-            latencies.get(latencies.len() * per_mille / 1000).map_or(0.0, |t| *t as f64 / 1000.0)
-        };
+        let mut times: Vec<i64> = served.map(|request| request.finished_at - request.due_at).collect();
+        times.sort_unstable();
+        let percentile_ms =
+            |per_mille: usize| times.get(times.len() * per_mille / 1000).map_or(0.0, |t| *t as f64 / 1000.0);
         let used = result
             .used
             .get(number)
@@ -40,7 +39,7 @@
         let micros_per_request = |seconds: f64| seconds * 1e6 / requests.len().max(1) as f64;
         println!(
             "{name:<10} {:>8} {:>8.2} {:>8.2} {:>8.2} {:>10.0} {:>10.0}",
-            latencies.len(),
+            times.len(),
             percentile_ms(500),
             percentile_ms(990),
             percentile_ms(999),
--- a/src/cli/lab/incident.rs
+++ b/src/cli/lab/incident.rs
@@ -120,7 +120,7 @@
 /// gaps.
 fn compare_answers(ran: &Ran, facts: &Facts) -> Vec<String> {
     let mut faults = Vec::new();
-    let finished = ran.load.finished.borrow();
+    let finished_requests = ran.load.finished.borrow();
     for (number, _) in ran.load.proxy_addresses.iter().enumerate() {
         let name = format!("n{number}");
         let Some(proxy) = facts.proxies.iter().find(|p| p.name == name) else {
@@ -130,8 +130,9 @@
         for (i, class) in CLASSES.iter().enumerate() {
             let recorded = proxy.classes.get(class.name).cloned().unwrap_or_default();
             let count = |span: (Micros, Micros), outcome: ClientOutcome| {
-                within(&finished, number, span).filter(|d| d.class == i && d.outcome == outcome).count()
-                    as u64
+                within(&finished_requests, number, span)
+                    .filter(|d| d.class == i && d.outcome == outcome)
+                    .count() as u64
             };
             let always = (0, Micros::MAX);
             let kinds = [
--- a/src/cli/lab/play.rs
+++ b/src/cli/lab/play.rs
@@ -60,7 +60,7 @@
         let unanswered = count(ClientOutcome::Unreachable)
             + count(ClientOutcome::ConnectionLost)
             + count(ClientOutcome::TimedOut);
-        let latencies = ran.load.latencies(i);
+        let histogram = ran.load.latencies(i);
         let ms = |value: u64| value as f64 / 1000.0;
         println!(
             "{:<14} {:>7} {:>7} {:>7} {unanswered:>7} {:>8.1} {:>8.1} {:>8.1}",
@@ -68,9 +68,9 @@
             count(ClientOutcome::Served),
             count(ClientOutcome::Rejected),
             count(ClientOutcome::Failed),
-            ms(latencies.value_at_quantile(0.5)),
-            ms(latencies.value_at_quantile(0.99)),
-            ms(latencies.max())
+            ms(histogram.value_at_quantile(0.5)),
+            ms(histogram.value_at_quantile(0.99)),
+            ms(histogram.max())
         );
     }
     if ran.load.dropped_requests.get() > 0 {
--- a/src/cli/lab/trials.rs
+++ b/src/cli/lab/trials.rs
@@ -14,13 +14,13 @@
     let mut timeline = load_timeline(None, timeline::DEMO)?;
     timeline.rate = 1200;
     timeline.seconds = 20;
-    let result = play_timeline(&timeline, directory, |number| number == 0)?;
-    let finished = result.load.finished.borrow();
+    let ran = play_timeline(&timeline, directory, |number| number == 0)?;
+    let finished_requests = ran.load.finished.borrow();
     let mut cpu_micros = Vec::new();
     for (number, name) in ["recording", "not recording"].iter().enumerate() {
-        let requests: Vec<_> = finished.iter().filter(|d| d.proxy == number).collect();
+        let requests: Vec<_> = finished_requests.iter().filter(|d| d.proxy == number).collect();
         let served = requests.iter().filter(|d| d.outcome == ClientOutcome::Served).count();
-        let used = result
+        let used = ran
             .used
             .get(number)
             .ok_or_else(|| CommandError::failed("cannot determine the CPU time of a proxy"))?;
