--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,8 +1,8 @@
-//! The terminal console: what the report tells, live beside running proxies and backwards through their records.
+//! The terminal console: shows the facts of the report, live while proxies run or for an earlier time span.
 //!
-//! - [`state`]: what is shown and what a key does, without I/O.
-//! - [`screen`]: how it looks, in any terminal from 80x24 on.
-//! - [`run()`]: the terminal, the keys and the stores.
+//! - [`state`]: the time span and filters of the view, and the actions of keys, without I/O.
+//! - [`screen`]: the layout, for terminals of at least 80x24.
+//! - [`run()`]: the event loop, which connects the terminal, the keys and the stores.
 
 pub mod run;
 pub mod screen;
--- a/crates/console/src/run.rs
+++ b/crates/console/src/run.rs
@@ -1,7 +1,7 @@
-//! The terminal, the keys and the stores.
+//! The event loop of the console.
 
 use crate::screen;
-use crate::state::{Key, State};
+use crate::state::{Action, State};
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind, KeyModifiers};
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -10,26 +10,26 @@
 use wharfplank_records::reader::StoreSet;
 use wharfplank_report::Facts;
 
-/// How often the stores are read anew while it follows.
-const REFRESH: Duration = Duration::from_secs(1);
+/// The interval at which the stores are reopened.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-fn meaning(code: KeyCode) -> Option<Key> {
+fn action_for(code: KeyCode) -> Option<Action> {
     Some(match code {
-        KeyCode::Char(' ') => Key::Pause,
-        KeyCode::Left => Key::Back,
-        KeyCode::Right => Key::Forth,
-        KeyCode::Char('+') => Key::In,
-        KeyCode::Char('-') => Key::Out,
-        KeyCode::Char('g') => Key::Filter,
-        KeyCode::Char('c') => Key::Class,
-        KeyCode::Down => Key::Down,
-        KeyCode::Up => Key::Up,
-        KeyCode::Char('q') | KeyCode::Esc => Key::Quit,
+        KeyCode::Char(' ') => Action::TogglePause,
+        KeyCode::Left => Action::Earlier,
+        KeyCode::Right => Action::Later,
+        KeyCode::Char('+') => Action::ZoomIn,
+        KeyCode::Char('-') => Action::ZoomOut,
+        KeyCode::Char('g') => Action::NextGroup,
+        KeyCode::Char('c') => Action::NextClass,
+        KeyCode::Down => Action::ScrollDown,
+        KeyCode::Up => Action::ScrollUp,
+        KeyCode::Char('q') | KeyCode::Esc => Action::Quit,
         _ => return None,
     })
 }
 
-/// Shows the stores in some directories until the user ends it.
+/// Shows the stores at these paths until the user quits.
 pub fn run(paths: &[PathBuf]) -> Result<(), String> {
     if !std::io::stdout().is_terminal() || !std::io::stdin().is_terminal() {
         return Err("the console needs a terminal; 'wharfplank report' writes a file instead".to_string());
@@ -43,52 +43,53 @@
     })?;
     let mut state = State::new(span.0, span.1);
     let mut terminal = ratatui::try_init().map_err(|e| format!("terminal: {e}"))?;
-    let done = (|| {
-        let mut facts = show(&reader, &state);
-        let (mut read_at, mut note) = (Instant::now(), String::new());
-        while !state.over {
-            terminal.draw(|frame| screen::draw(frame, &state, &facts, &note))?;
+    let result = (|| {
+        let mut facts = load_facts(&reader, &state);
+        let (mut read_at, mut message) = (Instant::now(), String::new());
+        while !state.should_quit {
+            terminal.draw(|frame| screen::draw(frame, &state, &facts, &message))?;
             let mut changed = false;
-            if event::poll(REFRESH.saturating_sub(read_at.elapsed()))? {
+            if event::poll(REFRESH_INTERVAL.saturating_sub(read_at.elapsed()))? {
                 match event::read()? {
-                    // A resize is drawn anew by itself.
+                    // A resize needs no handling: each iteration draws the screen.
                     Event::Key(key) if key.kind != KeyEventKind::Release => {
-                        let ends =
+                        let is_ctrl_c =
                             key.code == KeyCode::Char('c') && key.modifiers.contains(KeyModifiers::CONTROL);
-                        let key = if ends { Some(Key::Quit) } else { meaning(key.code) };
-                        if let Some(key) = key {
-                            state.key(key, &facts);
+                        let action = if is_ctrl_c { Some(Action::Quit) } else { action_for(key.code) };
+                        if let Some(action) = action {
+                            state.apply(action, &facts);
                             changed = true;
                         }
                     }
                     _ => {}
                 }
             }
-            if read_at.elapsed() >= REFRESH {
-                // A proxy may have begun or ended its store meanwhile; what is gone stays said.
-                let again = StoreSet::open(paths);
-                note = again.problem_texts().join("; ");
-                match again.span() {
+            if read_at.elapsed() >= REFRESH_INTERVAL {
+                // Stores may have appeared or disappeared since. If all are gone, the last data stays on the
+                // screen.
+                let reopened = StoreSet::open(paths);
+                message = reopened.problem_texts().join("; ");
+                match reopened.span() {
                     Some((oldest, newest)) => {
-                        state.reach(oldest, newest);
-                        reader = again;
+                        state.update_bounds(oldest, newest);
+                        reader = reopened;
                     }
-                    None => note = format!("the stores are gone; the last of them is shown. {note}"),
+                    None => message = format!("the stores are gone; showing the last data read. {message}"),
                 }
                 read_at = Instant::now();
-                changed |= state.follows();
+                changed |= state.is_following();
             }
             if changed {
-                facts = show(&reader, &state);
+                facts = load_facts(&reader, &state);
             }
         }
         Ok::<(), std::io::Error>(())
     })();
     ratatui::restore();
-    done.map_err(|e| format!("terminal: {e}"))
+    result.map_err(|e| format!("terminal: {e}"))
 }
 
-fn show(reader: &StoreSet, state: &State) -> Facts {
+fn load_facts(reader: &StoreSet, state: &State) -> Facts {
     let (from, to) = state.span();
     Facts::from_evidence(gather(reader, from, to))
 }
