--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -37,7 +37,7 @@
         Layout::horizontal([Constraint::Percentage(50), Constraint::Percentage(50)]).areas(lower_area);
     let (from, to) = state.span();
     let mode = if state.is_following() { "live" } else { "held" };
-    let header = format!(
+    let status_line = format!(
         " {mode}  {} to {}  {:.0} s  group {}  class {}",
         utc(from),
         &utc(to)[11..],
@@ -46,7 +46,7 @@
         state.class.as_deref().unwrap_or("all")
     );
     let reversed = Style::new().add_modifier(Modifier::REVERSED);
-    frame.render_widget(Paragraph::new(header).style(reversed), header_area);
+    frame.render_widget(Paragraph::new(status_line).style(reversed), header_area);
     draw_members(frame, members, state, facts);
     draw_answers(frame, answers, state, facts);
     draw_incidents(frame, incidents, facts);
--- a/crates/console/tests/screens.rs
+++ b/crates/console/tests/screens.rs
@@ -22,14 +22,14 @@
         for (from, to) in parts {
             let mut store = Store::open(directory, proxy, limits, T + from * SECOND).unwrap().store;
             let mut records = vec![(T + from * SECOND, Record::Proxy { zone: "a".into() })];
-            let mut push = |at: Micros, record: Record| records.push((at, record));
-            push(
+            let mut add_record = |at: Micros, record: Record| records.push((at, record));
+            add_record(
                 T + from * SECOND,
                 Record::Class { class: 0, name: "lookup".into(), latency_objective: 300_000 },
             );
             for m in 1..=4 {
                 let (name, zone) = (format!("m{m}"), ["a", "b"][m as usize % 2].to_string());
-                push(T + from * SECOND, Record::Member { member: m, name, zone });
+                add_record(T + from * SECOND, Record::Member { member: m, name, zone });
             }
             for second in from..to {
                 let at = T + second * SECOND + SECOND / 2;
@@ -47,7 +47,7 @@
                         in_flight: 0,
                         relative_latency_percent: 100,
                     };
-                    push(at, Record::MemberState(state));
+                    add_record(at, Record::MemberState(state));
                 }
                 for i in 0..20 {
                     let is_stale = slow && i < 4;
@@ -55,7 +55,7 @@
                         if is_stale { Outcome::Rejected(FailureReason::TooStale) } else { Outcome::Served };
                     let member = (!is_stale).then_some(1);
                     let staleness = is_stale.then_some(Staleness { needed: at, known: at - SECOND });
-                    push(
+                    add_record(
                         at + i,
                         Record::Answer {
                             class: 0,
--- a/crates/records/tests/store.rs
+++ b/crates/records/tests/store.rs
@@ -206,23 +206,23 @@
 #[test]
 fn unavailable_disk_leaves_a_counted_gap() {
     let dir = tempfile::tempdir().unwrap();
-    let later = dir.path().join("later");
+    let missing = dir.path().join("later");
     let reports = Arc::new(Mutex::new(Vec::new()));
     let sink = Arc::clone(&reports);
     let recorder =
-        Recorder::start(config(&later, 64), clock, move |text| sink.lock().unwrap().push(text.to_string()))
+        Recorder::start(config(&missing, 64), clock, move |text| sink.lock().unwrap().push(text.to_string()))
             .unwrap();
     for _ in 0..10 {
         recorder.record(answer(1, Outcome::Served));
     }
     wait_until("an error report", || !reports.lock().unwrap().is_empty());
-    std::fs::create_dir(&later).unwrap();
+    std::fs::create_dir(&missing).unwrap();
     wait_until("a flush", || {
         recorder.record(answer(1, Outcome::Served));
         recorder.stored_count() > 0
     });
     drop(recorder);
-    let reader = StoreReader::open(&store::path(&later, "n0")).unwrap();
+    let reader = StoreReader::open(&store::path(&missing, "n0")).unwrap();
     let mut gaps = reader.records(0..=Micros::MAX, BlockFilter::All, |_, _, _| {}).unwrap();
     let gap = gaps.pop().expect("a gap");
     assert_eq!(gap.cause, GapCause::Lost);
