--- a/src/cli/lab/fleet.rs
+++ b/src/cli/lab/fleet.rs
@@ -3,14 +3,14 @@
 use super::super::error::CommandError;
 use super::{create_directory, current_program};
 use std::path::Path;
-use wharfplank::fleet_harness::run::{play, Place};
+use wharfplank::fleet_harness::run::{play, RunPaths};
 use wharfplank::fleet_harness::schedule::{Scenario, Schedule};
 use wharfplank::fleet_harness::sweep::{play_all, sums};
 
 /// Returns the scenario with this name, or a usage error.
 fn parse_scenario(scenario: &str) -> Result<Scenario, CommandError> {
     let names: Vec<&str> = Scenario::ALL.iter().map(|s| s.name()).collect();
-    Scenario::named(scenario).ok_or_else(|| {
+    Scenario::from_name(scenario).ok_or_else(|| {
         CommandError::usage(format!("unknown scenario '{scenario}'; the scenarios are {}", names.join(", ")))
     })
 }
@@ -32,7 +32,8 @@
     let program = current_program()?;
     let mut all = Vec::new();
     for scenario in selected {
-        let schedules = seeds.clone().map(|seed| Schedule::draw(scenario, proxies, seed, peers)).collect();
+        let schedules =
+            seeds.clone().map(|seed| Schedule::from_seed(scenario, proxies, seed, peers)).collect();
         let played = play_all(schedules, &program, &directory, beside);
         let totals = sums(&played);
         totals.iter().for_each(|sum| println!("{}", sum.render()));
@@ -41,9 +42,10 @@
         let text = serde_json::to_string_pretty(&all).map_err(CommandError::failed)?;
         std::fs::write(directory.join("sums.json"), text).map_err(CommandError::failed)?;
     }
-    let (broken, failed) = all.iter().fold((0, 0), |(b, f), sum| (b + sum.broken, f + sum.failed.len()));
-    if broken > 0 || failed > 0 {
-        return Err(CommandError::failed(format!("{broken} rule violations, {failed} failed runs")));
+    let (violations, failed) =
+        all.iter().fold((0, 0), |(b, f), sum| (b + sum.violations, f + sum.failed.len()));
+    if violations > 0 || failed > 0 {
+        return Err(CommandError::failed(format!("{violations} rule violations, {failed} failed runs")));
     }
     Ok(())
 }
@@ -62,18 +64,18 @@
             let text = std::fs::read_to_string(path)
                 .map_err(|e| CommandError::invalid_settings([format!("{}: {e}", path.display())]))?;
             Schedule::read(&text)
-                .map_err(|what| CommandError::invalid_settings([format!("{}: {what}", path.display())]))?
+                .map_err(|error| CommandError::invalid_settings([format!("{}: {error}", path.display())]))?
         }
-        None => Schedule::draw(parse_scenario(scenario)?, proxies, seed, peers),
+        None => Schedule::from_seed(parse_scenario(scenario)?, proxies, seed, peers),
     };
     let directory = create_directory(directory)?;
     let program = current_program()?;
-    let place = Place { program, directory: directory.clone() };
-    let report = play(&schedule, &place).map_err(CommandError::failed)?;
+    let paths = RunPaths { program, directory: directory.clone() };
+    let report = play(&schedule, &paths).map_err(CommandError::failed)?;
     print!("{}", report.render());
     println!("schedule, logs and report.json are in {}", directory.display());
-    if report.broken > 0 {
-        return Err(CommandError::failed(format!("{} rule violations", report.broken)));
+    if report.violations > 0 {
+        return Err(CommandError::failed(format!("{} rule violations", report.violations)));
     }
     Ok(())
 }
