--- a/src/cli/lab/gossip_cost.rs
+++ b/src/cli/lab/gossip_cost.rs
@@ -33,7 +33,7 @@
         let percentile_ms =
             |per_mille: usize| times.get(times.len() * per_mille / 1000).map_or(0.0, |t| *t as f64 / 1000.0);
         let used = result
-            .used
+            .process_usage
             .get(number)
             .ok_or_else(|| CommandError::failed("cannot determine the CPU time of a proxy"))?;
         let micros_per_request = |seconds: f64| seconds * 1e6 / requests.len().max(1) as f64;
@@ -43,8 +43,8 @@
             percentile_ms(500),
             percentile_ms(990),
             percentile_ms(999),
-            micros_per_request(used.serving),
-            micros_per_request(used.cpu)
+            micros_per_request(used.serving_cpu_seconds),
+            micros_per_request(used.cpu_seconds)
         );
     }
     Ok(())
--- a/src/cli/lab/incident.rs
+++ b/src/cli/lab/incident.rs
@@ -7,7 +7,7 @@
 use wharfplank::incidents::{Incident, Kind};
 use wharfplank::lab::load::ClientOutcome;
 use wharfplank::lab::member_model::CLASSES;
-use wharfplank::lab::run::{within, Ran};
+use wharfplank::lab::run::{finished_within, RunResults};
 use wharfplank::lab::timeline::{self, Timeline};
 use wharfplank::records::Micros;
 use wharfplank::report::Facts;
@@ -25,7 +25,7 @@
     let timeline = load_timeline(path, timeline::INCIDENT)?;
     let ran = play_timeline(&timeline, directory, |_| true)?;
     print_results(&ran);
-    let stores = [wharfplank::lab::run::records(directory)];
+    let stores = [wharfplank::lab::run::records_directory(directory)];
     let facts = records::facts(&stores, &Span::default())?;
     let (html, json) = (directory.join("report.html"), directory.join("report.json"));
     records::report(&stores, &Span::default(), Some(&html), Some(&json))?;
@@ -41,25 +41,25 @@
 
 /// Checks that each scripted fault is reported, that no other incident is reported, and that each kill is a
 /// gap.
-fn compare_events(timeline: &Timeline, ran: &Ran, facts: &Facts) -> Vec<String> {
+fn compare_events(timeline: &Timeline, ran: &RunResults, facts: &Facts) -> Vec<String> {
     let mut faults = Vec::new();
     let mut unmatched: Vec<&Incident> = facts.incidents.iter().collect();
-    for trouble in &timeline.troubles {
-        let (from, to) = (trouble.at as Micros, (trouble.at + trouble.lasts) as Micros);
+    for scripted in &timeline.scripted_faults {
+        let (from, to) = (scripted.at as Micros, (scripted.at + scripted.duration) as Micros);
         let (from, to) = (ran.start + from * SECOND, ran.start + to * SECOND);
-        let kind = match trouble.kind {
-            timeline::Kind::SlowApply => Kind::SlowApply,
-            timeline::Kind::SlowMember => Kind::SlowMember,
-            timeline::Kind::Cut | timeline::Kind::Lose => Kind::Cut,
-            timeline::Kind::Failover => Kind::NoPrimary,
-            timeline::Kind::Drain => Kind::Drain,
-            timeline::Kind::KillProxy => continue,
+        let kind = match scripted.kind {
+            timeline::FaultKind::SlowApply => Kind::SlowApply,
+            timeline::FaultKind::SlowMember => Kind::SlowMember,
+            timeline::FaultKind::Partition | timeline::FaultKind::ZoneLoss => Kind::Cut,
+            timeline::FaultKind::Failover => Kind::NoPrimary,
+            timeline::FaultKind::Drain => Kind::Drain,
+            timeline::FaultKind::KillProxy => continue,
         };
         let is_match = |i: &&Incident| {
             let subject = i.subject.is_empty()
                 || i.subject
                     .split([' ', ','])
-                    .any(|s| s.trim_start_matches('g') == trouble.on.trim_start_matches('g'));
+                    .any(|s| s.trim_start_matches('g') == scripted.targets.trim_start_matches('g'));
             i.kind == kind
                 && subject
                 && (i.from - from).abs() <= MAX_START_OFFSET
@@ -71,14 +71,14 @@
                 let offset_s = |a: Micros, b: Micros| (a - b) as f64 / 1e6;
                 println!(
                     "found    {kind:?} {}: start differs by {:+.1} s, end by {:+.1} s from the script",
-                    trouble.on,
+                    scripted.targets,
                     offset_s(i.from, from),
                     offset_s(i.to, to)
                 );
             }
             None => faults.push(format!(
                 "not reported: {kind:?} on {} from second {} for {} s",
-                trouble.on, trouble.at, trouble.lasts
+                scripted.targets, scripted.at, scripted.duration
             )),
         }
     }
@@ -86,7 +86,7 @@
     // report.
     let is_expected_surge = |i: &&Incident| {
         i.kind == Kind::Surge
-            && timeline.troubles.iter().any(|t| (ran.start + t.at as Micros * SECOND) <= i.to)
+            && timeline.scripted_faults.iter().any(|t| (ran.start + t.at as Micros * SECOND) <= i.to)
     };
     for i in unmatched.iter().filter(|i| !is_expected_surge(i)) {
         faults.push(format!(
@@ -118,7 +118,7 @@
 
 /// Checks that the recorded answers by proxy and class match the counts of the load generator, except in
 /// gaps.
-fn compare_answers(ran: &Ran, facts: &Facts) -> Vec<String> {
+fn compare_answers(ran: &RunResults, facts: &Facts) -> Vec<String> {
     let mut faults = Vec::new();
     let finished_requests = ran.load.finished.borrow();
     for (number, _) in ran.load.proxy_addresses.iter().enumerate() {
@@ -130,7 +130,7 @@
         for (i, class) in CLASSES.iter().enumerate() {
             let recorded = proxy.classes.get(class.name).cloned().unwrap_or_default();
             let count = |span: (Micros, Micros), outcome: ClientOutcome| {
-                within(&finished_requests, number, span)
+                finished_within(&finished_requests, number, span)
                     .filter(|d| d.class == i && d.outcome == outcome)
                     .count() as u64
             };
--- a/src/cli/lab/trials.rs
+++ b/src/cli/lab/trials.rs
@@ -21,10 +21,10 @@
         let requests: Vec<_> = finished_requests.iter().filter(|d| d.proxy == number).collect();
         let served = requests.iter().filter(|d| d.outcome == ClientOutcome::Served).count();
         let used = ran
-            .used
+            .process_usage
             .get(number)
             .ok_or_else(|| CommandError::failed("cannot determine the CPU time of a proxy"))?;
-        let (memory, micros) = (used.memory, used.cpu * 1e6 / requests.len().max(1) as f64);
+        let (memory, micros) = (used.memory_mib, used.cpu_seconds * 1e6 / requests.len().max(1) as f64);
         println!(
             "{name:<14} {served} of {} served, {micros:.0} us of CPU per request, {memory:.1} MB",
             requests.len()
@@ -46,8 +46,8 @@
             std::fs::remove_file(entry.path()).map_err(CommandError::failed)?;
         }
     }
-    let written =
-        trials::synthetic(directory, i64::from(seconds), 3, 320, 7).map_err(CommandError::failed)?;
+    let written = trials::write_synthetic_stores(directory, i64::from(seconds), 3, 320, 7)
+        .map_err(CommandError::failed)?;
     let bytes: u64 = std::fs::read_dir(directory)
         .map_err(CommandError::failed)?
         .flatten()
@@ -75,7 +75,7 @@
     let _ = std::fs::remove_dir_all(directory);
     std::fs::create_dir_all(directory).map_err(CommandError::failed)?;
     let program = current_program()?;
-    let result = trials::kills(&program, directory, times, 7).map_err(CommandError::failed)?;
+    let result = trials::kill_while_recording(&program, directory, times, 7).map_err(CommandError::failed)?;
     println!(
         "{} kills: {} records acknowledged, {} of them found, {} stores damaged",
         result.kills, result.acknowledged, result.found, result.damaged
