--- a/src/cli/lab/fleet.rs
+++ b/src/cli/lab/fleet.rs
@@ -20,7 +20,7 @@
     scenarios: &[String],
     seeds: std::ops::Range<u64>,
     proxies: usize,
-    beside: usize,
+    parallel_runs: usize,
     peers: bool,
     directory: &Path,
 ) -> Result<(), CommandError> {
@@ -34,7 +34,7 @@
     for scenario in selected {
         let schedules =
             seeds.clone().map(|seed| Schedule::from_seed(scenario, proxies, seed, peers)).collect();
-        let played = play_all(schedules, &program, &directory, beside);
+        let played = play_all(schedules, &program, &directory, parallel_runs);
         let totals = sums(&played);
         totals.iter().for_each(|sum| println!("{}", sum.render()));
         all.extend(totals);
@@ -42,10 +42,10 @@
         let text = serde_json::to_string_pretty(&all).map_err(CommandError::failed)?;
         std::fs::write(directory.join("sums.json"), text).map_err(CommandError::failed)?;
     }
-    let (violations, failed) =
+    let (violation_count, failed) =
         all.iter().fold((0, 0), |(b, f), sum| (b + sum.violations, f + sum.failed.len()));
-    if violations > 0 || failed > 0 {
-        return Err(CommandError::failed(format!("{violations} rule violations, {failed} failed runs")));
+    if violation_count > 0 || failed > 0 {
+        return Err(CommandError::failed(format!("{violation_count} rule violations, {failed} failed runs")));
     }
     Ok(())
 }
