--- a/crates/proxy/src/startup/mod.rs
+++ b/crates/proxy/src/startup/mod.rs
@@ -89,8 +89,8 @@
     Ok(())
 }
 
-/// Waits, for at most [`GOSSIP_LEAVE_TIMEOUT`], until this process has announced that it leaves, so that other
-/// proxies need not detect it.
+/// Waits, for at most [`GOSSIP_LEAVE_TIMEOUT`], until this process has announced that it leaves, so that
+/// other proxies need not detect it.
 async fn finish_gossip(gossip_end: Task<()>) {
     let timeout = async {
         async_io::Timer::after(GOSSIP_LEAVE_TIMEOUT).await;
--- a/crates/routing/tests/slow_start_fleet.rs
+++ b/crates/routing/tests/slow_start_fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet does not overload members that have just started: within any `overload_span` it sends such a
-//! member at most N + 2 √N + 2 requests of mean work, where N is `overload_multiple` times what the member can
-//! do then.
+//! member at most N + 2 √N + 2 requests of mean work, where N is `overload_multiple` times what the member
+//! can do then.
 
 mod fleet;
 
