--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter: the wire in and out, and what it says of bad input.
+//! The simulator adapter: its line protocol and its messages for invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -18,7 +18,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("its standard input is open");
-    // An adapter that has already stopped at an earlier line closes its end.
+    // The write fails if the adapter has already exited at an earlier invalid line.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
@@ -28,9 +28,9 @@
     format!("BATCH NowUs=1000\n{lines}\nCOMMIT\n")
 }
 
-fn complaint(input: &str) -> String {
+fn error_message(input: &str) -> String {
     let output = run(input);
-    assert!(!output.status.success(), "exit of {input:?}");
+    assert!(!output.status.success(), "the adapter accepted {input:?}");
     let text = String::from_utf8(output.stderr).expect("plain text");
     assert_eq!(text.lines().count(), 1, "{text}");
     assert!(!text.contains("panicked"), "{text}");
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn a_request_is_relayed_to_a_replica_and_unknown_keys_are_skipped() {
-    let ask = format!("INCOMING Who=0 Id={ID} Cls=look GiveUpAtUs=900000 GroupNo=5 Novel=7");
-    let output = run(&batch(&format!("{SETTINGS}\n{LIST}\n{ask}")));
+fn a_request_is_relayed_to_a_replica_and_unknown_keys_are_ignored() {
+    let request = format!("INCOMING Who=0 Id={ID} Cls=look GiveUpAtUs=900000 GroupNo=5 Novel=7");
+    let output = run(&batch(&format!("{SETTINGS}\n{LIST}\n{request}")));
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).expect("plain text");
     assert!(text.contains(&format!("RELAY Who=0 Id={ID} WithinUs=300000 Host=11\n")), "{text}");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn news_of_what_is_no_longer_held_is_passed_over() {
+fn events_for_unknown_requests_and_members_are_ignored() {
     let late = format!(
         "GONE Who=0 Id={ID}\nRESOLVED Who=0 Id={ID} Rc=done Terminal=1 Host=99 SendNo=0\nECHO Who=0 Host=99 Rc=done"
     );
@@ -63,13 +63,13 @@
 }
 
 #[test]
-fn an_instance_that_ended_can_be_configured_again() {
-    let twice = format!("{SETTINGS}\n{LIST}\nEXIT Who=0\n{SETTINGS}\n{LIST}");
-    assert!(run(&batch(&twice)).status.success());
+fn an_instance_can_be_configured_again_after_it_exits() {
+    let configured_twice = format!("{SETTINGS}\n{LIST}\nEXIT Who=0\n{SETTINGS}\n{LIST}");
+    assert!(run(&batch(&configured_twice)).status.success());
 }
 
 #[test]
-fn bad_lines_are_named_with_their_field() {
+fn errors_name_the_line_and_the_field() {
     let cases = [
         ("COMMIT\n".to_string(), "line 1", "BATCH"),
         ("BATCH NowUs=soon\n".to_string(), "line 1", "NowUs"),
@@ -86,7 +86,7 @@
         ("BATCH NowUs=5\n".to_string(), "end of input", "COMMIT"),
     ];
     for (input, line, field) in cases {
-        let text = complaint(&input);
+        let text = error_message(&input);
         assert!(text.contains(line) && text.contains(field), "{input:?}: {text}");
     }
 }
--- a/tests/attempt_unsent.rs
+++ b/tests/attempt_unsent.rs
@@ -1,36 +1,36 @@
-//! Attempts that are taken back before anything of them is written: they never ran, and no member has seen them.
+//! Attempts that are cancelled before any of their bytes is written: no member has received or executed them.
 
 #[path = "common/stand.rs"]
 mod stand;
 
-use stand::{answer, free_port, query, startup, Process, PATIENCE};
+use stand::{free_port, query, read_response, startup, Process, TEST_TIMEOUT};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-const WAIT: Duration = Duration::from_secs(8);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Guards against an attempt that is taken back from a silent member while it waits for its connection, and counts as
-/// one that the member has seen: its request is then held to the end of its client's time, when it is too late to come
-/// back, where one that no member has seen is told before half of it is over.
+/// Guards against an attempt that is cancelled while it waits for a connection to a silent member, but counts as
+/// received by the member. Its request was then held until the client's deadline, too late for a retry, whereas a
+/// request that no member has received is refused before half of its time is over.
 #[test]
-fn one_taken_back_while_it_waits_for_its_connection_was_not_seen() {
-    // Its machine takes connections, and the member greets none.
-    let member = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = member.local_addr().expect("an address").to_string();
-    let folder = tempfile::tempdir().expect("a folder");
+fn an_attempt_cancelled_before_its_connection_opens_was_not_received() {
+    // The kernel accepts connections, but the member does not answer their handshakes.
+    let member = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = member.local_addr().expect("local address").to_string();
+    let folder = tempfile::tempdir().expect("temporary directory");
     let port = free_port();
-    let process = Process::start_with(folder.path(), port, &[("m1", &address)], |config| {
+    let process = Process::start_with_config(folder.path(), port, &[("m1", &address)], |config| {
         config.replace("900000000", "100000").replace(r#""Worth":1.0"#, r#""LateValue":0.5,"Worth":1.0"#)
     });
-    process.ready();
-    let mut client = TcpStream::connect(("127.0.0.1", port)).expect("it listens");
-    client.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    let text = format!("/* id=1,c=any,d={},cluster=2 */ SELECT 1", WAIT.as_millis());
-    client.write_all(&[startup(), query(&text)].concat()).expect("taken");
-    answer(&mut client).expect("greeted");
-    let asked = Instant::now();
-    assert_eq!(answer(&mut client).as_deref(), Some("EZ"));
-    let took = asked.elapsed();
-    assert!(took < WAIT * 3 / 4, "refused after {took:?} of {WAIT:?}");
+    process.wait_until_ready();
+    let mut client = TcpStream::connect(("127.0.0.1", port)).expect("the process listens");
+    client.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
+    let text = format!("/* id=1,c=any,d={},cluster=2 */ SELECT 1", CLIENT_TIMEOUT.as_millis());
+    client.write_all(&[startup(), query(&text)].concat()).expect("write to the socket");
+    read_response(&mut client).expect("startup response");
+    let sent_at = Instant::now();
+    assert_eq!(read_response(&mut client).as_deref(), Some("EZ"));
+    let took = sent_at.elapsed();
+    assert!(took < CLIENT_TIMEOUT * 3 / 4, "refused after {took:?} of {CLIENT_TIMEOUT:?}");
 }
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! What the router does where a budget of the whole fleet is spent: its call, told by its interface.
+//! The events of the router for exhausted fleet-wide budgets.
 
 mod common;
 
@@ -11,32 +11,32 @@
 }
 
 #[test]
-fn a_request_over_budget_is_refused_at_once_with_a_wait() {
-    let mut bench = Bench::new(settings());
-    let actions = bench.tell(Event::RequestOverQuota(request(1, UNSAFE, false)));
-    let wait = |a: &Action| match a {
+fn a_request_over_budget_is_refused_at_once_with_a_retry_delay() {
+    let mut router = TestRouter::new(settings());
+    let actions = router.handle_event(Event::RequestOverQuota(request(1, NON_IDEMPOTENT, false)));
+    let retry_after_of = |a: &Action| match a {
         Action::Reject { retry_after, reason: RejectReason::OverQuota, .. } => Some(*retry_after),
         _ => None,
     };
-    assert_eq!(actions.iter().filter_map(wait).collect::<Vec<_>>(), [1_000_000]);
+    assert_eq!(actions.iter().filter_map(retry_after_of).collect::<Vec<_>>(), [1_000_000]);
     assert!(sends(&actions).is_empty());
-    // Nothing of it is left: it is not sent later either.
-    assert!(sends(&bench.pass(500_000)).is_empty());
-    // One that may have run before and must not run twice is not promised to be harmless.
-    assert!(failed(&bench.tell(Event::RequestOverQuota(request(2, UNSAFE, true)))));
-    assert_eq!(sends(&bench.ask(ANY)).len(), 1);
+    // The router does not keep the request: it is not sent later either.
+    assert!(sends(&router.advance(500_000)).is_empty());
+    // A request that may have run and must not run twice fails: a refusal would tell the client that a retry is safe.
+    assert!(failed(&router.handle_event(Event::RequestOverQuota(request(2, NON_IDEMPOTENT, true)))));
+    assert_eq!(sends(&router.submit(ANY)).len(), 1);
 }
 
 #[test]
-fn without_a_budget_of_retries_a_request_is_sent_once() {
-    let mut bench = Bench::new(settings());
-    let sent = sends(&bench.ask(ANY))[0];
-    assert_eq!(sends(&bench.end(sent, 0, AttemptOutcome::ConnectFailed, None)).len(), 1);
-    bench.tell(Event::RetriesAllowed(false));
-    let sent = sends(&bench.ask(ANY))[0];
-    let actions = bench.end(sent, 0, AttemptOutcome::ConnectFailed, None);
+fn without_a_retry_budget_a_request_is_sent_once() {
+    let mut router = TestRouter::new(settings());
+    let sent = sends(&router.submit(ANY))[0];
+    assert_eq!(sends(&router.finish_attempt(sent, 0, AttemptOutcome::ConnectFailed, None)).len(), 1);
+    router.handle_event(Event::RetriesAllowed(false));
+    let sent = sends(&router.submit(ANY))[0];
+    let actions = router.finish_attempt(sent, 0, AttemptOutcome::ConnectFailed, None);
     assert!(refused(&actions) && sends(&actions).is_empty());
-    bench.tell(Event::RetriesAllowed(true));
-    let sent = sends(&bench.ask(ANY))[0];
-    assert_eq!(sends(&bench.end(sent, 0, AttemptOutcome::ConnectFailed, None)).len(), 1);
+    router.handle_event(Event::RetriesAllowed(true));
+    let sent = sends(&router.submit(ANY))[0];
+    assert_eq!(sends(&router.finish_attempt(sent, 0, AttemptOutcome::ConnectFailed, None)).len(), 1);
 }
--- a/tests/clock_step.rs
+++ b/tests/clock_step.rs
@@ -1,4 +1,4 @@
-//! A wall clock that is stepped, before the process starts or while it runs: requests are served as ever.
+//! A wall clock that is stepped before the process starts or while it runs: requests are served as usual.
 
 #[path = "common/stand.rs"]
 mod stand;
@@ -6,14 +6,14 @@
 mod syscall_faults;
 
 use rstest::rstest;
-use stand::{ask_once, free_port, member, Process};
+use stand::{free_port, request_once, start_member, Process};
 use std::time::Duration;
 use syscall_faults::SyscallFaults;
 
 const HOUR: i64 = 3_600;
 const REQUESTS: usize = 60;
 
-/// Guards against deadlines, waits or a member's age that are taken from a wall clock which is stepped.
+/// Guards against deadlines, waits or a member's age that are computed from the wall clock.
 #[rstest]
 #[case::ahead_at_the_start(HOUR, HOUR)]
 #[case::behind_at_the_start(-HOUR, -HOUR)]
@@ -22,23 +22,25 @@
 #[case::forward_while_it_runs(0, HOUR)]
 #[case::back_while_it_runs(0, -HOUR)]
 #[case::back_and_forth(HOUR, -HOUR)]
-fn a_stepped_clock_loses_no_request(#[case] at_start: i64, #[case] later: i64) {
-    let folder = tempfile::tempdir().expect("a folder");
-    let (address, _) = member();
+fn a_stepped_wall_clock_loses_no_request(#[case] at_start: i64, #[case] later: i64) {
+    let folder = tempfile::tempdir().expect("temporary directory");
+    let (address, _) = start_member();
     let port = free_port();
-    let faults = SyscallFaults { clock_ahead: (at_start, later), ..SyscallFaults::default() };
+    let faults = SyscallFaults { clock_offset_s: (at_start, later), ..SyscallFaults::default() };
     let environment = faults.environment(folder.path(), port);
     let environment: Vec<(&str, &str)> = environment.iter().map(|(name, value)| (*name, &**value)).collect();
     let mut process =
-        Process::start_in(folder.path(), port, &[("m1", &address)], &environment, |config| config);
-    process.ready();
+        Process::start_with_environment(folder.path(), port, &[("m1", &address)], &environment, |config| {
+            config
+        });
+    process.wait_until_ready();
     for number in 0..REQUESTS {
-        assert_eq!(ask_once(port, &format!("r-{number}")).as_deref(), Some("TDCZ"), "request {number}");
+        assert_eq!(request_once(port, &format!("r-{number}")).as_deref(), Some("TDCZ"), "request {number}");
     }
     process.terminate();
     assert_eq!(
-        process.ends_within(Duration::from_millis(3_700)),
+        process.wait_for_exit(Duration::from_millis(3_700)),
         Some(0),
-        "it ends in order before the kill"
+        "clean exit before SIGKILL would come"
     );
 }
--- a/tests/common/config.rs
+++ b/tests/common/config.rs
@@ -1,10 +1,10 @@
-//! A configuration for tests of what the program is told.
+//! Configurations for tests of the configuration parser.
 #![allow(dead_code)]
 
 use serde_json::{json, Value};
 
-/// One that starts: a read and a write, with all that the pages name for them.
-pub fn good() -> Value {
+/// Returns a valid configuration: a read and a write class with every documented field.
+pub fn valid_config() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "known": {"seq": 1, "whole": true, "hosts": []},
@@ -23,13 +23,13 @@
                 "OriginTimeUs": 162_433_855_777_i64, "SessionMarks": "brought", "WhenBehind": "none"}}})
 }
 
-/// The same with another value at that place, which need not be there yet.
-pub fn with(config: &Value, place: &str, value: Value) -> Value {
+/// Returns a copy of the configuration with the value at the JSON pointer, whose last field may be new.
+pub fn with_value(config: &Value, pointer: &str, value: Value) -> Value {
     let mut config = config.clone();
-    let (above, name) = place.rsplit_once('/').expect("a place");
-    match config.pointer_mut(above).expect("its group is there") {
+    let (parent, name) = pointer.rsplit_once('/').expect("a JSON pointer");
+    match config.pointer_mut(parent).expect("the parent object exists") {
         Value::Object(fields) => drop(fields.insert(name.to_string(), value)),
-        other => panic!("{above} is {other}"),
+        other => panic!("{parent} is {other}"),
     }
     config
 }
--- a/tests/common/ending.rs
+++ b/tests/common/ending.rs
@@ -1,12 +1,12 @@
-//! A process that is asked to end, and what its clients send and see.
+//! A proxy process that is told to shut down, and its clients.
 #![allow(dead_code)]
 
 #[path = "stand.rs"]
 mod stand;
 
-pub use stand::{answer, free_port, query, startup, Process, PATIENCE};
+pub use stand::{free_port, query, read_response, startup, Process, TEST_TIMEOUT};
 
-use stand::member;
+use stand::start_member;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::AtomicUsize;
@@ -14,63 +14,66 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub struct Stand {
+/// A proxy process with one member.
+pub struct RunningProxy {
     pub process: Process,
     pub port: u16,
-    pub asked: Arc<AtomicUsize>,
+    /// Statements that the member received.
+    pub statement_count: Arc<AtomicUsize>,
     pub folder: tempfile::TempDir,
 }
 
-impl Stand {
-    /// A process with a member that answers, which is ready.
-    pub fn new() -> Stand {
-        let folder = tempfile::tempdir().expect("a folder");
-        let (address, asked) = member();
+impl RunningProxy {
+    /// Starts a process with one member and waits until it is ready.
+    pub fn new() -> RunningProxy {
+        let folder = tempfile::tempdir().expect("temporary directory");
+        let (address, statement_count) = start_member();
         let port = free_port();
         let process = Process::start(folder.path(), port, &[("m1", address.as_str())]);
-        process.ready();
-        Stand { process, port, asked, folder }
+        process.wait_until_ready();
+        RunningProxy { process, port, statement_count, folder }
     }
 
     pub fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(("127.0.0.1", self.port)).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        stream.set_nodelay(true).expect("no delay");
+        let stream = TcpStream::connect(("127.0.0.1", self.port)).expect("the process listens");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
+        stream.set_nodelay(true).expect("set TCP_NODELAY");
         stream
     }
 
-    /// A connection that rests after its first answer.
-    pub fn resting(&self) -> TcpStream {
+    /// Opens a connection that is idle after an empty query.
+    pub fn open_idle(&self) -> TcpStream {
         let mut stream = self.connect();
-        stream.write_all(&[startup(), query("")].concat()).expect("taken");
-        assert!(answer(&mut stream).is_some_and(|tags| tags.ends_with('Z')));
-        assert_eq!(answer(&mut stream).as_deref(), Some("IZ"));
+        stream.write_all(&[startup(), query("")].concat()).expect("write to the socket");
+        assert!(read_response(&mut stream).is_some_and(|tags| tags.ends_with('Z')));
+        assert_eq!(read_response(&mut stream).as_deref(), Some("IZ"));
         stream
     }
 
-    /// Asks the process to end, and waits until it knows.
+    /// Sends SIGTERM, waits until the process closes an idle connection, and returns the time of the signal.
     pub fn terminate(&self) -> Instant {
-        let mut resting = self.resting();
+        let mut idle = self.open_idle();
         let since = Instant::now();
         self.process.terminate();
-        assert_eq!(resting.read(&mut [0]).ok(), Some(0), "a resting connection closes");
+        assert_eq!(idle.read(&mut [0]).ok(), Some(0), "the process closes an idle connection");
         since
     }
 
-    /// The process ends by itself.
-    pub fn ends(mut self) {
+    /// Waits for the process to exit, with code 0.
+    pub fn assert_exits(mut self) {
         assert_eq!(self.process.child.wait().ok().and_then(|s| s.code()), Some(0));
     }
 }
 
-pub fn ask(id: &str, what: &str) -> Vec<u8> {
-    query(&format!("/* id={id},c=any,d=900000,cluster=2 */ SELECT {what}"))
+pub fn request(id: &str, statement: &str) -> Vec<u8> {
+    query(&format!("/* id={id},c=any,d=900000,cluster=2 */ SELECT {statement}"))
 }
 
-pub fn over(stream: &mut TcpStream) -> bool {
+pub fn is_closed(stream: &mut TcpStream) -> bool {
     !matches!(stream.read(&mut [0]), Ok(1..))
 }
 
-pub fn pass(since: Instant, span: Duration) {
+/// Sleeps until `span` has passed since the instant.
+pub fn sleep_until_elapsed(since: Instant, span: Duration) {
     thread::sleep((since + span).saturating_duration_since(Instant::now()));
 }
--- a/tests/common/lists.rs
+++ b/tests/common/lists.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery that says nothing until it is told to speak.
+//! A fake discovery service that does not answer until it is told to.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,40 +6,42 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Discovery: nobody, then one who says nothing, then one who gives the list.
+/// A discovery service that accepts connections and answers once `answers` is set.
 #[derive(Default)]
 pub struct Discovery {
-    pub called: AtomicUsize,
-    pub speaks: AtomicBool,
-    pub told: AtomicUsize,
+    /// Accepted connections.
+    pub connection_count: AtomicUsize,
+    pub answers: AtomicBool,
+    /// Lists sent.
+    pub sent_count: AtomicUsize,
 }
 
 impl Discovery {
-    /// Takes calls from now on; `list` is told once it speaks.
-    pub fn open(port: u16, list: String) -> Arc<Self> {
-        let this = Arc::new(Discovery::default());
-        let listener = TcpListener::bind(("127.0.0.1", port)).expect("its port");
-        let shared = Arc::clone(&this);
+    /// Starts to listen; sends `list` as the response once `answers` is set.
+    pub fn listen(port: u16, list: String) -> Arc<Self> {
+        let discovery = Arc::new(Discovery::default());
+        let listener = TcpListener::bind(("127.0.0.1", port)).expect("bind the port");
+        let shared = Arc::clone(&discovery);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (this, list) = (Arc::clone(&shared), list.clone());
-                this.called.fetch_add(1, Ordering::Relaxed);
-                thread::spawn(move || this.talk(stream, &list));
+                let (discovery, list) = (Arc::clone(&shared), list.clone());
+                discovery.connection_count.fetch_add(1, Ordering::Relaxed);
+                thread::spawn(move || discovery.serve(stream, &list));
             }
         });
-        this
+        discovery
     }
 
-    fn talk(&self, mut stream: TcpStream, list: &str) -> Option<()> {
-        let mut call = [0; 1024];
+    fn serve(&self, mut stream: TcpStream, list: &str) -> Option<()> {
+        let mut request = [0; 1024];
         loop {
-            let count = stream.read(&mut call).ok().filter(|n| *n > 0)?;
-            if !self.speaks.load(Ordering::Relaxed) || call[..count].windows(6).any(|w| w == b"index=") {
+            let count = stream.read(&mut request).ok().filter(|n| *n > 0)?;
+            if !self.answers.load(Ordering::Relaxed) || request[..count].windows(6).any(|w| w == b"index=") {
                 continue;
             }
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
             stream.write_all([head.as_bytes(), list.as_bytes()].concat().as_slice()).ok()?;
-            self.told.fetch_add(1, Ordering::Relaxed);
+            self.sent_count.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small driver for tests of the module.
+//! Drives a [`Router`] with a clock of its own, for tests of the routing module.
 #![allow(dead_code)]
 
 use wharfplank::routing::*;
@@ -6,11 +6,11 @@
 pub const ANY: ClassId = ClassId(0);
 pub const BOUNDED: ClassId = ClassId(1);
 pub const SESSION: ClassId = ClassId(2);
-pub const FRESH: ClassId = ClassId(3);
-pub const UNSAFE: ClassId = ClassId(4);
-pub const KEYED: ClassId = ClassId(5);
-pub const BOUND: Micros = 300_000;
-pub const WINDOW: Micros = 2_000_000;
+pub const STRONG: ClassId = ClassId(3);
+pub const NON_IDEMPOTENT: ClassId = ClassId(4);
+pub const KEYED_WRITE: ClassId = ClassId(5);
+pub const STALENESS_BOUND: Micros = 300_000;
+pub const DEDUP_WINDOW: Micros = 2_000_000;
 pub const START: Micros = 100_000_000;
 pub const GROUP: GroupId = GroupId(1);
 
@@ -22,17 +22,20 @@
         priority_weight: 1.0,
         late_weight: 0.0,
     };
-    let late = |class: Class| Class { late_weight: 0.5, priority_weight: 6.0, ..class };
+    let with_late_weight = |class: Class| Class { late_weight: 0.5, priority_weight: 6.0, ..class };
     Settings {
         seed: 7,
         routers: 3,
         classes: vec![
             class(Consistency::Any, Idempotency::Idempotent),
-            class(Consistency::BoundedStaleness(BOUND), Idempotency::Idempotent),
+            class(Consistency::BoundedStaleness(STALENESS_BOUND), Idempotency::Idempotent),
             class(Consistency::Session, Idempotency::Idempotent),
             class(Consistency::Strong, Idempotency::Idempotent),
-            late(class(Consistency::Write, Idempotency::NotIdempotent)),
-            late(class(Consistency::Write, Idempotency::Keyed { window: WINDOW, all_groups: false })),
+            with_late_weight(class(Consistency::Write, Idempotency::NotIdempotent)),
+            with_late_weight(class(
+                Consistency::Write,
+                Idempotency::Keyed { window: DEDUP_WINDOW, all_groups: false },
+            )),
         ],
         max_attempts: 6,
         may_cancel: true,
@@ -49,7 +52,7 @@
     }
 }
 
-pub fn entry(host: u32, primary: bool) -> Endpoint {
+pub fn endpoint(host: u32, primary: bool) -> Endpoint {
     Endpoint {
         host: HostId(host),
         group: GROUP,
@@ -61,85 +64,97 @@
     }
 }
 
-pub struct Bench {
-    pub router: Router,
+/// A router under test and its clock.
+pub struct TestRouter {
+    pub inner: Router,
     pub now: Micros,
-    pub ids: u64,
-    /// The latency that outcomes report.
+    pub last_id: u64,
+    /// The latency that finished attempts report.
     pub latency: Micros,
 }
 
-/// A send: the request and the member.
+/// A request that was sent and the member that it was sent to.
 pub type Sent = (RequestId, HostId);
 
-impl Bench {
+impl TestRouter {
     pub fn with(settings: Settings, entries: Vec<Endpoint>) -> Self {
-        let mut bench = Bench { router: Router::new(settings), now: START, ids: 0, latency: 20_000 };
-        bench.tell(Event::EndpointList(entries));
-        bench
+        let mut router = TestRouter { inner: Router::new(settings), now: START, last_id: 0, latency: 20_000 };
+        router.handle_event(Event::EndpointList(entries));
+        router
     }
 
-    /// A group of a primary (1) and two replicas (2, 3).
+    /// Creates a router for one group with a primary (1) and two replicas (2, 3).
     pub fn new(settings: Settings) -> Self {
-        Self::with(settings, vec![entry(1, true), entry(2, false), entry(3, false)])
+        Self::with(settings, vec![endpoint(1, true), endpoint(2, false), endpoint(3, false)])
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.router.handle(self.now, event, &mut actions);
+        self.inner.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn ask_with(&mut self, class: ClassId, last_write_age: Option<Micros>, lasts: Micros) -> Vec<Action> {
-        self.ask_of(GROUP, class, last_write_age, lasts)
+    pub fn submit_with(
+        &mut self,
+        class: ClassId,
+        last_write_age: Option<Micros>,
+        timeout: Micros,
+    ) -> Vec<Action> {
+        self.submit_request(GROUP, class, last_write_age, timeout)
     }
 
-    pub fn ask_in(&mut self, group: GroupId, class: ClassId) -> Vec<Action> {
-        self.ask_of(group, class, None, 1_000_000)
+    pub fn submit_to_group(&mut self, group: GroupId, class: ClassId) -> Vec<Action> {
+        self.submit_request(group, class, None, 1_000_000)
     }
 
-    fn ask_of(
+    fn submit_request(
         &mut self,
         group: GroupId,
         class: ClassId,
         last_write_age: Option<Micros>,
-        lasts: Micros,
+        timeout: Micros,
     ) -> Vec<Action> {
-        self.ids += 1;
+        self.last_id += 1;
         let mut id = [b'0'; 36];
-        id[..20].copy_from_slice(format!("{:020}", self.ids).as_bytes());
-        self.tell(Event::Request(Request {
+        id[..20].copy_from_slice(format!("{:020}", self.last_id).as_bytes());
+        self.handle_event(Event::Request(Request {
             id: RequestId(id),
             class,
             group,
             session: Some(SessionKey(9)),
-            deadline: self.now + lasts,
+            deadline: self.now + timeout,
             last_write_age,
             may_have_run: false,
         }))
     }
 
-    pub fn ask(&mut self, class: ClassId) -> Vec<Action> {
-        self.ask_with(class, None, 1_000_000)
+    pub fn submit(&mut self, class: ClassId) -> Vec<Action> {
+        self.submit_with(class, None, 1_000_000)
     }
 
-    pub fn probed(&mut self, host: u32, role: Role, position: Micros) -> Vec<Action> {
+    pub fn finish_probe(&mut self, host: u32, role: Role, position: Micros) -> Vec<Action> {
         let host = HostId(host);
         let (role, position) = (Some(role), Some(position));
-        self.tell(Event::ProbeFinished(ProbeResult { host, answered: true, role, position, queued: None }))
+        self.handle_event(Event::ProbeFinished(ProbeResult {
+            host,
+            answered: true,
+            role,
+            position,
+            queued: None,
+        }))
     }
 
-    pub fn end(
+    pub fn finish_attempt(
         &mut self,
         sent: Sent,
         attempt: u32,
         outcome: AttemptOutcome,
         role: Option<Role>,
     ) -> Vec<Action> {
-        self.end_at(sent, attempt, outcome, role, None)
+        self.finish_attempt_at(sent, attempt, outcome, role, None)
     }
 
-    pub fn end_at(
+    pub fn finish_attempt_at(
         &mut self,
         sent: Sent,
         attempt: u32,
@@ -147,7 +162,7 @@
         role: Option<Role>,
         position: Option<Micros>,
     ) -> Vec<Action> {
-        self.tell(Event::AttemptFinished(AttemptResult {
+        self.handle_event(Event::AttemptFinished(AttemptResult {
             id: sent.0,
             attempt: AttemptNo(attempt),
             host: sent.1,
@@ -159,32 +174,32 @@
         }))
     }
 
-    /// Moves the clock on with the module's timer and gathers what it does.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    /// Advances the clock in steps of 10 ms, with a timer event at each, and returns the actions.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + span;
         while self.now < end {
             self.now += 10_000.min(end - self.now);
-            actions.extend(self.tell(Event::Timer));
+            actions.extend(self.handle_event(Event::Timer));
         }
         actions
     }
 }
 
 pub fn sends(actions: &[Action]) -> Vec<Sent> {
-    let send = |a: &Action| match a {
+    let sent = |a: &Action| match a {
         Action::Send { id, host, .. } => Some((*id, *host)),
         _ => None,
     };
-    actions.iter().filter_map(send).collect()
+    actions.iter().filter_map(sent).collect()
 }
 
 pub fn probes(actions: &[Action]) -> Vec<HostId> {
-    let probe = |a: &Action| match a {
+    let probed = |a: &Action| match a {
         Action::Probe { host, .. } => Some(*host),
         _ => None,
     };
-    actions.iter().filter_map(probe).collect()
+    actions.iter().filter_map(probed).collect()
 }
 
 pub fn refused(actions: &[Action]) -> bool {
--- a/tests/common/stand.rs
+++ b/tests/common/stand.rs
@@ -1,4 +1,4 @@
-//! A program of its own, with a stand-in member and operators' calls, for tests that end processes.
+//! Runs proxy processes with fake members and sends them requests and admin commands.
 #![allow(dead_code)]
 
 mod ports;
@@ -14,8 +14,8 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Far longer than anything takes.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Far longer than any step takes; only a failing test reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     [&[tag][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
@@ -30,8 +30,8 @@
     [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
-/// Reads whole messages up to the one that says that the other is ready; their tags, or `None` at an end before.
-pub fn answer(stream: &mut impl Read) -> Option<String> {
+/// Reads messages up to and with ReadyForQuery and returns their tags; `None` if the connection ends before.
+pub fn read_response(stream: &mut impl Read) -> Option<String> {
     let mut tags = String::new();
     while !tags.ends_with('Z') {
         let mut head = [0; 5];
@@ -43,43 +43,44 @@
     Some(tags)
 }
 
-/// A primary that answers every statement with a row, and counts the statements.
-pub fn member() -> (String, Arc<AtomicUsize>) {
-    member_as("primary")
+/// Starts a fake primary; returns its address and the count of the statements that it received.
+pub fn start_member() -> (String, Arc<AtomicUsize>) {
+    start_member_with_role("primary")
 }
 
-/// A member of a role that answers as each statement wants (a row, where it says nothing), and counts the statements.
-pub fn member_as(role: &'static str) -> (String, Arc<AtomicUsize>) {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&asked);
+/// Starts a fake member that answers as each statement asks (by default with a row), and counts the statements.
+pub fn start_member_with_role(role: &'static str) -> (String, Arc<AtomicUsize>) {
+    let statement_count = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&statement_count);
     let observe = move |_: &str| {
         count.fetch_add(1, Ordering::Relaxed);
     };
-    (member_observed(role, observe), asked)
+    (start_observed_member(role, observe), statement_count)
 }
 
-/// The same, with each statement that it is asked told to `observe` before it is answered; its address.
-pub fn member_observed(role: &'static str, observe: impl Fn(&str) + Send + Sync + 'static) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+/// Starts a fake member that passes each statement to `observe` before it answers; returns its address.
+pub fn start_observed_member(role: &'static str, observe: impl Fn(&str) + Send + Sync + 'static) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("local address").to_string();
     let observe = Arc::new(observe);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let observe = Arc::clone(&observe);
-            thread::spawn(move || serve(stream, role, &*observe));
+            thread::spawn(move || serve_connection(stream, role, &*observe));
         }
     });
     address
 }
 
-fn serve(mut stream: TcpStream, role: &str, observe: &dyn Fn(&str)) -> Option<()> {
+fn serve_connection(mut stream: TcpStream, role: &str, observe: &dyn Fn(&str)) -> Option<()> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).ok()?;
     stream.read_exact(&mut vec![0; u32::from_be_bytes(length) as usize - 4]).ok()?;
     let ready = [message(b'S', format!("role\0{role}\0").as_bytes()), message(b'Z', b"I")].concat();
     stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat()).ok()?;
-    let described = b"\0\x01payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
-    let parts = [message(b'T', described), message(b'D', b"\0\x01\0\0\0\x01v"), message(b'C', b"SELECT 1\0")];
+    let row_description = b"\0\x01payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
+    let parts =
+        [message(b'T', row_description), message(b'D', b"\0\x01\0\0\0\x01v"), message(b'C', b"SELECT 1\0")];
     loop {
         let mut head = [0; 5];
         stream.read_exact(&mut head).ok()?;
@@ -94,26 +95,26 @@
             observe(&text);
         }
         let error = |code: &str| message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes());
-        match text.split_once("SELECT ").map_or("", |(_, wish)| wish.trim_end_matches('\0')) {
+        match text.split_once("SELECT ").map_or("", |(_, requested)| requested.trim_end_matches('\0')) {
             "error" => stream.write_all(&[error("XX000"), ready.clone()].concat()).ok()?,
             "full" => stream.write_all(&[error("53300"), ready.clone()].concat()).ok()?,
             "miss" => stream.write_all(&[error("72000"), ready.clone()].concat()).ok()?,
             "reset" => return None,
-            // No row, in the newest state.
-            wish if wish.starts_with("nothing") => {
+            // No row, with the current position.
+            requested if requested.starts_with("nothing") => {
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_millis());
                 let position = message(b'S', format!("applied_ms\0{now}\0").as_bytes());
-                let none = [parts[0].clone(), message(b'C', b"SELECT 0\0"), position].concat();
-                stream.write_all(&[none, ready.clone()].concat()).ok()?;
+                let empty_result = [parts[0].clone(), message(b'C', b"SELECT 0\0"), position].concat();
+                stream.write_all(&[empty_result, ready.clone()].concat()).ok()?;
             }
-            // Until the proxy gives it up.
+            // No answer until the proxy closes the connection.
             "silence" => return stream.read_exact(&mut [0]).ok(),
             _ => stream.write_all(&[parts.concat(), ready.clone()].concat()).ok()?,
         }
     }
 }
 
-/// One process of the proxy.
+/// A proxy process, which is killed when dropped.
 pub struct Process {
     pub child: Child,
     pub admin: String,
@@ -129,23 +130,23 @@
 }
 
 impl Process {
-    /// Starts one at a port, with a door of its own; `folder` is what `$TMPDIR` names.
+    /// Starts a process on a port, with an admin address of its own and `folder` as `$TMPDIR`.
     pub fn start(folder: &Path, port: u16, members: &[(&str, &str)]) -> Process {
-        Self::start_with(folder, port, members, |config| config)
+        Self::start_with_config(folder, port, members, |config| config)
     }
 
-    /// The same, with a configuration that is changed before.
-    pub fn start_with(
+    /// Like [`Process::start`], with the configuration changed by `change`.
+    pub fn start_with_config(
         folder: &Path,
         port: u16,
         members: &[(&str, &str)],
         change: impl FnOnce(String) -> String,
     ) -> Process {
-        Self::start_set(folder, port, members, change, None)
+        Self::start_with_settings(folder, port, members, change, None)
     }
 
-    /// With these variables in its environment, and a configuration that is changed before.
-    pub fn start_in(
+    /// Like [`Process::start_with_config`], with further environment variables.
+    pub fn start_with_environment(
         folder: &Path,
         port: u16,
         members: &[(&str, &str)],
@@ -157,8 +158,8 @@
         Self::spawn(folder, port, members, change, command)
     }
 
-    /// With settings of the program's own.
-    pub fn start_set(
+    /// Like [`Process::start_with_config`], with a settings file.
+    pub fn start_with_settings(
         folder: &Path,
         port: u16,
         members: &[(&str, &str)],
@@ -172,8 +173,8 @@
         Self::spawn(folder, port, members, change, command)
     }
 
-    /// The same, with so many descriptors as the machine gives it and as its configuration says.
-    pub fn start_limited(
+    /// Like [`Process::start_with_config`], with a limit of file descriptors in the system and in the configuration.
+    pub fn start_with_descriptor_limit(
         folder: &Path,
         port: u16,
         members: &[(&str, &str)],
@@ -206,54 +207,54 @@
                 )
             })
             .collect();
-        let silent = format!("127.0.0.1:{}", free_port());
+        let unused_address = format!("127.0.0.1:{}", free_port());
         let admin = format!("127.0.0.1:{}", free_port());
         let config = include_str!("../exchanges/config.json")
             .replace("127.0.0.1:0", &format!("127.0.0.1:{port}"))
-            .replace("$discovery", &silent)
+            .replace("$discovery", &unused_address)
             .replace("$attempts", "4")
             .replace("$sockets", "256")
             .replace("$hosts", &hosts.join(","))
             .replacen('{', &format!(r#"{{"mgmt":"{admin}","#), 1);
         let config = change(config);
         let path = folder.join(format!("{}.json", admin.replace(':', "-")));
-        std::fs::write(&path, config).expect("written");
+        std::fs::write(&path, config).expect("write the file");
         for name in ["BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_MGMT"] {
             command.env_remove(name);
         }
         command.env("BALANCER_CONFIG", &path).env("TMPDIR", folder);
-        let child = command.stdin(Stdio::null()).stderr(Stdio::null()).spawn().expect("it starts");
+        let child = command.stdin(Stdio::null()).stderr(Stdio::null()).spawn().expect("the proxy starts");
         Process { child, admin, config: path }
     }
 
-    /// Asks at the door; nothing where nobody listens yet.
-    pub fn call(&self, line: &str) -> Option<String> {
+    /// Sends an admin command and returns the response; `None` if the process does not listen yet.
+    pub fn admin_command(&self, line: &str) -> Option<String> {
         let mut stream = TcpStream::connect(&self.admin).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
         stream.write_all(format!("{line}\n").as_bytes()).ok()?;
         let mut text = String::new();
         BufReader::new(stream).read_line(&mut text).ok()?;
         Some(text.trim_end().to_string())
     }
 
-    /// Waits until it is ready to serve.
-    pub fn ready(&self) {
-        for _ in 0..PATIENCE.as_millis() / 10 {
-            if self.call("health").as_deref() == Some("ok ready") {
+    /// Waits until the process is ready to serve.
+    pub fn wait_until_ready(&self) {
+        for _ in 0..TEST_TIMEOUT.as_millis() / 10 {
+            if self.admin_command("health").as_deref() == Some("ok ready") {
                 return;
             }
             let state = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
-            assert!(state.is_ok_and(|state| !state.contains(") Z ")), "it has ended");
+            assert!(state.is_ok_and(|state| !state.contains(") Z ")), "the process has exited");
             thread::sleep(Duration::from_millis(10));
         }
-        panic!("never ready");
+        panic!("the process did not become ready");
     }
 
-    /// Waits for its end; the exit code, or `None` where it does not end in time or by a signal.
-    pub fn ends_within(&mut self, limit: Duration) -> Option<i32> {
+    /// Waits for the process to exit; returns its exit code, or `None` if it did not exit in time or died by a signal.
+    pub fn wait_for_exit(&mut self, limit: Duration) -> Option<i32> {
         let deadline = Instant::now() + limit;
         loop {
-            if let Some(status) = self.child.try_wait().expect("it can be asked") {
+            if let Some(status) = self.child.try_wait().expect("query the exit status") {
                 return status.code();
             }
             if Instant::now() >= deadline {
@@ -273,14 +274,14 @@
     }
 }
 
-/// One request on a connection of its own: the tags of its answer.
-pub fn ask_once(port: u16, id: &str) -> Option<String> {
+/// Sends one request on a new connection and returns the message tags of its response.
+pub fn request_once(port: u16, id: &str) -> Option<String> {
     let mut stream = TcpStream::connect(("127.0.0.1", port)).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
     let text = format!("/* id={id},c=any,d=900000,cluster=2 */ SELECT 1");
     stream.write_all(&[startup(), query(&text)].concat()).ok()?;
-    answer(&mut stream)?;
-    let tags = answer(&mut stream);
+    read_response(&mut stream)?;
+    let tags = read_response(&mut stream);
     let _ = stream.shutdown(Shutdown::Both);
     tags
 }
--- a/tests/common/steps.rs
+++ b/tests/common/steps.rs
@@ -1,9 +1,9 @@
-//! What may happen to a router, for tests that draw it.
+//! Random steps for property tests of the router.
 
 use wharfplank::routing::{AttemptOutcome, Micros};
 
-/// How an attempt may end before its time is over.
-pub const ENDINGS: [AttemptOutcome; 7] = [
+/// The outcomes of attempts that end before their time-out.
+pub const OUTCOMES: [AttemptOutcome; 7] = [
     AttemptOutcome::Ok,
     AttemptOutcome::Error,
     AttemptOutcome::Overloaded,
@@ -13,19 +13,19 @@
     AttemptOutcome::NotSent,
 ];
 
-/// Something that happens.
+/// A step of a test run.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// A request, which is waited for by a part of the class's deadline.
-    Ask { class: usize, group: u64, part: f64, key: u64, age: Option<Micros> },
-    /// The end of one of the attempts that are out.
-    End(proptest::sample::Index, usize, u8),
+    /// A request whose deadline is a fraction of its class's longest one.
+    Submit { class: usize, group: u64, deadline_fraction: f64, session: u64, write_age: Option<Micros> },
+    /// The end of an attempt in flight: its index, its outcome and the reported role.
+    FinishAttempt(proptest::sample::Index, usize, u8),
     /// Time passes.
-    Pass(Micros),
-    /// A member is listed as up, draining or removed, perhaps as the primary.
-    List(u32, u8, bool),
-    /// A load report of a member, this far behind.
+    Advance(Micros),
+    /// Discovery lists a member as up, draining or removed, and possibly as the primary.
+    ChangeEndpoint(u32, u8, bool),
+    /// A load report of a member: its role and its replication lag.
     LoadReport(u32, u8, Micros),
-    /// A client leaves.
-    Leave(proptest::sample::Index),
+    /// A client disconnects.
+    Disconnect(proptest::sample::Index),
 }
--- a/tests/common/syscall_faults.rs
+++ b/tests/common/syscall_faults.rs
@@ -1,29 +1,29 @@
-//! The library that makes system calls fail, built once and preloaded into processes of the program.
+//! Builds the library that makes system calls fail, and the environment that preloads it into a proxy process.
 #![allow(dead_code)]
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// Which calls of a process fail, and how often; and by how much its wall clock is off.
+/// The system calls of a process that fail, how often they do, and the offset of its wall clock.
 #[derive(Default)]
 pub struct SyscallFaults {
-    /// `CALL=FAULT` with commas, as `tests/fault_injection/syscall_faults.c` explains.
+    /// Comma-separated `CALL=FAULT` pairs, as `tests/fault_injection/syscall_faults.c` describes.
     pub faults: &'static str,
-    /// One call in so many fails; 0 for none but the first ones.
+    /// One call in `rate` fails; with 0 only the first calls fail.
     pub rate: u32,
-    /// So many calls of each kind fail first.
+    /// The number of calls of each kind that fail at the start.
     pub first: u32,
     pub seed: u64,
-    /// So many seconds is the wall clock ahead at its first reading, and at all later ones.
-    pub clock_ahead: (i64, i64),
+    /// The offset of the wall clock in seconds, at its first reading and at all later ones.
+    pub clock_offset_s: (i64, i64),
 }
 
 impl SyscallFaults {
-    /// The environment of a process that listens at `port` and whose calls fail so. Injected faults are counted in
+    /// Returns the environment variables for a process that listens on `port`. Injected faults are counted in a file in
     /// `folder`.
     pub fn environment(&self, folder: &Path, port: u16) -> Vec<(&'static str, String)> {
-        std::fs::write(count_file(folder), [0; 8]).expect("written");
+        std::fs::write(count_file(folder), [0; 8]).expect("write the file");
         vec![
             ("LD_PRELOAD", library().display().to_string()),
             ("SYSCALL_FAULTS", self.faults.to_string()),
@@ -31,15 +31,15 @@
             ("SYSCALL_FAULTS_FIRST", self.first.to_string()),
             ("SYSCALL_FAULTS_PORT", port.to_string()),
             ("SYSCALL_FAULTS_SEED", self.seed.to_string()),
-            ("SYSCALL_FAULTS_CLOCK", format!("{} {}", self.clock_ahead.0, self.clock_ahead.1)),
+            ("SYSCALL_FAULTS_CLOCK", format!("{} {}", self.clock_offset_s.0, self.clock_offset_s.1)),
             ("SYSCALL_FAULTS_COUNT", count_file(folder).display().to_string()),
         ]
     }
 }
 
-/// How many faults were injected.
-pub fn injected(folder: &Path) -> u64 {
-    let bytes = std::fs::read(count_file(folder)).expect("it was counted");
+/// Returns the number of injected faults.
+pub fn injected_faults(folder: &Path) -> u64 {
+    let bytes = std::fs::read(count_file(folder)).expect("the count file exists");
     u64::from_ne_bytes(bytes.try_into().expect("8 bytes"))
 }
 
@@ -47,7 +47,7 @@
     folder.join("injected-faults")
 }
 
-/// Builds the library with the C compiler that the linker of this toolchain is, too.
+/// Builds the library once, with `cc`, which is also this toolchain's linker.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn every_hard_case_keeps_the_rules_and_the_fleet_decides_as_one() {
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("temporary directory");
     let program = PathBuf::from(env!("CARGO_BIN_EXE_wharfplank"));
     let schedules: Vec<Schedule> = Scenario::ALL
         .into_iter()
--- a/tests/handover_traits.rs
+++ b/tests/handover_traits.rs
@@ -8,36 +8,45 @@
 
 /// A primary (1), a warm replica (2) and one that has just started (3).
 fn group() -> Vec<Endpoint> {
-    vec![entry(1, true), entry(2, false), Endpoint { started_at: Some(START - SECOND), ..entry(3, false) }]
+    vec![
+        endpoint(1, true),
+        endpoint(2, false),
+        Endpoint { started_at: Some(START - SECOND), ..endpoint(3, false) },
+    ]
 }
 
-fn traits(b: &Bench) -> Vec<PeerObservation> {
+fn traits(router: &TestRouter) -> Vec<PeerObservation> {
     let told = |view: MemberView| PeerObservation {
         host: view.host,
         position: 0,
         suspected_at: 0,
         traits: Some(view.traits),
     };
-    b.router.member_views().map(told).collect()
+    router.inner.member_views().map(told).collect()
 }
 
 /// The next router at the time of this one, with what it inherits.
-fn next(b: &Bench, inherited: Vec<PeerObservation>) -> Bench {
-    let mut next = Bench { router: Router::new(settings()), now: b.now, ids: 1_000_000, latency: b.latency };
-    next.tell(Event::EndpointList(group()));
-    next.tell(Event::PeerObservations(inherited));
+fn next(router: &TestRouter, inherited: Vec<PeerObservation>) -> TestRouter {
+    let mut next = TestRouter {
+        inner: Router::new(settings()),
+        now: router.now,
+        last_id: 1_000_000,
+        latency: router.latency,
+    };
+    next.handle_event(Event::EndpointList(group()));
+    next.handle_event(Event::PeerObservations(inherited));
     next
 }
 
 /// Reads one by one for a span, each answered before the next; the sends to each member.
-fn serve(b: &mut Bench, span: Micros) -> [usize; 4] {
-    let (until, mut sent) = (b.now + span, [0; 4]);
-    while b.now < until {
-        for send in sends(&b.ask(ANY)) {
+fn serve(router: &mut TestRouter, span: Micros) -> [usize; 4] {
+    let (until, mut sent) = (router.now + span, [0; 4]);
+    while router.now < until {
+        for send in sends(&router.submit(ANY)) {
             sent[send.1 .0 as usize] += 1;
-            b.end(send, 0, AttemptOutcome::Ok, None);
+            router.finish_attempt(send, 0, AttemptOutcome::Ok, None);
         }
-        b.pass(10_000);
+        router.advance(10_000);
     }
     sent
 }
@@ -45,25 +54,25 @@
 /// Guards against a new process that starves cold members, since it has seen no answers of warm ones yet.
 #[test]
 fn a_cold_member_gets_no_less_than_before() {
-    let mut old = Bench::with(settings(), group());
+    let mut old = TestRouter::with(settings(), group());
     serve(&mut old, 3 * SECOND);
     let (mut heir, mut stranger) = (next(&old, traits(&old)), next(&old, Vec::new()));
-    let [before, with, without] = [&mut old, &mut heir, &mut stranger].map(|b| serve(b, SECOND)[3]);
+    let [before, with, without] = [&mut old, &mut heir, &mut stranger].map(|router| serve(router, SECOND)[3]);
     assert!(without < with && with <= before + 1, "{before} before, {with} inherited, {without} without");
 }
 
 /// Guards against small limits at the start, which refuse for a second what the process before could serve.
 #[test]
 fn as_much_is_in_flight_as_before() {
-    let at_once = |b: &mut Bench| (0..40).map(|_| sends(&b.ask(ANY)).len()).sum::<usize>();
-    let mut old = Bench::with(settings(), group());
+    let at_once = |router: &mut TestRouter| (0..40).map(|_| sends(&router.submit(ANY)).len()).sum::<usize>();
+    let mut old = TestRouter::with(settings(), group());
     for _ in 0..20 {
-        let mut sent: Vec<Sent> = (0..8).flat_map(|_| sends(&old.ask(ANY))).collect();
+        let mut sent: Vec<Sent> = (0..8).flat_map(|_| sends(&old.submit(ANY))).collect();
         // An answer may make room for a request that was queued: that one is answered as well.
         while let Some(send) = sent.pop() {
-            sent.extend(sends(&old.end(send, 0, AttemptOutcome::Ok, None)));
+            sent.extend(sends(&old.finish_attempt(send, 0, AttemptOutcome::Ok, None)));
         }
-        old.pass(10_000);
+        old.advance(10_000);
     }
     let (mut heir, mut stranger) = (next(&old, traits(&old)), next(&old, Vec::new()));
     let [before, with, without] = [&mut old, &mut heir, &mut stranger].map(at_once);
@@ -73,14 +82,14 @@
 /// Guards against a search for a primary that the process before had found, while the list still names another.
 #[test]
 fn the_primary_that_was_found_is_asked_first() {
-    let mut old = Bench::with(settings(), group());
-    let first = sends(&old.ask(UNSAFE));
+    let mut old = TestRouter::with(settings(), group());
+    let first = sends(&old.submit(NON_IDEMPOTENT));
     assert_eq!(first.iter().map(|s| s.1).collect::<Vec<_>>(), [HostId(1)], "as the list says");
-    let then = sends(&old.end(first[0], 0, AttemptOutcome::Misrouted, Some(Role::Replica)));
+    let then = sends(&old.finish_attempt(first[0], 0, AttemptOutcome::Misrouted, Some(Role::Replica)));
     assert_eq!(then.iter().map(|s| s.1).collect::<Vec<_>>(), [HostId(2)]);
-    old.end(then[0], 1, AttemptOutcome::Ok, Some(Role::Primary));
+    old.finish_attempt(then[0], 1, AttemptOutcome::Ok, Some(Role::Primary));
     let mut heir = next(&old, traits(&old));
-    let asked = sends(&heir.ask(UNSAFE));
+    let asked = sends(&heir.submit(NON_IDEMPOTENT));
     assert_eq!(asked.iter().map(|s| s.1).collect::<Vec<_>>(), [HostId(2)]);
 }
 
@@ -90,19 +99,20 @@
 fn a_session_reads_what_it_wrote_at_the_process_before() {
     let kept = Settings { sessions_carry_tokens: false, stale_reads: StaleReadPolicy::Serve, ..settings() };
     for is_told in [true, false] {
-        let mut heir = Bench::with(kept.clone(), vec![entry(1, true), entry(2, false), entry(3, false)]);
+        let mut heir =
+            TestRouter::with(kept.clone(), vec![endpoint(1, true), endpoint(2, false), endpoint(3, false)]);
         let replaced_at = heir.now;
         if is_told {
-            heir.tell(Event::SessionsCommittedElsewhere(replaced_at));
+            heir.handle_event(Event::SessionsCommittedElsewhere(replaced_at));
         }
         heir.now += SECOND;
-        heir.probed(2, Role::Replica, replaced_at - SECOND);
-        heir.probed(3, Role::Replica, replaced_at - 1);
-        let hosts: Vec<HostId> = sends(&heir.ask(SESSION)).iter().map(|sent| sent.1).collect();
+        heir.finish_probe(2, Role::Replica, replaced_at - SECOND);
+        heir.finish_probe(3, Role::Replica, replaced_at - 1);
+        let hosts: Vec<HostId> = sends(&heir.submit(SESSION)).iter().map(|sent| sent.1).collect();
         assert_eq!(hosts.contains(&HostId(1)) || hosts.is_empty(), is_told, "sent to {hosts:?}");
-        heir.probed(3, Role::Replica, replaced_at);
+        heir.finish_probe(3, Role::Replica, replaced_at);
         assert!(
-            sends(&heir.ask(SESSION)).iter().any(|sent| sent.1 == HostId(3)),
+            sends(&heir.submit(SESSION)).iter().any(|sent| sent.1 == HostId(3)),
             "a replica that has caught up"
         );
     }
@@ -113,14 +123,14 @@
 fn the_newest_commit_counts() {
     let kept = Settings { sessions_carry_tokens: false, stale_reads: StaleReadPolicy::Serve, ..settings() };
     for (own, elsewhere) in [(20_000, 10_000), (10_000, 20_000)] {
-        let mut bench = Bench::with(kept.clone(), vec![entry(1, true), entry(2, false)]);
-        let write = sends(&bench.ask(UNSAFE))[0];
-        bench.now += 50_000;
-        bench.end_at(write, 0, AttemptOutcome::Ok, Some(Role::Primary), Some(START + own));
-        bench.tell(Event::SessionsCommittedElsewhere(START + elsewhere));
+        let mut router = TestRouter::with(kept.clone(), vec![endpoint(1, true), endpoint(2, false)]);
+        let write = sends(&router.submit(NON_IDEMPOTENT))[0];
+        router.now += 50_000;
+        router.finish_attempt_at(write, 0, AttemptOutcome::Ok, Some(Role::Primary), Some(START + own));
+        router.handle_event(Event::SessionsCommittedElsewhere(START + elsewhere));
         for (position, is_fresh) in [(19_999, false), (20_000, true)] {
-            bench.probed(2, Role::Replica, START + position);
-            let to_replica = sends(&bench.ask(SESSION)).iter().any(|sent| sent.1 == HostId(2));
+            router.finish_probe(2, Role::Replica, START + position);
+            let to_replica = sends(&router.submit(SESSION)).iter().any(|sent| sent.1 == HostId(2));
             assert_eq!(to_replica, is_fresh, "own {own}, elsewhere {elsewhere}, position {position}");
         }
     }
--- a/tests/idempotency_window.rs
+++ b/tests/idempotency_window.rs
@@ -5,7 +5,7 @@
 mod stand;
 
 use rstest::rstest;
-use stand::{answer, free_port, query, startup, Process, PATIENCE};
+use stand::{free_port, query, read_response, startup, Process, TEST_TIMEOUT};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -31,8 +31,8 @@
 
 impl Primary {
     fn start() -> Primary {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("local address").to_string();
         let (sender, statements) = channel();
         let gate: Arc<(Mutex<bool>, Condvar)> = Arc::default();
         let gates = Arc::clone(&gate);
@@ -53,7 +53,7 @@
     }
 
     fn hears(&self) -> String {
-        self.statements.recv_timeout(PATIENCE).expect("a statement")
+        self.statements.recv_timeout(TEST_TIMEOUT).expect("a statement")
     }
 }
 
@@ -98,7 +98,7 @@
     client.read_exact(&mut tag).expect("an answer");
     let body = message(client, 0).expect("whole");
     let code = body.split('\0').find_map(|field| field.strip_prefix('C')).unwrap_or_default().to_string();
-    answer(client).expect("up to its end");
+    read_response(client).expect("up to its end");
     (tag[0] == b'E').then_some(code)
 }
 
@@ -118,7 +118,7 @@
     #[case] told: Option<&str>,
 ) {
     let primary = Primary::start();
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary directory");
     let port = free_port();
     let class = |name: &str, effect: &str| {
         format!(
@@ -126,7 +126,7 @@
             window_ms * 1000
         )
     };
-    let process = Process::start_with(folder.path(), port, &[("m1", &primary.address)], |config| {
+    let process = Process::start_with_config(folder.path(), port, &[("m1", &primary.address)], |config| {
         let (from, to) =
             (config.find("\"Classes\":").expect("classes"), config.find("\"Report\":").expect("a report"));
         let classes = [class("any", "retryable"), class("own", "retryable"), class("put", effect)].join(",");
@@ -134,12 +134,12 @@
         let config = format!("{}{classes}{}", &config[..from], &config[to..]);
         config.replace(r#","mutate"]"#, "]").replace("[0,0,0,0]", "[0,0,0]")
     });
-    process.ready();
-    let mut client = TcpStream::connect(("127.0.0.1", port)).expect("it listens");
-    client.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    process.wait_until_ready();
+    let mut client = TcpStream::connect(("127.0.0.1", port)).expect("the process listens");
+    client.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
     let text = "/* id=1,c=put,d=3000,cluster=2,k=v1 */ SELECT 1";
-    client.write_all(&[startup(), query(text)].concat()).expect("taken");
-    answer(&mut client).expect("greeted");
+    client.write_all(&[startup(), query(text)].concat()).expect("write to the socket");
+    read_response(&mut client).expect("startup response");
     assert!(primary.hears().contains("id=1,"));
     thread::sleep(Duration::from_millis(LATE_MS));
     primary.opens();
@@ -148,7 +148,7 @@
     if told.is_none() {
         assert!(primary.hears().contains("id=1,"));
     }
-    client.write_all(&query("/* id=2,c=any,d=3000,cluster=2 */ SELECT 2")).expect("taken");
+    client.write_all(&query("/* id=2,c=any,d=3000,cluster=2 */ SELECT 2")).expect("write to the socket");
     assert_eq!(code(&mut client), None);
     assert!(primary.hears().contains("id=2,"), "a repeat was sent that is none");
 }
--- a/tests/names.rs
+++ b/tests/names.rs
@@ -25,7 +25,7 @@
 ];
 
 fn files(at: &Path, found: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(at).expect("a folder").flatten() {
+    for entry in fs::read_dir(at).expect("temporary directory").flatten() {
         let path = entry.path();
         if path.is_dir() {
             files(&path, found);
--- a/tests/negative_cache.rs
+++ b/tests/negative_cache.rs
@@ -4,7 +4,7 @@
 #[path = "common/stand.rs"]
 mod stand;
 
-use stand::{answer, free_port, member, query, startup, Process, PATIENCE};
+use stand::{free_port, query, read_response, start_member, startup, Process, TEST_TIMEOUT};
 use std::net::TcpStream;
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -23,7 +23,7 @@
 
 impl Fleet {
     fn start(folder: &Path) -> Fleet {
-        let ((address, asked), ports) = (member(), [free_port(), free_port()]);
+        let ((address, asked), ports) = (start_member(), [free_port(), free_port()]);
         let talk = [free_port(), free_port()];
         let proxies = [0, 1].map(|n| {
             let settings = format!(
@@ -32,26 +32,26 @@
                 talk[n], talk[0]
             );
             let path = folder.join(format!("settings-{n}.xml"));
-            std::fs::write(&path, settings).expect("written");
+            std::fs::write(&path, settings).expect("write the file");
             let bounded = |config: String| {
                 config.replace(r#""mutate","mutate"],"MaxAgeUs":[0,0,0,0]"#, r#""mutate","lag_bound"],"MaxAgeUs":[0,0,0,2000000]"#)
             };
-            Process::start_set(folder, ports[n], &[("m1", &address)], bounded, Some(&path))
+            Process::start_with_settings(folder, ports[n], &[("m1", &address)], bounded, Some(&path))
         });
-        proxies.iter().for_each(Process::ready);
+        proxies.iter().for_each(Process::wait_until_ready);
         Fleet { ports, asked, count: 0, _proxies: proxies.into() }
     }
 
-    /// Asks a proxy; the tags of its answer, and whether a member was asked.
+    /// Asks a proxy; the tags of its read_response, and whether a member was asked.
     fn ask(&mut self, proxy: usize, class: &str, statement: &str) -> (String, bool) {
         self.count += 1;
         let before = self.asked.load(Ordering::Relaxed);
-        let mut stream = TcpStream::connect(("127.0.0.1", self.ports[proxy])).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        let mut stream = TcpStream::connect(("127.0.0.1", self.ports[proxy])).expect("the process listens");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let text = format!("/* id=r{},c={class},d=900000,cluster=2 */ SELECT {statement}", self.count);
         std::io::Write::write_all(&mut stream, &[startup(), query(&text)].concat()).expect("sent");
-        answer(&mut stream).expect("ready");
-        let tags = answer(&mut stream).expect("an answer");
+        read_response(&mut stream).expect("ready");
+        let tags = read_response(&mut stream).expect("an answer");
         (tags, self.asked.load(Ordering::Relaxed) > before)
     }
 
@@ -59,7 +59,7 @@
     fn until(&mut self, what: &str, so: impl Fn(&mut Fleet) -> bool) {
         let began = Instant::now();
         while !so(self) {
-            assert!(began.elapsed() < PATIENCE, "never: {what}");
+            assert!(began.elapsed() < TEST_TIMEOUT, "never: {what}");
             thread::sleep(Duration::from_millis(50));
         }
     }
@@ -67,7 +67,7 @@
 
 #[test]
 fn what_is_missing_is_told_holds_past_its_bound_and_ends_with_a_write() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary directory");
     let mut fleet = Fleet::start(folder.path());
     let none = "nothing 'k'";
     assert_eq!(fleet.ask(0, "any", none), ("TCZ".to_string(), true));
--- a/tests/reads.rs
+++ b/tests/reads.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn any_read_goes_to_a_replica_without_a_probe() {
-    let mut b = Bench::new(settings());
-    let actions = b.ask(ANY);
+    let mut router = TestRouter::new(settings());
+    let actions = router.submit(ANY);
     assert_eq!(sends(&actions).len(), 1);
     assert_ne!(sends(&actions)[0].1, HostId(1));
     assert!(probes(&actions).is_empty());
@@ -15,85 +15,85 @@
 
 #[test]
 fn bounded_read_takes_a_position_at_the_exact_bound() {
-    let mut b = Bench::new(settings());
-    let at = b.now - BOUND;
-    b.probed(2, Role::Replica, at);
-    assert_eq!(sends(&b.ask(BOUNDED))[0].1, HostId(2));
+    let mut router = TestRouter::new(settings());
+    let at = router.now - STALENESS_BOUND;
+    router.finish_probe(2, Role::Replica, at);
+    assert_eq!(sends(&router.submit(BOUNDED))[0].1, HostId(2));
 }
 
 #[test]
 fn bounded_read_one_microsecond_short_probes_once_and_waits() {
-    let mut b = Bench::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
-    b.probed(2, Role::Replica, START + 99_999 - BOUND);
-    b.probed(3, Role::Replica, START + 99_999 - BOUND);
-    b.now += 100_000;
-    let first = b.ask(BOUNDED);
+    let mut router = TestRouter::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
+    router.finish_probe(2, Role::Replica, START + 99_999 - STALENESS_BOUND);
+    router.finish_probe(3, Role::Replica, START + 99_999 - STALENESS_BOUND);
+    router.now += 100_000;
+    let first = router.submit(BOUNDED);
     assert!(sends(&first).is_empty());
     assert_eq!(probes(&first).len(), 1);
-    let second = b.ask(BOUNDED);
+    let second = router.submit(BOUNDED);
     assert!(sends(&second).is_empty() && probes(&second).is_empty(), "concurrent misses share a probe");
     let host = probes(&first)[0];
-    let now = b.now;
-    let after = b.probed(host.0, Role::Replica, now);
+    let now = router.now;
+    let after = router.finish_probe(host.0, Role::Replica, now);
     assert_eq!(sends(&after).iter().map(|s| s.1).collect::<Vec<_>>(), vec![host, host]);
 }
 
 #[test]
 fn read_still_short_after_the_probe_goes_to_the_primary() {
-    let mut b = Bench::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
-    let host = probes(&b.ask(BOUNDED))[0];
-    let after = b.probed(host.0, Role::Replica, START - BOUND - 1);
+    let mut router = TestRouter::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
+    let host = probes(&router.submit(BOUNDED))[0];
+    let after = router.finish_probe(host.0, Role::Replica, START - STALENESS_BOUND - 1);
     assert_eq!(sends(&after)[0].1, HostId(1));
 }
 
 #[test]
 fn another_member_known_fresh_spares_the_primary() {
-    let mut b = Bench::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
-    let host = probes(&b.ask(BOUNDED))[0];
+    let mut router = TestRouter::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
+    let host = probes(&router.submit(BOUNDED))[0];
     let other = if host == HostId(2) { 3 } else { 2 };
-    let sent = sends(&b.probed(other, Role::Replica, START));
+    let sent = sends(&router.finish_probe(other, Role::Replica, START));
     assert_eq!(sent[0].1, HostId(other));
 }
 
 #[test]
 fn probe_without_an_answer_holds_a_read_only_shortly() {
-    let mut b = Bench::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
-    assert_eq!(probes(&b.ask(BOUNDED)).len(), 1);
-    assert_eq!(sends(&b.pass(50_000))[0].1, HostId(1));
+    let mut router = TestRouter::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
+    assert_eq!(probes(&router.submit(BOUNDED)).len(), 1);
+    assert_eq!(sends(&router.advance(50_000))[0].1, HostId(1));
 }
 
 #[test]
 fn carried_token_is_met_at_its_exact_edge() {
     for (position, direct) in [(START - 50_000, true), (START - 50_001, false)] {
-        let mut b = Bench::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
-        b.probed(2, Role::Replica, position);
-        let sent = sends(&b.ask_with(SESSION, Some(50_000), 1_000_000));
+        let mut router = TestRouter::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
+        router.finish_probe(2, Role::Replica, position);
+        let sent = sends(&router.submit_with(SESSION, Some(50_000), 1_000_000));
         assert_eq!(sent.first().is_some_and(|s| s.1 == HostId(2)), direct);
     }
 }
 
 #[test]
 fn session_without_a_write_takes_any_replica() {
-    let mut b = Bench::new(settings());
-    assert_ne!(sends(&b.ask(SESSION))[0].1, HostId(1));
+    let mut router = TestRouter::new(settings());
+    assert_ne!(sends(&router.submit(SESSION))[0].1, HostId(1));
 }
 
 #[test]
 fn remembered_commit_is_met_at_its_exact_edge() {
     for (lag, direct) in [(0, true), (1, false)] {
-        let mut b = Bench::new(Settings {
+        let mut router = TestRouter::new(Settings {
             sessions_carry_tokens: false,
             stale_reads: StaleReadPolicy::Serve,
             ..settings()
         });
-        let sent = sends(&b.ask(UNSAFE))[0];
-        b.now += 20_000;
-        let commit = b.now - 5_000;
-        b.end_at(sent, 0, AttemptOutcome::Ok, Some(Role::Primary), Some(commit));
-        b.probed(2, Role::Replica, commit - lag);
-        b.probed(3, Role::Replica, commit - lag);
-        b.now += 100_000;
-        let actions = b.ask(SESSION);
+        let sent = sends(&router.submit(NON_IDEMPOTENT))[0];
+        router.now += 20_000;
+        let commit = router.now - 5_000;
+        router.finish_attempt_at(sent, 0, AttemptOutcome::Ok, Some(Role::Primary), Some(commit));
+        router.finish_probe(2, Role::Replica, commit - lag);
+        router.finish_probe(3, Role::Replica, commit - lag);
+        router.now += 100_000;
+        let actions = router.submit(SESSION);
         assert_eq!(sends(&actions).first().is_some_and(|s| s.1 != HostId(1)), direct);
         assert_eq!(probes(&actions).is_empty(), direct);
     }
@@ -101,35 +101,35 @@
 
 #[test]
 fn fresh_read_goes_to_the_primary() {
-    let mut b = Bench::new(settings());
-    b.probed(2, Role::Replica, START);
-    assert_eq!(sends(&b.ask(FRESH))[0].1, HostId(1));
+    let mut router = TestRouter::new(settings());
+    router.finish_probe(2, Role::Replica, START);
+    assert_eq!(sends(&router.submit(STRONG))[0].1, HostId(1));
 }
 
 #[test]
 fn position_never_goes_back() {
-    let mut b = Bench::new(settings());
-    b.probed(2, Role::Replica, START);
-    b.probed(2, Role::Replica, START - 5_000_000);
-    assert_eq!(sends(&b.ask(BOUNDED))[0].1, HostId(2));
+    let mut router = TestRouter::new(settings());
+    router.finish_probe(2, Role::Replica, START);
+    router.finish_probe(2, Role::Replica, START - 5_000_000);
+    assert_eq!(sends(&router.submit(BOUNDED))[0].1, HostId(2));
 }
 
 #[test]
 fn position_from_the_future_counts_as_now() {
-    let mut b = Bench::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
-    b.probed(2, Role::Replica, START + 60_000_000);
-    b.now += BOUND + 1;
-    assert!(sends(&b.ask(BOUNDED)).is_empty());
+    let mut router = TestRouter::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
+    router.finish_probe(2, Role::Replica, START + 60_000_000);
+    router.now += STALENESS_BOUND + 1;
+    assert!(sends(&router.submit(BOUNDED)).is_empty());
 }
 
 #[test]
 fn a_young_report_is_shared_with_later_misses() {
-    let mut b = Bench::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
-    let host = probes(&b.ask(BOUNDED))[0];
-    b.probed(host.0, Role::Replica, START - BOUND - 1);
-    b.probed(5 - host.0, Role::Replica, START - BOUND - 1);
-    b.now += 50_000;
-    let actions = b.ask(BOUNDED);
+    let mut router = TestRouter::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
+    let host = probes(&router.submit(BOUNDED))[0];
+    router.finish_probe(host.0, Role::Replica, START - STALENESS_BOUND - 1);
+    router.finish_probe(5 - host.0, Role::Replica, START - STALENESS_BOUND - 1);
+    router.now += 50_000;
+    let actions = router.submit(BOUNDED);
     assert!(probes(&actions).is_empty() && sends(&actions)[0].1 == HostId(1));
 }
 
@@ -141,19 +141,19 @@
         let mut asked = std::collections::BTreeSet::new();
         for seed in 0..20 {
             let settings = Settings { seed, stale_reads: StaleReadPolicy::Serve, ..settings() };
-            let mut b = Bench::new(settings);
-            b.probed(2, Role::Replica, START - 5_000_000);
-            b.probed(3, Role::Replica, START);
-            b.now += waited;
-            asked.extend(probes(&b.ask(BOUNDED)).iter().map(|h| h.0));
+            let mut router = TestRouter::new(settings);
+            router.finish_probe(2, Role::Replica, START - 5_000_000);
+            router.finish_probe(3, Role::Replica, START);
+            router.now += waited;
+            asked.extend(probes(&router.submit(BOUNDED)).iter().map(|h| h.0));
         }
         assert_eq!(asked.into_iter().collect::<Vec<u32>>(), probed, "after {waited} us");
     }
-    let mut b = Bench::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
-    b.probed(2, Role::Replica, START - 5_000_000);
-    b.probed(3, Role::Replica, START - 5_000_000);
-    b.now += 400_000;
-    let actions = b.ask(BOUNDED);
+    let mut router = TestRouter::new(Settings { stale_reads: StaleReadPolicy::Serve, ..settings() });
+    router.finish_probe(2, Role::Replica, START - 5_000_000);
+    router.finish_probe(3, Role::Replica, START - 5_000_000);
+    router.now += 400_000;
+    let actions = router.submit(BOUNDED);
     assert!(probes(&actions).is_empty() && sends(&actions)[0].1 == HostId(1));
 }
 
@@ -164,23 +164,30 @@
     let silent = |host| ProbeResult { host, answered: false, role: None, position: None, queued: None };
     let asked = |routers: u32| {
         let count = |seed: u64| {
-            let mut b =
-                Bench::new(Settings { seed, routers, stale_reads: StaleReadPolicy::Serve, ..settings() });
-            b.probed(2, Role::Replica, START);
-            let sent: Vec<_> = (0..4).flat_map(|_| sends(&b.ask(BOUNDED))).collect();
-            sent.into_iter().for_each(|s| drop(b.end(s, 0, AttemptOutcome::ConnectFailed, None)));
+            let mut router = TestRouter::new(Settings {
+                seed,
+                routers,
+                stale_reads: StaleReadPolicy::Serve,
+                ..settings()
+            });
+            router.finish_probe(2, Role::Replica, START);
+            let sent: Vec<_> = (0..4).flat_map(|_| sends(&router.submit(BOUNDED))).collect();
+            sent.into_iter()
+                .for_each(|s| drop(router.finish_attempt(s, 0, AttemptOutcome::ConnectFailed, None)));
             let mut count = 0;
             for _ in 0..100 {
-                b.now += 100_000;
-                let now = b.now;
-                b.probed(3, Role::Replica, now);
-                let actions = b.ask(BOUNDED);
+                router.now += 100_000;
+                let now = router.now;
+                router.finish_probe(3, Role::Replica, now);
+                let actions = router.submit(BOUNDED);
                 let suspects = probes(&actions).into_iter().filter(|h| h.0 == 2);
                 suspects.for_each(|h| {
                     count += 1;
-                    b.tell(Event::ProbeFinished(silent(h)));
+                    router.handle_event(Event::ProbeFinished(silent(h)));
                 });
-                sends(&actions).into_iter().for_each(|s| drop(b.end(s, 0, AttemptOutcome::Ok, None)));
+                sends(&actions)
+                    .into_iter()
+                    .for_each(|s| drop(router.finish_attempt(s, 0, AttemptOutcome::Ok, None)));
             }
             count
         };
@@ -196,10 +203,10 @@
 fn long_reads_share_a_replica() {
     let mut settings = settings();
     settings.classes[ANY.0].latency_objective = 8_000_000;
-    let mut b = Bench::new(settings);
+    let mut router = TestRouter::new(settings);
     let hosts: Vec<HostId> =
-        (0..4).flat_map(|_| sends(&b.ask_with(ANY, None, 20_000_000))).map(|s| s.1).collect();
+        (0..4).flat_map(|_| sends(&router.submit_with(ANY, None, 20_000_000))).map(|s| s.1).collect();
     assert_eq!(hosts, vec![HostId(2); 4]);
-    let next = sends(&b.ask_with(ANY, None, 20_000_000))[0].1;
+    let next = sends(&router.submit_with(ANY, None, 20_000_000))[0].1;
     assert_eq!(next, HostId(3), "no room at the first");
 }
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use rustix::net::{sendmsg, SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
-use stand::{answer, free_port, member, query, startup, Process, PATIENCE};
+use stand::{free_port, query, read_response, start_member, startup, Process, TEST_TIMEOUT};
 use std::io::{IoSlice, Read, Write};
 use std::mem::MaybeUninit;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -41,9 +41,9 @@
 
 /// A port whose connections never come up: its short queue is full.
 fn cut_off(kept: &mut Kept) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    rustix::net::listen(&listener, 0).expect("it listens");
-    let at = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    rustix::net::listen(&listener, 0).expect("the process listens");
+    let at = listener.local_addr().expect("local address");
     while let Ok(stream) = TcpStream::connect_timeout(&at, Duration::from_millis(200)) {
         kept.1.push(stream);
         assert!(kept.1.len() < 64, "the queue has no end");
@@ -53,16 +53,16 @@
 }
 
 fn silent(kept: &mut Kept) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let at = listener.local_addr().expect("local address").to_string();
     kept.0.push(listener);
     at
 }
 
 /// A port that answers each call on a new connection in these words.
 fn replies(text: &'static str) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let at = listener.local_addr().expect("local address").to_string();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             thread::spawn(move || {
@@ -100,15 +100,15 @@
     let mut stream = loop {
         match TcpStream::connect(at) {
             Ok(stream) => break stream,
-            Err(_) if begun.elapsed() > PATIENCE => return None,
+            Err(_) if begun.elapsed() > TEST_TIMEOUT => return None,
             Err(_) => thread::sleep(Duration::from_millis(5)),
         }
     };
     let since = Instant::now();
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
     stream.write_all(&[startup(), query("")].concat()).ok()?;
-    assert_eq!(answer(&mut stream)?.chars().last(), Some('Z'));
-    assert_eq!(answer(&mut stream).as_deref(), Some("IZ"));
+    assert_eq!(read_response(&mut stream)?.chars().last(), Some('Z'));
+    assert_eq!(read_response(&mut stream).as_deref(), Some("IZ"));
     Some(since.elapsed())
 }
 
@@ -119,19 +119,19 @@
     #[values(Door::Refuses, Door::Silent, Door::CutOff, Door::Overbooked, Door::Open)] found: Door,
     #[values(Door::Refuses, Door::Silent, Door::CutOff, Door::Open, Door::None)] members: Door,
 ) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary directory");
     let mut kept = Kept::default();
     let found = discovery(found, &mut kept);
     let address = match members {
-        Door::Open => member().0,
+        Door::Open => start_member().0,
         other => discovery(other, &mut kept),
     };
     let list = if members == Door::None { vec![] } else { vec![("m1", address.as_str())] };
     let port = free_port();
-    let process = Process::start_with(folder.path(), port, &list, |config| {
+    let process = Process::start_with_config(folder.path(), port, &list, |config| {
         // The address of discovery is the one that the stand made up.
-        let at = config.find("\"discovery\":\"").expect("it is named") + 13;
-        let end = at + config[at..].find('"').expect("its end");
+        let at = config.find("\"discovery\":\"").expect("a discovery address") + 13;
+        let end = at + config[at..].find('"').expect("a closing quote");
         format!("{}{found}{}", &config[..at], &config[end..])
     });
     let took = taken_in(port).expect("it answers");
@@ -145,14 +145,14 @@
 #[case::trickles(true)]
 #[case::hangs(false)]
 fn a_predecessor_that_does_not_come_to_its_end_is_not_waited_for(#[case] trickles: bool) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary directory");
     let port = free_port();
     let path = folder.path().join(format!("wharfplank-127.0.0.1-{port}.sock"));
-    let post = UnixListener::bind(path).expect("it listens");
+    let post = UnixListener::bind(path).expect("the process listens");
     let waits = thread::spawn(move || {
         let (mut stream, _) = post.accept().expect("it asks");
         let since = Instant::now();
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         if !trickles {
             // Until the process gives up.
             let _ = stream.read(&mut [0]);
@@ -163,14 +163,14 @@
         let mut control = SendAncillaryBuffer::new(&mut space);
         control.push(SendAncillaryMessage::ScmRights(&rights));
         sendmsg(&stream, &[IoSlice::new(b"L")], &mut control, SendFlags::NOSIGNAL).expect("given");
-        while since.elapsed() < PATIENCE && stream.write_all(b" ").is_ok() {
+        while since.elapsed() < TEST_TIMEOUT && stream.write_all(b" ").is_ok() {
             thread::sleep(Duration::from_millis(200));
         }
         since.elapsed()
     });
-    let (address, _) = member();
+    let (address, _) = start_member();
     let process = Process::start(folder.path(), port, &[("m1", address.as_str())]);
-    let took = waits.join().expect("it ends") + taken_in(port).expect("it answers");
+    let took = waits.join().expect("the thread ends") + taken_in(port).expect("it answers");
     assert!(took < READY_MOST, "{took:?}");
     drop(process);
 }
--- a/tests/rollout_faults.rs
+++ b/tests/rollout_faults.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_rollout_keeps_the_budget_and_finishes_whoever_leads() {
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("temporary directory");
     let cases = [(Case::TwoAtOnce, 3), (Case::LeaderKilled, 3), (Case::Partition, 5), (Case::NeverReady, 3)];
     let scenarios: Vec<Scenario> =
         cases.into_iter().map(|(case, proxies)| Scenario::from_seed(case, proxies, 3, 3, 1)).collect();
--- a/tests/router_timer.rs
+++ b/tests/router_timer.rs
@@ -15,23 +15,23 @@
 }
 
 /// A group without a known primary, in which one write searches for it and others wait for its result.
-fn with_a_searching_write() -> (Bench, Vec<Action>) {
-    let members = (1..=4).map(|host| entry(host, false)).collect();
-    let mut bench = Bench::with(Settings { may_probe: false, ..settings() }, members);
-    let actions = bench.ask(UNSAFE);
+fn with_a_searching_write() -> (TestRouter, Vec<Action>) {
+    let members = (1..=4).map(|host| endpoint(host, false)).collect();
+    let mut router = TestRouter::with(Settings { may_probe: false, ..settings() }, members);
+    let actions = router.submit(NON_IDEMPOTENT);
     assert_eq!(sends(&actions).len(), 1);
-    (bench, actions)
+    (router, actions)
 }
 
 /// Guards against a request that is queued while a later timer is set, and given up only when that one expires.
 #[test]
 fn a_request_queued_behind_one_in_flight_is_given_up_by_its_deadline() {
-    let (mut bench, first) = with_a_searching_write();
+    let (mut router, first) = with_a_searching_write();
     assert!(timers(&first).all(|span| span > 10_000), "a timer for attempts in flight is set");
-    bench.now += 1_000;
-    let actions = bench.ask_with(UNSAFE, None, 5_000);
+    router.now += 1_000;
+    let actions = router.submit_with(NON_IDEMPOTENT, None, 5_000);
     assert!(refused(&actions), "less time is left than an answer usually takes");
-    let actions = bench.ask_with(KEYED, None, 300_000);
+    let actions = router.submit_with(KEYED_WRITE, None, 300_000);
     assert!(sends(&actions).is_empty() && !refused(&actions), "it is queued");
     assert_eq!(timers(&actions).collect::<Vec<_>>(), [10_000]);
 }
@@ -39,18 +39,18 @@
 /// Guards against a further timer for each one that was replaced: their number would grow without bound.
 #[test]
 fn replaced_timers_do_not_add_up() {
-    let (mut bench, first) = with_a_searching_write();
-    let mut due: Vec<Micros> = timers(&first).map(|span| bench.now + span).collect();
+    let (mut router, first) = with_a_searching_write();
+    let mut due: Vec<Micros> = timers(&first).map(|span| router.now + span).collect();
     let mut set = due.len();
-    let end = bench.now + 1_000_000;
-    while bench.now < end {
-        bench.now += 500;
-        let expired = due.iter().filter(|at| **at <= bench.now).count();
-        due.retain(|at| *at > bench.now);
+    let end = router.now + 1_000_000;
+    while router.now < end {
+        router.now += 500;
+        let expired = due.iter().filter(|at| **at <= router.now).count();
+        due.retain(|at| *at > router.now);
         let mut actions = Vec::new();
-        (0..expired).for_each(|_| actions.extend(bench.tell(Event::Timer)));
-        actions.extend(bench.ask_with(KEYED, None, 300_000));
-        let now = bench.now;
+        (0..expired).for_each(|_| actions.extend(router.handle_event(Event::Timer)));
+        actions.extend(router.submit_with(KEYED_WRITE, None, 300_000));
+        let now = router.now;
         due.extend(timers(&actions).map(|span| now + span));
         set += timers(&actions).count();
         assert!(due.len() <= 3, "{} timers are set at once", due.len());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -7,7 +7,7 @@
 
 #[path = "common/config.rs"]
 mod config;
-use config::{good, with};
+use config::{valid_config, with_value};
 
 fn read(config: &Value) -> Result<Config, String> {
     Config::parse(config.to_string().as_bytes(), AddressOverrides::default())
@@ -87,7 +87,7 @@
     ];
     let mut missed = Vec::new();
     for (place, value, field) in cases {
-        let what = read(&with(&good(), place, value.clone())).err();
+        let what = read(&with_value(&valid_config(), place, value.clone())).err();
         let named = what
             .as_deref()
             .is_some_and(|what| what.split([' ', ':']).any(|word| word == field) && !what.contains('\n'));
@@ -132,7 +132,7 @@
         "/settings/Tenants",
     ];
     for place in places {
-        settings(&with(&good(), place, Value::Null));
+        settings(&with_value(&valid_config(), place, Value::Null));
     }
     let spans = [
         "/settings/Classes/0/TargetUs",
@@ -146,16 +146,16 @@
         "/settings/Allowed/MaxRetryAfterUs",
     ];
     for place in spans {
-        settings(&with(&good(), place, json!(0)));
+        settings(&with_value(&valid_config(), place, json!(0)));
     }
     for place in
         ["/settings/Novel", "/settings/Rules/Novel", "/settings/Classes/0/Novel", "/novel", "/limits/novel"]
     {
         for value in [json!(-1), json!({"a": [{"b": null}, 7]}), json!(null), json!("x"), json!([])] {
-            settings(&with(&good(), place, value));
+            settings(&with_value(&valid_config(), place, value));
         }
     }
-    let nulls = with(&good(), "/settings/Specifics/MaxAgeUs", json!([200_000, null]));
+    let nulls = with_value(&valid_config(), "/settings/Specifics/MaxAgeUs", json!([200_000, null]));
     assert_eq!(settings(&nulls).classes.len(), 2);
 }
 
@@ -164,13 +164,13 @@
 fn an_unknown_effect_must_not_run_twice() {
     for (place, word) in [("/settings/Classes/1/Repeat", "merge"), ("/settings/Classes/1/Group", "zone")] {
         assert_eq!(
-            settings(&with(&good(), place, json!(word))).classes[1].idempotency,
+            settings(&with_value(&valid_config(), place, json!(word))).classes[1].idempotency,
             Idempotency::NotIdempotent,
             "{word}"
         );
     }
     let keyed = Idempotency::Keyed { window: 1_200_000, all_groups: false };
-    assert_eq!(settings(&good()).classes[1].idempotency, keyed);
-    let everywhere = settings(&with(&good(), "/settings/Classes/1/Group", json!("all")));
+    assert_eq!(settings(&valid_config()).classes[1].idempotency, keyed);
+    let everywhere = settings(&with_value(&valid_config(), "/settings/Classes/1/Group", json!("all")));
     assert_eq!(everywhere.classes[1].idempotency, Idempotency::Keyed { window: 1_200_000, all_groups: true });
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -4,7 +4,9 @@
 #[path = "common/ending.rs"]
 mod ending;
 
-use ending::{answer, ask, free_port, over, pass, query, startup, Process, Stand};
+use ending::{
+    free_port, is_closed, query, read_response, request, sleep_until_elapsed, startup, Process, RunningProxy,
+};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -21,12 +23,12 @@
 /// late was accepted by the machine and reset with the process.
 #[test]
 fn a_late_connection_is_refused() {
-    let stand = Stand::new();
-    let mut held = stand.connect();
-    held.write_all(&[startup(), ask("held", "silence")].concat()).expect("taken");
-    assert!(answer(&mut held).is_some());
-    let since = stand.terminate();
-    while TcpStream::connect(("127.0.0.1", stand.port)).is_ok() {
+    let proxy = RunningProxy::new();
+    let mut held = proxy.connect();
+    held.write_all(&[startup(), request("held", "silence")].concat()).expect("write to the socket");
+    assert!(read_response(&mut held).is_some());
+    let since = proxy.terminate();
+    while TcpStream::connect(("127.0.0.1", proxy.port)).is_ok() {
         // What is open is given up after 3.2 s, and the process ends.
         assert!(since.elapsed() < Duration::from_secs(3), "it listens to the end");
         thread::sleep(Duration::from_millis(10));
@@ -35,25 +37,25 @@
     let open = matches!(held.read(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
     assert!(open, "the process serves what it has taken");
     held.set_nonblocking(false).expect("it can be asked");
-    assert_eq!(answer(&mut held).as_deref(), Some("EZ"));
-    stand.ends();
+    assert_eq!(read_response(&mut held).as_deref(), Some("EZ"));
+    proxy.assert_exits();
 }
 
 /// Guards against a process that ends, with nothing left to do, while connections that the machine has accepted wait
 /// for it: it stands still until its listener closes, and finds both at the same time.
 #[test]
 fn what_the_machine_has_accepted_is_answered_before_the_end() {
-    let stand = Stand::new();
-    let since = stand.terminate();
-    stand.process.signal("-STOP");
-    let mut late = stand.connect();
-    late.write_all(&[startup(), ask("late", "1")].concat()).expect("taken");
-    pass(since, CLOSE_AFTER + Duration::from_millis(50));
-    stand.process.signal("-CONT");
-    assert!(answer(&mut late).is_some());
-    assert_eq!(answer(&mut late).as_deref(), Some("TDCZ"));
-    assert!(over(&mut late));
-    stand.ends();
+    let proxy = RunningProxy::new();
+    let since = proxy.terminate();
+    proxy.process.signal("-STOP");
+    let mut late = proxy.connect();
+    late.write_all(&[startup(), request("late", "1")].concat()).expect("write to the socket");
+    sleep_until_elapsed(since, CLOSE_AFTER + Duration::from_millis(50));
+    proxy.process.signal("-CONT");
+    assert!(read_response(&mut late).is_some());
+    assert_eq!(read_response(&mut late).as_deref(), Some("TDCZ"));
+    assert!(is_closed(&mut late));
+    proxy.assert_exits();
 }
 
 /// Guards against bytes before the signal and bytes after it that do not come to one request: nothing, half a startup
@@ -69,32 +71,32 @@
 
 /// Whether the rest came in time: after the signal, and before no more is taken.
 fn around_the_signal(before: usize) -> bool {
-    let stand = Stand::new();
-    let all = [startup(), ask("whole", "1")].concat();
-    let (mut whole, mut half) = (stand.connect(), stand.connect());
-    whole.write_all(&all[..before]).expect("taken");
-    half.write_all(&all[..before]).expect("taken");
+    let proxy = RunningProxy::new();
+    let all = [startup(), request("whole", "1")].concat();
+    let (mut whole, mut half) = (proxy.connect(), proxy.connect());
+    whole.write_all(&all[..before]).expect("write to the socket");
+    half.write_all(&all[..before]).expect("write to the socket");
     if before >= startup().len() {
-        assert!(answer(&mut whole).is_some() && answer(&mut half).is_some());
+        assert!(read_response(&mut whole).is_some() && read_response(&mut half).is_some());
     }
-    let since = stand.terminate();
+    let since = proxy.terminate();
     let rests = before == startup().len();
     if !rests {
         let written = whole.write_all(&all[before..]);
         if since.elapsed() >= CLOSE_AFTER {
             return false;
         }
-        written.expect("taken");
+        written.expect("write to the socket");
         if before < startup().len() {
-            assert!(answer(&mut whole).is_some());
+            assert!(read_response(&mut whole).is_some());
         }
-        assert_eq!(answer(&mut whole).as_deref(), Some("TDCZ"));
+        assert_eq!(read_response(&mut whole).as_deref(), Some("TDCZ"));
     }
-    assert!(over(&mut whole));
+    assert!(is_closed(&mut whole));
     // The rest of the other never comes: it does not hold up the end.
-    assert!(over(&mut half));
-    assert_eq!(stand.asked.load(Ordering::Relaxed), usize::from(!rests));
-    stand.ends();
+    assert!(is_closed(&mut half));
+    assert_eq!(proxy.statement_count.load(Ordering::Relaxed), usize::from(!rests));
+    proxy.assert_exits();
     true
 }
 
@@ -102,22 +104,22 @@
 /// the machine has accepted is read: it stands still until both are due.
 #[test]
 fn what_is_given_up_late_is_answered() {
-    let stand = Stand::new();
-    let mut held = stand.connect();
-    held.write_all(&[startup(), ask("held", "silence")].concat()).expect("taken");
-    assert!(answer(&mut held).is_some());
-    let since = stand.terminate();
-    stand.process.signal("-STOP");
-    let mut late = stand.connect();
-    late.write_all(&[startup(), ask("late", "1")].concat()).expect("taken");
-    pass(since, GIVE_UP_AFTER + Duration::from_millis(300));
-    stand.process.signal("-CONT");
-    assert!(answer(&mut late).is_some());
-    let refused = answer(&mut late);
+    let proxy = RunningProxy::new();
+    let mut held = proxy.connect();
+    held.write_all(&[startup(), request("held", "silence")].concat()).expect("write to the socket");
+    assert!(read_response(&mut held).is_some());
+    let since = proxy.terminate();
+    proxy.process.signal("-STOP");
+    let mut late = proxy.connect();
+    late.write_all(&[startup(), request("late", "1")].concat()).expect("write to the socket");
+    sleep_until_elapsed(since, GIVE_UP_AFTER + Duration::from_millis(300));
+    proxy.process.signal("-CONT");
+    assert!(read_response(&mut late).is_some());
+    let refused = read_response(&mut late);
     assert!(matches!(refused.as_deref(), Some("EZ" | "TDCZ")), "{refused:?}");
-    assert_eq!(answer(&mut held).as_deref(), Some("EZ"));
-    assert!(over(&mut held));
-    stand.ends();
+    assert_eq!(read_response(&mut held).as_deref(), Some("EZ"));
+    assert!(is_closed(&mut held));
+    proxy.assert_exits();
 }
 
 /// Guards against a process that is asked to end before it is ready, and closes over requests behind an empty query that
@@ -126,32 +128,32 @@
 #[case::taken(true)]
 #[case::arrived(false)]
 fn requests_behind_an_empty_query_are_answered_where_the_start_does_not_come(#[case] taken: bool) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary directory");
     // A member that takes connections and says nothing: the process is ready after 3 s.
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = silent.local_addr().expect("an address").to_string();
-    let (port, asked) = (free_port(), Arc::new(AtomicUsize::new(0)));
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = silent.local_addr().expect("local address").to_string();
+    let (port, statement_count) = (free_port(), Arc::new(AtomicUsize::new(0)));
     let process = Process::start(folder.path(), port, &[("m1", address.as_str())]);
-    let stand = Stand { process, port, asked, folder };
-    while stand.process.call("health").is_none() {
+    let proxy = RunningProxy { process, port, statement_count, folder };
+    while proxy.process.admin_command("health").is_none() {
         thread::sleep(Duration::from_millis(5));
     }
-    let (mut alone, mut many) = (stand.connect(), stand.connect());
-    alone.write_all(&[startup(), query("")].concat()).expect("taken");
-    let behind = ask("behind", "1");
+    let (mut alone, mut many) = (proxy.connect(), proxy.connect());
+    alone.write_all(&[startup(), query("")].concat()).expect("write to the socket");
+    let behind = request("behind", "1");
     let ahead = if taken { behind.clone() } else { Vec::new() };
-    many.write_all(&[startup(), query(""), ahead].concat()).expect("taken");
-    assert!(answer(&mut alone).is_some() && answer(&mut many).is_some());
-    stand.process.signal("-STOP");
+    many.write_all(&[startup(), query(""), ahead].concat()).expect("write to the socket");
+    assert!(read_response(&mut alone).is_some() && read_response(&mut many).is_some());
+    proxy.process.signal("-STOP");
     if !taken {
-        many.write_all(&behind).expect("taken");
+        many.write_all(&behind).expect("write to the socket");
     }
-    stand.process.terminate();
-    stand.process.signal("-CONT");
-    assert!(over(&mut alone), "the front is not told that it is ready");
-    assert_eq!(answer(&mut many).as_deref(), Some("IZ"));
+    proxy.process.terminate();
+    proxy.process.signal("-CONT");
+    assert!(is_closed(&mut alone), "the front is not told that it is ready");
+    assert_eq!(read_response(&mut many).as_deref(), Some("IZ"));
     // No member could be reached.
-    assert_eq!(answer(&mut many).as_deref(), Some("EZ"));
-    assert!(over(&mut many));
-    stand.ends();
+    assert_eq!(read_response(&mut many).as_deref(), Some("EZ"));
+    assert!(is_closed(&mut many));
+    proxy.assert_exits();
 }
--- a/tests/shutdown_close.rs
+++ b/tests/shutdown_close.rs
@@ -5,7 +5,7 @@
 #[path = "common/ending.rs"]
 mod ending;
 
-use ending::{answer, ask, over, pass, Stand};
+use ending::{is_closed, read_response, request, sleep_until_elapsed, RunningProxy};
 use rstest::rstest;
 use std::io::Write;
 use std::sync::atomic::Ordering;
@@ -22,21 +22,21 @@
 #[case::the_signal(true)]
 #[case::its_idle_time(false)]
 fn what_has_arrived_is_answered_before_a_close(#[case] signal: bool) {
-    let stand = Stand::new();
+    let proxy = RunningProxy::new();
     let since = Instant::now();
-    let mut resting = stand.resting();
-    stand.process.signal("-STOP");
-    let many: Vec<u8> = (0..10).flat_map(|n| ask(&format!("many-{n}"), "1")).collect();
-    resting.write_all(&many).expect("taken");
+    let mut resting = proxy.open_idle();
+    proxy.process.signal("-STOP");
+    let many: Vec<u8> = (0..10).flat_map(|n| request(&format!("many-{n}"), "1")).collect();
+    resting.write_all(&many).expect("write to the socket");
     match signal {
-        true => stand.process.terminate(),
-        false => pass(since, IDLE_MOST + Duration::from_millis(100)),
+        true => proxy.process.terminate(),
+        false => sleep_until_elapsed(since, IDLE_MOST + Duration::from_millis(100)),
     }
-    stand.process.signal("-CONT");
+    proxy.process.signal("-CONT");
     for n in 0..10 {
-        assert_eq!(answer(&mut resting).as_deref(), Some("TDCZ"), "request {n}");
+        assert_eq!(read_response(&mut resting).as_deref(), Some("TDCZ"), "request {n}");
     }
-    assert!(over(&mut resting), "it closes after that");
+    assert!(is_closed(&mut resting), "it closes after that");
 }
 
 /// Guards against a request that is asked of a member although its connection has been shut: whatever the instant in
@@ -46,24 +46,24 @@
 #[case::its_idle_time(false)]
 fn a_request_that_crosses_a_close_is_answered_or_never_asked(#[case] signal: bool) {
     const CLIENTS: usize = 24;
-    let stand = Stand::new();
+    let proxy = RunningProxy::new();
     let start = Arc::new(Barrier::new(CLIENTS + 1));
     let clients: Vec<_> = (0..CLIENTS)
         .map(|n| {
-            let (mut stream, start) = (stand.resting(), Arc::clone(&start));
+            let (mut stream, start) = (proxy.open_idle(), Arc::clone(&start));
             let rests = Instant::now();
             thread::spawn(move || {
                 start.wait();
                 let step = Duration::from_micros(250 * n as u64);
-                pass(
+                sleep_until_elapsed(
                     if signal { Instant::now() } else { rests + IDLE_MOST - Duration::from_millis(3) },
                     step,
                 );
-                let many: Vec<u8> = (0..3).flat_map(|i| ask(&format!("{n}-{i}"), "1")).collect();
+                let many: Vec<u8> = (0..3).flat_map(|i| request(&format!("{n}-{i}"), "1")).collect();
                 if stream.write_all(&many).is_err() {
                     return 0;
                 }
-                let answered = (0..3).take_while(|_| answer(&mut stream).is_some()).count();
+                let answered = (0..3).take_while(|_| read_response(&mut stream).is_some()).count();
                 assert!([0, 3].contains(&answered), "{answered} of 3 are answered");
                 answered
             })
@@ -71,8 +71,8 @@
         .collect();
     start.wait();
     if signal {
-        stand.process.terminate();
+        proxy.process.terminate();
     }
-    let answered: usize = clients.into_iter().map(|client| client.join().expect("it ends")).sum();
-    assert_eq!(stand.asked.load(Ordering::Relaxed), answered, "requests at the member");
+    let answered: usize = clients.into_iter().map(|client| client.join().expect("the thread ends")).sum();
+    assert_eq!(proxy.statement_count.load(Ordering::Relaxed), answered, "requests at the member");
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -8,21 +8,21 @@
 
 /// Group 1 has a primary that has just started (1) and a warm replica (2); group 2 is warm (3, 4).
 fn groups() -> Vec<Endpoint> {
-    let other = |host, primary| Endpoint { group: GroupId(2), ..entry(host, primary) };
-    let cold = Endpoint { started_at: Some(START), ..entry(1, true) };
-    vec![cold, entry(2, false), other(3, true), other(4, false)]
+    let other = |host, primary| Endpoint { group: GroupId(2), ..endpoint(host, primary) };
+    let cold = Endpoint { started_at: Some(START), ..endpoint(1, true) };
+    vec![cold, endpoint(2, false), other(3, true), other(4, false)]
 }
 
 /// Writes that are sent to the cold primary within a second, one asked each 20 ms, each answered at once.
-fn writes(b: &mut Bench) -> usize {
-    let (until, mut sent) = (b.now + SECOND, 0);
-    while b.now < until {
-        let mut actions = b.ask(UNSAFE);
-        actions.extend(b.pass(20_000));
+fn writes(router: &mut TestRouter) -> usize {
+    let (until, mut sent) = (router.now + SECOND, 0);
+    while router.now < until {
+        let mut actions = router.submit(NON_IDEMPOTENT);
+        actions.extend(router.advance(20_000));
         for send in sends(&actions) {
             assert_eq!(send.1, HostId(1));
             sent += 1;
-            b.end(send, 0, AttemptOutcome::Ok, Some(Role::Primary));
+            router.finish_attempt(send, 0, AttemptOutcome::Ok, Some(Role::Primary));
         }
     }
     sent
@@ -32,17 +32,21 @@
 /// nothing, which says nothing of what it could do. Members of the other group tell.
 #[test]
 fn a_cold_primary_is_measured_by_warm_members_that_work() {
-    let mut b = Bench::with(settings(), groups());
+    let mut router = TestRouter::with(settings(), groups());
     for _ in 0..200 {
-        let asked = b.ask_in(GroupId(2), ANY);
-        sends(&asked).into_iter().for_each(|send| drop(b.end(send, 0, AttemptOutcome::Ok, None)));
-        b.pass(10_000);
+        let asked = router.submit_to_group(GroupId(2), ANY);
+        sends(&asked)
+            .into_iter()
+            .for_each(|send| drop(router.finish_attempt(send, 0, AttemptOutcome::Ok, None)));
+        router.advance(10_000);
     }
     // The lagging replica has answered once.
-    b.probed(2, Role::Replica, START - 20 * SECOND);
-    sends(&b.ask(ANY)).into_iter().for_each(|send| drop(b.end(send, 0, AttemptOutcome::Ok, None)));
-    let many = writes(&mut b);
-    let mut alone = Bench::with(settings(), groups());
+    router.finish_probe(2, Role::Replica, START - 20 * SECOND);
+    sends(&router.submit(ANY))
+        .into_iter()
+        .for_each(|send| drop(router.finish_attempt(send, 0, AttemptOutcome::Ok, None)));
+    let many = writes(&mut router);
+    let mut alone = TestRouter::with(settings(), groups());
     let few = writes(&mut alone);
     assert!(many > 10 && few < many / 2, "{many} where warm members work, {few} where none does");
 }
--- a/tests/slow_start_processes.rs
+++ b/tests/slow_start_processes.rs
@@ -37,7 +37,7 @@
 
 #[test]
 fn many_processes_together_keep_the_budget_of_a_member_that_restarts() {
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("temporary directory");
     let place = Place {
         program: PathBuf::from(env!("CARGO_BIN_EXE_wharfplank")),
         directory: directory.path().to_path_buf(),
--- a/tests/syscall_faults.rs
+++ b/tests/syscall_faults.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment, in all the ways that Linux documents: every request gets its final answer, no
+//! System calls that fail for a moment, in all the ways that Linux documents: every request gets its final read_response, no
 //! write runs twice, and the process ends in order.
 
 #[path = "common/stand.rs"]
@@ -7,14 +7,14 @@
 mod syscall_faults;
 
 use rstest::rstest;
-use stand::{answer, free_port, member_observed, query, startup, Process, PATIENCE};
+use stand::{free_port, query, read_response, start_observed_member, startup, Process, TEST_TIMEOUT};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 use std::time::Duration;
-use syscall_faults::{injected, SyscallFaults};
+use syscall_faults::{injected_faults, SyscallFaults};
 
 /// One call in so many fails while requests are served.
 const RATE: u32 = 20;
@@ -41,16 +41,16 @@
 
 fn member(runs: &Runs) -> String {
     let runs = Arc::clone(runs);
-    member_observed("primary", move |statement| {
+    start_observed_member("primary", move |statement| {
         let id = statement.split("id=").nth(1).and_then(|rest| rest.split(',').next());
         *runs.lock().expect("no panic").entry(id.unwrap_or("").to_string()).or_default() += 1;
     })
 }
 
 fn connect(port: u16) -> TcpStream {
-    let stream = TcpStream::connect(("127.0.0.1", port)).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    stream.set_nodelay(true).expect("no delay");
+    let stream = TcpStream::connect(("127.0.0.1", port)).expect("the process listens");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
+    stream.set_nodelay(true).expect("set TCP_NODELAY");
     stream
 }
 
@@ -66,12 +66,12 @@
         let request =
             query(&format!("/* id=r-{client}-{number},c={class},d={deadline_ms},cluster=2 */ SELECT 1"));
         let got = match &mut connection {
-            Some(stream) => send(stream, &request).and_then(|()| answer(stream)),
+            Some(stream) => send(stream, &request).and_then(|()| read_response(stream)),
             None => {
                 let mut stream = connect(port);
                 let got = send(&mut stream, &[startup(), request].concat())
-                    .and_then(|()| answer(&mut stream))
-                    .and_then(|_| answer(&mut stream));
+                    .and_then(|()| read_response(&mut stream))
+                    .and_then(|_| read_response(&mut stream));
                 connection = Some(stream);
                 got
             }
@@ -101,7 +101,7 @@
     let clients: Vec<_> =
         (0..CLIENTS).map(|client| thread::spawn(move || run_client(port, client, deadline_ms))).collect();
     let answers: Vec<Option<String>> =
-        clients.into_iter().flat_map(|client| client.join().expect("it ends")).collect();
+        clients.into_iter().flat_map(|client| client.join().expect("the thread ends")).collect();
     let count = |is: &dyn Fn(Option<&str>) -> bool| answers.iter().filter(|got| is(got.as_deref())).count();
     Outcome {
         served: count(&|got| got == Some("TDCZ")),
@@ -113,7 +113,7 @@
 
 fn play(faults: &SyscallFaults, deadline_ms: u32) -> Outcome {
     let _turn = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary directory");
     let runs = Runs::default();
     let address = member(&runs);
     let port = free_port();
@@ -121,15 +121,16 @@
     let environment: Vec<(&str, &str)> = environment.iter().map(|(name, value)| (*name, &**value)).collect();
     let wants = format!("\"TargetUs\":{}000", deadline_ms);
     let change = |config: String| config.replace("\"TargetUs\":900000000", &wants);
-    let mut process = Process::start_in(folder.path(), port, &[("m1", &address)], &environment, change);
-    process.ready();
+    let mut process =
+        Process::start_with_environment(folder.path(), port, &[("m1", &address)], &environment, change);
+    process.wait_until_ready();
     let mut outcome = run_clients(port, deadline_ms);
-    assert!(injected(folder.path()) > 0, "no call failed: nothing was tested");
+    assert!(injected_faults(folder.path()) > 0, "no call failed: nothing was tested");
     let twice: Vec<_> =
         runs.lock().expect("no panic").clone().into_iter().filter(is_write_run_twice).collect();
     assert!(twice.is_empty(), "writes that ran twice: {twice:?}");
     process.terminate();
-    outcome.exit_code = process.ends_within(EARLIEST_KILL);
+    outcome.exit_code = process.wait_for_exit(EARLIEST_KILL);
     outcome
 }
 
@@ -235,15 +236,17 @@
 fn a_signal_whose_wakeup_fails_is_not_lost() {
     let _turn = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let faults = SyscallFaults { faults: "local_send=ENOBUFS", rate: 1, ..SyscallFaults::default() };
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary directory");
     let port = free_port();
     let environment = faults.environment(folder.path(), port);
     let environment: Vec<(&str, &str)> = environment.iter().map(|(name, value)| (*name, &**value)).collect();
     let address = member(&Runs::default());
     let mut process =
-        Process::start_in(folder.path(), port, &[("m1", &address)], &environment, |config| config);
-    process.ready();
+        Process::start_with_environment(folder.path(), port, &[("m1", &address)], &environment, |config| {
+            config
+        });
+    process.wait_until_ready();
     process.terminate();
-    assert_eq!(process.ends_within(EARLIEST_KILL), Some(0), "it ends in order before the kill");
-    assert!(injected(folder.path()) > 0, "no wake-up failed: nothing was tested");
+    assert_eq!(process.wait_for_exit(EARLIEST_KILL), Some(0), "it ends in order before the kill");
+    assert!(injected_faults(folder.path()) > 0, "no wake-up failed: nothing was tested");
 }
