--- a/tests/common/bytes.rs
+++ b/tests/common/bytes.rs
@@ -74,7 +74,7 @@
                 });
                 rest = inner;
             }
-            (other, _) => out.push(BytePattern::Exact(other)),
+            (literal, _) => out.push(BytePattern::Exact(literal)),
         }
     }
     out
@@ -106,7 +106,7 @@
             }
         }
     }
-    let escape = |b: &[u8]| b.escape_ascii().to_string();
+    let to_text = |b: &[u8]| b.escape_ascii().to_string();
     let shown = |w: &BytePattern| match w {
         BytePattern::Exact(byte) => *byte,
         BytePattern::Digit => b'#',
@@ -114,6 +114,6 @@
     };
     let shown: Vec<u8> = expected.iter().map(shown).collect();
     let is_equal = count == expected.len() && expected.iter().zip(&received).all(matches);
-    assert!(is_equal, "{peer}: expected\n{}\nreceived\n{}", escape(&shown), escape(&received[..count]));
+    assert!(is_equal, "{peer}: expected\n{}\nreceived\n{}", to_text(&shown), to_text(&received[..count]));
     received
 }
--- a/tests/common/ledger.rs
+++ b/tests/common/ledger.rs
@@ -107,9 +107,7 @@
                     .min();
                 match classes[request.class.0].idempotency {
                     Idempotency::Idempotent => {}
-                    Idempotency::NotIdempotent => {
-                        assert!(first_sent.is_none(), "a write may run twice: {tracked:?}")
-                    }
+                    Idempotency::NotIdempotent => assert!(first_sent.is_none(), "may run twice: {tracked:?}"),
                     Idempotency::Keyed { window, .. } => {
                         assert!(
                             first_sent.is_none_or(|sent| now <= sent + window),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -187,11 +187,11 @@
 }
 
 pub fn sends(actions: &[Action]) -> Vec<Sent> {
-    let sent = |a: &Action| match a {
+    let sent_attempt = |a: &Action| match a {
         Action::Send { id, host, .. } => Some((*id, *host)),
         _ => None,
     };
-    actions.iter().filter_map(sent).collect()
+    actions.iter().filter_map(sent_attempt).collect()
 }
 
 pub fn probes(actions: &[Action]) -> Vec<HostId> {
--- a/tests/common/party.rs
+++ b/tests/common/party.rs
@@ -104,7 +104,7 @@
 
     /// Writes to the latest connection; a large write runs on a thread of its own, because the proxy may not
     /// read it all.
-    pub fn write(&mut self, text: Vec<u8>) {
+    pub fn write_bytes(&mut self, text: Vec<u8>) {
         let last = self.last_connection.as_mut().expect("a request came before");
         if text.len() < LARGE_WRITE_BYTES {
             return last.write_all(&text).expect("write to the socket");
--- a/tests/common/play.rs
+++ b/tests/common/play.rs
@@ -172,11 +172,11 @@
                 match verb {
                     "<" if text == "EOF" => server.expect_close(name),
                     "<" => server.expect_message(name, &text),
-                    ">" => server.write(parse_literal(&text)),
+                    ">" => server.write_bytes(parse_literal(&text)),
                     "opens" => server.open_gate(),
                     "silent" => {
                         let message =
-                            server.messages.try_recv().map(|(_, bytes)| bytes.escape_ascii().to_string());
+                            server.messages.try_recv().map(|(_, data)| data.escape_ascii().to_string());
                         assert!(message.is_err(), "{name} received {message:?}");
                     }
                     "accepted" => {
@@ -221,7 +221,7 @@
     }
 }
 
-/// Returns the process number and the secret from the BackendKeyData message of a greeting.
+/// Returns the process number and the secret from the `BackendKeyData` message of a greeting.
 fn cancel_key(got: &[u8]) -> Option<Vec<u8>> {
     let at = got.windows(5).position(|five| five == b"K\0\0\0\x0c")?;
     got.get(at + 5..at + 13).map(<[u8]>::to_vec)
--- a/tests/common/stand.rs
+++ b/tests/common/stand.rs
@@ -30,7 +30,7 @@
     [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
-/// Reads messages up to and with ReadyForQuery and returns their tags; `None` if the connection ends before.
+/// Reads messages up to and with `ReadyForQuery` and returns their tags; `None` if the connection ends first.
 pub fn read_response(stream: &mut impl Read) -> Option<String> {
     let mut tags = String::new();
     while !tags.ends_with('Z') {
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -149,9 +149,9 @@
             port,
             &members,
             |config| {
-                let start = config.find("\"discovery\":\"").expect("a discovery address") + 13;
-                let end = start + config[start..].find('"').expect("a closing quote");
-                format!("{}127.0.0.1:{discovery_port}{}", &config[..start], &config[end..])
+                let value_start = config.find("\"discovery\":\"").expect("a discovery address") + 13;
+                let end = value_start + config[value_start..].find('"').expect("a closing quote");
+                format!("{}127.0.0.1:{discovery_port}{}", &config[..value_start], &config[end..])
             },
             DESCRIPTOR_LIMIT,
         );
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -56,7 +56,7 @@
     }
 
     /// Stops the clients and returns the results of the requests that were not served.
-    fn stop(self) -> Vec<Option<String>> {
+    fn finish(self) -> Vec<Option<String>> {
         self.stop.store(true, Ordering::Relaxed);
         self.clients.into_iter().flat_map(|c| c.join().expect("the thread ends")).collect()
     }
@@ -91,7 +91,7 @@
     load.wait_for_served(50);
     old.terminate();
     load.wait_for_served(100);
-    assert_eq!(load.stop(), [], "requests that were not served");
+    assert_eq!(load.finish(), [], "requests that were not served");
     assert_eq!(second_statements.load(Ordering::Relaxed), before, "the cordoned member received requests");
     assert!(counters(&new).contains(r#""targets_disabled":1"#), "{}", counters(&new));
     assert_eq!(new.child.try_wait().ok().flatten(), None);
@@ -100,8 +100,10 @@
 /// Returns the number of listening Unix sockets under a folder, from `/proc/net/unix`.
 fn listeners(folder: &std::path::Path) -> usize {
     let all = std::fs::read_to_string("/proc/net/unix").expect("read /proc/net/unix");
-    let path = folder.to_str().expect("a UTF-8 path");
-    all.lines().filter(|line| line.contains(path) && line.split(' ').nth(3) == Some("00010000")).count()
+    let folder_path = folder.to_str().expect("a UTF-8 path");
+    all.lines()
+        .filter(|line| line.contains(folder_path) && line.split(' ').nth(3) == Some("00010000"))
+        .count()
 }
 
 /// Returns the inode of the handover socket under a folder; a new socket there has another inode.
@@ -128,7 +130,7 @@
         new.child.wait().expect("the process exits");
         load.wait_for_served(20);
     }
-    assert_eq!(load.stop(), [], "requests that were not served");
+    assert_eq!(load.finish(), [], "requests that were not served");
     // A successor that is ready and dies loses only the connections that it has accepted.
     let mut new = Process::start(folder.path(), port, &members);
     new.wait_until_ready();
@@ -136,7 +138,7 @@
     new.child.wait().expect("the process exits");
     let load = Load::start(port);
     load.wait_for_served(20);
-    assert_eq!(load.stop(), [], "requests after the successor's end");
+    assert_eq!(load.finish(), [], "requests after the successor's end");
     // The old process is reachable for the next successor, which takes over a cordon.
     assert_eq!(old.admin_command("cordon m1").as_deref(), Some("ok cordoned"));
     let mut new = Process::start(folder.path(), port, &members);
--- a/tests/handover_traits.rs
+++ b/tests/handover_traits.rs
@@ -130,15 +130,15 @@
     let settings_without_tokens =
         Settings { sessions_carry_tokens: false, stale_reads: StaleReadPolicy::Serve, ..settings() };
     for (own, elsewhere) in [(20_000, 10_000), (10_000, 20_000)] {
-        let mut router =
+        let mut test_router =
             TestRouter::with(settings_without_tokens.clone(), vec![endpoint(1, true), endpoint(2, false)]);
-        let write = sends(&router.submit(NON_IDEMPOTENT))[0];
-        router.now += 50_000;
-        router.finish_attempt_at(write, 0, AttemptOutcome::Ok, Some(Role::Primary), Some(START + own));
-        router.handle_event(Event::SessionsCommittedElsewhere(START + elsewhere));
+        let write = sends(&test_router.submit(NON_IDEMPOTENT))[0];
+        test_router.now += 50_000;
+        test_router.finish_attempt_at(write, 0, AttemptOutcome::Ok, Some(Role::Primary), Some(START + own));
+        test_router.handle_event(Event::SessionsCommittedElsewhere(START + elsewhere));
         for (position, is_fresh) in [(19_999, false), (20_000, true)] {
-            router.finish_probe(2, Role::Replica, START + position);
-            let to_replica = sends(&router.submit(SESSION)).iter().any(|sent| sent.1 == HostId(2));
+            test_router.finish_probe(2, Role::Replica, START + position);
+            let to_replica = sends(&test_router.submit(SESSION)).iter().any(|sent| sent.1 == HostId(2));
             assert_eq!(to_replica, is_fresh, "own {own}, elsewhere {elsewhere}, position {position}");
         }
     }
--- a/tests/idempotency_window.rs
+++ b/tests/idempotency_window.rs
@@ -129,14 +129,14 @@
         )
     };
     let process = Process::start_with_config(folder.path(), port, &[("m1", &primary.address)], |config| {
-        let (start, end) = (
+        let (classes_start, classes_end) = (
             config.find("\"Classes\":").expect("the classes"),
             config.find("\"Report\":").expect("the report settings"),
         );
         let classes =
             [class("any", "retryable"), class("own", "retryable"), class("put", repeat_rule)].join(",");
         let classes = format!("\"Classes\":[{classes}],");
-        let config = format!("{}{classes}{}", &config[..start], &config[end..]);
+        let config = format!("{}{classes}{}", &config[..classes_start], &config[classes_end..]);
         config.replace(r#","mutate"]"#, "]").replace("[0,0,0,0]", "[0,0,0]")
     });
     process.wait_until_ready();
--- a/tests/peer_observations.rs
+++ b/tests/peer_observations.rs
@@ -22,9 +22,9 @@
     let mut router = TestRouter::new(settings_with_stale_reads());
     let before = router.submit_with(SESSION, Some(50_000), 1_000_000);
     assert_eq!((sends(&before).len(), probes(&before).len()), (0, 1), "no position is known yet");
-    let after = router.handle_event(observation(2, START - 50_000, 0));
+    let released = router.handle_event(observation(2, START - 50_000, 0));
     assert_eq!(
-        sends(&after).iter().map(|s| s.1).collect::<Vec<_>>(),
+        sends(&released).iter().map(|s| s.1).collect::<Vec<_>>(),
         vec![HostId(2)],
         "the held read is sent"
     );
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -139,9 +139,9 @@
     let port = free_port();
     let process = Process::start_with_config(folder.path(), port, &list, |config| {
         // Replaces the default address of discovery.
-        let start = config.find("\"discovery\":\"").expect("a discovery address") + 13;
-        let end = start + config[start..].find('"').expect("a closing quote");
-        format!("{}{discovery_address}{}", &config[..start], &config[end..])
+        let value_start = config.find("\"discovery\":\"").expect("a discovery address") + 13;
+        let end = value_start + config[value_start..].find('"').expect("a closing quote");
+        format!("{}{discovery_address}{}", &config[..value_start], &config[end..])
     });
     let took = time_to_ready(port).expect("the process answers");
     assert!(took < MAX_START_TIME, "{took:?}");
--- a/tests/rollout_faults.rs
+++ b/tests/rollout_faults.rs
@@ -76,7 +76,7 @@
     let directory = std::env::var("RELEASE_OUT").unwrap_or_else(|_| "target/release-rig".to_string());
     let (seeds, proxies, at_once) =
         (number("RELEASE_SEEDS", 20), number("RELEASE_PROXIES", 5), number("RELEASE_BESIDE", 4));
-    let (first_seed, groups, members_per_group, load_seconds) = (
+    let (first_seed, groups, members_per_group, load_s) = (
         number("RELEASE_FIRST", 1),
         number("RELEASE_GROUPS", 6),
         number("RELEASE_EACH", 4),
@@ -93,7 +93,7 @@
         .map(|(case, n)| {
             let drawn =
                 Scenario::from_seed(case, proxies, groups, members_per_group, (first_seed + n) as u64);
-            Scenario { load_seconds: load_seconds as u64, ..drawn }
+            Scenario { load_seconds: load_s as u64, ..drawn }
         })
         .collect();
     let reports = play_all(&scenarios, Path::new(&directory), at_once);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -8,13 +8,13 @@
 mod config;
 use config::{valid_config, with_value};
 
-fn parse(config: &Value) -> Result<Config, String> {
+fn parse_config(config: &Value) -> Result<Config, String> {
     Config::parse(config.to_string().as_bytes(), AddressOverrides::default())
         .map_err(|error| error.to_string())
 }
 
 fn settings(config: &Value) -> Settings {
-    parse(config).unwrap_or_else(|message| panic!("{message}: {config}")).settings
+    parse_config(config).unwrap_or_else(|message| panic!("{message}: {config}")).settings
 }
 
 /// Guards against invalid values that are silently replaced: each one stops the start with a message that
@@ -86,7 +86,7 @@
     ];
     let mut unreported = Vec::new();
     for (pointer, value, field) in cases {
-        let message = parse(&with_value(&valid_config(), pointer, value.clone())).err();
+        let message = parse_config(&with_value(&valid_config(), pointer, value.clone())).err();
         let is_named = message
             .as_deref()
             .is_some_and(|text| text.split([' ', ':']).any(|word| word == field) && !text.contains('\n'));
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -65,7 +65,7 @@
 #[rstest]
 #[case::no_bytes(0)]
 #[case::half_a_startup(9)]
-#[case::startup(startup().len())]
+#[case::full_startup(startup().len())]
 #[case::half_a_query(startup().len() + 20)]
 fn a_request_interrupted_by_the_signal_is_answered(#[case] before: usize) {
     while !send_around_the_signal(before) {}
--- a/tests/shutdown_close.rs
+++ b/tests/shutdown_close.rs
@@ -19,7 +19,7 @@
 /// Guards against an idle connection that is closed, by SIGTERM or the idle time-out, over requests that have
 /// arrived in one write but are not read yet.
 #[rstest]
-#[case::signal(true)]
+#[case::sigterm(true)]
 #[case::idle_timeout(false)]
 fn arrived_requests_are_answered_before_a_close(#[case] signal: bool) {
     let proxy = RunningProxy::new();
@@ -42,7 +42,7 @@
 /// Guards against a request that is sent to a member although its connection has been closed: whenever the
 /// client writes it, it is answered or never sent to a member.
 #[rstest]
-#[case::signal(true)]
+#[case::sigterm(true)]
 #[case::idle_timeout(false)]
 fn a_request_during_a_close_is_answered_or_never_sent(#[case] signal: bool) {
     const CLIENTS: usize = 24;
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -34,8 +34,8 @@
 fn a_cold_primary_is_compared_with_busy_warm_members() {
     let mut router = TestRouter::with(settings(), groups());
     for _ in 0..200 {
-        let actions = router.submit_to_group(GroupId(2), ANY);
-        sends(&actions)
+        let group_actions = router.submit_to_group(GroupId(2), ANY);
+        sends(&group_actions)
             .into_iter()
             .for_each(|send| drop(router.finish_attempt(send, 0, AttemptOutcome::Ok, None)));
         router.advance(10_000);
--- a/tests/slow_start_processes.rs
+++ b/tests/slow_start_processes.rs
@@ -47,8 +47,8 @@
     };
     let run = play(&zone_restart_timeline(), &place, |_| {}).expect("the run ends");
     println!("{:.2?}", run.slow_start_peaks);
-    let finished = run.load.finished.borrow().len();
-    assert!(finished > 6_000, "only {finished} requests finished");
+    let finished_requests = run.load.finished.borrow().len();
+    assert!(finished_requests > 6_000, "only {finished_requests} requests finished");
     assert!(
         run.slow_start_peaks.iter().any(|(_, peak)| *peak > 0.05),
         "no member got requests while it warmed up"
