--- a/tests/budget_faults.rs
+++ b/tests/budget_faults.rs
@@ -4,7 +4,7 @@
 
 use std::path::{Path, PathBuf};
 use wharfplank::fleet_harness::budgets::{play, Case, Report};
-use wharfplank::fleet_harness::run::Place;
+use wharfplank::fleet_harness::run::RunPaths;
 
 /// Plays cases in parallel, `at_once` at a time.
 fn play_all(runs: &[(Case, usize, u64)], at_once: usize, directory: &Path) -> Vec<Report> {
@@ -18,8 +18,8 @@
             .map(|(case, proxies, seed)| {
                 let (case, proxies, seed) = (*case, *proxies, *seed);
                 let directory = directory.join(format!("{case}-{proxies}-{seed}"));
-                let place = Place { program: program.clone(), directory };
-                std::thread::spawn(move || play(case, proxies, seed, &place))
+                let paths = RunPaths { program: program.clone(), directory };
+                std::thread::spawn(move || play(case, proxies, seed, &paths))
             })
             .collect();
         reports.extend(
--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use wharfplank::fleet_harness::check::Report;
 use wharfplank::fleet_harness::schedule::{Scenario, Schedule};
-use wharfplank::fleet_harness::sweep::{play_all, LATE_MS};
+use wharfplank::fleet_harness::sweep::{play_all, MAX_HARNESS_DELAY_MS};
 
 /// Runs in parallel: each takes about a quarter of a core with a debug build.
 const PARALLEL_RUNS: usize = 5;
@@ -14,7 +14,7 @@
 /// observations, else three.
 fn proxies(scenario: Scenario) -> usize {
     match scenario {
-        Scenario::SlowMember | Scenario::SlowLiar => 7,
+        Scenario::SlowMember | Scenario::SlowMemberFalseHealth => 7,
         Scenario::Minority | Scenario::Kill70 | Scenario::Lossy => 5,
         _ => 3,
     }
@@ -26,7 +26,7 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_wharfplank"));
     let schedules: Vec<Schedule> = Scenario::ALL
         .into_iter()
-        .map(|scenario| Schedule::draw(scenario, proxies(scenario), 1, true))
+        .map(|scenario| Schedule::from_seed(scenario, proxies(scenario), 1, true))
         .collect();
     let played = play_all(schedules, &program, directory.path(), PARALLEL_RUNS);
     let mut reports: Vec<(Scenario, Report)> = Vec::new();
@@ -38,41 +38,41 @@
     let report_of =
         |scenario: Scenario| reports.iter().find(|(s, _)| *s == scenario).map(|(_, r)| r).unwrap();
     for (scenario, report) in &reports {
-        assert_eq!(report.broken, 0, "broken rules at {}:\n{}", scenario.name(), report.render());
-        assert!(report.cold_peak < 1.0, "{}: a returning member was overloaded", scenario.name());
+        assert_eq!(report.violations, 0, "broken rules at {}:\n{}", scenario.name(), report.render());
+        assert!(report.peak_cold_load < 1.0, "{}: a returning member was overloaded", scenario.name());
     }
-    // Every proxy takes the lost zone out of use within 5 s, and uses it again before the run ends.
-    for scenario in [Scenario::ZoneLoss, Scenario::Lossy, Scenario::Liar, Scenario::Pause] {
+    // Every proxy evacuates the lost zone within 5 s, and uses it again before the run ends.
+    for scenario in [Scenario::ZoneLoss, Scenario::Lossy, Scenario::StaleReplay, Scenario::Pause] {
         let report = report_of(scenario);
         assert_eq!(
-            report.left_after[0][2],
+            report.evacuated_after[0][2],
             1.0,
-            "{}: a proxy did not take the lost zone out of use",
+            "{}: a proxy did not evacuate the lost zone",
             scenario.name()
         );
-        assert_eq!(report.left_at_end, 0, "{}: a proxy did not use the zone again", scenario.name());
+        assert_eq!(report.evacuated_at_end, 0, "{}: a proxy did not use the zone again", scenario.name());
     }
     // A near replica whose position is not known to be fresh enough yields to an equal far one that is. With
     // shared positions this is a small part of the reads; proxies without them send about 0.4 of them far. On
     // an overloaded machine the near replicas look slow, so that such a run proves nothing.
     for scenario in [Scenario::ZoneLoss, Scenario::Calm] {
         let report = report_of(scenario);
-        let far_reads = report.far_reads;
-        let is_overloaded = report.late_ms > LATE_MS / 2;
+        let far_reads = report.cross_zone_read_fraction;
+        let is_overloaded = report.harness_delay_ms > MAX_HARNESS_DELAY_MS / 2;
         assert!(
             is_overloaded || far_reads < 0.25,
             "{}: {far_reads:.3} of the reads went to far replicas without a fault",
             scenario.name()
         );
     }
-    // Proxies 0 and 3 are cut off from the others: alone they take no zone out of use; the other three do.
+    // Proxies 0 and 3 are cut off from the others: alone they evacuate no zone; the other three do.
     assert_eq!(
-        report_of(Scenario::Minority).left_after[0][2],
+        report_of(Scenario::Minority).evacuated_after[0][2],
         0.6,
-        "fraction of proxies that took the lost zone out of use"
+        "fraction of proxies that evacuated the lost zone"
     );
     // Every write without an answer was retried at another proxy, and none ran a second time there.
-    let retries = &report_of(Scenario::Doubts).again;
+    let retries = &report_of(Scenario::InDoubtWrites).write_retries;
     assert!(retries.get("Failed").is_some_and(|n| *n > 0), "no write was in doubt: {retries:?}");
     assert_eq!(retries.get("Served"), None, "a write in doubt was served again: {retries:?}");
     // An hour-old snapshot takes no member out of use: all requests are served except those of clients of the
@@ -93,16 +93,21 @@
             "a lost zone does not lower the bound of the goodput"
         );
     }
-    // At most the proxies outside a cut zone take it out of use: the zone's own proxies reach its members.
+    // At most the proxies outside a cut zone evacuate it: the zone's own proxies reach its members.
     assert!(
-        report_of(Scenario::ZoneCut).left_after[0][2] < 1.0,
-        "the cut zone's own proxies took it out of use"
+        report_of(Scenario::ZoneCut).evacuated_after[0][2] < 1.0,
+        "the cut zone's own proxies evacuated it"
     );
     // Most proxies find a slow member degraded, and no proxy a healthy one (a broken rule, counted above),
     // whatever one proxy reports. Reads avoid a slow primary anyway, so that only writes give evidence of it.
-    for scenario in [Scenario::SlowMember, Scenario::SlowLiar] {
+    for scenario in [Scenario::SlowMember, Scenario::SlowMemberFalseHealth] {
         let slow = report_of(scenario);
-        let is_overloaded = slow.late_ms > LATE_MS / 2;
-        assert!(is_overloaded || slow.health.held_ever[0] >= 0.5, "{}:\n{}", scenario.name(), slow.render());
+        let is_overloaded = slow.harness_delay_ms > MAX_HARNESS_DELAY_MS / 2;
+        assert!(
+            is_overloaded || slow.health.adverse_ever[0] >= 0.5,
+            "{}:\n{}",
+            scenario.name(),
+            slow.render()
+        );
     }
 }
--- a/tests/rollout_faults.rs
+++ b/tests/rollout_faults.rs
@@ -5,7 +5,7 @@
 use wharfplank::fleet_harness::rollouts::{
     play, Case, Report, Scenario, NEW_VERSION, OLD_VERSION, OTHER_VERSION,
 };
-use wharfplank::fleet_harness::run::Place;
+use wharfplank::fleet_harness::run::RunPaths;
 
 /// Plays runs, `at_once` at a time, each in a directory of its own.
 fn play_all(scenarios: &[Scenario], directory: &Path, at_once: usize) -> Vec<Report> {
@@ -24,8 +24,8 @@
 
 fn play_one(scenario: &Scenario, directory: &Path) -> Report {
     let directory = directory.join(format!("{}-{}", scenario.case.name(), scenario.seed));
-    let place = Place { program: PathBuf::from(env!("CARGO_BIN_EXE_wharfplank")), directory };
-    play(scenario, &place).unwrap_or_else(|error| panic!("{}: {error}", scenario.case.name()))
+    let paths = RunPaths { program: PathBuf::from(env!("CARGO_BIN_EXE_wharfplank")), directory };
+    play(scenario, &paths).unwrap_or_else(|error| panic!("{}: {error}", scenario.case.name()))
 }
 
 fn assert_rules(scenario: &Scenario, report: &Report) {
--- a/tests/slow_start_processes.rs
+++ b/tests/slow_start_processes.rs
@@ -8,8 +8,8 @@
 //! counted with the allowance for random variation at that time.
 
 use std::path::PathBuf;
-use wharfplank::lab::run::{play, Place};
-use wharfplank::lab::timeline::{Kind, Timeline, Trouble};
+use wharfplank::lab::run::{run_timeline, RunSetup};
+use wharfplank::lab::timeline::{FaultKind, ScriptedFault, Timeline};
 
 const PROXIES: usize = 36;
 /// The second of the run at which the zone is lost, and the duration of the loss in seconds.
@@ -26,11 +26,11 @@
         members: 4,
         reports: 100,
         seed: 7,
-        troubles: vec![Trouble {
-            kind: Kind::Lose,
+        scripted_faults: vec![ScriptedFault {
+            kind: FaultKind::ZoneLoss,
             at: ZONE_LOSS.0,
-            lasts: ZONE_LOSS.1,
-            on: "c".to_string(),
+            duration: ZONE_LOSS.1,
+            targets: "c".to_string(),
             percent: 100,
         }],
     }
@@ -39,13 +39,13 @@
 #[test]
 fn many_proxies_do_not_overload_a_restarted_member() {
     let directory = tempfile::tempdir().expect("temporary directory");
-    let place = Place {
+    let setup = RunSetup {
         program: PathBuf::from(env!("CARGO_BIN_EXE_wharfplank")),
         directory: directory.path().to_path_buf(),
-        records: |_| false,
-        talk: None,
+        keeps_records: |_| false,
+        gossip_program: None,
     };
-    let run = play(&zone_restart_timeline(), &place, |_| {}).expect("the run ends");
+    let run = run_timeline(&zone_restart_timeline(), &setup, |_| {}).expect("the run ends");
     println!("{:.2?}", run.slow_start_peaks);
     let finished_requests = run.load.finished.borrow().len();
     assert!(finished_requests > 6_000, "only {finished_requests} requests finished");
