--- a/tests/handover_traits.rs
+++ b/tests/handover_traits.rs
@@ -1,4 +1,4 @@
-//! A router that goes on in another one's place starts from what that one had learned of members.
+//! A router that replaces another one starts from the traits of members that the other one had observed.
 
 mod common;
 use common::*;
@@ -6,121 +6,139 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// A primary (1), a warm replica (2) and one that has just started (3).
+/// A primary (1), a warm replica (2) and a replica that has just started (3).
 fn group() -> Vec<Endpoint> {
-    vec![entry(1, true), entry(2, false), Endpoint { started_at: Some(START - SECOND), ..entry(3, false) }]
+    vec![
+        endpoint(1, true),
+        endpoint(2, false),
+        Endpoint { started_at: Some(START - SECOND), ..endpoint(3, false) },
+    ]
 }
 
-fn traits(b: &Bench) -> Vec<PeerObservation> {
-    let told = |view: MemberView| PeerObservation {
+fn traits(router: &TestRouter) -> Vec<PeerObservation> {
+    let observation = |view: MemberView| PeerObservation {
         host: view.host,
         position: 0,
         suspected_at: 0,
         traits: Some(view.traits),
     };
-    b.router.member_views().map(told).collect()
+    router.inner.member_views().map(observation).collect()
 }
 
-/// The next router at the time of this one, with what it inherits.
-fn next(b: &Bench, inherited: Vec<PeerObservation>) -> Bench {
-    let mut next = Bench { router: Router::new(settings()), now: b.now, ids: 1_000_000, latency: b.latency };
-    next.tell(Event::EndpointList(group()));
-    next.tell(Event::PeerObservations(inherited));
-    next
+/// Creates a successor at the time of the given router, with the inherited observations.
+fn successor(router: &TestRouter, inherited: Vec<PeerObservation>) -> TestRouter {
+    let mut successor = TestRouter {
+        inner: Router::new(settings()),
+        now: router.now,
+        last_id: 1_000_000,
+        latency: router.latency,
+    };
+    successor.handle_event(Event::EndpointList(group()));
+    successor.handle_event(Event::PeerObservations(inherited));
+    successor
 }
 
-/// Reads one by one for a span, each answered before the next; the sends to each member.
-fn serve(b: &mut Bench, span: Micros) -> [usize; 4] {
-    let (until, mut sent) = (b.now + span, [0; 4]);
-    while b.now < until {
-        for send in sends(&b.ask(ANY)) {
+/// Sends reads one after another for a span, each answered before the next; returns the count for each
+/// member.
+fn serve(router: &mut TestRouter, span: Micros) -> [usize; 4] {
+    let (until, mut sent) = (router.now + span, [0; 4]);
+    while router.now < until {
+        for send in sends(&router.submit(ANY)) {
             sent[send.1 .0 as usize] += 1;
-            b.end(send, 0, AttemptOutcome::Ok, None);
+            router.finish_attempt(send, 0, AttemptOutcome::Ok, None);
         }
-        b.pass(10_000);
+        router.advance(10_000);
     }
     sent
 }
 
-/// Guards against a new process that starves cold members, since it has seen no answers of warm ones yet.
+/// Guards against a new process that starves cold members because it has not seen answers of warm ones yet.
 #[test]
 fn a_cold_member_gets_no_less_than_before() {
-    let mut old = Bench::with(settings(), group());
+    let mut old = TestRouter::with(settings(), group());
     serve(&mut old, 3 * SECOND);
-    let (mut heir, mut stranger) = (next(&old, traits(&old)), next(&old, Vec::new()));
-    let [before, with, without] = [&mut old, &mut heir, &mut stranger].map(|b| serve(b, SECOND)[3]);
+    let (mut informed, mut uninformed) = (successor(&old, traits(&old)), successor(&old, Vec::new()));
+    let [before, with, without] =
+        [&mut old, &mut informed, &mut uninformed].map(|router| serve(router, SECOND)[3]);
     assert!(without < with && with <= before + 1, "{before} before, {with} inherited, {without} without");
 }
 
-/// Guards against small limits at the start, which refuse for a second what the process before could serve.
+/// Guards against low initial limits, which refuse for a second what the previous process could serve.
 #[test]
-fn as_much_is_in_flight_as_before() {
-    let at_once = |b: &mut Bench| (0..40).map(|_| sends(&b.ask(ANY)).len()).sum::<usize>();
-    let mut old = Bench::with(settings(), group());
+fn as_many_requests_are_in_flight_as_before() {
+    let at_once = |router: &mut TestRouter| (0..40).map(|_| sends(&router.submit(ANY)).len()).sum::<usize>();
+    let mut old = TestRouter::with(settings(), group());
     for _ in 0..20 {
-        let mut sent: Vec<Sent> = (0..8).flat_map(|_| sends(&old.ask(ANY))).collect();
-        // An answer may make room for a request that was queued: that one is answered as well.
+        let mut sent: Vec<Sent> = (0..8).flat_map(|_| sends(&old.submit(ANY))).collect();
+        // An answer may free a queued request, which is answered as well.
         while let Some(send) = sent.pop() {
-            sent.extend(sends(&old.end(send, 0, AttemptOutcome::Ok, None)));
+            sent.extend(sends(&old.finish_attempt(send, 0, AttemptOutcome::Ok, None)));
         }
-        old.pass(10_000);
+        old.advance(10_000);
     }
-    let (mut heir, mut stranger) = (next(&old, traits(&old)), next(&old, Vec::new()));
-    let [before, with, without] = [&mut old, &mut heir, &mut stranger].map(at_once);
+    let (mut informed, mut uninformed) = (successor(&old, traits(&old)), successor(&old, Vec::new()));
+    let [before, with, without] = [&mut old, &mut informed, &mut uninformed].map(at_once);
     assert!(without < with && with <= before, "{before} before, {with} inherited, {without} without");
 }
 
-/// Guards against a search for a primary that the process before had found, while the list still names another.
+/// Guards against a new search for a primary that the previous process had found while the list still names
+/// another one.
 #[test]
-fn the_primary_that_was_found_is_asked_first() {
-    let mut old = Bench::with(settings(), group());
-    let first = sends(&old.ask(UNSAFE));
-    assert_eq!(first.iter().map(|s| s.1).collect::<Vec<_>>(), [HostId(1)], "as the list says");
-    let then = sends(&old.end(first[0], 0, AttemptOutcome::Misrouted, Some(Role::Replica)));
+fn the_primary_that_was_found_is_tried_first() {
+    let mut old = TestRouter::with(settings(), group());
+    let first = sends(&old.submit(NON_IDEMPOTENT));
+    assert_eq!(first.iter().map(|s| s.1).collect::<Vec<_>>(), [HostId(1)], "the primary of the list");
+    let then = sends(&old.finish_attempt(first[0], 0, AttemptOutcome::Misrouted, Some(Role::Replica)));
     assert_eq!(then.iter().map(|s| s.1).collect::<Vec<_>>(), [HostId(2)]);
-    old.end(then[0], 1, AttemptOutcome::Ok, Some(Role::Primary));
-    let mut heir = next(&old, traits(&old));
-    let asked = sends(&heir.ask(UNSAFE));
+    old.finish_attempt(then[0], 1, AttemptOutcome::Ok, Some(Role::Primary));
+    let mut informed = successor(&old, traits(&old));
+    let asked = sends(&informed.submit(NON_IDEMPOTENT));
     assert_eq!(asked.iter().map(|s| s.1).collect::<Vec<_>>(), [HostId(2)]);
 }
 
-/// Guards against a read that does not see what its session wrote at the process before: where clients do not carry
-/// session tokens, the new process remembers no commit of it.
+/// Guards against a read that misses a write of its session through the previous process: if clients do not
+/// carry session tokens, the new process does not know the commit.
 #[test]
-fn a_session_reads_what_it_wrote_at_the_process_before() {
-    let kept = Settings { sessions_carry_tokens: false, stale_reads: StaleReadPolicy::Serve, ..settings() };
+fn a_session_reads_what_it_wrote_through_the_previous_process() {
+    let settings_without_tokens =
+        Settings { sessions_carry_tokens: false, stale_reads: StaleReadPolicy::Serve, ..settings() };
     for is_told in [true, false] {
-        let mut heir = Bench::with(kept.clone(), vec![entry(1, true), entry(2, false), entry(3, false)]);
-        let replaced_at = heir.now;
+        let mut informed = TestRouter::with(
+            settings_without_tokens.clone(),
+            vec![endpoint(1, true), endpoint(2, false), endpoint(3, false)],
+        );
+        let replaced_at = informed.now;
         if is_told {
-            heir.tell(Event::SessionsCommittedElsewhere(replaced_at));
+            informed.handle_event(Event::SessionsCommittedElsewhere(replaced_at));
         }
-        heir.now += SECOND;
-        heir.probed(2, Role::Replica, replaced_at - SECOND);
-        heir.probed(3, Role::Replica, replaced_at - 1);
-        let hosts: Vec<HostId> = sends(&heir.ask(SESSION)).iter().map(|sent| sent.1).collect();
+        informed.now += SECOND;
+        informed.finish_probe(2, Role::Replica, replaced_at - SECOND);
+        informed.finish_probe(3, Role::Replica, replaced_at - 1);
+        let hosts: Vec<HostId> = sends(&informed.submit(SESSION)).iter().map(|sent| sent.1).collect();
         assert_eq!(hosts.contains(&HostId(1)) || hosts.is_empty(), is_told, "sent to {hosts:?}");
-        heir.probed(3, Role::Replica, replaced_at);
+        informed.finish_probe(3, Role::Replica, replaced_at);
         assert!(
-            sends(&heir.ask(SESSION)).iter().any(|sent| sent.1 == HostId(3)),
-            "a replica that has caught up"
+            sends(&informed.submit(SESSION)).iter().any(|sent| sent.1 == HostId(3)),
+            "a replica that has caught up serves the read"
         );
     }
 }
 
-/// Guards against a later commit that an earlier one, or one of another process, takes the place of.
+/// Guards against a commit that is replaced by an earlier one, of this or another process.
 #[test]
 fn the_newest_commit_counts() {
-    let kept = Settings { sessions_carry_tokens: false, stale_reads: StaleReadPolicy::Serve, ..settings() };
+    let settings_without_tokens =
+        Settings { sessions_carry_tokens: false, stale_reads: StaleReadPolicy::Serve, ..settings() };
     for (own, elsewhere) in [(20_000, 10_000), (10_000, 20_000)] {
-        let mut bench = Bench::with(kept.clone(), vec![entry(1, true), entry(2, false)]);
-        let write = sends(&bench.ask(UNSAFE))[0];
-        bench.now += 50_000;
-        bench.end_at(write, 0, AttemptOutcome::Ok, Some(Role::Primary), Some(START + own));
-        bench.tell(Event::SessionsCommittedElsewhere(START + elsewhere));
+        let mut test_router =
+            TestRouter::with(settings_without_tokens.clone(), vec![endpoint(1, true), endpoint(2, false)]);
+        let write = sends(&test_router.submit(NON_IDEMPOTENT))[0];
+        test_router.now += 50_000;
+        test_router.finish_attempt_at(write, 0, AttemptOutcome::Ok, Some(Role::Primary), Some(START + own));
+        test_router.handle_event(Event::SessionsCommittedElsewhere(START + elsewhere));
         for (position, is_fresh) in [(19_999, false), (20_000, true)] {
-            bench.probed(2, Role::Replica, START + position);
-            let to_replica = sends(&bench.ask(SESSION)).iter().any(|sent| sent.1 == HostId(2));
+            test_router.finish_probe(2, Role::Replica, START + position);
+            let to_replica = sends(&test_router.submit(SESSION)).iter().any(|sent| sent.1 == HostId(2));
             assert_eq!(to_replica, is_fresh, "own {own}, elsewhere {elsewhere}, position {position}");
         }
     }
