--- a/crates/budget/tests/concurrency_model.rs
+++ b/crates/budget/tests/concurrency_model.rs
@@ -199,7 +199,7 @@
 /// The same check with more steps, and with message loss and restarts. Run by `make model`.
 #[test]
 #[ignore = "takes minutes"]
-fn what_is_in_use_never_exceeds_the_limit_with_restarts() {
+fn units_in_use_never_exceed_the_limit_with_restarts() {
     let without_faults = Steps { ticks: 2, requests: 4, acquisitions: 3, faults: 0 };
     let with_fault = Steps { ticks: 3, requests: 3, acquisitions: 2, faults: 1 };
     for (bounds, restarts) in [(without_faults, false), (with_fault, true)] {
--- a/crates/budget/tests/fleet_simulation.rs
+++ b/crates/budget/tests/fleet_simulation.rs
@@ -16,7 +16,7 @@
 /// The same check with more runs. Run by `make model`.
 #[test]
 #[ignore = "takes a minute"]
-fn quotas_and_spending_stay_within_the_limit_over_200_runs_of_each_hard_case() {
+fn quotas_and_spending_stay_within_limit_over_200_runs() {
     run_fault_cases(200);
 }
 
@@ -45,8 +45,8 @@
             spendable += (run.limit as f64 * run.now as f64 / 1e6).min(run.attempted as f64);
         }
         println!(
-            "{case:?}: {breaches} breaches in {runs} runs; spent {:.2} of the spendable units, an equal split \
-             {:.2}",
+            "{case:?}: {breaches} breaches in {runs} runs; spent {:.2} of the spendable units, an equal \
+             split {:.2}",
             spent / spendable,
             spent_by_equal_split / spendable
         );
@@ -119,8 +119,8 @@
         let most = mean_ms(until_first_quota + until_most_demand);
         let reassigned = mean_ms(until_reassigned);
         println!(
-            "{count} proxies: a joining one gets a quota after {first} ms and 90% of its demand after {most} ms; \
-             90% of a stopped one's quota is reassigned after {reassigned} ms"
+            "{count} proxies: a joining one gets a quota after {first} ms and 90% of its demand after {most} \
+             ms; 90% of a stopped one's quota is reassigned after {reassigned} ms"
         );
         assert!(
             most < 30_000 && reassigned < 30_000,
--- a/crates/budget/tests/lease_model.rs
+++ b/crates/budget/tests/lease_model.rs
@@ -186,7 +186,7 @@
 /// of states. Run by `make model`.
 #[test]
 #[ignore = "takes minutes"]
-fn every_order_of_messages_and_time_with_faults_keeps_the_limit() {
+fn every_message_order_with_faults_keeps_the_limit() {
     assert!(check_all_states(LeaseModel { ticks: 2, requests: 4, faults: 1, restarts: 0 }) > 1_000_000);
     assert!(check_all_states(LeaseModel { ticks: 3, requests: 3, faults: 0, restarts: 1 }) > 1_000_000);
 }
--- a/crates/budget/tests/takeover_model.rs
+++ b/crates/budget/tests/takeover_model.rs
@@ -236,7 +236,7 @@
 /// The same check over more time. Run by `make model`.
 #[test]
 #[ignore = "takes minutes"]
-fn a_part_that_is_taken_over_and_comes_back_is_never_leased_out_twice() {
+fn taken_over_and_returned_part_is_never_leased_twice() {
     let model = TakeoverModel { ticks: 3, announcements: 2, waits: true };
     let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{} distinct states", checker.unique_state_count());
--- a/crates/discovery/tests/endpoint_list.rs
+++ b/crates/discovery/tests/endpoint_list.rs
@@ -235,7 +235,7 @@
     /// Guards against requests after a drain deadline, an empty list caused by one bad answer, and polls in a
     /// busy loop, for any order of answers, failures, versions and time jumps.
     #[test]
-    fn any_sequence_of_answers_respects_deadlines_and_intervals(steps in prop::collection::vec(step(), 1..60)) {
+    fn any_answers_respect_deadlines_and_intervals(steps in prop::collection::vec(step(), 1..60)) {
         let mut model = Model::new();
         steps.iter().for_each(|step| model.step(step));
     }
@@ -255,7 +255,7 @@
     /// takes effect at once, so the first poll after an outage of any length must come within the drain
     /// grace.
     #[test]
-    fn polling_resumes_within_the_drain_grace_after_an_outage(drain_grace in 400_000..20 * SECOND, down in 0..60 * SECOND) {
+    fn polling_resumes_in_time_after_an_outage(drain_grace in 400_000..20 * SECOND, down in 0..60 * SECOND) {
         let schedule = PollSchedule::new(drain_grace);
         let mut tracker = EndpointTracker::new(schedule, &full_list(0, &NAMES), START);
         let mut now = START;
--- a/crates/discovery/tests/recovery_times.rs
+++ b/crates/discovery/tests/recovery_times.rs
@@ -111,7 +111,8 @@
         reload_offsets in prop::collection::vec(-8 * SECOND..8 * SECOND, 0..3),
         outcomes in prop::collection::vec(poll_outcome(), 1..12),
     ) -> (i64, Vec<i64>, Vec<PollOutcome>) {
-        let mut reloads: Vec<i64> = reload_offsets.iter().map(|at| START + (recovered_at + at).max(0)).collect();
+        let mut reloads: Vec<i64> =
+            reload_offsets.iter().map(|at| START + (recovered_at + at).max(0)).collect();
         reloads.sort_unstable();
         (START + recovered_at, reloads, outcomes)
     }
@@ -136,7 +137,8 @@
         let known = if restarted { EndpointList::default() } else { full_list(1, &NAMES) };
         let schedule = PollSchedule::new(drain_grace).with_shared(shared);
         let mut tracker = EndpointTracker::new(schedule, &known, START);
-        let (responded_at, reloaded_at) = first_response(&mut tracker, recovered_at, &reloads, &outcomes, delay);
+        let (responded_at, reloaded_at) =
+            first_response(&mut tracker, recovered_at, &reloads, &outcomes, delay);
         let allowed = EFFECTIVE_WITHIN + drain_grace.min(EFFECTIVE_WITHIN) - BROKER_TIME;
         let elapsed = responded_at - recovered_at.max(reloaded_at);
         prop_assert!(elapsed <= allowed, "{elapsed} of {allowed} us");
