--- a/crates/budget/src/allocator.rs
+++ b/crates/budget/src/allocator.rs
@@ -11,8 +11,8 @@
 /// The maximum number of tracked holders. Requests of further holders are ignored until a tracked one has
 /// expired.
 pub const MAX_HOLDERS: usize = 1024;
-/// How long a computed division is reused, unless a new holder sends a request. This keeps the cost of a
-/// request independent of the number of holders.
+/// The time for which a computed division is reused, unless a new holder sends a request. This keeps the
+/// cost of a request independent of the number of holders.
 const DIVISION_REUSE: Micros = 50_000;
 
 /// The amount of one budget that is granted to a holder.
--- a/crates/budget/src/fair_division.rs
+++ b/crates/budget/src/fair_division.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use twox_hash::XxHash3_64;
 
-/// How often the units that cannot be divided evenly move to other holders, so that with fewer units than
-/// holders each holder gets its turn.
+/// The interval at which the units that cannot be divided evenly move to other holders, so that with fewer
+/// units than holders each holder gets its turn.
 pub const ROTATION_PERIOD: Micros = 5_000_000;
 
 /// The computed shares of one budget.
--- a/crates/budget/src/lease_holder.rs
+++ b/crates/budget/src/lease_holder.rs
@@ -7,11 +7,11 @@
 };
 use std::collections::BTreeMap;
 
-/// How long before the end of the release grace units are reported as overdue. The caller checks once a
-/// second and then needs some time to close them.
+/// The time before the end of the release grace at which units are reported as overdue. The caller checks
+/// once a second and then needs some time to close them.
 const OVERDUE_LEAD: Micros = 1_500_000;
 /// The maximum number of budgets of one proxy, such as those of its members. It keeps a request within one
-/// datagram. Further budgets are not registered.
+/// datagram. Further budgets are not registered, and therefore not limited.
 pub const MAX_BUDGETS: usize = 4_096;
 
 /// The units of a concurrency budget in use above its quota.
--- a/crates/budget/src/terms.rs
+++ b/crates/budget/src/terms.rs
@@ -14,8 +14,8 @@
     /// The interval between the regular requests of a holder to each allocator. At a third of `duration`,
     /// two lost messages in a row do no harm.
     pub request_interval: Micros,
-    /// How long after a lease's expiry its holder may keep units open that it acquired under the lease,
-    /// such as connections in use.
+    /// The time after a lease's expiry for which its holder may keep units open that it acquired under the
+    /// lease, such as connections in use.
     pub release_grace: Micros,
 }
 
--- a/crates/discovery/src/request.rs
+++ b/crates/discovery/src/request.rs
@@ -2,7 +2,7 @@
 
 use wharfplank_routing::Micros;
 
-/// What a poll requests.
+/// The kind of a poll, by what it requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollKind {
     /// The complete endpoint list, answered at once.
@@ -17,11 +17,11 @@
 /// A poll to make. Times are on the caller's clock; all durations are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollRequest {
-    /// What to request.
+    /// The kind of the poll.
     pub kind: PollKind,
     /// The long-poll wait to request; 0 for the full list.
     pub wait: Micros,
-    /// When to start.
+    /// The start time.
     pub start_at: Micros,
     /// The limit for opening a new connection.
     pub connect_timeout: Micros,
@@ -39,7 +39,7 @@
 pub struct HedgedPoll {
     /// The time without a response to the first poll after which this one starts.
     pub after: Micros,
-    /// What to request.
+    /// The kind of the hedged poll.
     pub kind: PollKind,
     /// The long-poll wait to request.
     pub wait: Micros,
--- a/crates/discovery/src/tracker/poll.rs
+++ b/crates/discovery/src/tracker/poll.rs
@@ -13,7 +13,7 @@
 pub(super) struct PollState {
     schedule: PollSchedule,
     jitter: Rng,
-    /// When polling of this address began.
+    /// The time at which polling of this address began.
     started_at: Micros,
     responded_at: Option<Micros>,
     polled_at: Option<Micros>,
--- a/crates/failover/src/config.rs
+++ b/crates/failover/src/config.rs
@@ -27,7 +27,7 @@
     pub min_hold: Micros,
     /// The maximum time for which a zone is held evacuated; see `min_hold`.
     pub max_hold: Micros,
-    /// How long after a zone's last evacuation its failed recoveries are forgotten.
+    /// The time after a zone's last evacuation at which its failed recoveries are forgotten.
     pub hold_reset_after: Micros,
     /// The fraction of its reads that a recovering zone gets at first. It grows to all reads within
     /// `ramp_duration`, because a cold member starts with `ramp_start` of its capacity and has all of it
--- a/crates/failover/src/controller.rs
+++ b/crates/failover/src/controller.rs
@@ -10,9 +10,10 @@
 
 /// The maximum number of tracked zones. Any further zone keeps all of its reads.
 pub const MAX_ZONES: usize = 64;
-/// How many times a Down vote is published again within the span after which it expires at the peers.
+/// The number of times that a Down vote is published again within the span after which it expires at the
+/// peers.
 const DOWN_REPEATS_PER_TTL: Micros = 3;
-/// How many times per window zones are evaluated while anything can change by the passage of time alone.
+/// The number of evaluations of the zones per window while anything can change by the passage of time alone.
 const EVALUATIONS_PER_WINDOW: Micros = 10;
 
 /// The behavior of a proxy that cannot reach a quorum of its fleet or has no peers at all.
@@ -111,8 +112,8 @@
         Some(votes)
     }
 
-    /// Returns whether this proxy reaches too few of its fleet to form a quorum: it and the live peers are
-    /// not a majority of the proxies that were alive within the last minute.
+    /// Returns whether this proxy reaches too few of its fleet to form a quorum: no peer is alive, or it and
+    /// the live peers are not a majority of the proxies that were alive within the last minute.
     pub fn is_isolated(&self) -> bool {
         self.quorum.is_isolated()
     }
--- a/crates/failover/src/failure_detector.rs
+++ b/crates/failover/src/failure_detector.rs
@@ -12,7 +12,7 @@
 /// The outcome of a request to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberOutcome {
-    /// The member answered in any way: with a value, an error, a miss, or an overload rejection.
+    /// The member answered in any way: with a value, an error, or a rejection as ineligible or overloaded.
     Answered,
     /// The connection failed, or no answer arrived in time.
     Silent,
--- a/crates/failover/src/quorum.rs
+++ b/crates/failover/src/quorum.rs
@@ -7,8 +7,8 @@
 /// The maximum number of peers whose votes are stored. Votes of further peers are ignored until a stored
 /// peer is forgotten.
 pub const MAX_PEERS: usize = 4096;
-/// How long a peer counts as part of the fleet after it was last alive. The proxies of a quorum must be a
-/// majority of the fleet.
+/// The time for which a peer counts as part of the fleet after it was last alive. The proxies of a quorum
+/// must be a majority of the fleet.
 const FLEET_RETENTION: Micros = 60_000_000;
 /// The minimum number of Down votes, so that this proxy's vote alone evacuates no zone while it has peers.
 const MIN_DOWN_VOTES: usize = 2;
@@ -35,8 +35,8 @@
         self.votes_by_peer.retain(|peer, _| fleet.contains_key(peer));
     }
 
-    /// Returns whether this proxy reaches too few of its fleet to form a quorum: it and the live peers are
-    /// not a majority of the proxies that were alive within [`FLEET_RETENTION`].
+    /// Returns whether this proxy reaches too few of its fleet to form a quorum: no peer is alive, or it and
+    /// the live peers are not a majority of the proxies that were alive within [`FLEET_RETENTION`].
     pub fn is_isolated(&self) -> bool {
         let fleet = self.last_alive_at.len() + 1;
         let live = self.live_peers.len() + 1;
--- a/crates/failover/src/zone_state.rs
+++ b/crates/failover/src/zone_state.rs
@@ -11,12 +11,12 @@
     InService,
     /// The zone gets no reads.
     Evacuated {
-        /// Since when.
+        /// The time of the evacuation.
         since: Micros,
     },
     /// The zone gets a growing fraction of its reads.
     Recovering {
-        /// Since when.
+        /// The time at which the recovery started.
         since: Micros,
     },
 }
--- a/crates/protocol/src/endpoint_list.rs
+++ b/crates/protocol/src/endpoint_list.rs
@@ -43,7 +43,7 @@
 pub struct EndpointRecord {
     /// The name of the member, which is the same for every proxy.
     pub name: String,
-    /// The address at which this proxy reaches the member. Present unless the member has been removed.
+    /// The address at which this proxy reaches the member. Only a removed member may have none.
     pub address: Option<SocketAddr>,
     /// The zone in which the member runs.
     pub zone: String,
@@ -51,7 +51,7 @@
     pub group: u64,
     /// The health of the member.
     pub health: EndpointHealth,
-    /// When the member last started, in Unix milliseconds; 0 if that was long ago.
+    /// The time of the member's last start, in Unix milliseconds; 0 if it was long ago or is not stated.
     pub started_at_ms: i64,
     /// Whether the list states that the member is the primary of its group.
     pub primary: bool,
@@ -68,14 +68,14 @@
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// Why JSON is not a valid endpoint list.
+/// The reason why JSON is not a valid endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EndpointListError {
     /// The body is not JSON.
     #[error("not JSON: {0}")]
     NotJson(String),
     /// A required key of the list is absent or has the wrong type.
-    #[error("{0} is missing")]
+    #[error("{0} is missing or has the wrong type")]
     MissingKey(&'static str),
     /// An entry has no name.
     #[error("endpoint without a name (host)")]
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -9,7 +9,7 @@
 /// The size of the header before the body of a tagged message, in bytes.
 pub const TAGGED_HEADER_BYTES: usize = 1 + LENGTH_BYTES;
 
-/// Whether a message starts with a tag. Messages before the end of the startup have none.
+/// Whether a message starts with a tag. Only a client's messages up to the startup message have none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// A tag of one byte precedes the length.
@@ -27,7 +27,7 @@
     }
 }
 
-/// Why bytes are not a valid message.
+/// The reason why bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// The length is smaller than the length field itself.
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -12,7 +12,7 @@
 const LINE_END: &[u8] = b"\r\n";
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why a response is invalid.
+/// The reason why a response is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
     /// The head exceeds the maximum length.
--- a/crates/protocol/src/pipeline.rs
+++ b/crates/protocol/src/pipeline.rs
@@ -70,7 +70,7 @@
     pub violation: Option<ProtocolViolation>,
 }
 
-/// What to write next.
+/// The next item to write.
 #[derive(Debug, PartialEq, Eq)]
 pub enum NextWrite {
     /// The response to a request.
--- a/crates/protocol/src/request_comment.rs
+++ b/crates/protocol/src/request_comment.rs
@@ -32,7 +32,7 @@
     pub session_key: Option<&'a str>,
 }
 
-/// Why the comment of a statement is invalid.
+/// The reason why the comment of a statement is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.message())]
 pub enum CommentError {
--- a/crates/transport/src/admin.rs
+++ b/crates/transport/src/admin.rs
@@ -56,7 +56,7 @@
     calls: Sender<AdminCall>,
     open_connections: Cell<usize>,
     next_id: Cell<ConnectionId>,
-    /// Evict the connections whose command line is not complete yet.
+    /// The events that evict the connections whose command line is not complete yet.
     evictions: RefCell<BTreeMap<ConnectionId, Rc<Event>>>,
     slot_freed: Event,
 }
@@ -118,7 +118,7 @@
     }
 
     async fn serve(&self, id: ConnectionId, mut stream: TcpConnection, evicted: EventListener) {
-        // Without the option answers are only slower.
+        // The option only affects latency, so errors are ignored.
         let _ = stream.get_ref().set_nodelay(true);
         let evicted = async {
             evicted.await;
--- a/crates/transport/src/budgets/lease_driver.rs
+++ b/crates/transport/src/budgets/lease_driver.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use wharfplank_budget::{BudgetKind, LeaseGrant, Micros};
 
-/// How often the usage is logged.
+/// The interval at which the usage is logged.
 const USAGE_LOG_INTERVAL: Micros = 5_000_000;
-/// How often recorded spends are logged, if the usage is traced.
+/// The interval at which recorded spends are logged, if the usage is traced.
 const TRACE_LOG_INTERVAL: Micros = 50_000;
 /// The minimum wait for a timer.
 const MIN_WAIT: Micros = 1_000;
@@ -26,7 +26,7 @@
     log: Log,
 }
 
-/// Why the driver continues after a wait.
+/// The reason why the driver continues after a wait.
 enum Wakeup {
     Update(LeaseUpdate),
     WorkerEnded,
--- a/crates/transport/src/budgets/lease_worker.rs
+++ b/crates/transport/src/budgets/lease_worker.rs
@@ -15,8 +15,8 @@
     EpochAnnouncement, LeaseAllocator, LeaseGrant, LeaseRequest, LeaseTerms, Micros, TakeoverGuard,
 };
 
-/// How often allocators announce their epochs to each other, and the worker reports its status to the serving
-/// thread.
+/// The interval at which allocators announce their epochs to each other, and the worker reports its status to
+/// the serving thread.
 const ANNOUNCE_INTERVAL: Micros = 1_000_000;
 /// The size of the read buffer; no datagram is larger.
 const DATAGRAM_BUFFER_BYTES: usize = 65_536;
--- a/crates/transport/src/budgets/log.rs
+++ b/crates/transport/src/budgets/log.rs
@@ -51,10 +51,10 @@
     pub fn of(holder: &LeaseHolder, now: Micros, kind: BudgetKind) -> Option<BudgetUsage> {
         let is_of_kind = |budget: BudgetId| BudgetKind::of(budget) == Some(kind);
         let rates = holder.rate_limiters().filter(|(budget, _)| is_of_kind(*budget));
-        let rates = rates.map(|(budget, meter)| BudgetUsage {
+        let rates = rates.map(|(budget, limiter)| BudgetUsage {
             quota: holder.quota(now, budget),
-            spent: meter.spent,
-            denied: meter.denied,
+            spent: limiter.spent,
+            denied: limiter.denied,
         });
         let in_use = holder.concurrency_budgets().filter(|(budget, _)| is_of_kind(*budget));
         let in_use = in_use.map(|(budget, state)| BudgetUsage {
--- a/crates/transport/src/budgets/mod.rs
+++ b/crates/transport/src/budgets/mod.rs
@@ -128,7 +128,7 @@
         self.try_spend(&[BudgetKind::Retries.budget(0)])
     }
 
-    /// Whether [`Budgets::try_spend_retry`] would succeed now.
+    /// Returns whether [`Budgets::try_spend_retry`] would succeed now.
     pub fn can_retry(&self) -> bool {
         self.state.borrow_mut().holder.can_spend(self.now(), BudgetKind::Retries.budget(0))
     }
--- a/crates/transport/src/client_connection/cancel_keys.rs
+++ b/crates/transport/src/client_connection/cancel_keys.rs
@@ -10,7 +10,8 @@
 /// client.
 #[derive(Default)]
 pub(crate) struct CancelKeys {
-    /// Keyed with random data from the operating system, so that known secrets do not reveal others.
+    /// Keyed with random data from the operating system that is never disclosed, so that known secrets do not
+    /// reveal others.
     hasher: RandomState,
 }
 
--- a/crates/transport/src/client_listener.rs
+++ b/crates/transport/src/client_listener.rs
@@ -23,7 +23,8 @@
 use std::time::{Duration, Instant};
 use wharfplank_protocol::client_session::ProtocolViolation;
 
-/// The maximum number of connections accepted from the operating system's queue when the listener closes.
+/// The maximum number of connections that the operating system queues for the listener, and therefore of
+/// those that are accepted when it closes.
 const BACKLOG: usize = 4096;
 /// The delay before the next accept after one failed because a resource was exhausted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
--- a/crates/transport/src/client_listener/admission.rs
+++ b/crates/transport/src/client_listener/admission.rs
@@ -23,7 +23,8 @@
 }
 
 /// The number of consecutive failed accepts after which even recently used connections are evicted. Up to
-/// this number only idle ones are, since the shortage of file descriptors may be brief.
+/// this number only connections without a command or idle for long are, since the shortage of file
+/// descriptors may be brief.
 const MAX_FAILURES_BEFORE_EVICTING_RECENT: u32 = 3;
 
 /// The eviction priority of a connection; lower values are evicted first.
--- a/crates/transport/src/event.rs
+++ b/crates/transport/src/event.rs
@@ -14,7 +14,7 @@
     RequestReceived(Box<ClientRequest>),
     /// A client disconnected while its request was open.
     ClientDisconnected(RequestNumber),
-    /// A client cancelled a request. The client has already been sent the response.
+    /// A client cancelled a request, which has already been completed with a response that says so.
     RequestCancelled(RequestNumber),
     /// An attempt finished, or its streamed response started.
     AttemptFinished {
@@ -43,7 +43,7 @@
     },
     /// The endpoint list or its staleness changed.
     EndpointsChanged {
-        /// What changed.
+        /// The changes.
         event: WatchEvent,
         /// The staleness of the list, if it changed.
         staleness: Option<Staleness>,
--- a/crates/transport/src/gossip/driver.rs
+++ b/crates/transport/src/gossip/driver.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 use wharfplank_routing::Micros;
 
-/// How often the traffic is logged.
+/// The interval at which the traffic is logged.
 const TRAFFIC_LOG_INTERVAL: Micros = 5_000_000;
-/// How often a changed digest of the shared state is logged.
+/// The interval at which a changed digest of the shared state is logged.
 const DIGEST_LOG_INTERVAL: Micros = 1_000_000;
-/// How often a snapshot of the shared state is saved.
+/// The interval at which a snapshot of the shared state is saved.
 const SNAPSHOT_INTERVAL: Micros = 5_000_000;
 /// While no more slots than this are free in the ring, state updates wait in their own bounded table: the
 /// slots are reserved for zone shares and member factors.
--- a/crates/transport/src/gossip/handle.rs
+++ b/crates/transport/src/gossip/handle.rs
@@ -17,7 +17,7 @@
     /// The worker's updates, if state is shared.
     pub(super) updates: Option<Rc<RefCell<UpdateQueue>>>,
     pub(super) stall_detector: Arc<StallDetector>,
-    /// How far the worker's clock is ahead of the broker's.
+    /// The lead of the worker's clock over the broker's.
     pub(super) clock_offset: Micros,
     pub(super) evaluates_health: bool,
 }
--- a/crates/transport/src/gossip/mod.rs
+++ b/crates/transport/src/gossip/mod.rs
@@ -57,7 +57,7 @@
 pub struct GossipWorker {
     /// The membership protocol.
     pub membership: Membership,
-    /// Decides which zones take reads.
+    /// The zone failover, which decides how many reads each zone receives.
     pub failover: FailoverController,
     /// The shared state, if the settings enable it.
     pub shared_state: Option<SharedState>,
@@ -65,7 +65,7 @@
     pub health: Option<HealthEvaluator>,
     /// Saves snapshots of the shared state, if the settings enable it.
     pub save_snapshot: Option<SaveSnapshot>,
-    /// How far `now` is ahead of the broker's clock.
+    /// The lead of `now` over the broker's clock.
     pub clock_offset: Micros,
     /// The peers to join.
     pub seeds: Vec<SocketAddrV4>,
@@ -79,7 +79,7 @@
 pub struct HandleConfig {
     /// The current time on the worker's clock.
     pub now: Micros,
-    /// How far the worker's clock is ahead of the broker's.
+    /// The lead of the worker's clock over the broker's.
     pub clock_offset: Micros,
     /// The write records of a snapshot, if state is shared.
     pub write_records: Option<Vec<WriteRecord>>,
--- a/crates/transport/src/handover/request.rs
+++ b/crates/transport/src/handover/request.rs
@@ -19,11 +19,11 @@
 /// The time limit for the complete reply of the running process. The new process waits for it at its start.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why a handover did not take place.
+/// The reason why a handover did not take place.
 #[derive(Debug, Error)]
 pub enum HandoverError {
     /// Another process is already taking over from the running one.
-    #[error("another process replaces it already")]
+    #[error("another process is already taking over from the running one")]
     AlreadyReplaced,
     /// The reply carries no listening socket.
     #[error("handover reply carries no listening socket")]
--- a/crates/transport/src/member_pool.rs
+++ b/crates/transport/src/member_pool.rs
@@ -69,7 +69,7 @@
 }
 
 impl MemberPool {
-    /// Creates the pool of a member. [`MemberPool::activate`] opens the first connections.
+    /// Creates the pool of a member. No connection is opened before [`MemberPool::activate`] is called.
     pub fn new(context: Rc<PoolContext>, name: &str, address: SocketAddr) -> Rc<Self> {
         if let Some(budgets) = &context.budgets {
             budgets.add_member(name);
--- a/crates/transport/src/member_pool/checkout.rs
+++ b/crates/transport/src/member_pool/checkout.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a connection is watched for unsolicited bytes after a response. A duplicate response, or garbage
-/// after it, would otherwise be read as the response to the next request.
+/// The time for which a connection is watched for unsolicited bytes after a response. A duplicate response,
+/// or garbage after it, would otherwise be read as the response to the next request.
 const SETTLE_TIME: Duration = Duration::from_millis(3);
 
 /// The reason why no connection could be acquired from the pool.
--- a/crates/transport/src/member_pool/context.rs
+++ b/crates/transport/src/member_pool/context.rs
@@ -10,7 +10,7 @@
 
 /// The maximum idle time after which a connection is checked with an empty query before it carries a request.
 /// Without the check, a request on a silently dropped connection would be lost. When a dead connection is
-/// found, the interval shrinks to half of that connection's idle time; see
+/// found, this time shrinks to half of that connection's idle time; see
 /// [`PoolContext::relax_liveness_check`].
 pub const MAX_LIVENESS_CHECK_AFTER: Duration = Duration::from_millis(500);
 /// The minimum idle time after which a connection is checked.
@@ -18,7 +18,7 @@
 
 /// Limits and services that the pools of all members share.
 pub struct PoolContext {
-    /// Runs the tasks that open connections.
+    /// The executor of the tasks that open connections.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Called with each connection that ended.
     pub on_connection_end: ConnectionEndObserver,
--- a/crates/transport/src/member_pool/end_reason.rs
+++ b/crates/transport/src/member_pool/end_reason.rs
@@ -27,7 +27,8 @@
     IdleTimeout,
     /// The member sent bytes without a request.
     Unsolicited,
-    /// The connection was found dead by a liveness check, or had been idle for longer than one that was.
+    /// The connection was found dead by a liveness check, or had been idle for at least as long as one
+    /// that was.
     Stale,
     /// The member sent nothing at all.
     Unresponsive,
--- a/crates/transport/src/member_pool/opening.rs
+++ b/crates/transport/src/member_pool/opening.rs
@@ -15,14 +15,14 @@
 
 /// The maximum number of connections to a member that are opened at the same time.
 const MAX_OPENING: usize = 6;
-/// How long no spare connection is opened after a failure. Meanwhile, attempts show whether the member works
-/// again.
+/// The time after a failure during which no spare connection is opened. Meanwhile, attempts show whether the
+/// member works again.
 const BACKOFF: Duration = Duration::from_millis(500);
 /// The user and the database of the startup message.
 const USER: &str = "web";
 const DATABASE: &str = "orders";
 
-/// The error that no connection could be opened for a waiting attempt.
+/// The failure to open a connection for a waiting attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("could not open a connection to the member")]
 pub(super) struct OpenFailed;
--- a/crates/transport/src/negative_cache.rs
+++ b/crates/transport/src/negative_cache.rs
@@ -17,7 +17,7 @@
 use wharfplank_negative_cache::Node;
 use wharfplank_routing::Micros;
 
-/// How often the status is logged.
+/// The interval at which the status is logged.
 const STATUS_LOG_INTERVAL: Micros = 5_000_000;
 /// The capacity of each ring of datagrams; further datagrams are dropped, as if lost in the network, and
 /// counted.
--- a/crates/transport/src/request.rs
+++ b/crates/transport/src/request.rs
@@ -44,7 +44,7 @@
     pub class: String,
     /// When the last byte of the request was read.
     pub arrived_at: Instant,
-    /// How long the client waits after `arrived_at`, in milliseconds.
+    /// The time for which the client waits after `arrived_at`, in milliseconds.
     pub timeout_ms: u32,
     /// The group that the request is for.
     pub group: u64,
--- a/crates/transport/src/rollout/files.rs
+++ b/crates/transport/src/rollout/files.rs
@@ -10,7 +10,8 @@
     decode_ledger, encode_ledger, Micros, PermitLedger, RolloutService, SignalFileWatcher,
 };
 
-/// How often the files that operators write are checked, and the delay before a failed write is retried.
+/// The interval at which the files that operators write are checked, and the delay before a failed write is
+/// retried.
 const CHECK_INTERVAL: Micros = 500_000;
 /// The maximum number of bytes that are read from a signal file.
 const MAX_SIGNAL_BYTES: u64 = 4096;
--- a/crates/transport/src/signals.rs
+++ b/crates/transport/src/signals.rs
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the flags are checked without a wake-up. A shutdown that starts this much later still completes
-/// in time.
+/// The interval at which the flags are checked without a wake-up. A shutdown that starts this much later
+/// still completes in time.
 const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The receiver of the process's signals.
--- a/crates/transport/src/socket/open.rs
+++ b/crates/transport/src/socket/open.rs
@@ -11,7 +11,7 @@
 /// The maximum number of connect retries. After that, another member is the better choice.
 pub const MAX_CONNECT_RETRIES: usize = 3;
 
-/// How long opening a socket is retried while the process starts.
+/// The time for which opening a socket is retried while the process starts.
 const STARTUP_RETRY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Opens a socket, retrying transient errors. Blocks the thread, and is intended for process startup only.
--- a/crates/transport/tests/support/pool_fixture.rs
+++ b/crates/transport/tests/support/pool_fixture.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Runs a test with a pool and its member on one thread, like the proxy's worker threads.
+/// Runs a test with a pool and its member on one thread, like the proxy's serving thread.
 pub fn run_with_pool<F: Future<Output = ()>>(
     settings: PoolSettings,
     test: impl FnOnce(PoolFixture, FakeMember) -> F,
