--- a/crates/transport/src/handover/request.rs
+++ b/crates/transport/src/handover/request.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Error)]
 pub enum HandoverError {
     /// Another process is already taking over from the running one.
-    #[error("another process is already taking over from the running one")]
+    #[error("another process replaces it already")]
     AlreadyReplaced,
     /// The reply carries no listening socket.
     #[error("handover reply carries no listening socket")]
