--- a/crates/fleet-harness/src/budgets/report.rs
+++ b/crates/fleet-harness/src/budgets/report.rs
@@ -44,9 +44,9 @@
     pub case: Case,
     pub seed: u64,
     pub proxies: usize,
-    /// When the load began.
+    /// The time at which the load began.
     pub load_began_at: Micros,
-    /// When the load ended.
+    /// The time at which the load ended.
     pub load_ended_at: Micros,
     pub crashed: u64,
 }
--- a/crates/fleet-harness/src/fault_plan.rs
+++ b/crates/fleet-harness/src/fault_plan.rs
@@ -30,7 +30,7 @@
     groups: usize,
     /// The zone that is lost or cut off.
     zone: String,
-    /// When the zone fault begins.
+    /// The start of the zone fault, in seconds of the load.
     lost_at_s: u64,
 }
 
--- a/crates/fleet-harness/src/ground_truth.rs
+++ b/crates/fleet-harness/src/ground_truth.rs
@@ -10,7 +10,7 @@
 use wharfplank_lab::load::RequestRecord;
 use wharfplank_lab::member_model::{MemberModel, Micros, CLASSES};
 
-/// How often the members are sampled.
+/// The interval at which the members are sampled.
 pub const SAMPLE_INTERVAL: Micros = 20_000;
 /// The maximum number of samples kept, which cover an hour.
 const MAX_SAMPLES: usize = 180_000;
--- a/crates/fleet-harness/src/relay/mesh.rs
+++ b/crates/fleet-harness/src/relay/mesh.rs
@@ -15,7 +15,8 @@
 const MAX_KEPT_DATAGRAMS: usize = 2048;
 /// The minimum age of a datagram that is replayed.
 const REPLAY_AGE: i64 = 3_000_000;
-const REPLAY_EVERY: Duration = Duration::from_millis(50);
+/// The interval between two replays.
+const REPLAY_INTERVAL: Duration = Duration::from_millis(50);
 /// A datagram kept for replay: the time, the sender, the receiver and the bytes.
 type KeptDatagram = (i64, usize, usize, Vec<u8>);
 
@@ -167,7 +168,7 @@
     /// Replays old datagrams of the proxies in `replayed_proxies` to their original receivers.
     async fn replay_old_datagrams(self: Rc<Self>) {
         loop {
-            Timer::after(REPLAY_EVERY).await;
+            Timer::after(REPLAY_INTERVAL).await;
             let replayed_proxies = self.conditions.borrow().replayed_proxies.clone();
             if replayed_proxies.is_empty() {
                 continue;
--- a/crates/fleet-harness/src/rollouts/run.rs
+++ b/crates/fleet-harness/src/rollouts/run.rs
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 ///
-/// If the run can't be completed, as a message.
+/// Returns a message if the run can't be completed.
 pub fn play(scenario: &Scenario, paths: &RunPaths) -> Result<Report, String> {
     std::fs::create_dir_all(&paths.directory).map_err(|e| format!("{}: {e}", paths.directory.display()))?;
     create_ledgers(scenario, &paths.directory).map_err(|e| format!("{}: {e}", paths.directory.display()))?;
--- a/crates/fleet-harness/src/rollouts/settings.rs
+++ b/crates/fleet-harness/src/rollouts/settings.rs
@@ -12,7 +12,7 @@
 /// The limits: one member of each group, and for a zone and the fleet one for each permit server.
 pub(super) const LIMITS: DisruptionLimits = DisruptionLimits { group: 1, zone: 3, fleet: 3 };
 const MAX_PERMIT_SERVERS: usize = 3;
-/// How long a member may be down before the rollout halts.
+/// The maximum time for which a member may be down before the rollout halts.
 const READY_TIMEOUT_S: u64 = 12;
 /// The maximum time for which a wave is observed.
 const SOAK_TIME_S: u64 = 3;
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -43,7 +43,7 @@
     Calm,
     /// A primary takes three times its usual time, with outlier detection across the fleet.
     SlowMember,
-    /// As [`Scenario::SlowMember`], while one proxy reports the slow member as healthy and another one as
+    /// As [`Scenario::SlowMember`], while one proxy reports the slow member as healthy and a healthy member as
     /// failed.
     #[serde(rename = "slow-liar")]
     SlowMemberFalseHealth,
--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -7,7 +7,7 @@
 
 /// The minimum ping interval: it must be longer than the ping timeout of at least 1 ms.
 const MIN_PING_INTERVAL_MS: u64 = 2;
-/// How long a peer that is down is remembered, so that stale updates do not bring it back.
+/// The time for which a peer that is down is remembered, so that stale updates do not bring it back.
 const DOWN_PEER_RETENTION: Duration = Duration::from_secs(600);
 /// The interval at which a proxy announces itself to a random live peer, which completes partial views.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/health/src/observation.rs
+++ b/crates/health/src/observation.rs
@@ -10,7 +10,7 @@
 /// The shrinkage of a score towards zero: the number of neutral samples that are added to it.
 const PRIOR_SAMPLES: f64 = 3.0;
 
-/// How an attempt at a member ended.
+/// The outcome of an attempt at a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It was answered.
--- a/crates/health/src/window.rs
+++ b/crates/health/src/window.rs
@@ -15,8 +15,8 @@
 const SUFFICIENT_SAMPLES: u32 = 6;
 /// The scale of log ratios: natural logarithms of the ratio of latency to baseline, in units of 1/64.
 pub(crate) const LOG_RATIO_SCALE: f64 = 64.0;
-/// The limit of the absolute log ratio of one outcome, eight times the baseline latency, so that a single
-/// very slow answer does not dominate.
+/// The limit of the absolute log ratio of one outcome, eight times the baseline latency, so that an answer
+/// that took a minute is no stronger evidence than that.
 pub(crate) const MAX_LOG_RATIO: i64 = 133;
 /// The log ratio that an error or a rejection counts as, three times the baseline latency.
 const FAILURE_LOG_RATIO: f64 = 1.1;
--- a/crates/incidents/src/evidence.rs
+++ b/crates/incidents/src/evidence.rs
@@ -11,7 +11,7 @@
 /// A member as one proxy observed it at one time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberObservation {
-    /// When the observation was recorded.
+    /// The time at which the observation was recorded.
     pub at: Micros,
     /// The member's group.
     pub group: u64,
@@ -21,7 +21,7 @@
     pub active: bool,
     /// The newest known log position; 0 if none is known.
     pub position: Micros,
-    /// When the position was seen; 0 if none is known.
+    /// The time at which the position was seen; 0 if none is known.
     pub position_seen_at: Micros,
     /// Whether the proxy suspected the member of being down.
     pub suspected: bool,
@@ -32,7 +32,7 @@
 /// The health that the endpoint list gave a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedHealth {
-    /// When the proxy received it.
+    /// The time at which the proxy received it.
     pub at: Micros,
     /// The health, as listed.
     pub health: String,
@@ -67,7 +67,7 @@
 /// A read that was rejected as too stale. The serialised field names belong to the JSON report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StaleRead {
-    /// When the read was rejected.
+    /// The time at which the read was rejected.
     pub at: Micros,
     /// The proxy.
     pub proxy: String,
@@ -81,7 +81,7 @@
     pub known: Micros,
 }
 
-/// What one proxy's records show.
+/// The evidence in one proxy's records.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyEvidence {
     /// The proxy's zone, where it is known.
@@ -102,7 +102,7 @@
     pub listed_health: BTreeMap<String, Vec<ListedHealth>>,
 }
 
-/// How many proxies' records cover a span.
+/// The number of proxies whose records cover a span, and of all proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Coverage {
     /// The number of proxies whose records cover the span.
@@ -111,7 +111,7 @@
     pub proxies: usize,
 }
 
-/// What the records of several proxies show.
+/// The evidence in the records of several proxies.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     /// The start of the span that was requested, in µs of Unix time.
@@ -128,7 +128,7 @@
     pub stale_reads: Vec<StaleRead>,
     /// The number of all reads that were rejected as too stale.
     pub stale_read_count: u64,
-    /// What could not be read, in sentences for people.
+    /// Records that could not be read or are missing, described in sentences for people.
     pub problems: Vec<String>,
 }
 
@@ -136,12 +136,12 @@
     /// The bound on [`Evidence::stale_reads`].
     pub const MAX_STALE_READS: usize = 10_000;
 
-    /// The start of the bin that contains a time.
+    /// Returns the start of the bin that contains a time.
     pub fn bin_of(&self, at: Micros) -> Micros {
         at - at.rem_euclid(self.bin)
     }
 
-    /// The starts of all bins of the span.
+    /// Returns the starts of all bins of the span.
     pub fn bins(&self) -> impl Iterator<Item = Micros> {
         let bin = self.bin;
         let first = self.bin_of(self.from);
@@ -149,25 +149,26 @@
         (0..).map(move |i| first + i * bin).take_while(move |at| *at <= to)
     }
 
-    /// The names of all members that any proxy observed.
+    /// Returns the names of all members that any proxy observed.
     pub fn members(&self) -> BTreeSet<&str> {
         let names = self.proxies.values().flat_map(|proxy| proxy.observations.keys());
         names.map(String::as_str).collect()
     }
 
-    /// All proxies' observations of a member, proxy by proxy.
+    /// Returns all proxies' observations of a member, proxy by proxy.
     pub fn observations_of<'a>(&'a self, member: &'a str) -> impl Iterator<Item = &'a MemberObservation> {
         self.proxies.values().filter_map(move |proxy| proxy.observations.get(member)).flatten()
     }
 
-    /// Whether a proxy's records cover a span: its process was alive throughout and no records are missing.
+    /// Returns whether a proxy's records cover a span: its process was alive throughout and no records are
+    /// missing.
     pub fn covers(&self, proxy: &ProxyEvidence, from: Micros, to: Micros) -> bool {
         let is_alive = |(start, end): &(Micros, Micros)| *start <= from + self.bin && to <= *end + self.bin;
         let overlaps = |gap: &Gap| gap.from < to && from < gap.to;
         proxy.alive.iter().any(is_alive) && !proxy.gaps.iter().any(overlaps)
     }
 
-    /// How many proxies' records cover a span.
+    /// Returns the number of proxies whose records cover a span, and of all proxies.
     pub fn coverage(&self, from: Micros, to: Micros) -> Coverage {
         let covering = self.proxies.values().filter(|proxy| self.covers(proxy, from, to)).count();
         Coverage { covering, proxies: self.proxies.len() }
--- a/crates/incidents/src/find/attribution.rs
+++ b/crates/incidents/src/find/attribution.rs
@@ -40,7 +40,7 @@
     attributed
 }
 
-/// Whether an incident of this kind can cause a rejection or failure for this reason.
+/// Returns whether an incident of this kind can cause a rejection or failure for this reason.
 fn can_cause(kind: Kind, reason: FailureReason) -> bool {
     use FailureReason::{
         AttemptsExhausted, DeadlineExceeded, LoadShed, MayHaveRun, NoMember, NoPrimary, QueuedTooLong,
--- a/crates/incidents/src/find/drain.rs
+++ b/crates/incidents/src/find/drain.rs
@@ -9,7 +9,7 @@
 /// The health that the endpoint list gives a draining member.
 const DRAINING: &str = "leaving";
 
-/// The spans in which members were listed as draining.
+/// Finds the spans in which members were listed as draining.
 pub(super) fn detect(evidence: &Evidence) -> Vec<Incident> {
     let mut incidents = Vec::new();
     for (member, health) in listed_health(evidence) {
@@ -20,7 +20,7 @@
     incidents
 }
 
-/// By member and time: the health that the endpoint list gave it, as any proxy received it.
+/// Returns the health that the endpoint list gave each member, by time, as any proxy received it.
 fn listed_health(evidence: &Evidence) -> BTreeMap<&str, BTreeMap<Micros, &str>> {
     let mut by_member: BTreeMap<&str, BTreeMap<Micros, &str>> = BTreeMap::new();
     for (member, listed) in evidence.proxies.values().flat_map(|proxy| &proxy.listed_health) {
@@ -30,7 +30,7 @@
     by_member
 }
 
-/// The spans from a listing as draining to the next other listing, or to the end of the records.
+/// Returns the spans from a listing as draining to the next other listing, or to the end of the records.
 fn draining_spans(evidence: &Evidence, health: &BTreeMap<Micros, &str>) -> Vec<Run> {
     let mut spans = Vec::new();
     let mut draining_since = None;
--- a/crates/incidents/src/find/incident.rs
+++ b/crates/incidents/src/find/incident.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_records::Micros;
 
-/// What happened.
+/// The kind of an incident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -28,7 +28,7 @@
     Drain,
 }
 
-/// How well the records support an incident.
+/// The degree to which the records support an incident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Confidence {
@@ -41,7 +41,7 @@
 }
 
 impl Confidence {
-    /// The name that reports show.
+    /// Returns the name that reports show.
     pub fn name(self) -> &'static str {
         match self {
             Confidence::Weak => "weak",
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The confidence in a statement about the span of a run.
+    /// Returns the confidence in a statement about the span of a run.
     fn in_run(evidence: &Evidence, run: Run) -> Confidence {
         let Coverage { covering, proxies } = evidence.coverage(run.from, run.to);
         if covering == proxies && proxies > 1 {
@@ -66,7 +66,7 @@
 /// One incident. The serialised field names belong to the JSON report and do not change.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Incident {
-    /// What happened.
+    /// The kind of an incident.
     pub kind: Kind,
     /// The member, group, zone or proxies concerned; empty for the fleet.
     pub subject: String,
@@ -80,15 +80,15 @@
     pub members: Vec<String>,
     /// The affected groups.
     pub groups: Vec<u64>,
-    /// How well the records support the incident.
+    /// The degree to which the records support the incident.
     #[serde(rename = "strength")]
     pub confidence: Confidence,
-    /// What discovery or the members reported.
+    /// Statements that are based on reports of discovery or of proxies.
     #[serde(rename = "told")]
     pub reported: Vec<String>,
-    /// What follows from measurements.
+    /// Statements that are inferred from measurements.
     pub inferred: Vec<String>,
-    /// What the records do not show.
+    /// Statements on what the records do not show.
     pub unknown: Vec<String>,
     /// Rejections and failures attributed to the incident, by reason.
     #[serde(rename = "refusals")]
@@ -127,7 +127,7 @@
     }
 }
 
-/// The groups to which the members belonged when proxies first observed them.
+/// Returns the groups to which the members belonged when proxies first observed them.
 fn groups_of(evidence: &Evidence, members: &[String]) -> BTreeSet<u64> {
     evidence
         .proxies
--- a/crates/incidents/src/find/no_primary.rs
+++ b/crates/incidents/src/find/no_primary.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_records::Micros;
 
-/// By group and bin: the member that each proxy that knows the group takes for its usable primary. A bin in
-/// which no proxy knows the group is absent.
+/// The members that the proxies that know a group consider its usable primary, one entry for each such proxy,
+/// by group and bin. A bin in which no proxy knows the group is absent.
 pub(super) type ObservedPrimaries = BTreeMap<u64, BTreeMap<Micros, Vec<Option<String>>>>;
 
 /// Collects the primaries that each proxy observed; a suspected primary does not count as one.
@@ -31,7 +31,7 @@
     primaries
 }
 
-/// The spans in which most proxies knew no usable primary of a group.
+/// Finds the spans in which most proxies knew no usable primary of a group.
 pub(super) fn detect(evidence: &Evidence, primaries: &ObservedPrimaries) -> Vec<Incident> {
     let mut incidents = Vec::new();
     for (group, bins) in primaries {
@@ -45,14 +45,14 @@
     incidents
 }
 
-/// Whether most proxies know no primary. One proxy alone does not suffice: it may have just started and not
-/// know the primary yet.
+/// Returns whether most proxies know no primary. One of several proxies does not suffice: it may have just
+/// started and not know the primary yet.
 fn is_missed_by_most(seen: &[Option<String>]) -> bool {
     let missing = seen.iter().filter(|primary| primary.is_none()).count();
     missing * 2 > seen.len()
 }
 
-/// The members that any proxy observed in a group.
+/// Returns the members that any proxy observed in a group.
 fn members_of(evidence: &Evidence, group: u64) -> Vec<String> {
     let mut members = BTreeSet::new();
     for (name, observations) in evidence.proxies.values().flat_map(|proxy| &proxy.observations) {
--- a/crates/incidents/src/find/partition.rs
+++ b/crates/incidents/src/find/partition.rs
@@ -19,19 +19,19 @@
 }
 
 impl SuspicionCount {
-    /// Whether at least two thirds of enough members are suspected.
+    /// Returns whether at least two thirds of enough members are suspected.
     fn is_mostly_suspected(self) -> bool {
         self.members >= MIN_MEMBERS && self.suspected * 3 >= self.members * 2
     }
 
-    /// Whether fewer than half of the members are suspected.
+    /// Returns whether fewer than half of the members are suspected.
     fn is_mostly_trusted(self) -> bool {
         self.suspected * 2 < self.members
     }
 }
 
-/// By zone and bin: whether a proxy in another zone suspected most members of the zone, but not those of the
-/// others.
+/// Returns, by zone and bin, whether a proxy in another zone suspected most members of the zone, but not
+/// those of the others.
 pub(super) fn partitioned_zones(evidence: &Evidence) -> BTreeMap<String, Series> {
     let zones: BTreeSet<&String> = evidence.zones.values().collect();
     let mut partitions: BTreeMap<String, Series> = BTreeMap::new();
@@ -50,7 +50,7 @@
     partitions
 }
 
-/// Whether one proxy, which is in another zone, saw the zone partitioned, by bin.
+/// Returns by bin whether one proxy, which is in another zone, saw the zone partitioned.
 fn observed_partition(evidence: &Evidence, proxy: &ProxyEvidence, zone: &String) -> Series {
     let mut inside: BTreeMap<Micros, SuspicionCount> = BTreeMap::new();
     let mut outside: BTreeMap<Micros, SuspicionCount> = BTreeMap::new();
@@ -71,7 +71,7 @@
     series
 }
 
-/// The spans in which a zone was partitioned.
+/// Finds the spans in which a zone was partitioned.
 pub(super) fn detect(evidence: &Evidence, partitions: &BTreeMap<String, Series>) -> Vec<Incident> {
     let mut incidents = Vec::new();
     for (zone, series) in partitions {
--- a/crates/incidents/src/find/restart_wave.rs
+++ b/crates/incidents/src/find/restart_wave.rs
@@ -21,7 +21,7 @@
     proxy: &'a str,
 }
 
-/// The waves of restarts.
+/// Finds the waves of restarts.
 pub(super) fn detect(evidence: &Evidence) -> Vec<Incident> {
     let waves = group_into_waves(restarts(evidence));
     waves.iter().filter_map(|wave| wave_incident(evidence, wave)).collect()
--- a/crates/incidents/src/find/runs.rs
+++ b/crates/incidents/src/find/runs.rs
@@ -25,13 +25,13 @@
 }
 
 impl Run {
-    /// The length of the run, in µs.
+    /// Returns the length of the run, in µs.
     pub fn length(&self) -> Micros {
         self.to - self.from
     }
 }
 
-/// The runs of bins in which the condition held.
+/// Finds the runs of bins in which the condition held.
 pub(super) fn find_runs(evidence: &Evidence, series: &Series) -> Vec<Run> {
     let first_bin = series.keys().next().copied().unwrap_or(0);
     let last_bin = series.keys().last().copied().unwrap_or(0);
--- a/crates/incidents/src/find/slow_apply.rs
+++ b/crates/incidents/src/find/slow_apply.rs
@@ -19,7 +19,7 @@
 /// ...and at least this many. A single stalled replica most likely serves a long read.
 const MIN_SLOW_REPLICAS: usize = 2;
 
-/// By member and bin: the advance of its position as a fraction of the elapsed time.
+/// The advance of each member's position as a fraction of the elapsed time, by member and bin.
 type ApplyRates<'a> = BTreeMap<&'a str, BTreeMap<Micros, f64>>;
 
 /// The position of a member as a proxy observed it.
@@ -36,7 +36,7 @@
     slow: Vec<&'a str>,
 }
 
-/// The spans in which most replicas applied the log slowly.
+/// Finds the spans in which most replicas applied the log slowly.
 pub(super) fn detect(
     evidence: &Evidence,
     primaries: &ObservedPrimaries,
@@ -89,8 +89,8 @@
     slow >= MIN_SLOW_REPLICAS && slow as f64 > replicas.measured as f64 * MIN_SLOW_FRACTION
 }
 
-/// Whether the member's group has a primary other than the member. Without a primary no position advances,
-/// which is another kind of incident.
+/// Returns whether the member's group has a primary other than the member. Without a primary no position
+/// advances, which is another kind of incident.
 fn is_replica_with_primary(
     evidence: &Evidence,
     primaries: &ObservedPrimaries,
@@ -106,8 +106,8 @@
     has_primary && !is_primary
 }
 
-/// Whether the member's zone is partitioned: behind a partition no position advances, which is another kind
-/// of incident.
+/// Returns whether the member's zone is partitioned: behind a partition no position advances, which is
+/// another kind of incident.
 fn is_partitioned(
     evidence: &Evidence,
     partitions: &BTreeMap<String, Series>,
@@ -118,12 +118,12 @@
     series.and_then(|series| series.get(&bin)) == Some(&true)
 }
 
-/// The group in which a proxy first observed the member.
+/// Returns the group in which a proxy first observed the member.
 fn group_of(evidence: &Evidence, name: &str) -> Option<u64> {
     evidence.observations_of(name).map(|observation| observation.group).next()
 }
 
-/// The replicas that were slow in at least half of the known bins of a run. One that stalled only
+/// Returns the replicas that were slow in at least half of the known bins of a run. One that stalled only
 /// briefly served a long read.
 fn mostly_slow_replicas(slow_replicas: &BTreeMap<Micros, Vec<&str>>, run: Run) -> Vec<String> {
     let mut slow_bins: BTreeMap<&str, usize> = BTreeMap::new();
@@ -149,7 +149,8 @@
     rates
 }
 
-/// The member's positions over time. They are the member's own, so the observations of all proxies count.
+/// Returns the member's positions over time. They are the member's own, so the observations of all proxies
+/// count.
 fn position_samples(evidence: &Evidence, name: &str) -> Vec<PositionSample> {
     let mut newest: BTreeMap<Micros, Micros> = BTreeMap::new();
     for observation in evidence.observations_of(name) {
@@ -161,7 +162,8 @@
     newest.into_iter().map(|(seen_at, position)| PositionSample { seen_at, position }).collect()
 }
 
-/// The apply rate by bin; each is measured over the shortest span of samples of at least [`MIN_RATE_SPAN`].
+/// Returns the apply rate by bin; each is measured over the shortest span of samples of at least
+/// [`MIN_RATE_SPAN`].
 fn member_apply_rates(evidence: &Evidence, samples: &[PositionSample]) -> BTreeMap<Micros, f64> {
     let max_span = MAX_POSITION_AGE.max(evidence.bin) + MIN_RATE_SPAN;
     let mut rates = BTreeMap::new();
--- a/crates/incidents/src/find/slow_member.rs
+++ b/crates/incidents/src/find/slow_member.rs
@@ -42,7 +42,7 @@
     ratios: f64,
 }
 
-/// By member and class, and by bin: the latencies.
+/// The latencies, by member and class, and by bin.
 type Latencies<'a> = BTreeMap<(&'a str, &'a str), BTreeMap<Micros, LatencySum>>;
 
 /// A member's answers over time.
@@ -50,14 +50,14 @@
 struct MemberProfile {
     /// Latency ratios by bin.
     ratios: BTreeMap<Micros, RatioSum>,
-    /// By bin: the work that the member received, in µs of usual latency.
+    /// The work that the member received, in µs of usual latency, by bin.
     work: BTreeMap<Micros, f64>,
 }
 
 /// The profiles of all members, by name.
 type Profiles<'a> = BTreeMap<&'a str, MemberProfile>;
 
-/// The spans in which a member answered slowly.
+/// Finds the spans in which a member answered slowly.
 pub(super) fn detect(evidence: &Evidence) -> Vec<Incident> {
     let latencies = sum_latencies(evidence);
     let usual_latencies = usual_latencies(&latencies);
@@ -86,7 +86,7 @@
     latencies
 }
 
-/// By class: the median of the members' mean latencies, which one slow member does not shift.
+/// Returns by class the median of the members' mean latencies, which one slow member does not shift.
 fn usual_latencies<'a>(latencies: &Latencies<'a>) -> BTreeMap<&'a str, f64> {
     let mut means: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for ((_, class), bins) in latencies {
@@ -127,8 +127,8 @@
     profiles
 }
 
-/// Whether a member was slow, by bin. If most members are slow at once, the cause is the load or the network
-/// and not the member.
+/// Returns whether a member was slow, by bin. If most members are slow at once, the cause is the load or the
+/// network and not the member.
 fn slow_bins(evidence: &Evidence, profiles: &Profiles, member: &str) -> Series {
     let profile = &profiles[member];
     let usual_work = usual_work(profile);
@@ -143,7 +143,7 @@
     series
 }
 
-/// The mean latency ratio around a bin, unless there are too few answers.
+/// Returns the mean latency ratio around a bin, unless there are too few answers.
 fn mean_ratio(evidence: &Evidence, profile: &MemberProfile, bin: Micros) -> Option<f64> {
     let reach = LATENCY_WINDOW_BINS * evidence.bin;
     let mut total = RatioSum::default();
@@ -161,15 +161,15 @@
     ratios.get(ratios.len() / 2).copied().unwrap_or(1.0).max(MIN_OTHERS_RATIO)
 }
 
-/// The lower quartile of the work in the member's bins.
+/// Returns the lower quartile of the work in the member's bins.
 fn usual_work(profile: &MemberProfile) -> f64 {
     let mut work: Vec<f64> = profile.work.values().copied().collect();
     work.sort_by(f64::total_cmp);
     work[work.len() / USUAL_WORK_DIVISOR]
 }
 
-/// Whether the member received more work than usual and more than the others. It then answers late because of
-/// the work; a member that is slow by itself receives less, since proxies avoid it.
+/// Returns whether the member received more work than usual and more than the others. It then answers late
+/// because of the work; a member that is slow by itself receives less, since proxies avoid it.
 fn is_overloaded(
     evidence: &Evidence,
     profiles: &Profiles,
--- a/crates/incidents/src/find/surge.rs
+++ b/crates/incidents/src/find/surge.rs
@@ -19,7 +19,7 @@
     unsuccessful: u64,
 }
 
-/// The spans in which many answers were rejections or failures.
+/// Finds the spans in which many answers were rejections or failures.
 pub(super) fn detect(evidence: &Evidence) -> Vec<Incident> {
     let bin_seconds = (evidence.bin / SECOND).max(1) as u64;
     let min_unsuccessful = MIN_UNSUCCESSFUL_PER_SECOND * bin_seconds;
--- a/crates/incidents/src/gather/error.rs
+++ b/crates/incidents/src/gather/error.rs
@@ -1,9 +1,9 @@
-//! Why a store's evidence could not be gathered.
+//! The errors of gathering the evidence of a store.
 
 use thiserror::Error;
 use wharfplank_records::reader::ReadError;
 
-/// Why a store's evidence could not be gathered.
+/// The reason why a store's evidence could not be gathered.
 #[derive(Debug, Error)]
 pub(super) enum GatherError {
     /// The store cannot be opened or read.
--- a/crates/incidents/src/gather/store.rs
+++ b/crates/incidents/src/gather/store.rs
@@ -7,7 +7,7 @@
 use wharfplank_records::reader::{BlockFilter, NameKind, StoreReader};
 use wharfplank_records::{Micros, Outcome, Record};
 
-/// What one store shows.
+/// The evidence in one store.
 #[derive(Default)]
 pub(super) struct StoreEvidence {
     /// The evidence of the store's proxy.
@@ -18,7 +18,7 @@
     pub stale_reads: Vec<StaleRead>,
     /// The number of all reads that were rejected as too stale.
     pub stale_read_count: u64,
-    /// What the evidence lacks, in sentences for people.
+    /// Records that the evidence lacks, described in sentences for people.
     pub problems: Vec<String>,
 }
 
@@ -39,7 +39,7 @@
     Ok(store)
 }
 
-/// The zone that the proxy had in its last run.
+/// Returns the zone that the proxy had in its last run.
 fn proxy_zone(source: &StoreReader) -> Option<String> {
     let names = source.runs.iter().filter_map(|run| source.name(run.id, NameKind::Proxy, 0));
     names.last().map(|name| name.detail.clone())
--- a/crates/incidents/src/gather/sums.rs
+++ b/crates/incidents/src/gather/sums.rs
@@ -68,12 +68,12 @@
 }
 
 impl RunNames<'_> {
-    /// The name of a class, or its number where the name is unknown.
+    /// Returns the name of a class, or its number where the name is unknown.
     pub fn class(self, class: u16) -> String {
         self.resolve(NameKind::Class, class.into()).unwrap_or_else(|| format!("class {class}"))
     }
 
-    /// The name of a member, or its number where the name is unknown.
+    /// Returns the name of a member, or its number where the name is unknown.
     pub fn member(self, member: u32) -> String {
         self.resolve(NameKind::Member, member.into()).unwrap_or_else(|| format!("member {member}"))
     }
--- a/crates/incidents/tests/timelines.rs
+++ b/crates/incidents/tests/timelines.rs
@@ -49,7 +49,7 @@
         .flat_map(move |g| (0..MEMBERS_PER_GROUP).map(move |i| (format!("g{g}m{i}"), g, zone(g + i), i == 0)))
 }
 
-/// The evidence that three proxies record while a script runs.
+/// Returns the evidence that three proxies record while a script runs.
 fn evidence_of(script: Script) -> Evidence {
     let to = START + LENGTH * SECOND;
     let mut evidence = Evidence { from: START, to, bin: SECOND, ..Evidence::default() };
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -32,24 +32,24 @@
 const MIN_TIMEOUT: Micros = 1000;
 /// The fraction of session reads that follow a write of their session.
 const READ_YOUR_WRITES_FRACTION: f64 = 0.6;
-/// How long before such a read its session's write was, in milliseconds.
+/// The age of the session's write at the time of such a read, in milliseconds.
 const SESSION_WRITE_AGE_MS: i64 = 400;
 /// The number of requests between two reports of progress.
 const PROGRESS_INTERVAL: u64 = 16;
 /// Combined with the seed of the run, so that the load does not draw the same random numbers as the member
 /// model.
 const LOAD_SEED: u64 = 0x10ad;
-/// How often the end of the requests in flight is checked.
+/// The interval at which the end of the requests in flight is checked.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// The longest latency that a histogram holds, in µs.
 const MAX_LATENCY: u64 = 60_000_000;
 
-/// How much load is sent, and where.
+/// The amount and the distribution of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadProfile {
     /// The requests per second to all proxies together.
     pub requests_per_second: u64,
-    /// For how many seconds requests are sent.
+    /// The number of seconds for which requests are sent.
     pub seconds: u64,
     /// The number of groups that requests address, from 0 on.
     pub groups: usize,
@@ -68,12 +68,12 @@
     /// All finished requests.
     pub finished: RefCell<Vec<RequestRecord>>,
     in_flight: Cell<usize>,
-    /// How long past its timeout a client still waits for the answer, in µs. Such an answer has no value, but
-    /// counts as received.
+    /// The time in µs for which a client still waits for the answer after the timeout. Such an answer has no
+    /// value, but counts as received.
     pub grace: Cell<Micros>,
-    /// How clients retry failed writes.
+    /// The rule by which clients retry failed writes.
     pub write_retries: RefCell<WriteRetries>,
-    /// How the retries ended.
+    /// The outcomes of the retries.
     pub retry_outcomes: RefCell<Vec<ClientOutcome>>,
     /// The number of requests that were due while too many were in flight.
     pub dropped_requests: Cell<u64>,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The latencies of the served requests of a class, from when they were due, in µs.
+    /// Returns the latencies of the served requests of a class, from when they were due, in µs.
     pub fn latencies(&self, class: usize) -> Histogram<u64> {
         let mut latencies =
             Histogram::new_with_bounds(1, MAX_LATENCY, 3).expect("the bounds are valid constants");
@@ -189,7 +189,7 @@
         latencies
     }
 
-    /// The number of requests of a class with this outcome.
+    /// Returns the number of requests of a class with this outcome.
     pub fn count(&self, class: usize, outcome: ClientOutcome) -> usize {
         self.finished.borrow().iter().filter(|record| record.is(class, outcome)).count()
     }
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -10,11 +10,12 @@
 
 /// The most idle connections to one proxy that are kept for further requests.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// How long a client waits for the answer to a retried write.
+/// The time for which a client waits for the answer to a retried write.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How clients retry a write that was answered as failed: the very same statement, once, at another proxy. A
-/// client that received no answer does not retry, since it can't know what a crashed proxy had forwarded.
+/// The rule by which clients retry a write that was answered as failed: the very same statement, once, at
+/// another proxy. A client that received no answer does not retry, since it can't know what a crashed proxy
+/// had forwarded.
 #[derive(Clone, Debug, Default)]
 pub struct WriteRetries {
     /// The delay before the retry.
@@ -24,7 +25,7 @@
 }
 
 impl WriteRetries {
-    /// The proxy at which a client of `proxy` retries the request with this number.
+    /// Returns the proxy at which a client of `proxy` retries the request with this number.
     fn proxy_for(&self, proxy: usize, number: u64) -> Option<usize> {
         let reachable = self.reachable_proxies.get(proxy)?;
         let others: Vec<usize> = reachable.iter().copied().filter(|other| *other != proxy).collect();
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Whether a proxy answers an empty query, which it does once it can serve.
+    /// Returns whether a proxy answers an empty query, which it does once it can serve.
     pub async fn is_ready(&self, proxy: usize) -> bool {
         let Some(mut connection) = self.connect(proxy).await else { return false };
         connection.query("").await == Some(ResponseKind::Done)
--- a/crates/lab/src/load/connection.rs
+++ b/crates/lab/src/load/connection.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// The SQL text of a request with its comment for the router.
+/// Returns the SQL text of a request with its comment for the router.
 pub(super) fn statement(number: u64, class: usize, group: usize, min_position_ms: Option<i64>) -> String {
     let class = &CLASSES[class];
     let name = class.name;
--- a/crates/lab/src/load/record.rs
+++ b/crates/lab/src/load/record.rs
@@ -3,7 +3,7 @@
 use crate::member_model::Micros;
 use std::fmt;
 
-/// How a request ended for its client.
+/// The outcome of a request, as its client observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
     /// The client received a value.
@@ -45,16 +45,16 @@
     pub group: usize,
     /// The position that its data had to include, in Unix milliseconds.
     pub min_position_ms: Option<i64>,
-    /// When the request was due, in µs of Unix time.
+    /// The time at which the request was due, in µs of Unix time.
     pub due_at: Micros,
-    /// When it ended for its client, in µs of Unix time.
+    /// The time at which it ended for its client, in µs of Unix time.
     pub finished_at: Micros,
-    /// How it ended.
+    /// The outcome.
     pub outcome: ClientOutcome,
 }
 
 impl RequestRecord {
-    /// Whether the request is of a class and ended with an outcome.
+    /// Returns whether the request is of a class and ended with an outcome.
     pub(super) fn is(&self, class: usize, outcome: ClientOutcome) -> bool {
         self.class == class && self.outcome == outcome
     }
--- a/crates/lab/src/member_model.rs
+++ b/crates/lab/src/member_model.rs
@@ -83,12 +83,12 @@
         self.script_start = start;
     }
 
-    /// A member's position in Unix milliseconds, rounded down.
+    /// Returns a member's position in Unix milliseconds, rounded down.
     pub fn position_ms(&self, member: usize) -> i64 {
         self.members[member].applied_position as i64 / 1000
     }
 
-    /// A member's load report, as it answers `SHOW load`.
+    /// Returns a member's load report, as it answers `SHOW load`.
     pub fn load_report(&self, member: usize) -> String {
         let member = &self.members[member];
         let position = member.applied_position as i64;
--- a/crates/lab/src/member_model/admission.rs
+++ b/crates/lab/src/member_model/admission.rs
@@ -1,4 +1,4 @@
-//! How a member admits or rejects a request, and what the model checks at that moment.
+//! The admission of requests at a member, and the checks that the model makes on admission.
 
 use super::{
     Member, MemberModel, Micros, RequestClass, CLASSES, COLLAPSE_MULTIPLE, COLLAPSE_WINDOW, CORES,
@@ -8,7 +8,7 @@
 
 /// The number of requests that may be queued at a member beside those that its cores work on.
 const QUEUE_CAPACITY: usize = 60;
-/// How old the data of a bounded read may be when it is served, as in the classes of the configuration.
+/// The maximum age of the data of a bounded read when it is served, as in the classes of the configuration.
 const MAX_READ_AGE: Micros = 200_000;
 /// The tolerance for every time limit, since the run uses real sockets.
 const TIME_TOLERANCE: Micros = 50_000;
@@ -37,7 +37,7 @@
 }
 
 impl MemberModel {
-    /// The fraction of its full capacity that a member has now: it grows while the member warms up.
+    /// Returns the fraction of its full capacity that a member has now: it grows while the member warms up.
     pub fn capacity(&self, member: usize) -> f64 {
         self.capacity_at(member, self.now)
     }
@@ -121,8 +121,8 @@
         member.has_collapsed |= overload > 1.0;
     }
 
-    /// The requests of mean work within [`COLLAPSE_WINDOW`] that a member survives: [`COLLAPSE_MULTIPLE`]
-    /// times what it can serve at the window's start.
+    /// Returns the requests of mean work within [`COLLAPSE_WINDOW`] that a member survives:
+    /// [`COLLAPSE_MULTIPLE`] times what it can serve at the window's start.
     fn collapse_budget(&self, member: usize) -> f64 {
         let capacity = self.capacity_at(member, self.now - COLLAPSE_WINDOW);
         let sustainable = CORES as f64 / self.mix.mean_work() * COLLAPSE_WINDOW as f64 * capacity;
@@ -131,7 +131,7 @@
 }
 
 impl Member {
-    /// Whether a read here would return data older than its class or its minimum position allows.
+    /// Returns whether a read here would return data older than its class or its minimum position allows.
     fn is_stale_for(&self, class: &RequestClass, min_position_ms: Option<i64>, now: Micros) -> bool {
         if self.is_primary {
             return false;
--- a/crates/lab/src/member_model/advance.rs
+++ b/crates/lab/src/member_model/advance.rs
@@ -1,11 +1,11 @@
-//! What the passing of time does to the members: faults, restarts, failovers and log replication.
+//! The changes of members over time: faults, restarts, failovers and log replication.
 
 use super::{Member, MemberModel, Micros};
 use crate::timeline::{FaultKind, ScriptedFault, Timeline};
 
 /// The delay after which a replica receives the log.
 const REPLICATION_DELAY: Micros = 8_000;
-/// How many times as fast as time passes a replica applies the log that it lags behind.
+/// The speed at which a replica applies the log that it lags behind, as a multiple of real time.
 const CATCH_UP_SPEED: f64 = 3.0;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The seconds since the script began; negative before.
+    /// Returns the seconds since the script began; negative before.
     fn script_second(&self) -> f64 {
         (self.now - self.script_start) as f64 / 1e6
     }
@@ -70,7 +70,7 @@
             .collect()
     }
 
-    /// The first member of a group, while it is the primary.
+    /// Returns the first member of a group, while it is the primary.
     fn initial_primary(&self, group: usize) -> Option<usize> {
         let first =
             self.members.iter().position(|member| member.group == group && member.name.ends_with("m0"))?;
--- a/crates/lab/src/member_model/member.rs
+++ b/crates/lab/src/member_model/member.rs
@@ -31,13 +31,13 @@
     pub(super) slowdown: f64,
     /// The long-running reads in flight; they block the thread that applies the log.
     pub(super) long_reads_in_flight: usize,
-    /// When each core has finished the work that is queued for it.
+    /// The time at which each core has finished the work that is queued for it.
     pub core_free_at: [Micros; CORES],
     /// The requests in flight.
     pub(super) in_flight: usize,
     /// The number of writes that it has run.
     pub writes: u64,
-    /// When it last started; 0 if it has been up since before the run.
+    /// The time of its last start; 0 if it has been up since before the run.
     pub started_at: Micros,
     /// The arrivals within the last [`COLLAPSE_WINDOW`](super::COLLAPSE_WINDOW), with their work in requests
     /// of mean work.
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The role as service discovery and the member itself name it.
+    /// Returns the role as service discovery and the member itself name it.
     pub fn role(&self) -> &'static str {
         if self.is_primary {
             "primary"
@@ -85,8 +85,8 @@
     }
 }
 
-/// How a member behaves apart from the scripted faults: the agent on its machine sets this for a restart, a
-/// drain or the version that the member runs.
+/// The behavior of a member apart from the scripted faults. The agent on its machine sets this for a restart,
+/// a drain or the version that the member runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberBehavior {
     /// Whether it is draining, and rejects new requests.
--- a/crates/lab/src/member_model/request_class.rs
+++ b/crates/lab/src/member_model/request_class.rs
@@ -22,12 +22,13 @@
 }
 
 impl RequestClass {
-    /// Whether its requests are writes, which only a primary accepts.
+    /// Returns whether requests of the class are writes, which only a primary accepts.
     pub fn is_write(&self) -> bool {
         self.name == "write"
     }
 
-    /// Whether its requests are long-running reads, which block the log apply thread of a replica.
+    /// Returns whether requests of the class are long-running reads, which block the log apply thread of a
+    /// replica.
     pub fn is_long_read(&self) -> bool {
         self.name == "report"
     }
@@ -81,13 +82,13 @@
 pub struct ClassMix([f64; CLASSES.len()]);
 
 impl ClassMix {
-    /// The usual mix.
+    /// Returns the usual mix.
     pub fn usual() -> ClassMix {
         ClassMix::with_reports(USUAL_REPORTS_PER_MILLE)
     }
 
-    /// The mix with `per_mille` long-running reads per thousand requests; the other classes share the rest in
-    /// the usual proportions.
+    /// Returns the mix with `per_mille` long-running reads per thousand requests; the other classes share the
+    /// rest in the usual proportions.
     pub fn with_reports(per_mille: u64) -> ClassMix {
         let reports = per_mille as f64 / 1000.0;
         let others: f64 = CLASSES.iter().filter(|c| !c.is_long_read()).map(|c| c.fraction).sum();
@@ -100,12 +101,12 @@
         }))
     }
 
-    /// The mean work of a request, in µs.
+    /// Returns the mean work of a request, in µs.
     pub fn mean_work(&self) -> f64 {
         self.0.iter().zip(&CLASSES).map(|(fraction, class)| fraction * class.mean_work).sum()
     }
 
-    /// The class that a random number from 0 to 1 draws.
+    /// Returns the class that a random number from 0 to 1 draws.
     pub fn draw(&self, mut number: f64) -> usize {
         let drawn = self.0.iter().position(|fraction| {
             number -= fraction;
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -48,7 +48,7 @@
 
 /// The results of a run.
 pub struct RunResults {
-    /// When the load started.
+    /// The time at which the load started.
     pub start: Micros,
     /// The load, with each request as its client observed it.
     pub load: Rc<Load>,
@@ -56,8 +56,8 @@
     pub kills: Vec<(usize, Micros, Micros)>,
     /// The number of writes that members executed.
     pub writes: u64,
-    /// By member name: the most work that was sent to it while it warmed up, as a fraction of what makes it
-    /// collapse.
+    /// The most work that was sent to each member while it warmed up, as a fraction of what makes it
+    /// collapse, by member name.
     pub slow_start_peaks: Vec<(String, f64)>,
     /// The resources that each proxy had used at the end.
     pub process_usage: Vec<ProcessUsage>,
@@ -171,7 +171,7 @@
     })
 }
 
-/// The requests to a proxy that ended for their clients within a span.
+/// Returns the requests to a proxy that ended for their clients within a span.
 pub fn finished_within(
     requests: &[RequestRecord],
     proxy: usize,
@@ -182,7 +182,7 @@
         .filter(move |request| request.proxy == proxy && (span.0..span.1).contains(&request.finished_at))
 }
 
-/// The directory of a run's record stores.
+/// Returns the directory of a run's record stores.
 pub fn records_directory(directory: &Path) -> PathBuf {
     directory.join("records")
 }
--- a/crates/lab/src/run/configure.rs
+++ b/crates/lab/src/run/configure.rs
@@ -43,8 +43,8 @@
     std::fs::write(file("xml"), format!("<wharfplank>\n  {element}\n</wharfplank>\n"))
 }
 
-/// The settings of a proxy that gossips, replicates what it learns, and judges the health of members together
-/// with the other proxies. Its seeds are proxies that receive no load.
+/// Returns the settings of a proxy that gossips, replicates what it learns, and judges the health of members
+/// together with the other proxies. Its seeds are proxies that receive no load.
 fn gossip_settings(addresses: &[SocketAddr], number: usize) -> String {
     let seeds: Vec<String> = addresses.iter().skip(3).take(3).map(ToString::to_string).collect();
     format!(
--- a/crates/lab/src/run/process.rs
+++ b/crates/lab/src/run/process.rs
@@ -10,9 +10,9 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// How long a proxy may take until it listens.
+/// The maximum time from the start of a proxy until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a proxy may take to exit after SIGTERM.
+/// The maximum time that a proxy takes to exit after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The resources that a process has used.
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The resources that the process has used; none if `/proc` does not provide them.
+    /// Returns the resources that the process has used, or `None` if `/proc` does not provide them.
     pub(super) fn usage(&self) -> Option<ProcessUsage> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
@@ -122,7 +122,7 @@
     }
 }
 
-/// The CPU time in a `stat` file of `/proc`, in seconds.
+/// Returns the CPU time in a `stat` file of `/proc`, in seconds.
 fn cpu_seconds(path: &str) -> Option<f64> {
     let stat = std::fs::read_to_string(path).ok()?;
     let rest: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
--- a/crates/lab/src/stand_ins.rs
+++ b/crates/lab/src/stand_ins.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often the model is advanced.
+/// The interval at which the model is advanced.
 const ADVANCE_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The stand-in members of one run, and their service discovery.
@@ -68,7 +68,7 @@
         self.list_version.set(self.list_version.get() + 1);
     }
 
-    /// The member model, with its counters.
+    /// Returns the member model, with its counters.
     pub fn model(&self) -> Ref<'_, MemberModel> {
         self.model.borrow()
     }
@@ -85,7 +85,7 @@
         self.model.borrow_mut().start_script(start);
     }
 
-    /// The number of writes that all members have run.
+    /// Returns the number of writes that all members have run.
     pub fn writes(&self) -> u64 {
         self.model.borrow().members.iter().map(|member| member.writes).sum()
     }
--- a/crates/lab/src/stand_ins/discovery.rs
+++ b/crates/lab/src/stand_ins/discovery.rs
@@ -12,7 +12,7 @@
 
 /// The longest time that a poll may wait for a change, in milliseconds.
 const MAX_POLL_WAIT_MS: u64 = 60_000;
-/// How often a waiting poll looks for a change.
+/// The interval at which a waiting poll checks for a change.
 const CHANGE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const MICROS_PER_MS: u64 = 1000;
 
@@ -29,7 +29,7 @@
         Ok(address)
     }
 
-    /// The complete endpoint list in the form of service discovery.
+    /// Returns the complete endpoint list in the form of service discovery.
     pub fn endpoint_list(&self) -> Value {
         let model = self.model.borrow();
         let addresses = self.addresses.borrow();
@@ -59,7 +59,8 @@
         Ok(())
     }
 
-    /// The answer to a poll: the endpoint list, or that nothing has changed since the version in the poll.
+    /// Returns the answer to a poll: the endpoint list, or that nothing has changed since the version in the
+    /// poll.
     async fn answer_poll(&self, head: &str) -> Value {
         let Some(known_version) = query_number(head, "index") else { return self.endpoint_list() };
         let wait_ms = query_number(head, "wait").unwrap_or(0).min(MAX_POLL_WAIT_MS);
@@ -101,7 +102,7 @@
     Ok(Some(String::from_utf8_lossy(&head).into_owned()))
 }
 
-/// The number that a query parameter of a request has.
+/// Returns the number that a query parameter of a request has.
 fn query_number(head: &str, name: &str) -> Option<u64> {
     let (_, value) = head.split_once(&format!("{name}="))?;
     let digits: String = value.chars().take_while(char::is_ascii_digit).collect();
--- a/crates/lab/src/stand_ins/member_server.rs
+++ b/crates/lab/src/stand_ins/member_server.rs
@@ -13,11 +13,11 @@
 use wharfplank_protocol::client_session::{ClientSession, Command};
 use wharfplank_protocol::request_comment;
 
-/// How often a connection to an unresponsive member checks whether it responds again.
+/// The interval at which a connection to an unresponsive member checks whether it responds again.
 const RESPONSIVE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 const MICROS_PER_MS: i64 = 1000;
 
-/// What the bytes received so far hold.
+/// The result of parsing the bytes received so far.
 enum Input {
     /// No complete message.
     Incomplete,
--- a/crates/lab/src/stand_ins/response.rs
+++ b/crates/lab/src/stand_ins/response.rs
@@ -9,7 +9,7 @@
 /// The SQLSTATE of a request that is rejected for overload.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// Why a member rejects a request.
+/// The reason why a member rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rejection {
     /// A write came to a replica.
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -114,12 +114,13 @@
         }
     }
 
-    /// The sum of all counters whose names start with `prefix`, such as `refused.` for all rejections.
+    /// Returns the sum of all counters whose names start with `prefix`, such as `refused.` for all
+    /// rejections.
     pub fn total(&self, prefix: &str) -> u64 {
         self.totals.iter().filter(|(name, _)| name.starts_with(prefix)).map(|(_, n)| n).sum()
     }
 
-    /// The sum of all counters whose names start with `prefix`, by second.
+    /// Returns the sum of all counters whose names start with `prefix`, by second.
     pub fn totals_by_second(&self, prefix: &str) -> Vec<u64> {
         let mut sums: Vec<u64> = Vec::new();
         for (_, row) in self.by_second.iter().filter(|(name, _)| name.starts_with(prefix)) {
--- a/crates/lab/src/timeline.rs
+++ b/crates/lab/src/timeline.rs
@@ -61,10 +61,10 @@
     /// The kind of fault.
     #[serde(rename = "@kind")]
     pub kind: FaultKind,
-    /// When the fault starts, in seconds of the run.
+    /// The start of the fault, in seconds of the run.
     #[serde(rename = "@at")]
     pub at: u64,
-    /// How long the fault lasts, in seconds.
+    /// The duration of the fault, in seconds.
     #[serde(rename = "@for")]
     pub duration: u64,
     /// The targets, separated by white space: names of members, a group, a zone or a proxy.
@@ -102,12 +102,12 @@
 }
 
 impl ScriptedFault {
-    /// Whether the fault has a target of this name.
+    /// Returns whether the fault has a target of this name.
     pub fn has_target(&self, name: &str) -> bool {
         self.targets.split_whitespace().any(|n| n == name)
     }
 
-    /// Whether the fault is active at a second of the run.
+    /// Returns whether the fault is active at a second of the run.
     pub fn is_active_at(&self, second: f64) -> bool {
         (self.at as f64..(self.at + self.duration) as f64).contains(&second)
     }
--- a/crates/negative-cache/src/entries.rs
+++ b/crates/negative-cache/src/entries.rs
@@ -13,7 +13,7 @@
 pub struct NegativeEntry {
     /// The position up to which the key is known to have had no row.
     pub position: Micros,
-    /// When the entry expires, no matter how far its position has advanced.
+    /// The time at which the entry expires, no matter how far its position has advanced.
     #[serde(rename = "ends")]
     pub expires_at: Micros,
     /// The key that the statement queries, hashed as in writes.
--- a/crates/negative-cache/src/node/server.rs
+++ b/crates/negative-cache/src/node/server.rs
@@ -8,7 +8,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How many times each seal is sent. A seal that is lost every time leaves a gap that no entry can cross.
+/// The number of times that each seal is sent. A seal that is lost every time leaves a gap that no entry can
+/// cross.
 const SEAL_TRANSMISSIONS: u32 = 4;
 /// Maximum number of seals in one message.
 const MAX_SEALS_PER_MESSAGE: usize = 32;
--- a/crates/negative-cache/src/write_lease.rs
+++ b/crates/negative-cache/src/write_lease.rs
@@ -12,7 +12,7 @@
 struct ServerState {
     last_sequence: u64,
     requested_at: Micros,
-    /// When each unanswered request was sent, by its sequence number.
+    /// The time at which each unanswered request was sent, by its sequence number.
     open_requests: BTreeMap<u64, Micros>,
     expires_at: Micros,
     /// The server has received all closed slots up to this one.
--- a/crates/report/src/error.rs
+++ b/crates/report/src/error.rs
@@ -1,11 +1,11 @@
-//! Why a report cannot be rendered.
+//! The errors of rendering a report.
 
 use plotters::drawing::DrawingAreaErrorKind;
 
-/// Why a plot cannot be drawn.
+/// The reason why a plot cannot be drawn.
 pub type PlotError = DrawingAreaErrorKind<std::io::Error>;
 
-/// Why a report cannot be rendered.
+/// The reason why a report cannot be rendered.
 #[derive(Debug, thiserror::Error)]
 pub enum RenderError {
     /// The template is invalid or cannot be rendered.
--- a/crates/report/src/facts/answers.rs
+++ b/crates/report/src/facts/answers.rs
@@ -37,12 +37,12 @@
         self.took += sums.took;
     }
 
-    /// The number of all answers.
+    /// Returns the number of all answers.
     pub fn total(&self) -> u64 {
         self.served + self.late + self.unsuccessful()
     }
 
-    /// The number of rejections and failures.
+    /// Returns the number of rejections and failures.
     pub fn unsuccessful(&self) -> u64 {
         self.rejected.values().sum::<u64>() + self.failed.values().sum::<u64>()
     }
@@ -53,7 +53,7 @@
     *reasons.entry(reason.to_string()).or_default() += count;
 }
 
-/// The answers of some proxies by class.
+/// Returns the answers of some proxies by class.
 pub(super) fn class_totals<'a>(
     proxies: impl IntoIterator<Item = &'a ProxyEvidence>,
 ) -> BTreeMap<String, AnswerTotals> {
--- a/crates/report/src/facts/members.rs
+++ b/crates/report/src/facts/members.rs
@@ -30,7 +30,7 @@
     pub in_flight: Vec<Option<u32>>,
 }
 
-/// What proxies observed of one member in one bin.
+/// The observations of one member by all proxies in one bin.
 #[derive(Clone, Default)]
 struct MemberBin {
     observations: u32,
@@ -77,14 +77,14 @@
     }
 }
 
-/// The lag that an observation shows, unless the position is unknown or old.
+/// Returns the lag that an observation shows, unless the position is unknown or old.
 fn current_lag(observation: &MemberObservation) -> Option<Lag> {
     let seen_at = observation.position_seen_at;
     let is_current = seen_at > 0 && observation.at - seen_at <= MAX_POSITION_AGE;
     is_current.then(|| Lag { seen_at, lag_ms: (seen_at - observation.position) / MILLISECOND })
 }
 
-/// The facts of all members, by name.
+/// Returns the facts of all members, by name.
 pub(super) fn member_facts(evidence: &Evidence) -> Vec<MemberFacts> {
     evidence.members().into_iter().map(|name| facts_of(evidence, name)).collect()
 }
@@ -109,7 +109,7 @@
     }
 }
 
-/// The index of the bin that contains a time, unless the time is before the span.
+/// Returns the index of the bin that contains a time, unless the time is before the span.
 fn bin_index(evidence: &Evidence, at: Micros) -> Option<usize> {
     let since_first_bin = at - evidence.bin_of(evidence.from);
     usize::try_from(since_first_bin / evidence.bin).ok()
--- a/crates/report/src/facts/mod.rs
+++ b/crates/report/src/facts/mod.rs
@@ -35,7 +35,7 @@
     pub to: Micros,
     /// The length of a bin of the series, in µs.
     pub bin: Micros,
-    /// What happened, in sentences.
+    /// A summary of what happened, in sentences.
     pub summary: Vec<String>,
     /// The incidents, by their start.
     pub incidents: Vec<Incident>,
@@ -53,7 +53,7 @@
     /// The first of the reads that were rejected as too stale.
     #[serde(rename = "stale")]
     pub stale_reads: Vec<StaleRead>,
-    /// What could not be read.
+    /// Records that could not be read, described in sentences for people.
     pub problems: Vec<String>,
 }
 
@@ -79,7 +79,7 @@
         facts
     }
 
-    /// The time from the start of the span, in seconds.
+    /// Returns the time from the start of the span, in seconds.
     pub fn seconds_since_start(&self, at: Micros) -> f64 {
         (at - self.from) as f64 / 1e6
     }
--- a/crates/report/src/facts/proxies.rs
+++ b/crates/report/src/facts/proxies.rs
@@ -26,13 +26,13 @@
     pub from: Micros,
     /// The end, in µs of Unix time.
     pub to: Micros,
-    /// Why the records are missing.
+    /// The reason why the records are missing.
     pub cause: &'static str,
     /// The number of missing records, where it is known.
     pub count: Option<u64>,
 }
 
-/// The facts of all proxies, by name.
+/// Returns the facts of all proxies, by name.
 pub(super) fn proxy_facts(evidence: &Evidence) -> Vec<ProxyFacts> {
     let mut proxies = Vec::new();
     for (name, proxy) in &evidence.proxies {
--- a/crates/report/src/facts/series.rs
+++ b/crates/report/src/facts/series.rs
@@ -27,7 +27,7 @@
 }
 
 impl BinFacts {
-    /// The numbers of answers of one class, or of all classes.
+    /// Returns the numbers of answers of one class, or of all classes.
     pub fn outcomes(&self, class: Option<&str>) -> OutcomeCounts {
         match class {
             Some(class) => self.classes.get(class).copied().unwrap_or_default(),
@@ -52,7 +52,7 @@
     }
 }
 
-/// The answers of all proxies, by bin.
+/// Returns the answers of all proxies, by bin.
 pub(super) fn bin_series(evidence: &Evidence) -> Vec<BinFacts> {
     let mut bins: BTreeMap<Micros, BinFacts> = BTreeMap::new();
     for at in evidence.bins() {
--- a/crates/report/src/facts/summary.rs
+++ b/crates/report/src/facts/summary.rs
@@ -5,7 +5,7 @@
 use super::Facts;
 use wharfplank_incidents::{Confidence, Incident, Kind};
 
-/// The sentences of the summary: all answers, each incident, each gap, and the stale reads.
+/// Returns the sentences of the summary: all answers, each incident, each gap, and the stale reads.
 pub(super) fn summarise(facts: &Facts) -> Vec<String> {
     let mut sentences = vec![describe_answers(facts)];
     sentences.extend(facts.incidents.iter().map(|incident| describe_incident(facts, incident)));
@@ -21,7 +21,7 @@
     sentences
 }
 
-/// An incident's title.
+/// Returns the title of an incident.
 pub fn incident_title(incident: &Incident) -> String {
     match incident.kind {
         Kind::SlowApply => format!("Slow log apply on {} members", incident.members.len()),
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -118,7 +118,7 @@
     Ok(plots)
 }
 
-/// A row for each class and reason of rejections or failures.
+/// Returns a row for each class and reason of rejections or failures.
 fn reason_rows(facts: &Facts) -> Vec<Value> {
     let mut rows = Vec::new();
     for (class, totals) in &facts.classes {
--- a/crates/report/src/plot/mod.rs
+++ b/crates/report/src/plot/mod.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// The length of the axis of time, in seconds.
+/// Returns the length of the axis of time, in seconds.
 fn time_axis_length(facts: &Facts) -> f64 {
     facts.seconds_since_start(facts.to).max(1.0)
 }
--- a/crates/report/src/plot/timeline.rs
+++ b/crates/report/src/plot/timeline.rs
@@ -85,7 +85,7 @@
     Ok(svg)
 }
 
-/// The rows from the top: incidents, then each proxy's gaps.
+/// Returns the rows from the top: incidents, then each proxy's gaps.
 fn rows(facts: &Facts) -> Vec<Row> {
     let mut rows = Vec::new();
     for incident in &facts.incidents {
--- a/crates/rollout/src/budget.rs
+++ b/crates/rollout/src/budget.rs
@@ -58,18 +58,18 @@
         Inventory { nodes, budget, permit_servers, digest }
     }
 
-    /// The number of permit servers in use.
+    /// Returns the number of permit servers in use.
     pub fn permit_servers(&self) -> u32 {
         self.permit_servers
     }
 
-    /// A hash of the whole inventory and budget. A permit server grants no permits to a controller whose
-    /// hash differs.
+    /// Returns a hash of the whole inventory and budget. A permit server grants no permits to a controller
+    /// whose hash differs.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The whole budget.
+    /// Returns the whole budget.
     pub fn budget(&self) -> DisruptionBudget {
         self.budget
     }
@@ -80,12 +80,12 @@
         group % self.permit_servers
     }
 
-    /// Each permit server's quota of every zone's budget.
+    /// Returns each permit server's quota of every zone's budget.
     pub fn zone_quota(&self) -> u32 {
         self.budget.per_zone / self.permit_servers
     }
 
-    /// Each permit server's quota of the fleet's budget.
+    /// Returns each permit server's quota of the fleet's budget.
     pub fn fleet_quota(&self) -> u32 {
         self.budget.fleet / self.permit_servers
     }
@@ -95,7 +95,7 @@
         self.nodes.get(&id).copied()
     }
 
-    /// All nodes, ordered by id.
+    /// Returns all nodes, ordered by id.
     pub fn nodes(&self) -> impl Iterator<Item = &Node> {
         self.nodes.values()
     }
--- a/crates/rollout/src/controller/health_gate.rs
+++ b/crates/rollout/src/controller/health_gate.rs
@@ -1,4 +1,4 @@
-//! The health gates of a rollout: the canary analysis, the time-out for restarted members, and the
+//! The health gates of a rollout: the canary analysis, the timeout for restarted members, and the
 //! conditions for the start of the next wave.
 
 use super::{RolloutController, Tick};
--- a/crates/rollout/src/peer/mod.rs
+++ b/crates/rollout/src/peer/mod.rs
@@ -213,7 +213,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The rollouts that this proxy knows.
+    /// Returns the rollouts that this proxy knows.
     pub fn rollouts(&self) -> &RolloutTable {
         &self.rollouts
     }
--- a/crates/rollout/src/plan/rollout.rs
+++ b/crates/rollout/src/plan/rollout.rs
@@ -91,7 +91,7 @@
         self.counts.values().fold(CanaryCounts::default(), |sum, counts| sum.plus(counts))
     }
 
-    /// The current phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase_revision.phase
     }
--- a/crates/rollout/tests/permit_rules.rs
+++ b/crates/rollout/tests/permit_rules.rs
@@ -8,8 +8,8 @@
 
 const ROLLOUT: RolloutId = RolloutId { started_ms: 1, started_by: 1 };
 
-/// Two groups of three, with members 0 and 3 as primaries. Two nodes may be out of service, one of each
-/// group.
+/// Returns two groups of three, with members 0 and 3 as primaries. Two nodes may be out of service, one of
+/// each group.
 fn inventory(fleet: u32) -> Inventory {
     let node = |id: NodeId| Node { id, group: id as u32 / 3, zone: id as u32 % 3, kind: NodeKind::Member };
     let budget = DisruptionBudget { per_group: 1, per_zone: 2, fleet, permit_servers: 1 };
--- a/crates/rollout/tests/permits/main.rs
+++ b/crates/rollout/tests/permits/main.rs
@@ -240,7 +240,7 @@
     checker.unique_state_count()
 }
 
-/// A model with requests and observations only.
+/// Returns a model with requests and observations only.
 fn without_faults(requests: u32, observations: Micros) -> PermitModel {
     PermitModel { requests, observations, network_faults: 0, crashes: 0, server_restarts: 0 }
 }
--- a/crates/settings/src/xml_tree.rs
+++ b/crates/settings/src/xml_tree.rs
@@ -75,7 +75,11 @@
         })?;
         match event {
             Event::Start(_) if tree.open.len() >= MAX_DEPTH => {
-                return Err(fault(line, WHOLE_FILE, "elements are nested too deeply".to_string()));
+                return Err(fault(
+                    line,
+                    WHOLE_FILE,
+                    format!("elements are nested more than {MAX_DEPTH} levels deep"),
+                ));
             }
             Event::Start(start) => tree.open.push(parse_element(&start, line)?),
             Event::Empty(start) => tree.close(parse_element(&start, line)?, line)?,
--- a/crates/shared-state/src/state/exchange.rs
+++ b/crates/shared-state/src/state/exchange.rs
@@ -25,7 +25,7 @@
 /// The maximum number of datagrams queued for the driver. When the queue is full, the oldest is dropped.
 const MAX_OUTGOING: usize = 256;
 
-/// How an entry reached this proxy.
+/// The way in which an entry reached this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
     /// As a rumour. It is propagated further.
--- a/crates/shared-state/tests/exchange_model.rs
+++ b/crates/shared-state/tests/exchange_model.rs
@@ -10,8 +10,8 @@
 const NOW: i64 = 10;
 const PROXIES: usize = 3;
 
-/// The entries that are recorded, each with the proxy that records it: two values of one key, and one of
-/// another.
+/// Returns the entries that are recorded, each with the proxy that records it: two values of one key, and one
+/// of another.
 fn recorded_entries() -> Vec<(usize, Key, Entry)> {
     vec![
         (0, Key::Position(1), Entry::new(Value::Position { epoch: 1, position: 5 }, NOW)),
