--- a/crates/fleet-harness/src/sweep.rs
+++ b/crates/fleet-harness/src/sweep.rs
@@ -20,7 +20,7 @@
 const MAX_REPEATS: usize = 2;
 
 /// A run of a sweep: its schedule, and its report or the reason why it did not complete.
-pub type Played = (Schedule, Result<Report, String>);
+pub type SweepRun = (Schedule, Result<Report, String>);
 
 /// Runs the schedules, `parallel_runs` at a time, each as a separate process (`lab fleet --replay`) with a
 /// directory of its own below `directory`. Directories of runs without rule violations are removed. The
@@ -30,7 +30,7 @@
     program: &Path,
     directory: &Path,
     parallel_runs: usize,
-) -> Vec<Played> {
+) -> Vec<SweepRun> {
     let schedules: Vec<Schedule> = schedules.into_iter().take(MAX_RUNS).collect();
     let next = AtomicUsize::new(0);
     let reports: Mutex<Vec<Option<Result<Report, String>>>> = Mutex::new(vec![None; schedules.len()]);
@@ -153,15 +153,15 @@
 }
 
 /// Totals the runs of each scenario.
-pub fn sums(played: &[Played]) -> Vec<Sum> {
+pub fn sums(played: &[SweepRun]) -> Vec<Sum> {
     let sum_of = |scenario: &Scenario| {
-        let scenario_runs: Vec<&Played> = played.iter().filter(|(s, _)| s.scenario == *scenario).collect();
+        let scenario_runs: Vec<&SweepRun> = played.iter().filter(|(s, _)| s.scenario == *scenario).collect();
         (!scenario_runs.is_empty()).then(|| sum(*scenario, &scenario_runs))
     };
     Scenario::ALL.iter().filter_map(sum_of).collect()
 }
 
-fn sum(scenario: Scenario, played: &[&Played]) -> Sum {
+fn sum(scenario: Scenario, played: &[&SweepRun]) -> Sum {
     let mut sum = Sum { scenario: scenario.name().to_string(), ..Sum::default() };
     let mut faults = 0.0;
     for (schedule, report) in played {
