--- a/crates/negative-cache/tests/model.rs
+++ b/crates/negative-cache/tests/model.rs
@@ -174,7 +174,7 @@
 /// expire: millions of states. Run with `make model`.
 #[test]
 #[ignore = "takes minutes"]
-fn no_longer_order_of_messages_writes_and_time_hides_a_write() {
+fn no_entry_crosses_an_unseen_write_in_a_larger_model() {
     let larger = Bounds { proxies: 1, servers: 1, steps: 7, requests: 3, writes: 1, faults: 0, kills: 0 };
     assert!(check(larger.clone()) > 1_000_000);
     assert!(check(Bounds { requests: 2, faults: 1, ..larger.clone() }) > 100_000);
--- a/crates/rollout/src/operator/command.rs
+++ b/crates/rollout/src/operator/command.rs
@@ -26,10 +26,10 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ParseCommandError {
     /// This word is not a version number.
-    #[error("{0:?} is no version")]
+    #[error("{0:?} is not a version number")]
     InvalidVersion(String),
     /// The text is none of the commands.
-    #[error("wants one of: start TARGET BACK, halt, resume, undo")]
+    #[error("expected one of: start TARGET PREVIOUS with different versions, halt, resume, undo")]
     UnknownCommand,
 }
 
--- a/crates/rollout/src/peer/commands.rs
+++ b/crates/rollout/src/peer/commands.rs
@@ -11,10 +11,10 @@
     #[error(transparent)]
     TableFull(#[from] TableFull),
     /// There is no rollout to which the command could apply.
-    #[error("no release is under way")]
+    #[error("there is no rollout to which the command applies")]
     NoRollout,
     /// The rollout is in that phase already, or is rolling back.
-    #[error("the release goes that way, or back, already")]
+    #[error("the rollout is in this phase already, or is rolling back")]
     PhaseUnchanged,
 }
 
--- a/crates/rollout/src/plan/table.rs
+++ b/crates/rollout/src/plan/table.rs
@@ -10,7 +10,7 @@
 
 /// The error that the table already holds [`MAX_ROLLOUTS`] rollouts, none of which is finished.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("as many releases are under way as are kept")]
+#[error("the maximum of {MAX_ROLLOUTS} unfinished rollouts is reached")]
 pub struct TableFull;
 
 /// The rollouts that a proxy knows, by id.
