--- a/crates/rollout/src/peer/message.rs
+++ b/crates/rollout/src/peer/message.rs
@@ -24,7 +24,7 @@
     PermitResponse(PermitServerId, PermitResponse),
     PermitReturn(PermitReturn),
     Rollout(Rollout),
-    /// Only tells that the sender is alive.
+    /// An announcement that the sender is alive.
     Heartbeat,
 }
 
