--- a/crates/incidents/src/find/partition.rs
+++ b/crates/incidents/src/find/partition.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wharfplank_records::Micros;
 
-/// Fewer zones cannot be partitioned from each other.
+/// A partition needs at least this many zones.
 const MIN_ZONES: usize = 2;
-/// Suspicion of fewer members in a zone points to the members and not to the zone.
+/// If a zone has fewer members, their suspicion points to the members and not to the zone.
 const MIN_MEMBERS: u32 = 2;
 
 /// The active members that one proxy observed in one bin, and how many of them it suspected.
@@ -19,18 +19,19 @@
 }
 
 impl SuspicionCount {
-    /// Whether at least two thirds of enough members are suspected.
+    /// Returns whether at least two thirds of enough members are suspected.
     fn is_mostly_suspected(self) -> bool {
         self.members >= MIN_MEMBERS && self.suspected * 3 >= self.members * 2
     }
 
-    /// Whether fewer than half of the members are suspected.
+    /// Returns whether fewer than half of the members are suspected.
     fn is_mostly_trusted(self) -> bool {
         self.suspected * 2 < self.members
     }
 }
 
-/// By zone and bin: whether a proxy in another zone suspected most members of the zone, but not those of the others.
+/// Returns, by zone and bin, whether a proxy in another zone suspected most members of the zone, but not
+/// those of the others.
 pub(super) fn partitioned_zones(evidence: &Evidence) -> BTreeMap<String, Series> {
     let zones: BTreeSet<&String> = evidence.zones.values().collect();
     let mut partitions: BTreeMap<String, Series> = BTreeMap::new();
@@ -49,7 +50,7 @@
     partitions
 }
 
-/// Whether one proxy, which is in another zone, saw the zone partitioned, by bin.
+/// Returns by bin whether one proxy, which is in another zone, saw the zone partitioned.
 fn observed_partition(evidence: &Evidence, proxy: &ProxyEvidence, zone: &String) -> Series {
     let mut inside: BTreeMap<Micros, SuspicionCount> = BTreeMap::new();
     let mut outside: BTreeMap<Micros, SuspicionCount> = BTreeMap::new();
@@ -70,7 +71,7 @@
     series
 }
 
-/// The spans in which a zone was partitioned.
+/// Finds the spans in which a zone was partitioned.
 pub(super) fn detect(evidence: &Evidence, partitions: &BTreeMap<String, Series>) -> Vec<Incident> {
     let mut incidents = Vec::new();
     for (zone, series) in partitions {
--- a/crates/incidents/src/find/restart_wave.rs
+++ b/crates/incidents/src/find/restart_wave.rs
@@ -10,7 +10,7 @@
 
 /// A proxy that goes down within this time of the previous one's return belongs to the same wave.
 const MAX_PAUSE: Micros = 30 * SECOND;
-/// Restarts of fewer proxies are no wave.
+/// Restarts of fewer proxies are not a wave.
 const MIN_PROXIES: usize = 2;
 
 /// One proxy's restart, ordered by its start.
@@ -21,7 +21,7 @@
     proxy: &'a str,
 }
 
-/// The waves of restarts.
+/// Finds the waves of restarts.
 pub(super) fn detect(evidence: &Evidence) -> Vec<Incident> {
     let waves = group_into_waves(restarts(evidence));
     waves.iter().filter_map(|wave| wave_incident(evidence, wave)).collect()
--- a/crates/incidents/src/find/runs.rs
+++ b/crates/incidents/src/find/runs.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use wharfplank_records::Micros;
 
-/// Breaks up to this long do not end a run, whether the condition did not hold in them or is unknown.
+/// Breaks up to this long, in which the condition does not hold or is unknown, do not end a run.
 const MAX_BREAK: Micros = 5 * SECOND;
 /// Shorter runs are discarded.
 const MIN_LENGTH: Micros = 3 * SECOND;
@@ -25,13 +25,13 @@
 }
 
 impl Run {
-    /// The length of the run, in µs.
+    /// Returns the length of the run, in µs.
     pub fn length(&self) -> Micros {
         self.to - self.from
     }
 }
 
-/// The runs of bins in which the condition held.
+/// Finds the runs of bins in which the condition held.
 pub(super) fn find_runs(evidence: &Evidence, series: &Series) -> Vec<Run> {
     let first_bin = series.keys().next().copied().unwrap_or(0);
     let last_bin = series.keys().last().copied().unwrap_or(0);
--- a/crates/incidents/src/gather/store.rs
+++ b/crates/incidents/src/gather/store.rs
@@ -7,7 +7,7 @@
 use wharfplank_records::reader::{BlockFilter, NameKind, StoreReader};
 use wharfplank_records::{Micros, Outcome, Record};
 
-/// What one store shows.
+/// The evidence in one store.
 #[derive(Default)]
 pub(super) struct StoreEvidence {
     /// The evidence of the store's proxy.
@@ -18,7 +18,7 @@
     pub stale_reads: Vec<StaleRead>,
     /// The number of all reads that were rejected as too stale.
     pub stale_read_count: u64,
-    /// What the reader of the evidence should know of the store.
+    /// Records that the evidence lacks, described in sentences for people.
     pub problems: Vec<String>,
 }
 
@@ -39,7 +39,7 @@
     Ok(store)
 }
 
-/// The zone that the proxy had in its last run.
+/// Returns the zone that the proxy had in its last run.
 fn proxy_zone(source: &StoreReader) -> Option<String> {
     let names = source.runs.iter().filter_map(|run| source.name(run.id, NameKind::Proxy, 0));
     names.last().map(|name| name.detail.clone())
@@ -67,7 +67,7 @@
                     *sums.not_served.entry((bin, group, outcome)).or_default() += 1;
                 }
                 if let Some(member) = member {
-                    // A latency tells of the member at the time of the request.
+                    // A latency describes the member at the time of the request, not of the answer.
                     let request_bin = frame.bin_of(at - took);
                     sums.served.entry((request_bin, member, class)).or_default().add(attempts, took);
                 }
--- a/crates/incidents/src/gather/sums.rs
+++ b/crates/incidents/src/gather/sums.rs
@@ -6,8 +6,8 @@
 use wharfplank_records::reader::{NameKind, StoreReader};
 use wharfplank_records::{Micros, Outcome};
 
-/// Sums over the records of one run, by the run's numbers of members and classes. Names are resolved once at the end,
-/// since a day has millions of answers.
+/// Sums over the records of one run, by the numbers that the run gave its members and classes. Names are
+/// resolved only once at the end, since a day has millions of answers.
 #[derive(Default)]
 pub(super) struct RunSums {
     /// Answers by bin, class and outcome.
@@ -23,7 +23,7 @@
 }
 
 impl RunSums {
-    /// Adds an observation. In a long span one a bin is kept, the last.
+    /// Adds an observation. With coarse bins only the last observation in each bin is kept.
     pub fn add_observation(&mut self, frame: &Evidence, member: u32, observation: MemberObservation) {
         let keeps_one_per_bin = frame.bin > super::FINE_BIN;
         let bin = frame.bin_of(observation.at);
@@ -68,12 +68,12 @@
 }
 
 impl RunNames<'_> {
-    /// The name of a class, or its number where the name is unknown.
+    /// Returns the name of a class, or its number where the name is unknown.
     pub fn class(self, class: u16) -> String {
         self.resolve(NameKind::Class, class.into()).unwrap_or_else(|| format!("class {class}"))
     }
 
-    /// The name of a member, or its number where the name is unknown.
+    /// Returns the name of a member, or its number where the name is unknown.
     pub fn member(self, member: u32) -> String {
         self.resolve(NameKind::Member, member.into()).unwrap_or_else(|| format!("member {member}"))
     }
--- a/crates/lab/src/member_model/admission.rs
+++ b/crates/lab/src/member_model/admission.rs
@@ -1,4 +1,4 @@
-//! How a member admits or rejects a request, and what the model checks at that moment.
+//! The admission of requests at a member, and the checks that the model makes on admission.
 
 use super::{
     Member, MemberModel, Micros, RequestClass, CLASSES, COLLAPSE_MULTIPLE, COLLAPSE_WINDOW, CORES,
@@ -8,7 +8,7 @@
 
 /// The number of requests that may be queued at a member beside those that its cores work on.
 const QUEUE_CAPACITY: usize = 60;
-/// How old the data of a bounded read may be when it is served, as in the classes of the configuration.
+/// The maximum age of the data of a bounded read when it is served, as in the classes of the configuration.
 const MAX_READ_AGE: Micros = 200_000;
 /// The tolerance for every time limit, since the run uses real sockets.
 const TIME_TOLERANCE: Micros = 50_000;
@@ -25,19 +25,19 @@
     pub min_position_ms: Option<i64>,
 }
 
-/// Whether a member takes a request.
+/// The decision of a member on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request is in flight, and the answer is ready at this time.
     Admitted(Micros),
-    /// A write came to a member that is no primary.
+    /// The request is a write, and the member is not the primary.
     NotPrimary,
     /// The member's queue is full, it is draining, or it sheds load.
     Overloaded,
 }
 
 impl MemberModel {
-    /// The fraction of its full capacity that a member has now: it grows while the member warms up.
+    /// Returns the fraction of its full capacity that a member has now: it grows while the member warms up.
     pub fn capacity(&self, member: usize) -> f64 {
         self.capacity_at(member, self.now)
     }
@@ -47,10 +47,11 @@
         (WARM_UP_FLOOR + (1.0 - WARM_UP_FLOOR) * uptime / WARM_UP_TIME as f64).min(1.0)
     }
 
-    /// Admits or rejects a request at a member. Every request that is [`Admission::Admitted`] has to be ended with
-    /// [`MemberModel::finish_request`].
+    /// Admits or rejects a request at a member. Every request that is [`Admission::Admitted`] has to be ended
+    /// with [`MemberModel::finish_request`].
     pub fn admit(&mut self, member: usize, request: IncomingRequest<'_>) -> Admission {
-        // Drawn before any check, so that a rejected request takes a draw as well: seeds stay comparable.
+        // Drawn before any check, so that a rejected request uses a random number as well: runs of one seed stay
+        // comparable.
         let work_draw = -(1.0 - self.rng.random::<f64>()).ln();
         let class = &CLASSES[request.class];
         self.record_arrival(member, class);
@@ -100,8 +101,8 @@
 }
 
 impl MemberModel {
-    /// Records an arrival, also one that is rejected: a member that warms up collapses if all proxies together send it
-    /// more work than it can take.
+    /// Records an arrival, also one that is rejected: a member that warms up collapses if all proxies
+    /// together send it more work than it can take.
     fn record_arrival(&mut self, member: usize, class: &RequestClass) {
         let now = self.now;
         let work = class.mean_work / self.mix.mean_work();
@@ -120,8 +121,8 @@
         member.has_collapsed |= overload > 1.0;
     }
 
-    /// The requests of mean work within [`COLLAPSE_WINDOW`] that a member survives: [`COLLAPSE_MULTIPLE`] times what it
-    /// can serve at the window's start.
+    /// Returns the requests of mean work within [`COLLAPSE_WINDOW`] that a member survives:
+    /// [`COLLAPSE_MULTIPLE`] times what it can serve at the window's start.
     fn collapse_budget(&self, member: usize) -> f64 {
         let capacity = self.capacity_at(member, self.now - COLLAPSE_WINDOW);
         let sustainable = CORES as f64 / self.mix.mean_work() * COLLAPSE_WINDOW as f64 * capacity;
@@ -130,7 +131,7 @@
 }
 
 impl Member {
-    /// Whether a read here would return data older than its class or its minimum position allows.
+    /// Returns whether a read here would return data older than its class or its minimum position allows.
     fn is_stale_for(&self, class: &RequestClass, min_position_ms: Option<i64>, now: Micros) -> bool {
         if self.is_primary {
             return false;
--- a/crates/report/src/facts/members.rs
+++ b/crates/report/src/facts/members.rs
@@ -4,7 +4,7 @@
 use wharfplank_incidents::evidence::MemberObservation;
 use wharfplank_incidents::{Evidence, Micros};
 
-/// A position that was seen longer ago than this gives no replication lag.
+/// Positions that were seen longer ago than this are not used for the replication lag.
 const MAX_POSITION_AGE: Micros = 4_000_000;
 /// µs in a millisecond.
 const MILLISECOND: Micros = 1_000;
@@ -18,18 +18,19 @@
     pub group: u64,
     /// The member's zone, where it is known.
     pub zone: Option<String>,
-    /// The replication lag, in ms, when a proxy last saw the member's position; absent where none did lately.
+    /// The replication lag, in ms, when a proxy last saw the member's position; absent if no proxy saw it
+    /// recently.
     #[serde(rename = "behind_ms")]
     pub lag_ms: Vec<Option<i64>>,
-    /// Whether most proxies that observed the member took it for the primary; absent where none observed it.
+    /// Whether most proxies that observed the member considered it the primary; absent if none observed it.
     pub primary: Vec<Option<bool>>,
     /// The number of proxies that suspected the member.
     pub suspected: Vec<u32>,
-    /// Requests of all proxies in flight at the member, as last observed; absent where no proxy observed it.
+    /// Requests of all proxies in flight at the member, as last observed; absent if no proxy observed it.
     pub in_flight: Vec<Option<u32>>,
 }
 
-/// What proxies observed of one member in one bin.
+/// The observations of one member by all proxies in one bin.
 #[derive(Clone, Default)]
 struct MemberBin {
     observations: u32,
@@ -76,14 +77,14 @@
     }
 }
 
-/// The lag that an observation shows, unless the position is unknown or old.
+/// Returns the lag that an observation shows, unless the position is unknown or old.
 fn current_lag(observation: &MemberObservation) -> Option<Lag> {
     let seen_at = observation.position_seen_at;
     let is_current = seen_at > 0 && observation.at - seen_at <= MAX_POSITION_AGE;
     is_current.then(|| Lag { seen_at, lag_ms: (seen_at - observation.position) / MILLISECOND })
 }
 
-/// The facts of all members, by name.
+/// Returns the facts of all members, by name.
 pub(super) fn member_facts(evidence: &Evidence) -> Vec<MemberFacts> {
     evidence.members().into_iter().map(|name| facts_of(evidence, name)).collect()
 }
@@ -108,7 +109,7 @@
     }
 }
 
-/// The index of the bin that contains a time, unless the time is before the span.
+/// Returns the index of the bin that contains a time, unless the time is before the span.
 fn bin_index(evidence: &Evidence, at: Micros) -> Option<usize> {
     let since_first_bin = at - evidence.bin_of(evidence.from);
     usize::try_from(since_first_bin / evidence.bin).ok()
--- a/crates/report/src/facts/mod.rs
+++ b/crates/report/src/facts/mod.rs
@@ -1,6 +1,7 @@
 //! The facts of a report, with the version of their JSON form.
 //!
-//! The serialised field names and the order of the fields belong to the JSON form and do not change within a version.
+//! The serialised field names and the order of the fields belong to the JSON form and do not change within a
+//! version.
 
 mod answers;
 mod members;
@@ -19,8 +20,8 @@
 use wharfplank_incidents::evidence::StaleRead;
 use wharfplank_incidents::{find, Evidence, Incident, Micros};
 
-/// The version of the JSON form. It is increased when a field changes its meaning or is removed; new fields do not
-/// change it.
+/// The version of the JSON form. It is increased when a field changes its meaning or is removed; new fields
+/// do not change it.
 pub const VERSION: u32 = 1;
 
 /// All facts of a span.
@@ -34,7 +35,7 @@
     pub to: Micros,
     /// The length of a bin of the series, in µs.
     pub bin: Micros,
-    /// What happened, in sentences.
+    /// A summary of what happened, in sentences.
     pub summary: Vec<String>,
     /// The incidents, by their start.
     pub incidents: Vec<Incident>,
@@ -52,7 +53,7 @@
     /// The first of the reads that were rejected as too stale.
     #[serde(rename = "stale")]
     pub stale_reads: Vec<StaleRead>,
-    /// What could not be read.
+    /// Records that could not be read, described in sentences for people.
     pub problems: Vec<String>,
 }
 
@@ -78,7 +79,7 @@
         facts
     }
 
-    /// The time from the start of the span, in seconds.
+    /// Returns the time from the start of the span, in seconds.
     pub fn seconds_since_start(&self, at: Micros) -> f64 {
         (at - self.from) as f64 / 1e6
     }
--- a/src/bin/wharfplank-simulator-adapter/instance.rs
+++ b/src/bin/wharfplank-simulator-adapter/instance.rs
@@ -1,4 +1,4 @@
-//! A router instance, and how the lines for it are read with the help of its settings.
+//! A router instance, and the parsing of its lines, which depends on the instance's settings.
 
 use crate::error::{missing, unknown_value, LineError};
 use crate::message::{host_id, request_id, RosterEntry};
@@ -11,7 +11,7 @@
 const MICROS_PER_MILLI: Micros = 1000;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What a member's load report says.
+/// The values of a member's load report.
 #[derive(Default)]
 struct LoadReport {
     role: Option<Role>,
@@ -19,13 +19,13 @@
     queued: Option<f64>,
 }
 
-/// A router that the adapter hosts.
+/// A router that the adapter runs.
 pub struct Instance {
     pub router: Router,
     pub reader: LineReader,
 }
 
-/// Reads the lines for an instance: their meaning depends on its settings.
+/// Parses the lines for an instance according to its settings.
 #[derive(Debug)]
 pub struct LineReader {
     parameters: ProxyParameters,
@@ -49,7 +49,7 @@
     }
 
     pub fn request(&self, fields: &Fields<'_>) -> Result<Event, LineError> {
-        let name = fields.need::<String>("Cls")?;
+        let name = fields.required::<String>("Cls")?;
         let class = self.parameters.class_names.iter().position(|class| *class == name);
         let class = class.ok_or(LineError::UnknownClass(name))?;
         let group = fields.number("GroupNo")?.ok_or_else(|| missing("GroupNo"))?;
@@ -59,28 +59,29 @@
             class: ClassId(class),
             group: GroupId(group as u64),
             session: fields.get("Key")?.map(SessionKey),
-            deadline: fields.need("GiveUpAtUs")?,
+            deadline: fields.required("GiveUpAtUs")?,
             last_write_age: last_write_millis.map(|millis| (millis * 1e3).floor() as Micros),
             may_have_run: false,
         }))
     }
 
     pub fn attempt_result(&self, fields: &Fields<'_>) -> Result<Event, LineError> {
-        let outcome = attempt_outcome(&fields.need::<String>("Rc")?)?;
-        let mark: Micros = fields.or("Mark", 0)?;
+        let outcome = attempt_outcome(&fields.required::<String>("Rc")?)?;
+        let mark: Micros = fields.get_or("Mark", 0)?;
         Ok(Event::AttemptFinished(AttemptResult {
             id: request_id(fields)?,
-            attempt: AttemptNo(fields.need("SendNo")?),
+            attempt: AttemptNo(fields.required("SendNo")?),
             host: host_id(fields)?,
             outcome,
             terminal: fields.flag("Terminal")?,
-            latency: fields.or("LatencyUs", 0)?,
+            latency: fields.get_or("LatencyUs", 0)?,
             role: role_of_mark(mark),
             position: self.position_of_mark(mark),
         }))
     }
 
-    /// The log position of a mark: milliseconds since the origin, times four; 0 for none.
+    /// Returns the log position of a mark. A mark is four times the milliseconds since the origin, plus the
+    /// code of the role; 0 milliseconds stands for no position.
     fn position_of_mark(&self, mark: Micros) -> Option<Micros> {
         let millis = Some(mark / 4).filter(|millis| *millis > 0)?;
         Some(self.parameters.position_origin.saturating_add(millis.saturating_mul(MICROS_PER_MILLI)))
@@ -90,14 +91,14 @@
         let report = self.load_report(fields.text("Usage"))?;
         Ok(Event::ProbeFinished(ProbeResult {
             host: host_id(fields)?,
-            answered: fields.need::<String>("Rc")? == "done",
+            answered: fields.required::<String>("Rc")? == "done",
             role: report.role,
             position: report.position,
             queued: report.queued,
         }))
     }
 
-    /// Reads a load report: the values of the columns that the settings name, with commas between them.
+    /// Parses a load report: comma-separated values of the columns that the settings name.
     fn load_report(&self, text: &str) -> Result<LoadReport, LineError> {
         let mut report = LoadReport::default();
         if text.is_empty() {
