--- a/tests/common/ending.rs
+++ b/tests/common/ending.rs
@@ -7,7 +7,7 @@
 pub use stand::{free_port, query, read_response, startup, Process, TEST_TIMEOUT};
 
 use stand::start_member;
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::AtomicUsize;
 use std::sync::Arc;
@@ -55,7 +55,7 @@
         let mut idle = self.open_idle();
         let since = Instant::now();
         self.process.terminate();
-        assert_eq!(idle.read(&mut [0]).ok(), Some(0), "the process closes an idle connection");
+        assert_eq!(read_byte(&mut idle).ok(), Some(0), "the process closes an idle connection");
         since
     }
 
@@ -70,7 +70,18 @@
 }
 
 pub fn is_closed(stream: &mut TcpStream) -> bool {
-    !matches!(stream.read(&mut [0]), Ok(1..))
+    !matches!(read_byte(stream), Ok(1..))
+}
+
+/// Reads one byte. A read that a signal interrupts is repeated: the kernel does not restart reads with a
+/// timeout.
+fn read_byte(stream: &mut TcpStream) -> std::io::Result<usize> {
+    loop {
+        match stream.read(&mut [0]) {
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            result => return result,
+        }
+    }
 }
 
 /// Sleeps until `span` has passed since the instant.
